--- /dev/null
+++ b/internal/back/transcript_test.go
@@ -0,0 +1,332 @@
+package back
+
+import (
+	"bufio"
+	"context"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"bankledge/decision"
+)
+
+var recordTranscripts = flag.Bool("record-transcripts", false, "write testdata/transcripts.txt instead of comparing with it")
+
+const transcriptsFile = "testdata/transcripts.txt"
+
+// transcript collects, in order, the requests that a scripted engine receives and what the listener is told.
+type transcript struct {
+	engineAddress string
+
+	mu       sync.Mutex
+	lines    []string
+	finished chan struct{} // closed when the attempt or the health check has ended
+}
+
+func (r *transcript) add(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
+}
+
+func (r *transcript) text() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return strings.Join(r.lines, "\n") + "\n"
+}
+
+var outcomeLabels = map[decision.Outcome]string{decision.Completed: "completed", decision.Errored: "errored", decision.TimedOut: "timed out",
+	decision.Reset: "reset", decision.NotConnected: "not connected", decision.NeverSent: "never sent", decision.Full: "full", decision.Cancelled: "cancelled"}
+
+func (r *transcript) Noted(noted decision.ExecutionNoted) {
+	r.add("  noted: statement=%s number=%d engine=%s kind=%d value=%v", noted.Statement, noted.Execution, noted.Engine, noted.Note, noted.Value)
+}
+
+func (r *transcript) Ended(ended decision.ExecutionEnded, result []byte) {
+	r.add("  ended: statement=%s number=%d engine=%s %s, load report:%s, result %q", ended.Statement, ended.Execution, ended.Engine,
+		outcomeLabels[ended.Outcome], loadReportText(ended.Report), abbreviate(string(result)))
+	close(r.finished)
+}
+
+func (r *transcript) Probed(ended decision.ProbeEnded) {
+	r.add("  health check ended: engine=%s %s, load report:%s", ended.Engine, outcomeLabels[ended.Outcome], loadReportText(ended.Report))
+	close(r.finished)
+}
+
+func loadReportText(report *decision.Report) string {
+	if report == nil {
+		return " none"
+	}
+	text := ""
+	for field := range decision.NumFields {
+		if report.Known[field] {
+			text += fmt.Sprintf(" %d=%v", field, report.Value[field])
+		}
+	}
+	return text
+}
+
+func abbreviate(text string) string {
+	if len(text) > 200 {
+		return fmt.Sprintf("%s...%s (%d bytes)", text[:20], text[len(text)-20:], len(text))
+	}
+	return text
+}
+
+// scriptedAnswer is what the engine does with one request.
+type scriptedAnswer struct {
+	onReceipt func()          // called when the request has been recorded
+	waitFor   <-chan struct{} // the answer is held back until this is closed
+	raw       string          // written as it is
+	breaks    bool            // the connection is closed afterwards
+}
+
+// serveScript answers the requests in the order in which they are received, whatever connection they arrive on.
+func serveScript(t *testing.T, listener net.Listener, recorded *transcript, script []scriptedAnswer) {
+	var wait sync.WaitGroup
+	var mu sync.Mutex
+	var open []net.Conn
+	connections, requests := 0, 0
+	handle := func(raw net.Conn, reader *bufio.Reader, seen *strings.Builder, number *int) bool {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return false
+		}
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
+			return false
+		}
+		mu.Lock()
+		if *number == 0 {
+			connections++
+			*number = connections
+		}
+		recorded.add("connection %d: %s", *number, normalise(seen.String(), recorded.engineAddress))
+		seen.Reset()
+		answer := scriptedAnswer{raw: "HTTP/1.1 500 Unscripted\r\nContent-Length: 0\r\n\r\n"}
+		if requests < len(script) {
+			answer = script[requests]
+		}
+		requests++
+		mu.Unlock()
+		if answer.onReceipt != nil {
+			answer.onReceipt()
+		}
+		if answer.waitFor != nil {
+			<-answer.waitFor
+		}
+		_, err = io.WriteString(raw, answer.raw)
+		return err == nil && !answer.breaks
+	}
+	wait.Go(func() {
+		for {
+			raw, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			mu.Lock()
+			open = append(open, raw)
+			mu.Unlock()
+			wait.Go(func() {
+				defer raw.Close()
+				var seen strings.Builder
+				reader := bufio.NewReader(io.TeeReader(raw, &seen))
+				for number := 0; handle(raw, reader, &seen, &number); {
+				}
+			})
+		}
+	})
+	t.Cleanup(func() {
+		listener.Close()
+		mu.Lock()
+		for _, raw := range open {
+			raw.Close()
+		}
+		mu.Unlock()
+		wait.Wait()
+	})
+}
+
+// normalise replaces what differs between runs: the engine's port, and the milliseconds that are left.
+func normalise(request, address string) string {
+	request = strings.ReplaceAll(request, address, "ENGINE")
+	if before, after, found := strings.Cut(request, "X-Limit-Ms: "); found {
+		digits := strings.IndexByte(after, '\r')
+		request = before + "X-Limit-Ms: MS" + after[digits:]
+	}
+	return fmt.Sprintf("%q", request)
+}
+
+const (
+	noLength     = "Content-Length: 0\r\n\r\n"
+	acceptedWith = "HTTP/1.1 202 Accepted\r\n"
+	acknowledged = "HTTP/1.1 204 No Content\r\n\r\n"
+	firstNote    = acceptedWith + "X-How: done\r\nX-Num: 0.25\r\n" + noLength
+	secondNote   = acceptedWith + "X-How: done\r\nX-Num: 0.5\r\n" + noLength
+)
+
+func page(fields, body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", fields, len(body), body)
+}
+
+func emptyAnswer(statusAndFields string) string {
+	return "HTTP/1.1 " + statusAndFields + "\r\n" + noLength
+}
+
+// transcriptCase is one attempt or one health check at a scripted engine.
+type transcriptCase struct {
+	name        string
+	healthCheck bool
+	timeLeft    time.Duration // of the attempt; 0: a minute
+	unreachable bool
+	cancelAt    int // the request at which the attempt is cancelled, from 1; 0: none
+	script      []string
+	hold        int // the request whose answer is held back until the end, from 1; 0: none
+}
+
+const brokenHere = "\x00" // ends an answer after which the engine closes the connection
+
+func transcriptCases() []transcriptCase {
+	result := page("X-Batches: 1\r\n", "row\n")
+	cases := []transcriptCase{
+		{name: "result of one page", script: []string{result}},
+		{name: "result of one page with a load report", script: []string{page("X-Batches: 1\r\nX-Gauges: inflight:7;util:0.61;queue:2;x1:0.2\r\n", "row\n")}},
+		{name: "empty result", script: []string{page("X-Batches: 1\r\n", "")}},
+		{name: "notes and three pages", script: []string{firstNote, secondNote,
+			acceptedWith + "X-How: spills\r\nX-Num: 96\r\n" + noLength, acceptedWith + "X-How: waits\r\nX-Num: 2\r\n" + noLength,
+			page("X-Batches: 3\r\n", "a\n"), page("X-Batch: 1\r\n", "b\n"), page("X-Batch: 2\r\n", "c\n")}},
+		{name: "a poll is repeated on another connection when its own breaks", script: []string{firstNote, brokenHere, secondNote, result}},
+		{name: "a poll is repeated when its answer breaks off", script: []string{firstNote, acceptedWith + "Content-" + brokenHere, result}},
+		{name: "a poll is repeated when its answer is garbled", script: []string{firstNote, "so what\r\n\r\n", result}},
+		{name: "a poll is repeated when its result is too large", script: []string{firstNote, page("X-Batches: 1\r\n", strings.Repeat("x", 6000)+"\n"), result}},
+		{name: "a poll is repeated when its result has no end", script: []string{firstNote, "HTTP/1.1 200 OK\r\nX-Batches: 1\r\n\r\nrow\n" + brokenHere, result}},
+		{name: "a poll is repeated when its result ends within a row", script: []string{firstNote, page("X-Batches: 1\r\n", "ro"), result}},
+		{name: "a poll is repeated when its status is unknown", script: []string{firstNote, emptyAnswer("418 Odd"), result}},
+		{name: "a poll is repeated when the result has no count of pages", script: []string{firstNote, page("", "row\n"), result}},
+		{name: "rows behind which more has come must come twice", script: []string{firstNote, result + "x", result}},
+		{name: "a page is repeated when it is not the awaited one", script: []string{page("X-Batches: 2\r\n", "a\n"), page("X-Batch: 2\r\n", "c\n"), page("X-Batch: 1\r\n", "b\n")}},
+		{name: "a page is repeated when its connection breaks", script: []string{page("X-Batches: 2\r\n", "a\n"), brokenHere, page("X-Batch: 1\r\n", "b\n")}},
+		{name: "a page that the engine has dropped", script: []string{page("X-Batches: 2\r\n", "a\n"), emptyAnswer("500 Gone"), acknowledged}},
+		{name: "pages beyond the limit of a result", script: func() []string {
+			full := strings.Repeat("x", 5999) + "\n"
+			script := []string{page("X-Batches: 9\r\n", full)}
+			for number := range 8 {
+				script = append(script, page(fmt.Sprintf("X-Batch: %d\r\n", number+1), full))
+			}
+			return append(script, acknowledged)
+		}()},
+		{name: "the connection breaks before the start is answered", script: []string{brokenHere, result}},
+		{name: "the answer to the start is garbled", script: []string{"so what\r\n\r\n", result}},
+		{name: "no answer is of any use", script: append(strings.Split(strings.Repeat("so what\r\n\r\n|", 18), "|")[:18], acknowledged)},
+		{name: "the attempt is cancelled", script: []string{firstNote, brokenHere, acknowledged}, hold: 2, cancelAt: 2},
+		{name: "the attempt is cancelled and the engine knows it no longer", script: []string{firstNote, brokenHere, emptyAnswer("500 Gone")}, hold: 2, cancelAt: 2},
+		{name: "the cancellation is repeated until it is confirmed", script: []string{firstNote, brokenHere, emptyAnswer("404 No"), acknowledged}, hold: 2, cancelAt: 2},
+		{name: "the attempt's time is up", script: []string{firstNote, brokenHere, acknowledged}, hold: 2, timeLeft: 500 * time.Millisecond},
+		{name: "the attempt has no time left", timeLeft: time.Nanosecond},
+		{name: "the engine is unreachable", unreachable: true},
+		{name: "health check with a load report", healthCheck: true, script: []string{page("X-Gauges: inflight:3;util:0.5\r\n", "")}},
+		{name: "health check without a load report", healthCheck: true, script: []string{page("", "")}},
+		{name: "health check is answered with an error", healthCheck: true, script: []string{emptyAnswer("503 No\r\nX-Gauges: inflight:9")}},
+		{name: "health check is garbled", healthCheck: true, script: []string{"so what\r\n\r\n"}},
+		{name: "health check breaks", healthCheck: true, script: []string{brokenHere}},
+		{name: "health check hangs", healthCheck: true, script: []string{""}, hold: 1},
+		{name: "health check does not connect", healthCheck: true, unreachable: true},
+	}
+	for _, head := range []string{"500 Error", "500 Error\r\nX-Unrun: 1", "503 Full\r\nX-Unrun: 1", "503 Full", "503 Full\r\nX-Unrun: 0", "504 Late\r\nX-Unrun: 1",
+		"504 Late", "500 Error\r\nX-Gauges: inflight:4"} {
+		cases = append(cases,
+			transcriptCase{name: fmt.Sprintf("start answered with %q", head), script: []string{emptyAnswer(head), acknowledged}},
+			transcriptCase{name: fmt.Sprintf("poll answered with %q", head), script: []string{firstNote, emptyAnswer(head), acknowledged}})
+	}
+	for _, head := range []string{"418 Odd", "200 OK", "200 OK\r\nX-Batches: 0", "200 OK\r\nX-Batches: 4097", "404 No", "301 Moved", "429 Slow\r\nX-Unrun: 1"} {
+		cases = append(cases, transcriptCase{name: fmt.Sprintf("start answered with %q", head), script: []string{emptyAnswer(head), result}})
+	}
+	return cases
+}
+
+func (c transcriptCase) play(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	recorded := &transcript{engineAddress: listener.Addr().String(), finished: make(chan struct{})}
+	cancelled := make(chan func(), 1)
+	script := make([]scriptedAnswer, len(c.script))
+	for i, raw := range c.script {
+		raw, breaks := strings.CutSuffix(raw, brokenHere)
+		script[i] = scriptedAnswer{raw: raw, breaks: breaks}
+		if c.hold == i+1 {
+			script[i].waitFor = recorded.finished
+		}
+		if c.cancelAt == i+1 {
+			script[i].onReceipt = func() { (<-cancelled)() }
+		}
+	}
+	if c.unreachable {
+		listener.Close()
+	} else {
+		serveScript(t, listener, recorded, script)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	engines := New(ctx, recorded, 8, time.Minute, time.Second, zap.NewNop())
+	engines.Know("engine-1", listener.Addr().String(), true)
+	if c.healthCheck {
+		engines.Probe("engine-1")
+	} else {
+		timeLeft := c.timeLeft
+		if timeLeft == 0 {
+			timeLeft = time.Minute
+		}
+		attempt := engines.Execute(Order{Statement: "statement-1", Execution: 2, Engine: "engine-1", Workload: "lookup", Text: []byte("select 'ä'\n"),
+			Until: time.Now().Add(timeLeft)})
+		cancelled <- attempt.GiveUp
+	}
+	select {
+	case <-recorded.finished:
+	case <-time.After(20 * time.Second):
+		t.Fatalf("no end; so far:\n%s", recorded.text())
+	}
+	text := recorded.text()
+	stop()
+	require.NoError(t, engines.Tend(ctx))
+	assert.Zero(t, engines.Descriptors(), "all are given back")
+	return text
+}
+
+// TestTranscripts compares whole exchanges with a scripted engine, and what the listener is told, with those recorded.
+func TestTranscripts(t *testing.T) {
+	const heading = "== "
+	if *recordTranscripts {
+		var text strings.Builder
+		for _, c := range transcriptCases() {
+			text.WriteString(heading + c.name + "\n" + c.play(t))
+		}
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.WriteFile(transcriptsFile, []byte(text.String()), 0o644))
+		return
+	}
+	file, err := os.ReadFile(transcriptsFile)
+	require.NoError(t, err)
+	recorded := map[string]string{}
+	for section := range strings.SplitSeq(strings.TrimPrefix(string(file), heading), "\n"+heading) {
+		name, text, _ := strings.Cut(section, "\n")
+		recorded[name] = strings.TrimSuffix(text, "\n") + "\n"
+	}
+	cases := transcriptCases()
+	assert.Len(t, recorded, len(cases))
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			assert.Equal(t, recorded[c.name], c.play(t))
+		})
+	}
+}
