--- /dev/null
+++ b/internal/settings/recorded_test.go
@@ -0,0 +1,245 @@
+package settings_test
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/internal/control"
+	"bankledge/internal/rules"
+	"bankledge/internal/settings"
+	"bankledge/internal/steer"
+)
+
+var update = flag.Bool("update", false, "write the recordings in testdata anew")
+
+// format is one kind of configuration file: how it is read, and what was read in a form that does not depend on Go's names.
+type format struct {
+	name, deployed string // deployed is its file under deploy/, if it has one
+	read           func(path string) (any, error)
+}
+
+var formats = []format{
+	{"router", "", func(path string) (any, error) {
+		c, err := settings.Load(path)
+		if err != nil {
+			return nil, err
+		}
+		return values(reflect.ValueOf(c)), nil
+	}},
+	{"control", "control.jsonnet", func(path string) (any, error) {
+		if strings.HasSuffix(path, ".jsonnet") {
+			var f steer.File
+			return &f, control.Evaluate(path, &f)
+		}
+		f, err := steer.Load(path)
+		if err != nil {
+			return nil, err
+		}
+		return []any{f, values(reflect.ValueOf(f.Spans())), values(reflect.ValueOf(f.Guards()))}, nil
+	}},
+	{"group", "group.jsonnet", func(path string) (any, error) { return control.Load(path) }},
+	{"rules", "rules.jsonnet", func(path string) (any, error) {
+		var raw json.RawMessage
+		if err := control.Evaluate(path, &raw); err != nil {
+			return nil, err
+		}
+		r, err := rules.Parse(raw)
+		if err != nil {
+			return nil, err
+		}
+		return json.RawMessage(r.Canonical()), nil
+	}},
+}
+
+// badValues stand in for each field of a file in turn, beside its removal.
+var badValues = []string{"", `"odd"`, `""`, "-1", "0", "1.5", "1e30", "true", "null", "[]", "{}", `["odd","odd"]`, `{"odd":-1}`}
+
+// goNames are the names of Go types that encoding/json writes into its errors; all else in a message is compared.
+var goNames = regexp.MustCompile(`(Go struct field )\w+|( of type ).+`)
+
+// Each field of each configuration file takes the same values as it did when testdata was written, with the same result, and
+// refuses the same values with the same message.
+func TestConfigurationFieldsAreReadAsRecorded(t *testing.T) {
+	for _, f := range formats {
+		t.Run(f.name, func(t *testing.T) {
+			base, err := os.ReadFile(filepath.Join("testdata", f.name+".json"))
+			require.NoError(t, err)
+			recording, err := filepath.Abs(filepath.Join("testdata", f.name+".recorded"))
+			require.NoError(t, err)
+			deployed, err := filepath.Abs("../../deploy")
+			require.NoError(t, err)
+			t.Chdir(t.TempDir())
+
+			lines := []string{"as it is\t\t" + result(t, f, string(base))}
+			for _, path := range fieldPaths(t, base) {
+				for _, value := range badValues {
+					lines = append(lines, strings.Join(path, "/")+"\t"+value+"\t"+result(t, f, replaced(t, base, path, value)))
+				}
+			}
+			if f.deployed != "" {
+				got, err := f.read(filepath.Join(deployed, f.deployed))
+				require.NoError(t, err)
+				lines = append(lines, f.deployed+"\t\t"+digest(t, got))
+			}
+			compare(t, recording, lines)
+		})
+	}
+}
+
+// The files that the bench reads are data to this repository: they stay byte for byte.
+func TestSiteFilesStay(t *testing.T) {
+	sites, err := filepath.Glob("../../deploy/sites/*/*.toml")
+	require.NoError(t, err)
+	var lines []string
+	for _, path := range sites {
+		raw, err := os.ReadFile(path)
+		require.NoError(t, err)
+		lines = append(lines, fmt.Sprintf("%s\t%x", filepath.Base(path), sha256.Sum256(raw)))
+	}
+	compare(t, "testdata/sites.recorded", lines)
+}
+
+// compare holds lines against a recording, or writes it anew.
+func compare(t *testing.T, path string, lines []string) {
+	t.Helper()
+	text := strings.Join(lines, "\n") + "\n"
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	}
+	recorded, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, strings.Split(string(recorded), "\n"), strings.Split(text, "\n"))
+}
+
+// result is the error of a file with this text, or a digest of what is read from it.
+func result(t *testing.T, f format, text string) string {
+	t.Helper()
+	require.NoError(t, os.WriteFile("file.json", []byte(text), 0o600))
+	got, err := f.read("file.json")
+	if err != nil {
+		return strconv.Quote(goNames.ReplaceAllString(err.Error(), "${1}${2}T"))
+	}
+	return digest(t, got)
+}
+
+func digest(t *testing.T, value any) string {
+	t.Helper()
+	raw, err := json.Marshal(value)
+	require.NoError(t, err)
+	var plain any // maps come out with sorted keys, whatever the order of a struct's fields
+	require.NoError(t, json.Unmarshal(raw, &plain))
+	raw, err = json.Marshal(plain)
+	require.NoError(t, err)
+	return fmt.Sprintf("accepted %x", sha256.Sum256(raw))[:25]
+}
+
+// values flattens exported fields in their order, without their names.
+func values(v reflect.Value) (all []any) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		return values(v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				all = append(all, values(v.Field(i))...)
+			}
+		}
+		return all
+	case reflect.Map:
+		keys := v.MapKeys()
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(a.String(), b.String()) })
+		for _, key := range keys {
+			all = append(all, key.String(), values(v.MapIndex(key)))
+		}
+		return []any{all}
+	case reflect.Slice:
+		if raw, ok := v.Interface().(json.RawMessage); ok {
+			return []any{raw}
+		}
+		for i := range v.Len() {
+			all = append(all, values(v.Index(i)))
+		}
+		return []any{all}
+	}
+	return []any{v.Interface()}
+}
+
+// fieldPaths are the ways to each field, object and list of a file; of a list, the first two entries.
+func fieldPaths(t *testing.T, raw []byte) (paths [][]string) {
+	t.Helper()
+	var walk func(path []string, value any)
+	walk = func(path []string, value any) {
+		if len(path) > 0 {
+			paths = append(paths, slices.Clone(path))
+		}
+		switch v := value.(type) {
+		case map[string]any:
+			for _, key := range slices.Sorted(maps.Keys(v)) {
+				walk(append(path, key), v[key])
+			}
+		case []any:
+			for i, entry := range v[:min(2, len(v))] {
+				walk(append(path, strconv.Itoa(i)), entry)
+			}
+		}
+	}
+	walk(nil, parse(t, raw))
+	return paths
+}
+
+// replaced is the file with another value at a path, or without it where the value is empty.
+func replaced(t *testing.T, raw []byte, path []string, value string) string {
+	t.Helper()
+	root := parse(t, raw)
+	at := root
+	for _, name := range path[:len(path)-1] {
+		if list, ok := at.([]any); ok {
+			i, err := strconv.Atoi(name)
+			require.NoError(t, err)
+			at = list[i]
+		} else {
+			at = at.(map[string]any)[name]
+		}
+	}
+	last := path[len(path)-1]
+	switch at := at.(type) {
+	case []any:
+		i, err := strconv.Atoi(last)
+		require.NoError(t, err)
+		at[i] = json.RawMessage(value)
+		if value == "" {
+			at[i] = nil
+		}
+	case map[string]any:
+		at[last] = json.RawMessage(value)
+		if value == "" {
+			delete(at, last)
+		}
+	}
+	text, err := json.Marshal(root)
+	require.NoError(t, err)
+	return string(text)
+}
+
+func parse(t *testing.T, raw []byte) (value any) {
+	t.Helper()
+	d := json.NewDecoder(bytes.NewReader(raw))
+	d.UseNumber()
+	require.NoError(t, d.Decode(&value))
+	return value
+}
