--- a/cmd/bankledge-lab/mutants.go
+++ b/cmd/bankledge-lab/mutants.go
@@ -75,23 +75,216 @@
 
 // mutants are the guards that can be taken off.
 var mutants = []mutant{
-	{"a statement's time is not watched", "answers", []edit{{module, watching, "m.due.At(s.End+time.Second, func() { m.giveUp(s, decision.ReasonTimeUp) })"}, noBackstop}, someCut, 0.5},
-	{"an answer is sent again", "answers", []edit{{"internal/front/front.go", "return c.queue(appendAnswer(make([]byte, 0, headBytes+leastLength+2+len(body)), typeAnswer, stream, code, body), stream)", "b := appendAnswer(nil, typeAnswer, stream, code, body)\n\treturn c.queue(append(b, b...), stream)"}}, nil, 0.5},
-	{"an answer is lost with its execution", "answers", []edit{{module, dropping, "	default:\n		m.finish(s)"}, noBackstop}, erring, 0.5},
-	{"what may have run goes again, whatever it is", "once", []edit{repeats, unguarded}, erring, 0.5},
-	{"the same, with the run-time guard", "guard", []edit{repeats}, erring, 0.5},
-	{"when an engine was asked is kept on the wall clock", "one at a time", []edit{{asked, "i.since.Store(int64(at.Sub(origin)))", "i.since.Store(int64(at.Round(0).Sub(origin.Round(0))))"},
-		{asked, "return origin.Add(time.Duration(i.since.Load()))", "return origin.Round(0).Add(time.Duration(i.since.Load()))"}}, flapping, 0.5},
-	{"a start that is held up on its way is left to the kernel", "left", []edit{{"internal/back/pool.go", "	c.willReset()\n	p.drop(c)", "	p.drop(c)"}}, heldUp, 0.5},
-	{"a lost connection ends an execution", "one at a time", []edit{{"internal/back/back.go", "forgets   = 2 * time.Second ", "forgets   = 2 * time.Millisecond "}}, []lab.Fault{{Kind: "crawl", At: 1, For: 6, Engines: allEngines, Amount: 8}, {Kind: "deaf", At: 2, For: 4, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 2.2, Routers: allRouters, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}}, 0.7},
-	{"drains are not heeded", "drains", []edit{{module, "case !e.Listed, e.State != decision.Ready: // drains, stricter than their grace", "case false:"}}, drained, 0.5},
-	{"what is gone is kept on the list", "drains", []edit{{module, "e.Entry, e.Listed = entry, entry.State != decision.Gone", "e.Entry, e.Listed = entry, true\n\t\te.State = decision.Ready"}}, drained, 0.5},
-	{"a cold engine counts as warm", "cold", []edit{{module, "return e.StartedAt > 0 && m.now < e.StartedAt+m.rules.WarmAfter+coldMargin && m.rules.ColdWindow > 0", "return false && e.StartedAt > 0"}, roomy}, lostMost, 1.2},
-	{"a cold engine's budget is not kept", "cold", []edit{{module, "func (m *Module) coldLeft(s *statement, e *engine) bool {\n", "func (m *Module) coldLeft(s *statement, e *engine) bool {\n	if s != nil {\n		return true\n	}\n"}, roomy}, lostMost, 1.2},
-	{"every note is taken for a bad plan", "harm", []edit{{module, "elapsed+left > badPlan*max(run, 0.5) && left > 2*run", "elapsed+left > badPlan*0 && left > 0*run"}}, crawling, 0.8},
-	{"no connection is kept", "harm", []edit{{"internal/back/pool.go", "func (p *pool) put(c *conn) {\n", "func (p *pool) put(c *conn) {\n	p.drop(c)\n	if c != nil {\n		return\n	}\n"}}, nil, 0.5},
-	{"a left engine is never tried again", "back", []edit{{module, "e.Left, e.Backoff = true, min(max(backoffFirst, e.Backoff*2), backoffMost)", "e.Left, e.Backoff = true, time.Hour"}}, []lab.Fault{{Kind: "cut", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3, 4, 5}}}, 0.6},
-	{"a control feed that stops is not given up", "back", []edit{{"internal/feed/feed.go", "silence    = 2500 * time.Millisecond", "silence    = 2500 * time.Second"}}, append([]lab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}}, lost...), 0.6},
+	{
+		name:    "a statement's time is not watched",
+		auditor: "answers",
+		edits: []edit{
+			{
+				file: module,
+				old:  watching,
+				new:  "m.due.At(s.End+time.Second, func() { m.giveUp(s, decision.ReasonTimeUp) })",
+			},
+			noBackstop,
+		},
+		faults: someCut,
+		load:   0.5,
+	},
+	{
+		name:    "an answer is sent again",
+		auditor: "answers",
+		edits: []edit{
+			{
+				file: "internal/front/front.go",
+				old:  "return c.queue(appendAnswer(make([]byte, 0, headBytes+leastLength+2+len(body)), typeAnswer, stream, code, body), stream)",
+				new:  "b := appendAnswer(nil, typeAnswer, stream, code, body)\n\treturn c.queue(append(b, b...), stream)",
+			},
+		},
+		faults: nil,
+		load:   0.5,
+	},
+	{
+		name:    "an answer is lost with its execution",
+		auditor: "answers",
+		edits: []edit{
+			{
+				file: module,
+				old:  dropping,
+				new:  "	default:\n		m.finish(s)",
+			},
+			noBackstop,
+		},
+		faults: erring,
+		load:   0.5,
+	},
+	{
+		name:    "what may have run goes again, whatever it is",
+		auditor: "once",
+		edits: []edit{
+			repeats,
+			unguarded,
+		},
+		faults: erring,
+		load:   0.5,
+	},
+	{
+		name:    "the same, with the run-time guard",
+		auditor: "guard",
+		edits: []edit{
+			repeats,
+		},
+		faults: erring,
+		load:   0.5,
+	},
+	{
+		name:    "when an engine was asked is kept on the wall clock",
+		auditor: "one at a time",
+		edits: []edit{
+			{
+				file: asked,
+				old:  "i.since.Store(int64(at.Sub(origin)))",
+				new:  "i.since.Store(int64(at.Round(0).Sub(origin.Round(0))))",
+			},
+			{
+				file: asked,
+				old:  "return origin.Add(time.Duration(i.since.Load()))",
+				new:  "return origin.Round(0).Add(time.Duration(i.since.Load()))",
+			},
+		},
+		faults: flapping,
+		load:   0.5,
+	},
+	{
+		name:    "a start that is held up on its way is left to the kernel",
+		auditor: "left",
+		edits: []edit{
+			{
+				file: "internal/back/pool.go",
+				old:  "	c.willReset()\n	p.drop(c)",
+				new:  "	p.drop(c)",
+			},
+		},
+		faults: heldUp,
+		load:   0.5,
+	},
+	{
+		name:    "a lost connection ends an execution",
+		auditor: "one at a time",
+		edits: []edit{
+			{
+				file: "internal/back/back.go",
+				old:  "forgets   = 2 * time.Second ",
+				new:  "forgets   = 2 * time.Millisecond ",
+			},
+		},
+		faults: []lab.Fault{{Kind: "crawl", At: 1, For: 6, Engines: allEngines, Amount: 8}, {Kind: "deaf", At: 2, For: 4, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 2.2, Routers: allRouters, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}},
+		load:   0.7,
+	},
+	{
+		name:    "drains are not heeded",
+		auditor: "drains",
+		edits: []edit{
+			{
+				file: module,
+				old:  "case !e.Listed, e.State != decision.Ready: // drains, stricter than their grace",
+				new:  "case false:",
+			},
+		},
+		faults: drained,
+		load:   0.5,
+	},
+	{
+		name:    "what is gone is kept on the list",
+		auditor: "drains",
+		edits: []edit{
+			{
+				file: module,
+				old:  "e.Entry, e.Listed = entry, entry.State != decision.Gone",
+				new:  "e.Entry, e.Listed = entry, true\n\t\te.State = decision.Ready",
+			},
+		},
+		faults: drained,
+		load:   0.5,
+	},
+	{
+		name:    "a cold engine counts as warm",
+		auditor: "cold",
+		edits: []edit{
+			{
+				file: module,
+				old:  "return e.StartedAt > 0 && m.now < e.StartedAt+m.rules.WarmAfter+coldMargin && m.rules.ColdWindow > 0",
+				new:  "return false && e.StartedAt > 0",
+			},
+			roomy,
+		},
+		faults: lostMost,
+		load:   1.2,
+	},
+	{
+		name:    "a cold engine's budget is not kept",
+		auditor: "cold",
+		edits: []edit{
+			{
+				file: module,
+				old:  "func (m *Module) coldLeft(s *statement, e *engine) bool {\n",
+				new:  "func (m *Module) coldLeft(s *statement, e *engine) bool {\n	if s != nil {\n		return true\n	}\n",
+			},
+			roomy,
+		},
+		faults: lostMost,
+		load:   1.2,
+	},
+	{
+		name:    "every note is taken for a bad plan",
+		auditor: "harm",
+		edits: []edit{
+			{
+				file: module,
+				old:  "elapsed+left > badPlan*max(run, 0.5) && left > 2*run",
+				new:  "elapsed+left > badPlan*0 && left > 0*run",
+			},
+		},
+		faults: crawling,
+		load:   0.8,
+	},
+	{
+		name:    "no connection is kept",
+		auditor: "harm",
+		edits: []edit{
+			{
+				file: "internal/back/pool.go",
+				old:  "func (p *pool) put(c *conn) {\n",
+				new:  "func (p *pool) put(c *conn) {\n	p.drop(c)\n	if c != nil {\n		return\n	}\n",
+			},
+		},
+		faults: nil,
+		load:   0.5,
+	},
+	{
+		name:    "a left engine is never tried again",
+		auditor: "back",
+		edits: []edit{
+			{
+				file: module,
+				old:  "e.Left, e.Backoff = true, min(max(backoffFirst, e.Backoff*2), backoffMost)",
+				new:  "e.Left, e.Backoff = true, time.Hour",
+			},
+		},
+		faults: []lab.Fault{{Kind: "cut", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3, 4, 5}}},
+		load:   0.6,
+	},
+	{
+		name:    "a control feed that stops is not given up",
+		auditor: "back",
+		edits: []edit{
+			{
+				file: "internal/feed/feed.go",
+				old:  "silence    = 2500 * time.Millisecond",
+				new:  "silence    = 2500 * time.Second",
+			},
+		},
+		faults: append([]lab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}}, lost...),
+		load:   0.6,
+	},
 }
 
 type mutantsCmd struct {
@@ -151,6 +344,26 @@
 	return mutate(m.name, "./cmd/bankledge", m.edits)
 }
 
+// editedSources returns the text of each file that the edits name, with the edits applied; the key is the file's path. It
+// fails where an edit's old text does not stand exactly once.
+func editedSources(name string, edits []edit) (map[string]string, error) {
+	texts := map[string]string{}
+	for _, e := range edits {
+		if texts[e.file] == "" {
+			text, err := os.ReadFile(e.file)
+			if err != nil {
+				return nil, err
+			}
+			texts[e.file] = string(text)
+		}
+		if n := strings.Count(texts[e.file], e.old); n != 1 {
+			return nil, fmt.Errorf("%s: the guard stands %d times in %s", name, n, e.file)
+		}
+		texts[e.file] = strings.Replace(texts[e.file], e.old, e.new, 1)
+	}
+	return texts, nil
+}
+
 // mutate builds a program with a guard taken off; the source stays as it is.
 func mutate(name, program string, edits []edit) (path string, drop func(), err error) {
 	dir, err := os.MkdirTemp("", "bankledge-lab")
@@ -163,20 +376,11 @@
 			drop()
 		}
 	}()
-	texts, replaced := map[string]string{}, map[string]string{}
-	for _, e := range edits {
-		if texts[e.file] == "" {
-			text, err := os.ReadFile(e.file)
-			if err != nil {
-				return "", nil, err
-			}
-			texts[e.file] = string(text)
-		}
-		if n := strings.Count(texts[e.file], e.old); n != 1 {
-			return "", nil, fmt.Errorf("%s: the guard stands %d times in %s", name, n, e.file)
-		}
-		texts[e.file] = strings.Replace(texts[e.file], e.old, e.new, 1)
+	texts, err := editedSources(name, edits)
+	if err != nil {
+		return "", nil, err
 	}
+	replaced := map[string]string{}
 	for file, text := range texts {
 		here, err := filepath.Abs(file)
 		if err != nil {
--- /dev/null
+++ b/cmd/bankledge-lab/mutants_test.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"go/parser"
+	"go/token"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// A mutant names the guard that it takes off by its source text, so a change of that text has to change the mutant as well.
+// This is seen here without a build; TestMutantsBuild builds them.
+func TestMutantEditsApply(t *testing.T) {
+	t.Chdir("../..")
+	for _, m := range mutants {
+		assertEditsApply(t, m.name, m.edits)
+	}
+	for _, m := range termMutants {
+		assertEditsApply(t, m.name, m.edits)
+	}
+}
+
+func assertEditsApply(t *testing.T, name string, edits []edit) {
+	t.Helper()
+	texts, err := editedSources(name, edits)
+	require.NoError(t, err)
+	require.NotEmpty(t, texts, name)
+	for file, text := range texts {
+		_, err := parser.ParseFile(token.NewFileSet(), file, text, parser.SkipObjectResolution)
+		assert.NoError(t, err, name)
+	}
+}
--- a/cmd/bankledge-lab/terms.go
+++ b/cmd/bankledge-lab/terms.go
@@ -159,24 +159,206 @@
 	name  string
 	edits []edit
 }{
-	{"a term is counted from when its answer comes", []edit{{routerSide, "	asked := of.at\n", "	asked := now\n"}}},
-	{"a router's clock is trusted", []edit{{both, "return time.Duration(float64(s.Term) * (1 - s.Drift))", "return time.Duration(float64(s.Term) * (1 + s.Drift))"}}},
-	{"the group takes terms to be shorter", []edit{{both, "return time.Duration(float64(s.Term) * (1 + s.Drift))", "return s.Term / 2"}}},
-	{"the group counts a term from long before", []edit{{groupSide, "max(s.Until, w.at+g.Spans.Owed())", "max(s.Until, w.at+g.Spans.Owed()-g.Spans.Term/2)"}}},
-	{"what loosens takes force on arrival", []edit{{routerSide, "	if r.settled != nil {\n		add(r.settled.Rules)", "	if r.settled != nil && r.pending == nil {\n		add(r.settled.Rules)"}}},
-	{"a version is settled while terms run that do not know it", []edit{{groupSide, "		if s.Until > now && s.Known < g.newest {\n			return nil\n		}\n	}\n	g.asked", "	}\n	g.asked"}, {groupSide, "	for _, s := range g.sessions {\n	}\n	g.asked", "	g.asked"}}},
-	{"a new leader does not wait", []edit{{groupSide, "free: now + g.Spans.Owed(),", "free: now,"}}},
-	{"a term is granted without proof that the process leads", []edit{{groupSide, "	return []GroupAction{Confirm{g.token}}", "	return g.confirmed(now)"}}},
-	{"a term is granted to who does not know the newest version", []edit{{groupSide, "	case r.Known == g.newest && r.Known > 0:\n", "	case r.Known > 0:\n		reply.Newest = r.Known\n"}}},
-	{"the term is not looked at after a pause", []edit{{routerSide, "if r.until > 0 && now >= r.until {", "if r.until > 0 && now >= r.until+time.Second {"}}},
-	{"nothing is saved before it is acknowledged", []edit{{process, "		if e.Sync {\n", "		if e.Sync && e.Snapshot != nil {\n"}}},
-	{"a vote is not kept", []edit{{"internal/consensus/node.go", "e.Persist.Hard, e.Persist.Entries, e.Sync = rd.HardState, rd.Entries, rd.MustSync", "e.Persist.Entries, e.Sync = rd.Entries, rd.MustSync"}}},
-	{"a version is written before the one before it is in force", []edit{{versions, "if g.Number() > g.Settled {", "if false {"}, {groupSide, "len(g.appended) > 0 || g.newest > g.settled || g.lineage", "len(g.appended) > 0 || g.lineage"}}},
-	{"a version is taken though the one before it is missing", []edit{{routerSide, "	case v.Number > newest.Number+1 && v.Number > settled: // the", "	case false: // the"}}},
-	{"terms are kept by name, not by process", []edit{{groupSide, "	s := g.sessions[r.Incarnation]\n", "	s := g.sessions[r.Name]\n"}, {groupSide, "		g.sessions[r.Incarnation] = s\n", "		g.sessions[r.Name] = s\n"}}},
-	{"a proposal that comes twice counts twice", []edit{{versions, "return e.ID != \"\" && o.ID == e.ID", "return false && o.ID == e.ID"}}},
-	{"a version is told of before it is synced", []edit{{process, "	return last(append(do, t.after(now)...))", "	return append(do, t.after(now)...)"}}},
-	{"any proof that the process led will do", []edit{{groupSide, "		if ev.Token == g.token {\n", "		if ev.Token <= g.token {\n"}, {groupSide, "	if len(g.confirm) > 0 && now < g.sentAt+g.Spans.Answer || len(g.confirm)+len(g.fresh) == 0 {", "	if len(g.confirm)+len(g.fresh) == 0 {"}}},
+	{
+		name: "a term is counted from when its answer comes",
+		edits: []edit{
+			{
+				file: routerSide,
+				old:  "	asked := of.at\n",
+				new:  "	asked := now\n",
+			},
+		},
+	},
+	{
+		name: "a router's clock is trusted",
+		edits: []edit{
+			{
+				file: both,
+				old:  "return time.Duration(float64(s.Term) * (1 - s.Drift))",
+				new:  "return time.Duration(float64(s.Term) * (1 + s.Drift))",
+			},
+		},
+	},
+	{
+		name: "the group takes terms to be shorter",
+		edits: []edit{
+			{
+				file: both,
+				old:  "return time.Duration(float64(s.Term) * (1 + s.Drift))",
+				new:  "return s.Term / 2",
+			},
+		},
+	},
+	{
+		name: "the group counts a term from long before",
+		edits: []edit{
+			{
+				file: groupSide,
+				old:  "max(s.Until, w.at+g.Spans.Owed())",
+				new:  "max(s.Until, w.at+g.Spans.Owed()-g.Spans.Term/2)",
+			},
+		},
+	},
+	{
+		name: "what loosens takes force on arrival",
+		edits: []edit{
+			{
+				file: routerSide,
+				old:  "	if r.settled != nil {\n		add(r.settled.Rules)",
+				new:  "	if r.settled != nil && r.pending == nil {\n		add(r.settled.Rules)",
+			},
+		},
+	},
+	{
+		name: "a version is settled while terms run that do not know it",
+		edits: []edit{
+			{
+				file: groupSide,
+				old:  "		if s.Until > now && s.Known < g.newest {\n			return nil\n		}\n	}\n	g.asked",
+				new:  "	}\n	g.asked",
+			},
+			{
+				file: groupSide,
+				old:  "	for _, s := range g.sessions {\n	}\n	g.asked",
+				new:  "	g.asked",
+			},
+		},
+	},
+	{
+		name: "a new leader does not wait",
+		edits: []edit{
+			{
+				file: groupSide,
+				old:  "free: now + g.Spans.Owed(),",
+				new:  "free: now,",
+			},
+		},
+	},
+	{
+		name: "a term is granted without proof that the process leads",
+		edits: []edit{
+			{
+				file: groupSide,
+				old:  "	return []GroupAction{Confirm{g.token}}",
+				new:  "	return g.confirmed(now)",
+			},
+		},
+	},
+	{
+		name: "a term is granted to who does not know the newest version",
+		edits: []edit{
+			{
+				file: groupSide,
+				old:  "	case r.Known == g.newest && r.Known > 0:\n",
+				new:  "	case r.Known > 0:\n		reply.Newest = r.Known\n",
+			},
+		},
+	},
+	{
+		name: "the term is not looked at after a pause",
+		edits: []edit{
+			{
+				file: routerSide,
+				old:  "if r.until > 0 && now >= r.until {",
+				new:  "if r.until > 0 && now >= r.until+time.Second {",
+			},
+		},
+	},
+	{
+		name: "nothing is saved before it is acknowledged",
+		edits: []edit{
+			{
+				file: process,
+				old:  "		if e.Sync {\n",
+				new:  "		if e.Sync && e.Snapshot != nil {\n",
+			},
+		},
+	},
+	{
+		name: "a vote is not kept",
+		edits: []edit{
+			{
+				file: "internal/consensus/node.go",
+				old:  "e.Persist.Hard, e.Persist.Entries, e.Sync = rd.HardState, rd.Entries, rd.MustSync",
+				new:  "e.Persist.Entries, e.Sync = rd.Entries, rd.MustSync",
+			},
+		},
+	},
+	{
+		name: "a version is written before the one before it is in force",
+		edits: []edit{
+			{
+				file: versions,
+				old:  "if g.Number() > g.Settled {",
+				new:  "if false {",
+			},
+			{
+				file: groupSide,
+				old:  "len(g.appended) > 0 || g.newest > g.settled || g.lineage",
+				new:  "len(g.appended) > 0 || g.lineage",
+			},
+		},
+	},
+	{
+		name: "a version is taken though the one before it is missing",
+		edits: []edit{
+			{
+				file: routerSide,
+				old:  "	case v.Number > newest.Number+1 && v.Number > settled: // the",
+				new:  "	case false: // the",
+			},
+		},
+	},
+	{
+		name: "terms are kept by name, not by process",
+		edits: []edit{
+			{
+				file: groupSide,
+				old:  "	s := g.sessions[r.Incarnation]\n",
+				new:  "	s := g.sessions[r.Name]\n",
+			},
+			{
+				file: groupSide,
+				old:  "		g.sessions[r.Incarnation] = s\n",
+				new:  "		g.sessions[r.Name] = s\n",
+			},
+		},
+	},
+	{
+		name: "a proposal that comes twice counts twice",
+		edits: []edit{
+			{
+				file: versions,
+				old:  "return e.ID != \"\" && o.ID == e.ID",
+				new:  "return false && o.ID == e.ID",
+			},
+		},
+	},
+	{
+		name: "a version is told of before it is synced",
+		edits: []edit{
+			{
+				file: process,
+				old:  "	return last(append(do, t.after(now)...))",
+				new:  "	return append(do, t.after(now)...)",
+			},
+		},
+	},
+	{
+		name: "any proof that the process led will do",
+		edits: []edit{
+			{
+				file: groupSide,
+				old:  "		if ev.Token == g.token {\n",
+				new:  "		if ev.Token <= g.token {\n",
+			},
+			{
+				file: groupSide,
+				old:  "	if len(g.confirm) > 0 && now < g.sentAt+g.Spans.Answer || len(g.confirm)+len(g.fresh) == 0 {",
+				new:  "	if len(g.confirm)+len(g.fresh) == 0 {",
+			},
+		},
+	},
 }
 
 // mutants builds this program with each guard taken off, and plays until an auditor finds it.
