--- a/internal/settings/recorded_test.go
+++ b/internal/settings/recorded_test.go
@@ -70,7 +70,7 @@
 var badValues = []string{"", `"odd"`, `""`, "-1", "0", "1.5", "1e30", "true", "null", "[]", "{}", `["odd","odd"]`, `{"odd":-1}`}
 
 // goNames are the names of Go types that encoding/json writes into its errors; all else in a message is compared.
-var goNames = regexp.MustCompile(`(Go struct field )\w+|( of type ).+`)
+var goNames = regexp.MustCompile(`(Go struct field )\w*|( of type ).+`)
 
 // Each field of each configuration file takes the same values as it did when testdata was written, with the same result, and
 // refuses the same values with the same message.
