--- /dev/null
+++ b/internal/version/recording_test.go
@@ -0,0 +1,178 @@
+package version
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/google/go-jsonnet"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/internal/rules"
+)
+
+var update = flag.Bool("update", false, "rewrite the recorded files under testdata")
+
+// recordedChanges is the hash of the guards and differences of 3,000 generated changes, computed at commit 05e118f.
+const recordedChanges = "b816cf7e4c77a424a1071be5762a8d555bb743bf9d612b464567ae34ac106351"
+
+// TestRecordedVersions compares the stored bytes of a chain of versions with those that commit 05e118f wrote, and reads those again.
+func TestRecordedVersions(t *testing.T) {
+	deployed, err := jsonnet.MakeVM().EvaluateFile("../../deploy/rules.jsonnet")
+	require.NoError(t, err)
+	documents := []string{
+		deployed,
+		`{"routers": 3, "cold_multiple": 4, "engines": {"e1": {"phase": "active", "address": "h:1", "kind": "big"}, "e2": {"phase": "leaving", "address": "h:2", "cold": true}}}`,
+		`{"routers": 3, "cold_multiple": 2.5, "parts": {"r1": 0.25}, "shares": {"a": 5}, "kept_off": {"7": ["e2", "e1"]}, "kinds": {"w": ["big"]}}`,
+		`{"routers": 1}`,
+	}
+	forced := [][]string{nil, {"share-of-engines", "floor"}, {}, {"kind", "all-engines"}}
+	notes := []string{"", "founded <&> é", "line\nbreak \u2028", "last"}
+	var out bytes.Buffer
+	var before *Version
+	for i, document := range documents {
+		r, err := rules.Parse([]byte(document))
+		require.NoError(t, err)
+		before = New(before, "lineage", r, forced[i], notes[i])
+		fmt.Fprintf(&out, "%s\n", before.Encode())
+	}
+	compareWithFile(t, "testdata/versions.golden", out.Bytes())
+	stored, err := os.ReadFile("testdata/versions.golden")
+	require.NoError(t, err)
+	before = nil
+	for line := range bytes.Lines(stored) {
+		line = bytes.TrimSuffix(line, []byte("\n"))
+		v, err := Decode(line)
+		require.NoError(t, err)
+		assert.NoError(t, v.Follows(before))
+		assert.Equal(t, string(line), string(v.Encode()))
+		before = v
+	}
+}
+
+// TestRecordedErrors compares the texts of the errors of Decode, Follows and CheckForced with those of commit 05e118f.
+func TestRecordedErrors(t *testing.T) {
+	var out bytes.Buffer
+	record := func(name string, err error) { fmt.Fprintf(&out, "%s: %v\n", name, err) }
+	good := New(nil, "lineage", fleet(2), nil, "note")
+	decode := func(name string, change func(fields map[string]any)) {
+		fields := map[string]any{}
+		require.NoError(t, json.Unmarshal(good.Encode(), &fields))
+		change(fields)
+		raw, err := json.Marshal(fields)
+		require.NoError(t, err)
+		_, err = Decode(raw)
+		record(name, err)
+	}
+	decode("same", func(map[string]any) {})
+	for field, values := range map[string][]any{
+		"number": {0, 2, -1, "1"}, "lineage": {"", "other", strings.Repeat("x", 101)}, "before": {"x"}, "forced": {nil, []string{"floor"}, "floor"},
+		"note": {"other", strings.Repeat("x", 1001)}, "rules": {nil, map[string]any{"routers": 0}, map[string]any{"routers": 3}, map[string]any{"other": 1}, []int{}},
+		"hash": {"", strings.Repeat("0", 64)}, "other": {1},
+	} {
+		for i, value := range values {
+			decode(fmt.Sprint("decode ", field, i), func(fields map[string]any) { fields[field] = value })
+		}
+	}
+	for _, raw := range []string{"", "{", "{} x", "null", `{"number": 1}`, string(good.Encode()) + " behind", strings.Repeat(" ", 1<<20+1)} {
+		_, err := Decode([]byte(raw))
+		record(fmt.Sprintf("decode %.20q", raw), err)
+	}
+	next := New(good, "", fleet(3), nil, "")
+	for name, pair := range map[string][2]*Version{
+		"none": {next, nil}, "next": {next, good}, "older": {good, next}, "later": {New(next, "", fleet(4), nil, ""), good}, "lineage": {New(nil, "m", fleet(2), nil, ""), good},
+		"past": {New(New(nil, "lineage", fleet(9), nil, ""), "", fleet(2), nil, ""), good}, "twice": {New(nil, "lineage", fleet(9), nil, ""), good},
+	} {
+		record("follows "+name, pair[0].Follows(pair[1]))
+	}
+	for _, list := range [][]string{nil, {"floor", "kind"}, {"floor", "any"}, {""}} {
+		record(fmt.Sprintf("forced %q", list), CheckForced(list))
+	}
+	lines := slices.Sorted(strings.Lines(out.String()))
+	compareWithFile(t, "testdata/errors.golden", []byte(strings.Join(lines, "")))
+}
+
+// TestRecordedChanges generates changes from rules to rules and hashes the guards that each breaks, their text and the difference.
+func TestRecordedChanges(t *testing.T) {
+	random := rand.New(rand.NewPCG(45, 2))
+	hash := sha256.New()
+	floor, before := changed(t, random, fleet(6)), changed(t, random, fleet(6))
+	for i := range 3000 {
+		next := changed(t, random, before)
+		if i%100 == 0 {
+			floor, next = next, fleet(6)
+		}
+		var forced []string
+		if random.IntN(4) == 0 {
+			forced = []string{Names()[random.IntN(len(Names()))]}
+		}
+		guards := Guards{MostGone: float64(random.IntN(4)) / 4}
+		for _, list := range [][]Breach{guards.Broken(before, floor, next, forced), guards.Broken(nil, nil, next, forced)} {
+			for _, b := range list {
+				fmt.Fprintf(hash, "%s ", b.Guard)
+			}
+			fmt.Fprintf(hash, "%v\n", Say(list))
+		}
+		fmt.Fprintf(hash, "%q\n", Diff(before, next))
+		before = next
+	}
+	assert.Equal(t, recordedChanges, hex.EncodeToString(hash.Sum(nil)))
+}
+
+// changed returns a copy of rules with a few drawn changes.
+func changed(t *testing.T, random *rand.Rand, from *rules.Rules) *rules.Rules {
+	t.Helper()
+	fields := map[string]any{}
+	require.NoError(t, json.Unmarshal(from.Canonical(), &fields))
+	engines, _ := fields["engines"].(map[string]any)
+	if engines == nil {
+		engines = map[string]any{}
+	}
+	for range 1 + random.IntN(4) {
+		name := fmt.Sprintf("e%d", random.IntN(6))
+		engine := map[string]any{"address": name + ":1", "kind": []string{"big", "small"}[random.IntN(2)], "phase": []string{"active", "leaving", "left"}[random.IntN(3)]}
+		switch random.IntN(8) {
+		case 0:
+			fields["routers"] = 4 + random.IntN(3)
+		case 1:
+			fields["cold_multiple"] = random.IntN(5)
+		case 2:
+			fields["kinds"] = map[string]any{"load": [][]string{{"big"}, {"small"}, {"tiny"}}[random.IntN(3)]}
+		case 3:
+			fields["kept_off"] = map[string]any{"7": []string{name, "e1", "e2", "e3", "e4", "e5"}[:random.IntN(6)]}
+		case 4:
+			fields["shares"] = map[string]any{strings.Repeat("a", 1+random.IntN(200)): random.IntN(3)}
+		case 5, 6:
+			engines[name] = engine
+			fields["engines"] = engines
+		case 7:
+			if random.IntN(10) == 0 {
+				fields["engines"] = nil
+			}
+		}
+	}
+	raw, err := json.Marshal(fields)
+	require.NoError(t, err)
+	r, err := rules.Parse(raw)
+	require.NoError(t, err)
+	return r
+}
+
+func compareWithFile(t *testing.T, path string, got []byte) {
+	t.Helper()
+	if *update {
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got))
+}
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -110,7 +110,7 @@
 
 // Guards are the bounds on what one version may change.
 type Guards struct {
-	MostGone float64 // share of the engines that one version may take away, or set to leaving
+	MostGone float64 `json:"MostGone"` // share of the engines that one version may take away, or set to leaving
 }
 
 // The guards, by the names under which they can be taken off.
