--- a/internal/back/pool.go
+++ b/internal/back/pool.go
@@ -109,8 +109,12 @@
 
 // Dials counts connections made since the last look, and why others were dropped.
 type Dials struct {
-	Made, NotUp, Stale, Crowded, Noisy int
-	Longest                            time.Duration // that one took to come up
+	Made    int           `json:"Made"` // the keys of a log line
+	NotUp   int           `json:"NotUp"`
+	Stale   int           `json:"Stale"`
+	Crowded int           `json:"Crowded"`
+	Noisy   int           `json:"Noisy"`
+	Longest time.Duration `json:"Longest"` // that one took to come up
 }
 
 // counted looks at the counts and begins anew.
