--- a/cmd/bankledge-control/main_test.go
+++ b/cmd/bankledge-control/main_test.go
@@ -19,21 +19,42 @@
 	"bankledge/internal/control"
 )
 
-// bed has the built program, a folder, and processes that it started.
+// bed has a folder, and processes that it started.
 type bed struct {
 	t       *testing.T
 	dir     string
-	program string
 	members map[string]control.Member
 	procs   map[int]*exec.Cmd
 	logs    map[int]*bytes.Buffer
 }
 
+// program is the built program, for all tests.
+var program string
+
+func TestMain(m *testing.M) {
+	code, err := buildAndRun(m)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	os.Exit(code)
+}
+
+func buildAndRun(m *testing.M) (code int, err error) {
+	dir, err := os.MkdirTemp("", "bankledge-control-")
+	if err != nil {
+		return 0, err
+	}
+	defer os.RemoveAll(dir)
+	program = filepath.Join(dir, "bankledge-control")
+	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
+		return 0, fmt.Errorf("%w: %s", err, out)
+	}
+	return m.Run(), nil
+}
+
 func newBed(t *testing.T, members int) *bed {
 	b := &bed{t: t, dir: t.TempDir(), members: map[string]control.Member{}, procs: map[int]*exec.Cmd{}, logs: map[int]*bytes.Buffer{}}
-	b.program = filepath.Join(b.dir, "bankledge-control")
-	out, err := exec.Command("go", "build", "-o", b.program, ".").CombinedOutput()
-	require.NoError(t, err, string(out))
 	for i := range members {
 		b.members[fmt.Sprint(i+1)] = control.Member{Peer: free(t), Client: free(t)}
 	}
@@ -73,7 +94,17 @@
 
 // start starts a process, by a shell that first does what it is told.
 func (b *bed) start(id int, joins bool, before string) *exec.Cmd {
-	cmd := exec.Command("sh", "-c", before+` exec "$0" serve "$1"`, b.program, b.settings(id, joins))
+	return b.serve(id, exec.Command("sh", "-c", before+` exec "$0" serve "$1"`, program, b.settings(id, joins)))
+}
+
+// startWith starts a process with a text of settings.
+func (b *bed) startWith(id int, settings string) {
+	path := filepath.Join(b.dir, fmt.Sprintf("s%d.jsonnet", id))
+	require.NoError(b.t, os.WriteFile(path, []byte(settings), 0o600))
+	b.serve(id, exec.Command(program, "serve", path))
+}
+
+func (b *bed) serve(id int, cmd *exec.Cmd) *exec.Cmd {
 	b.logs[id] = &bytes.Buffer{}
 	cmd.Stderr = b.logs[id]
 	require.NoError(b.t, cmd.Start())
@@ -104,7 +135,12 @@
 	for _, m := range b.members {
 		at = append(at, m.Client)
 	}
-	cmd := exec.Command(b.program, args...)
+	return b.runAt(code, at, args...)
+}
+
+// runAt runs a command against some addresses, and returns what it wrote.
+func (b *bed) runAt(code int, at []string, args ...string) string {
+	cmd := exec.Command(program, args...)
 	cmd.Env = append(os.Environ(), "BANKLEDGE_CONTROL="+strings.Join(at, ","))
 	out, err := cmd.CombinedOutput()
 	if code == 0 {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -174,6 +174,60 @@
 	r.once = true
 }
 
+// stalling is a disk that keeps nothing until it is released.
+type stalling struct {
+	Disk
+	stalls   atomic.Bool
+	reached  chan struct{}
+	released chan struct{}
+}
+
+func (s *stalling) Save(change consensus.State) error {
+	if s.stalls.CompareAndSwap(true, false) {
+		close(s.reached)
+		<-s.released
+	}
+	return s.Disk.Save(change)
+}
+
+// A process whose disk does not answer is busy, and says so to routers and operators in the same words as ever.
+func TestBusy(t *testing.T) {
+	disk := &stalling{reached: make(chan struct{}), released: make(chan struct{})}
+	r := serve(t, alone(t, t.TempDir()), func(d Disk) Disk { disk.Disk = d; return disk })
+	defer close(disk.released)
+	require.Eventually(t, func() bool { s, err := r.client().Status(); return err == nil && s.Leads }, 10*time.Second, 10*time.Millisecond)
+	at := "http://" + r.listen.Addr().String()
+	call := func(ctx context.Context, method, path, body string) (int, string, error) {
+		ask, err := http.NewRequestWithContext(ctx, method, at+path, strings.NewReader(body))
+		require.NoError(t, err)
+		said, err := http.DefaultClient.Do(ask)
+		if err != nil {
+			return 0, "", err
+		}
+		defer said.Body.Close()
+		raw, err := io.ReadAll(said.Body)
+		return said.StatusCode, string(raw), err
+	}
+	disk.stalls.Store(true)
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error)
+	go func() {
+		_, _, err := call(ctx, "POST", "/v1/proposals", `{"kind":"propose","id":"a","rules":{"routers":2}}`)
+		ended <- err
+	}()
+	<-disk.reached
+	status, body, err := call(t.Context(), "POST", "/v1/term", `{"incarnation":"i","seq":1}`)
+	require.NoError(t, err)
+	assert.Equal(t, 503, status)
+	assert.Equal(t, "this process is busy, or ends\n", body)
+	status, body, err = call(t.Context(), "GET", "/v1/status", "")
+	require.NoError(t, err)
+	assert.Equal(t, 200, status)
+	assert.Contains(t, body, `"sessions":null,"error":"it can't prove that it leads: this process is busy, or ends"}`)
+	cancel()
+	assert.ErrorIs(t, <-ended, context.Canceled)
+}
+
 func TestUnfitCalls(t *testing.T) {
 	r := serve(t, alone(t, t.TempDir()), plain)
 	for _, c := range []struct {
