--- a/internal/trial/history_test.go
+++ b/internal/trial/history_test.go
@@ -15,8 +15,8 @@
 
 // histories are the sums of what commit 05e118f played: each line of the trace but the spoken ones, then the figures.
 var histories = [12]string{
-	"db25ee29ee8d7c90", "18dc0aa5d3c32a7b", "7f7aae18fffc9e52", "4f84d06e3b2676cc", "68c55cc9a573b975", "1a20511a8fb39f96",
-	"56cbd36a1c700640", "3615bfca255d0918", "84c986ad48b88ef7", "b6dc2e97f17bd818", "678a88fa47bb90e7", "563ce0ad91f3ce49",
+	"37ae295b4802d1d3", "d13c95da3f3cd7ae", "a4b691f36fba8b06", "aa20b47df42755ba", "784bd57e3aaa8b40", "58f34727a2050a89",
+	"8b60b4a0f9c69cb9", "67f9a2b0a7265211", "b0b2cfc217a6fc28", "e0651cd1a0de9a07", "c91eff911b1a6ac4", "ddb4fc52703423c5",
 }
 
 // Each seed gives the history that it gave at commit 05e118f: elections, what each router acts on and when, faults, figures.
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -282,7 +282,7 @@
 		case seat.Publish:
 			p.publish()
 		case seat.Moved:
-			p.w.note("process %d %v", p.id, a.Role)
+			p.w.note("process %d leads %t, leader %d, term %d", p.id, a.Role.Leads, a.Role.Leader, a.Role.Term)
 		}
 	}
 }
@@ -442,7 +442,7 @@
 			r.acting, r.ground = a.Rules, a.On
 			r.key = actKey{settled: a.On.Settled, pending: a.On.Pending, term: a.On.Term}
 			r.w.audit.heard(r.w, max(a.On.Settled, a.On.Pending))
-			r.w.note("router %d acts on %v", r.id, a.On)
+			r.w.note("router %d acts on settled %d, pending %d, term %t", r.id, a.On.Settled, a.On.Pending, a.On.Term)
 		case agree.Refollow:
 			r.follow(a.Address, a.After)
 		case agree.Say:
