--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -41,17 +41,17 @@
 		if len(bytes.TrimSpace(line)) == 0 && ended {
 			return nil
 		}
-		batch, err := decoder.Batch(line)
+		batch, err := decoder.DecodeBatch(line)
 		if err != nil {
 			return err
 		}
-		answers := make([]simwire.Answer, 0, len(batch.Groups))
-		for _, g := range batch.Groups {
-			answer := simwire.Answer{Instance: g.Instance}
+		answers := make([]simwire.InstanceActions, 0, len(batch.Instances))
+		for _, g := range batch.Instances {
+			answer := simwire.InstanceActions{Instance: g.Instance}
 			answer.Actions = handle(instances, g, batch.Now)
 			answers = append(answers, answer)
 		}
-		reply, err := simwire.Reply(answers)
+		reply, err := simwire.EncodeReply(answers)
 		if err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 }
 
 // handle gives one instance its part of a batch; a panic in the module becomes a Crash.
-func handle(instances map[int]*policy.Module, g simwire.Group, now time.Duration) (out []decision.Action) {
+func handle(instances map[int]*policy.Module, g simwire.InstanceInputs, now time.Duration) (out []decision.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			out = append(out, decision.Crash{Text: fmt.Sprintf("%v\n%s", p, debug.Stack())})
@@ -83,11 +83,11 @@
 	}
 	for _, input := range g.Inputs {
 		switch {
-		case input.Open != nil:
+		case input.Settings != nil:
 			flush()
-			o := input.Open
-			instances[g.Instance] = policy.New(o.Identity, o.Workloads, o.Engines, o.Shares, o.Limits,
-				o.Rules, o.Reports)
+			o := input.Settings
+			instances[g.Instance] = policy.New(o.Identity, o.Workloads, o.Engines, o.Quotas, o.Limits,
+				o.Rules, o.LoadReports)
 		case input.Stop:
 			flush()
 			delete(instances, g.Instance)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -63,9 +63,9 @@
 
 func TestPanicBecomesCrash(t *testing.T) {
 	broken := []simwire.Input{{Event: decision.StatementArrived{Workload: 99}}} // no such workload: the module panics
-	instances := map[int]*policy.Module{3: policy.New(decision.Identity{}, nil, decision.Engines{}, decision.Shares{},
-		decision.Limits{}, decision.Rules{}, decision.Reports{})}
-	out := handle(instances, simwire.Group{Instance: 3, Inputs: broken}, 0)
+	instances := map[int]*policy.Module{3: policy.New(decision.Identity{}, nil, decision.EngineTraits{}, decision.Quotas{},
+		decision.Limits{}, decision.Rules{}, decision.LoadReportSettings{})}
+	out := handle(instances, simwire.InstanceInputs{Instance: 3, Inputs: broken}, 0)
 	require.Len(t, out, 1)
 	assert.Contains(t, out[0].(decision.Crash).Text, "out of range")
 }
--- a/cmd/bankledge-control/main.go
+++ b/cmd/bankledge-control/main.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"bankledge/internal/control"
+	"bankledge/internal/controlserver"
 )
 
 type commands struct {
@@ -36,7 +36,7 @@
 
 // Run serves until SIGTERM or an interrupt; it ends with an error when the disk fails.
 func (s *serve) Run() error {
-	settings, err := control.Load(s.Settings)
+	settings, err := controlserver.LoadSettings(s.Settings)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	signal.Ignore(syscall.SIGHUP, syscall.SIGPIPE)
-	server, err := control.New(settings, log)
+	server, err := controlserver.New(settings, log)
 	if err != nil {
 		return err
 	}
@@ -59,16 +59,16 @@
 
 // Run prints what follows from the settings.
 func (c *check) Run() error {
-	s, err := control.Load(c.Settings)
+	s, err := controlserver.LoadSettings(c.Settings)
 	if err != nil {
 		return err
 	}
-	spans := s.Spans()
-	fmt.Printf("%s: fit to serve as process %d of %d, for routers on %s\n", c.Settings, s.ID, len(s.Members), s.Client)
-	fmt.Printf("T = %v: no two routers act on contradicting rules for longer, whatever fails\n", spans.T())
-	fmt.Printf("  term %v + longest batch %v + longest pause that a router cannot see %v\n", spans.Term, spans.Batch, spans.Pause)
-	fmt.Printf("  clocks may drift by %v: a router holds a term for %v of its clock, the group owes it %v of its own\n", spans.Drift, spans.Held(), spans.Owed())
-	fmt.Printf("a version is in force everywhere within %v of its commit, if no leader changes meanwhile\n", spans.Settles().Round(time.Millisecond))
+	spans := s.LeaseDurations()
+	fmt.Printf("%s: fit to serve as process %d of %d, for routers on %s\n", c.Settings, s.ID, len(s.Members), s.ClientAddress)
+	fmt.Printf("T = %v: no two routers act on contradicting rules for longer, whatever fails\n", spans.MaxContradiction())
+	fmt.Printf("  term %v + longest batch %v + longest pause that a router cannot see %v\n", spans.LeaseDuration, spans.MaxBatch, spans.MaxPause)
+	fmt.Printf("  clocks may drift by %v: a router holds a term for %v of its clock, the group owes it %v of its own\n", spans.MaxClockDrift, spans.ClientLease(), spans.CoordinatorLease())
+	fmt.Printf("a version is in force everywhere within %v of its commit, if no leader changes meanwhile\n", spans.MaxActivation().Round(time.Millisecond))
 	fmt.Printf("the group goes on while %d of %d processes live\n", len(s.Members)/2+1, len(s.Members))
 	return nil
 }
--- a/cmd/bankledge-control/main_test.go
+++ b/cmd/bankledge-control/main_test.go
@@ -16,14 +16,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/control"
+	"bankledge/internal/controlserver"
 )
 
 // bed has a folder, and processes that it started.
 type bed struct {
 	t       *testing.T
 	dir     string
-	members map[string]control.Member
+	members map[string]controlserver.Member
 	procs   map[int]*exec.Cmd
 	logs    map[int]*bytes.Buffer
 }
@@ -54,9 +54,9 @@
 }
 
 func newBed(t *testing.T, members int) *bed {
-	b := &bed{t: t, dir: t.TempDir(), members: map[string]control.Member{}, procs: map[int]*exec.Cmd{}, logs: map[int]*bytes.Buffer{}}
+	b := &bed{t: t, dir: t.TempDir(), members: map[string]controlserver.Member{}, procs: map[int]*exec.Cmd{}, logs: map[int]*bytes.Buffer{}}
 	for i := range members {
-		b.members[fmt.Sprint(i+1)] = control.Member{Peer: free(t), Client: free(t)}
+		b.members[fmt.Sprint(i+1)] = controlserver.Member{Peer: free(t), Client: free(t)}
 	}
 	t.Cleanup(func() {
 		for _, cmd := range b.procs {
@@ -75,15 +75,15 @@
 }
 
 func (b *bed) settings(id int, joins bool) string {
-	s := control.Settings{ID: uint64(id), Dir: fmt.Sprint("d", id), Members: b.members, Joins: joins, Term: 400, Renew: 60, Answer: 60, Batch: 10, Pause: 10, Heartbeat: 20, Election: 150, MostGone: 0.5, Compact: 20}
+	s := controlserver.Settings{ID: uint64(id), DataDir: fmt.Sprint("d", id), Members: b.members, Joining: joins, LeaseMillis: 400, RenewIntervalMillis: 60, ReplyTimeoutMillis: 60, MaxBatchMillis: 10, MaxPauseMillis: 10, HeartbeatMillis: 20, ElectionTimeoutMillis: 150, MaxRemovedShare: 0.5, CompactionInterval: 20}
 	if joins {
-		others := map[string]control.Member{}
+		others := map[string]controlserver.Member{}
 		for k, m := range b.members {
 			if k != fmt.Sprint(id) {
 				others[k] = m
 			}
 		}
-		s.Members, s.Peer, s.Client = others, b.members[fmt.Sprint(id)].Peer, b.members[fmt.Sprint(id)].Client
+		s.Members, s.PeerAddress, s.ClientAddress = others, b.members[fmt.Sprint(id)].Peer, b.members[fmt.Sprint(id)].Client
 	}
 	raw, err := json.Marshal(s)
 	require.NoError(b.t, err)
@@ -157,13 +157,13 @@
 	return path
 }
 
-func (b *bed) status() (s control.Status) {
+func (b *bed) status() (s controlserver.Status) {
 	out := b.run(0, "status", "--json")
 	require.NoError(b.t, json.Unmarshal([]byte(out), &s), out)
 	return s
 }
 
-func (b *bed) until(what func(control.Status) bool) {
+func (b *bed) until(what func(controlserver.Status) bool) {
 	require.Eventually(b.t, func() bool { return what(b.status()) }, 30*time.Second, 20*time.Millisecond)
 }
 
@@ -173,7 +173,7 @@
 	for id := 1; id <= 3; id++ {
 		b.start(id, false, "")
 	}
-	b.until(func(s control.Status) bool { return s.Leads })
+	b.until(func(s controlserver.Status) bool { return s.IsLeader })
 	assert.Contains(t, b.run(0, "propose", b.rules("one", ""), "--note", "first", "--wait"), "version 1, in force")
 	assert.Contains(t, b.run(1, "propose", b.rules("none", "engines: {}")), "no engine is active")
 	assert.Contains(t, b.run(1, "propose", b.rules("less", "engines: {a: {phase: 'active', address: 'h:1'}}")), "share-of-engines")
@@ -191,22 +191,22 @@
 	b.run(0, "members", "remove", "2")
 	assert.Contains(t, b.run(1, "members", "remove", "2"), "no member")
 	delete(b.members, "2")
-	b.members["4"] = control.Member{Peer: free(t), Client: free(t)}
+	b.members["4"] = controlserver.Member{Peer: free(t), Client: free(t)}
 	b.run(0, "members", "add", "4", b.members["4"].Peer, b.members["4"].Client)
 	b.start(4, true, "")
-	b.until(func(s control.Status) bool { return s.Members[4].Votes })
+	b.until(func(s controlserver.Status) bool { return s.Members[4].Voter })
 	for i := range 30 { // past a snapshot
 		b.run(0, "propose", b.rules("more", fmt.Sprintf("cold_multiple: 3, further_free: %d", i+1)), "--wait")
 	}
 	assert.Error(t, b.end(1, syscall.SIGKILL)) // the group goes on by the new one
-	b.until(func(s control.Status) bool { return s.Leads })
+	b.until(func(s controlserver.Status) bool { return s.IsLeader })
 	assert.Contains(t, b.run(0, "propose", b.rules("last", "cold_multiple: 9"), "--wait"), "version 35")
 	b.start(1, false, "")
 	for _, id := range []int{3, 4} {
 		assert.NoError(t, b.end(id, syscall.SIGTERM))
 	}
 	b.start(3, false, "")
-	b.until(func(s control.Status) bool { return s.Leads && s.Newest == 35 && s.Settled == 35 })
+	b.until(func(s controlserver.Status) bool { return s.IsLeader && s.NewestVersion == 35 && s.Activated == 35 })
 }
 
 // A process whose disk is full, or whose files were changed, serves no more and says why; the others go on.
@@ -215,7 +215,7 @@
 	b.start(1, false, "")
 	b.start(2, false, "")
 	b.start(3, false, "ulimit -f 8;") // no file may grow beyond 4 KiB
-	b.until(func(s control.Status) bool { return s.Leads })
+	b.until(func(s controlserver.Status) bool { return s.IsLeader })
 	for i := range 40 {
 		b.run(0, "propose", b.rules("more", fmt.Sprintf("further_free: %d", i+1)), "--wait")
 	}
--- a/cmd/bankledge-control/operate.go
+++ b/cmd/bankledge-control/operate.go
@@ -14,12 +14,12 @@
 	"text/tabwriter"
 	"time"
 
-	"bankledge/internal/agree"
-	"bankledge/internal/control"
+	"bankledge/internal/configversion"
+	"bankledge/internal/controlclient"
+	"bankledge/internal/controlserver"
+	"bankledge/internal/lease"
+	"bankledge/internal/replica"
 	"bankledge/internal/rules"
-	"bankledge/internal/seat"
-	"bankledge/internal/steer"
-	"bankledge/internal/version"
 )
 
 // group is where the group is found.
@@ -28,7 +28,7 @@
 	Within time.Duration `default:"20s" help:"How long to try."`
 }
 
-func (g *group) client() *control.Client { return control.NewClient(g.At, g.Within) }
+func (g *group) client() *controlserver.Client { return controlserver.NewClient(g.At, g.Within) }
 
 type propose struct {
 	group
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	return send(&p.group, agree.Entry{Kind: agree.Propose, Rules: r.Canonical(), Forced: p.Force, Note: p.Note}, p.Wait, p.JSON)
+	return send(&p.group, lease.Entry{Kind: lease.EntryPropose, Rules: r.Canonical(), ForcedGuards: p.Force, Note: p.Note}, p.Wait, p.JSON)
 }
 
 type rollback struct {
@@ -58,11 +58,11 @@
 
 // Run proposes an earlier version's rules.
 func (r *rollback) Run() error {
-	return send(&r.group, agree.Entry{Kind: agree.Rollback, Number: r.Number, Forced: r.Force, Note: fmt.Sprintf("rollback to %d", r.Number)}, r.Wait, r.JSON)
+	return send(&r.group, lease.Entry{Kind: lease.EntryRollback, Number: r.Number, ForcedGuards: r.Force, Note: fmt.Sprintf("rollback to %d", r.Number)}, r.Wait, r.JSON)
 }
 
 // send sends a proposal under an id of its own: one that is sent again because no answer came counts once.
-func send(g *group, e agree.Entry, wait, asJSON bool) error {
+func send(g *group, e lease.Entry, wait, asJSON bool) error {
 	var id [16]byte
 	rand.Read(id[:])
 	e.ID = hex.EncodeToString(id[:])
@@ -73,7 +73,7 @@
 	}
 	began := time.Now()
 	if wait {
-		if err := c.AwaitSettled(outcome.Number); err != nil {
+		if err := c.AwaitActivated(outcome.Number); err != nil {
 			return err
 		}
 	}
@@ -90,7 +90,7 @@
 
 func fileRules(path string) (*rules.Rules, error) {
 	var raw json.RawMessage
-	if err := control.Evaluate(path, &raw); err != nil {
+	if err := controlserver.EvaluateJsonnet(path, &raw); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	r, err := rules.Parse(raw)
@@ -112,7 +112,7 @@
 	for i, of := range []string{d.A, d.B} {
 		var err error
 		if n, bad := strconv.ParseUint(of, 10, 64); bad == nil {
-			sides[i], err = d.client().Rules(n)
+			sides[i], err = d.client().VersionRules(n)
 		} else {
 			sides[i], err = fileRules(of)
 		}
@@ -120,7 +120,7 @@
 			return err
 		}
 	}
-	lines := version.Diff(sides[0], sides[1])
+	lines := configversion.Diff(sides[0], sides[1])
 	if len(lines) == 0 {
 		lines = []string{"nothing differs"}
 	}
@@ -146,7 +146,7 @@
 	defer w.Flush()
 	fmt.Fprintf(w, "lineage %s\nversion\tin force\thash\tforced\tnote\n", list.Lineage)
 	for _, v := range list.Versions {
-		fmt.Fprintf(w, "%d\t%v\t%s\t%s\t%s\n", v.Number, v.Number <= list.Settled, v.Hash[:12], strings.Join(v.Forced, ","), v.Note)
+		fmt.Fprintf(w, "%d\t%v\t%s\t%s\t%s\n", v.Number, v.Number <= list.Activated, v.Hash[:12], strings.Join(v.ForcedGuards, ","), v.Note)
 	}
 	return nil
 }
@@ -181,32 +181,32 @@
 	}
 }
 
-func show(s *control.Status) {
+func show(s *controlserver.Status) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	defer w.Flush()
-	if !s.Leads {
+	if !s.IsLeader {
 		fmt.Fprintf(w, "NO LEADER: %s. Versions can't change; routers without a term go on, on the cautious side.\n", s.Error)
 	}
-	fmt.Fprintf(w, "lineage %s\tnewest version %d\tin force %d\tT %v\n", s.Lineage, s.Newest, s.Settled, time.Duration(s.T)*time.Millisecond)
+	fmt.Fprintf(w, "lineage %s\tnewest version %d\tin force %d\tT %v\n", s.Lineage, s.NewestVersion, s.Activated, time.Duration(s.MaxContradictionMillis)*time.Millisecond)
 	fmt.Fprintln(w, "process\tpeer\tclient\tvotes\tleads")
 	for _, id := range slices.Sorted(maps.Keys(s.Members)) {
 		m := s.Members[id]
-		fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%v\n", id, m.Peer, m.Client, m.Votes, s.Leads && id == s.Leader)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%v\n", id, m.Peer, m.Client, m.Voter, s.IsLeader && id == s.Leader)
 	}
-	if !s.Leads {
+	if !s.IsLeader {
 		return
 	}
 	fmt.Fprintln(w, "router\tversion\tterm\theard ago\tlast word")
 	for _, r := range s.Sessions {
 		term := "none: it acts on the cautious side"
-		if r.Left > 0 {
-			term = (time.Duration(r.Left) * time.Millisecond).String()
+		if r.RemainingMillis > 0 {
+			term = (time.Duration(r.RemainingMillis) * time.Millisecond).String()
 		}
-		word := r.Word
-		if r.Twins {
+		word := r.LastMessage
+		if r.DuplicateName {
 			word = strings.TrimSpace("ANOTHER PROCESS HAS THIS NAME. " + word)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%s\n", r.Name, r.Known, term, time.Duration(r.Ago)*time.Millisecond, word)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%s\n", r.Name, r.KnownVersion, term, time.Duration(r.SilentMillis)*time.Millisecond, word)
 	}
 }
 
@@ -244,7 +244,7 @@
 
 // Run adds a process.
 func (m *membersAdd) Run() error {
-	return m.client().Change(control.Change{ID: m.ID, Member: seat.Member{Peer: m.Peer, Client: m.Client}})
+	return m.client().ChangeMembership(controlserver.Change{MemberID: m.ID, Member: replica.Member{Peer: m.Peer, Client: m.Client}})
 }
 
 type membersRemove struct {
@@ -253,7 +253,9 @@
 }
 
 // Run removes a process.
-func (m *membersRemove) Run() error { return m.client().Change(control.Change{ID: m.ID, Remove: true}) }
+func (m *membersRemove) Run() error {
+	return m.client().ChangeMembership(controlserver.Change{MemberID: m.ID, Remove: true})
+}
 
 type router struct {
 	Template string `arg:"" help:"The operator's file for routers, Jsonnet (deploy/control.jsonnet)."`
@@ -261,11 +263,11 @@
 
 // Run writes the file that a router reads, so that the router need not evaluate templates.
 func (r *router) Run() error {
-	var file steer.File
-	if err := control.Evaluate(r.Template, &file); err != nil {
+	var file controlclient.Config
+	if err := controlserver.EvaluateJsonnet(r.Template, &file); err != nil {
 		return fmt.Errorf("%s: %w", r.Template, err)
 	}
-	if err := file.Check(); err != nil {
+	if err := file.Validate(); err != nil {
 		return fmt.Errorf("%s: %w", r.Template, err)
 	}
 	raw, err := json.MarshalIndent(file, "", "  ")
--- a/cmd/bankledge-control/transcript_test.go
+++ b/cmd/bankledge-control/transcript_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/control"
+	"bankledge/internal/controlserver"
 )
 
 var update = flag.Bool("update", false, "write the recordings under testdata anew instead of comparing with them")
@@ -328,7 +328,7 @@
 	for id := 1; id <= 3; id++ {
 		b.startWith(id, fmt.Sprintf(`{id: %d, dir: 'd%d', members: {%s}, term_ms: 400, renew_ms: 60, answer_ms: 60, heartbeat_ms: 50, election_ms: 1000}`, id, id, members))
 	}
-	b.until(func(s control.Status) bool { return s.Leads && s.Lineage != "" })
+	b.until(func(s controlserver.Status) bool { return s.IsLeader && s.Lineage != "" })
 	leader := int(b.status().Leader)
 	follower, third := leader%3+1, (leader+1)%3+1
 	for id, name := range map[int]string{leader: "leader", follower: "follower", third: "third"} {
--- a/cmd/bankledge-lab/crowd.go
+++ b/cmd/bankledge-faultlab/crowd.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"bankledge/internal/lab"
+	"bankledge/internal/faultlab"
 )
 
 // crowd measures the control service.
@@ -24,7 +24,7 @@
 
 // Run measures once.
 func (c *crowd) Run() error {
-	dir, err := os.MkdirTemp("", "bankledge-lab")
+	dir, err := os.MkdirTemp("", "bankledge-faultlab")
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	}
 	ctx, cancel := interrupted()
 	defer cancel()
-	f, err := lab.Crowd{Control: program, Members: c.Members, Routers: c.Routers, Seconds: c.Seconds, Every: c.Every, Dir: dir}.Run(ctx)
+	f, err := faultlab.Crowd{Control: program, Members: c.Members, Routers: c.Routers, Seconds: c.Seconds, Every: c.Every, Dir: dir}.Run(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/bankledge-lab/group.go
+++ b/cmd/bankledge-faultlab/group.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 	"gonum.org/v1/plot/plotter"
 
-	"bankledge/internal/lab"
+	"bankledge/internal/faultlab"
 )
 
 // groupCmd plays schedules of a control group's troubles with real processes.
@@ -37,12 +37,12 @@
 }
 
 // buildAll builds the router, with some guards taken off, and the control service.
-func buildAll(edits []edit) (o lab.Options, drop func(), err error) {
+func buildAll(edits []edit) (o faultlab.Options, drop func(), err error) {
 	router, dropRouter, err := mutate("the router", "./cmd/bankledge", edits)
 	if err != nil {
 		return o, nil, err
 	}
-	dir, err := os.MkdirTemp("", "bankledge-lab")
+	dir, err := os.MkdirTemp("", "bankledge-faultlab")
 	if err != nil {
 		return o, nil, err
 	}
@@ -52,7 +52,7 @@
 		drop()
 		return o, nil, fmt.Errorf("the control service does not build: %s", strings.TrimSpace(string(out)))
 	}
-	return lab.Options{Program: router, Control: control}, drop, nil
+	return faultlab.Options{Program: router, Control: control}, drop, nil
 }
 
 // groupSums is what came of all schedules.
@@ -83,21 +83,21 @@
 	ctx, cancel := interrupted()
 	defer cancel()
 	var mu sync.Mutex
-	sum := groupSums{T: lab.GroupSpans.T()}
+	sum := groupSums{T: faultlab.GroupSpans.MaxContradiction()}
 	var longest plotter.Values
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(1, c.Parallel))
 	for i := range c.Count {
 		g.Go(func() error {
-			s, with := lab.DrawGroup(c.From+i, c.Seconds), o
+			s, with := faultlab.DrawGroup(c.From+i, c.Seconds), o
 			if c.Logs != "" {
 				with.Dir = filepath.Join(c.Logs, strings.ReplaceAll(s.Name, " ", "-"))
 			}
-			h, err := lab.Play(ctx, s, with)
+			h, err := faultlab.Play(ctx, s, with)
 			if err != nil {
 				return fmt.Errorf("%s: %w", s.Name, err)
 			}
-			a := lab.Agreement(h)
+			a := faultlab.Agreement(h)
 			mu.Lock()
 			defer mu.Unlock()
 			sum.Schedules++
@@ -111,7 +111,7 @@
 			if over {
 				sum.OverIn++
 			}
-			for _, b := range lab.Audit(h) {
+			for _, b := range faultlab.Audit(h) {
 				if b.Auditor == "answers" {
 					sum.Lost++
 				}
--- a/cmd/bankledge-lab/group_test.go
+++ b/cmd/bankledge-faultlab/group_test.go
@@ -11,29 +11,29 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"bankledge/internal/lab"
+	"bankledge/internal/faultlab"
 )
 
 // programs builds the router and the control service.
-func programs(t *testing.T) lab.Options {
+func programs(t *testing.T) faultlab.Options {
 	control := filepath.Join(t.TempDir(), "bankledge-control")
 	out, err := exec.Command("go", "build", "-o", control, "../bankledge-control").CombinedOutput()
 	require.NoError(t, err, string(out))
-	return lab.Options{Program: router(t), Control: control}
+	return faultlab.Options{Program: router(t), Control: control}
 }
 
 const atOnce = 3 // plays of a control group: they ask for little of the machine
 
 // playGroup plays a schedule with processes of the control service and of the router, and has the auditors of agreement judge.
-func playGroup(t *testing.T, o lab.Options, s *lab.Schedule) lab.Contradictions {
-	h, err := lab.Play(context.Background(), s, o)
+func playGroup(t *testing.T, o faultlab.Options, s *faultlab.Schedule) faultlab.Contradictions {
+	h, err := faultlab.Play(context.Background(), s, o)
 	require.NoError(t, err)
-	c := lab.Agreement(h)
-	t.Logf("%d versions, longest contradiction %v of T %v (looser %v), %d pairs, terms %.2f, %v", c.Versions, c.Worst, lab.GroupSpans.T(), c.Loosened, c.Pairs, c.Terms, s.Faults)
+	c := faultlab.Agreement(h)
+	t.Logf("%d versions, longest contradiction %v of T %v (looser %v), %d pairs, terms %.2f, %v", c.Versions, c.Worst, faultlab.GroupSpans.MaxContradiction(), c.Loosened, c.Pairs, c.Terms, s.Faults)
 	for _, b := range c.Breaches {
 		t.Errorf("%s, at %v: %s", b.Auditor, b.At, b.Text)
 	}
-	for _, b := range lab.Audit(h) {
+	for _, b := range faultlab.Audit(h) {
 		if b.Auditor != "back" && b.Auditor != "harm" {
 			t.Errorf("%s, at %v: %s", b.Auditor, b.At, b.Text)
 		}
@@ -47,7 +47,7 @@
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	o, turn := programs(t), make(chan struct{}, atOnce)
 	for seed := range uint64(n) {
-		s := lab.DrawGroup(seed+1, 7)
+		s := faultlab.DrawGroup(seed+1, 7)
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
 			turn <- struct{}{}
@@ -67,30 +67,30 @@
 	for name, c := range map[string]struct {
 		every  float64
 		terms  float64 // least share of the time that routers have one
-		faults []lab.Fault
+		faults []faultlab.Fault
 	}{
 		"nothing fails":        {0.3, 0.95, nil},
-		"the leader is killed": {0.2, 0.6, []lab.Fault{{Kind: "member-kill", At: 2, For: 1.5, Members: leader}}},
-		"the leader is stopped for longer than a term":     {0.2, 0.5, []lab.Fault{{Kind: "member-stop", At: 2, For: 2.2, Members: leader}}},
-		"routers are stopped across versions and woken":    {0.2, 0.6, []lab.Fault{{Kind: "stop", At: 2, For: 2, Routers: some}}},
-		"routers hear and are not heard":                   {0.2, 0.5, []lab.Fault{{Kind: "group-cut-there", At: 2, For: 2.5, Routers: some, Members: members}}},
-		"routers are heard and hear nothing":               {0.2, 0.5, []lab.Fault{{Kind: "group-cut-back", At: 2, For: 2.5, Routers: some, Members: members}}},
-		"the leader is apart from the others":              {0.2, 0.5, []lab.Fault{{Kind: "apart", At: 2, For: 2.5, Members: leader}}},
-		"routers are killed and come back with nothing":    {0.2, 0.6, []lab.Fault{{Kind: "kill", At: 2, For: 0.2, Routers: []int{0, 1, 2}}}},
-		"two of three are lost for good":                   {0.2, 0.1, []lab.Fault{{Kind: "member-lose", At: 3, Members: []int{0, 1}}}},
-		"a version each 20 ms while links flap":            {0.02, 0.3, []lab.Fault{{Kind: "group-cut", At: 1.5, For: 0.4, Routers: some, Members: members}, {Kind: "group-cut", At: 2.3, For: 1.2, Routers: []int{1, 2}, Members: members}, {Kind: "group-reset", At: 3, Routers: all, Members: members}, {Kind: "group-cut-back", At: 3.6, For: 0.6, Routers: some, Members: members}}},
-		"what the group says comes late by most of a term": {0.3, 0, []lab.Fault{{Kind: "group-delay", At: 1.5, For: 3, Amount: 0.8, Routers: all, Members: members}}},
-		"two halves, with routers on both sides": {0.2, 0.3, []lab.Fault{{Kind: "apart", At: 2, For: 2.5, Members: []int{0}}, {Kind: "group-cut", At: 2, For: 2.5, Routers: []int{0, 1}, Members: []int{1, 2}},
+		"the leader is killed": {0.2, 0.6, []faultlab.Fault{{Kind: "member-kill", At: 2, For: 1.5, Members: leader}}},
+		"the leader is stopped for longer than a term":     {0.2, 0.5, []faultlab.Fault{{Kind: "member-stop", At: 2, For: 2.2, Members: leader}}},
+		"routers are stopped across versions and woken":    {0.2, 0.6, []faultlab.Fault{{Kind: "stop", At: 2, For: 2, Routers: some}}},
+		"routers hear and are not heard":                   {0.2, 0.5, []faultlab.Fault{{Kind: "group-cut-there", At: 2, For: 2.5, Routers: some, Members: members}}},
+		"routers are heard and hear nothing":               {0.2, 0.5, []faultlab.Fault{{Kind: "group-cut-back", At: 2, For: 2.5, Routers: some, Members: members}}},
+		"the leader is apart from the others":              {0.2, 0.5, []faultlab.Fault{{Kind: "apart", At: 2, For: 2.5, Members: leader}}},
+		"routers are killed and come back with nothing":    {0.2, 0.6, []faultlab.Fault{{Kind: "kill", At: 2, For: 0.2, Routers: []int{0, 1, 2}}}},
+		"two of three are lost for good":                   {0.2, 0.1, []faultlab.Fault{{Kind: "member-lose", At: 3, Members: []int{0, 1}}}},
+		"a version each 20 ms while links flap":            {0.02, 0.3, []faultlab.Fault{{Kind: "group-cut", At: 1.5, For: 0.4, Routers: some, Members: members}, {Kind: "group-cut", At: 2.3, For: 1.2, Routers: []int{1, 2}, Members: members}, {Kind: "group-reset", At: 3, Routers: all, Members: members}, {Kind: "group-cut-back", At: 3.6, For: 0.6, Routers: some, Members: members}}},
+		"what the group says comes late by most of a term": {0.3, 0, []faultlab.Fault{{Kind: "group-delay", At: 1.5, For: 3, Amount: 0.8, Routers: all, Members: members}}},
+		"two halves, with routers on both sides": {0.2, 0.3, []faultlab.Fault{{Kind: "apart", At: 2, For: 2.5, Members: []int{0}}, {Kind: "group-cut", At: 2, For: 2.5, Routers: []int{0, 1}, Members: []int{1, 2}},
 			{Kind: "group-cut", At: 2, For: 2.5, Routers: []int{2, 3, 4}, Members: []int{0}}}},
-		"two seconds late on every link":                {0.3, 0, []lab.Fault{{Kind: "group-delay", At: 1.5, For: 3, Amount: 2, Routers: all, Members: members}}},
-		"routers end by SIGTERM while versions come":    {0.1, 0.5, []lab.Fault{{Kind: "term", At: 2, For: 1, Routers: some}, {Kind: "term", At: 3.2, For: 1, Routers: []int{2, 3}}}},
-		"all connections are reset, and all start anew": {0.3, 0.4, []lab.Fault{{Kind: "group-reset", At: 2, Routers: all, Members: members}, {Kind: "member-kill", At: 2.5, For: 0.1, Members: members}}},
+		"two seconds late on every link":                {0.3, 0, []faultlab.Fault{{Kind: "group-delay", At: 1.5, For: 3, Amount: 2, Routers: all, Members: members}}},
+		"routers end by SIGTERM while versions come":    {0.1, 0.5, []faultlab.Fault{{Kind: "term", At: 2, For: 1, Routers: some}, {Kind: "term", At: 3.2, For: 1, Routers: []int{2, 3}}}},
+		"all connections are reset, and all start anew": {0.3, 0.4, []faultlab.Fault{{Kind: "group-reset", At: 2, Routers: all, Members: members}, {Kind: "member-kill", At: 2.5, For: 0.1, Members: members}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			turn <- struct{}{}
 			defer func() { <-turn }()
-			s := &lab.Schedule{Name: name, Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, Busiest: 1, Control: 3, Every: c.every, Faults: c.faults}
+			s := &faultlab.Schedule{Name: name, Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, Busiest: 1, Control: 3, Every: c.every, Faults: c.faults}
 			got := playGroup(t, o, s)
 			assert.Greater(t, got.Versions, 5)
 			assert.GreaterOrEqual(t, got.Terms, c.terms)
@@ -110,11 +110,11 @@
 	o, drop, err := buildAll(pushEdits)
 	require.NoError(t, err)
 	defer drop()
-	s := &lab.Schedule{Name: "push", Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, Busiest: 1, Control: 3, Every: 0.2,
-		Faults: []lab.Fault{{Kind: "group-cut", At: 2, For: 3.5, Routers: []int{0, 1}, Members: []int{0, 1, 2}}}}
-	h, err := lab.Play(context.Background(), s, o)
+	s := &faultlab.Schedule{Name: "push", Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, Busiest: 1, Control: 3, Every: 0.2,
+		Faults: []faultlab.Fault{{Kind: "group-cut", At: 2, For: 3.5, Routers: []int{0, 1}, Members: []int{0, 1, 2}}}}
+	h, err := faultlab.Play(context.Background(), s, o)
 	require.NoError(t, err)
-	c := lab.Agreement(h)
-	assert.Greater(t, c.Worst, lab.GroupSpans.T())
+	c := faultlab.Agreement(h)
+	assert.Greater(t, c.Worst, faultlab.GroupSpans.MaxContradiction())
 	assert.NotEmpty(t, c.Breaches)
 }
--- a/cmd/bankledge-lab/main.go
+++ b/cmd/bankledge-faultlab/main.go
@@ -17,7 +17,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/schollz/progressbar/v3"
 
-	"bankledge/internal/lab"
+	"bankledge/internal/faultlab"
 )
 
 type commands struct {
@@ -49,7 +49,7 @@
 	if program != "" {
 		return program, func() {}, nil
 	}
-	dir, err := os.MkdirTemp("", "bankledge-lab")
+	dir, err := os.MkdirTemp("", "bankledge-faultlab")
 	if err != nil {
 		return "", nil, err
 	}
@@ -62,8 +62,8 @@
 }
 
 // play plays one schedule.
-func (c *common) play(ctx context.Context, program, label string, s *lab.Schedule) (lab.Outcome, error) {
-	o := lab.Options{Program: program}
+func (c *common) play(ctx context.Context, program, label string, s *faultlab.Schedule) (faultlab.Outcome, error) {
+	o := faultlab.Options{Program: program}
 	if c.Logs != "" {
 		o.Dir = filepath.Join(c.Logs, label, strings.ReplaceAll(s.Name, " ", "-"))
 	}
@@ -73,16 +73,16 @@
 		o.Progress = func(part float64) { bar.Set(int(part * 1000)) }
 		defer bar.Finish()
 	}
-	h, err := lab.Play(ctx, s, o)
+	h, err := faultlab.Play(ctx, s, o)
 	if err != nil {
-		return lab.Outcome{}, fmt.Errorf("%s: %w", s.Name, err)
+		return faultlab.Outcome{}, fmt.Errorf("%s: %w", s.Name, err)
 	}
 	if o.Dir != "" {
 		if err := errors.Join(h.Write(filepath.Join(o.Dir, "history.jsonl")), s.Save(filepath.Join(o.Dir, "schedule.json"))); err != nil {
-			return lab.Outcome{}, err
+			return faultlab.Outcome{}, err
 		}
 	}
-	return lab.Outcome{Label: label, Schedule: s, Figures: lab.Measure(h), Breaches: lab.Audit(h)}, nil
+	return faultlab.Outcome{Label: label, Schedule: s, Figures: faultlab.Measure(h), Breaches: faultlab.Audit(h)}, nil
 }
 
 func interrupted() (context.Context, context.CancelFunc) {
@@ -90,13 +90,13 @@
 }
 
 // say writes outcomes, and tells by its error whether any rule was broken.
-func (c *common) say(outcomes []lab.Outcome) error {
+func (c *common) say(outcomes []faultlab.Outcome) error {
 	if c.JSON {
 		if err := json.NewEncoder(os.Stdout).Encode(outcomes); err != nil {
 			return err
 		}
 	} else {
-		fmt.Print(lab.Markdown(outcomes))
+		fmt.Print(faultlab.Markdown(outcomes))
 	}
 	for _, o := range outcomes {
 		if len(o.Breaches) > 0 {
@@ -112,9 +112,9 @@
 	Seconds float64 `default:"12" help:"Length of each."`
 }
 
-func (s seeds) schedules() (list []*lab.Schedule) {
+func (s seeds) schedules() (list []*faultlab.Schedule) {
 	for i := range s.Count {
-		list = append(list, lab.Draw(s.From+i, s.Seconds))
+		list = append(list, faultlab.Draw(s.From+i, s.Seconds))
 	}
 	return list
 }
@@ -147,13 +147,13 @@
 		return err
 	}
 	defer drop()
-	var outcomes []lab.Outcome
+	var outcomes []faultlab.Outcome
 	for seed := s.From; seed < s.From+s.Count; seed++ {
-		o, err := s.play(ctx, program, "soak", lab.DrawSoak(seed, s.Seconds))
+		o, err := s.play(ctx, program, "soak", faultlab.DrawSoak(seed, s.Seconds))
 		if err != nil {
 			return err
 		}
-		o.Breaches = slices.DeleteFunc(o.Breaches, func(b lab.Breach) bool { return !lab.IsInvariant(b.Auditor) })
+		o.Breaches = slices.DeleteFunc(o.Breaches, func(b faultlab.Breach) bool { return !faultlab.IsInvariant(b.Auditor) })
 		outcomes = append(outcomes, o)
 	}
 	return s.say(outcomes)
@@ -172,10 +172,10 @@
 	return compareAll(&c.common, c.Programs, c.schedules(), c.Table, c.Charts)
 }
 
-func compareAll(c *common, programs []string, schedules []*lab.Schedule, table, charts string) error {
+func compareAll(c *common, programs []string, schedules []*faultlab.Schedule, table, charts string) error {
 	ctx, cancel := interrupted()
 	defer cancel()
-	var outcomes []lab.Outcome
+	var outcomes []faultlab.Outcome
 	type player struct{ label, path string }
 	var players []player
 	for _, p := range programs {
@@ -200,12 +200,12 @@
 		}
 	}
 	if table != "" {
-		if err := lab.WriteParquet(table, outcomes); err != nil {
+		if err := faultlab.WriteParquet(table, outcomes); err != nil {
 			return err
 		}
 	}
 	if charts != "" {
-		if err := lab.Charts(charts, outcomes); err != nil {
+		if err := faultlab.Charts(charts, outcomes); err != nil {
 			return err
 		}
 	}
@@ -220,11 +220,11 @@
 
 // Run plays a schedule from a file.
 func (r *replay) Run() error {
-	s, err := lab.Load(r.File)
+	s, err := faultlab.Load(r.File)
 	if err != nil {
 		return err
 	}
-	var list []*lab.Schedule
+	var list []*faultlab.Schedule
 	for range r.Times {
 		list = append(list, s)
 	}
@@ -241,7 +241,7 @@
 
 // Run cuts a schedule down.
 func (r *shrink) Run() error {
-	s, err := lab.Load(r.File)
+	s, err := faultlab.Load(r.File)
 	if err != nil {
 		return err
 	}
@@ -252,7 +252,7 @@
 	defer drop()
 	ctx, cancel := interrupted()
 	defer cancel()
-	fails := func(s *lab.Schedule) bool {
+	fails := func(s *faultlab.Schedule) bool {
 		for range r.Tries {
 			o, err := r.play(ctx, program, "shrink", s)
 			for _, b := range o.Breaches {
@@ -266,7 +266,7 @@
 	if !fails(s) {
 		return fmt.Errorf("%s: no rule is broken in %d plays", r.File, r.Tries)
 	}
-	least := lab.Shrink(s, fails)
+	least := faultlab.Shrink(s, fails)
 	fmt.Printf("%d of %d faults are left\n", len(least.Faults), len(s.Faults))
 	return least.Save(r.Out)
 }
@@ -276,20 +276,20 @@
 // Run lists what there is.
 func (kinds) Run() error {
 	fmt.Println("Faults:")
-	for _, line := range lab.Kinds() {
+	for _, line := range faultlab.Kinds() {
 		fmt.Println("  " + line)
 	}
 	fmt.Println("Auditors:")
-	for _, a := range lab.Auditors {
+	for _, a := range faultlab.Auditors {
 		fmt.Printf("  %s: %s\n", a.Name, a.What)
 	}
 	return nil
 }
 
 func main() {
-	parsed := kong.Parse(&commands{}, kong.Name("bankledge-lab"), kong.Description("Experiments with many processes of the router."))
+	parsed := kong.Parse(&commands{}, kong.Name("bankledge-faultlab"), kong.Description("Experiments with many processes of the router."))
 	if err := parsed.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "bankledge-lab:", err)
+		fmt.Fprintln(os.Stderr, "bankledge-faultlab:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/bankledge-lab/main_test.go
+++ b/cmd/bankledge-faultlab/main_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"bankledge/internal/lab"
+	"bankledge/internal/faultlab"
 )
 
 // plays is how many schedules are played: the machine has to have nothing else to do, so they are only on demand (LAB=10).
@@ -33,21 +33,21 @@
 }
 
 // Schedules drawn from seeds: nine processes of the router before eight engines, and no rule is broken whatever fails. How soon the
-// fleet is back depends on the machine, and is left to `bankledge-lab run`.
+// fleet is back depends on the machine, and is left to `bankledge-faultlab run`.
 func TestSchedules(t *testing.T) {
 	n := plays(t)
 	defer goleak.VerifyNone(t)
 	program := router(t)
 	for seed := range uint64(n) {
-		s := lab.Draw(seed+1, 7)
+		s := faultlab.Draw(seed+1, 7)
 		t.Run(s.Name, func(t *testing.T) {
-			h, err := lab.Play(context.Background(), s, lab.Options{Program: program})
+			h, err := faultlab.Play(context.Background(), s, faultlab.Options{Program: program})
 			require.NoError(t, err)
-			f := lab.Measure(h)
+			f := faultlab.Measure(h)
 			t.Logf("%d statements, %.3f in time, %v", f.Statements, f.InTime, s.Faults)
 			assert.Greater(t, f.Statements, 100)
 			assert.Greater(t, f.InTime, 0.2, "the fleet served")
-			for _, b := range lab.Audit(h) {
+			for _, b := range faultlab.Audit(h) {
 				if b.Auditor != "back" {
 					t.Errorf("%s, at %v: %s", b.Auditor, b.At, b.Text)
 				}
@@ -66,38 +66,38 @@
 		load   float64
 		killed int // processes that have to be killed
 		woken  int // that have to be stopped and woken
-		faults []lab.Fault
+		faults []faultlab.Fault
 	}{
-		"five of nine are killed in the same second and started again": {0.5, 5, 0, []lab.Fault{{Kind: "kill", At: 2, For: 1, Routers: []int{0, 2, 4, 6, 8}}}},
-		"three are stopped for two seconds and woken":                  {0.5, 0, 3, []lab.Fault{{Kind: "stop", At: 2, For: 2, Routers: three}}},
-		"a third is cut off from a third of the engines in overload":   {1.1, 0, 0, []lab.Fault{{Kind: "cut", At: 2, For: 2, Routers: three, Engines: three}}},
-		"the same one way: they are heard and hear nothing":            {1.1, 0, 0, []lab.Fault{{Kind: "cut-back", At: 2, For: 2, Routers: three, Engines: three}}},
-		"answers come two seconds late":                                {0.5, 0, 0, []lab.Fault{{Kind: "delay", At: 2, For: 2, Amount: 2, Routers: three, Engines: half}}},
-		"all connections are reset at once":                            {0.7, 0, 0, []lab.Fault{{Kind: "reset", At: 3, Routers: allRouters, Engines: allEngines}}},
-		"no feed while a third of the engines are replaced":            {0.5, 0, 0, []lab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}, {Kind: "lose", At: 2, For: 1, Engines: three}}},
-		"killed while stopped ones wake and links are cut": {0.6, 2, 2, []lab.Fault{{Kind: "stop", At: 2, For: 1.5, Routers: []int{0, 1}},
+		"five of nine are killed in the same second and started again": {0.5, 5, 0, []faultlab.Fault{{Kind: "kill", At: 2, For: 1, Routers: []int{0, 2, 4, 6, 8}}}},
+		"three are stopped for two seconds and woken":                  {0.5, 0, 3, []faultlab.Fault{{Kind: "stop", At: 2, For: 2, Routers: three}}},
+		"a third is cut off from a third of the engines in overload":   {1.1, 0, 0, []faultlab.Fault{{Kind: "cut", At: 2, For: 2, Routers: three, Engines: three}}},
+		"the same one way: they are heard and hear nothing":            {1.1, 0, 0, []faultlab.Fault{{Kind: "cut-back", At: 2, For: 2, Routers: three, Engines: three}}},
+		"answers come two seconds late":                                {0.5, 0, 0, []faultlab.Fault{{Kind: "delay", At: 2, For: 2, Amount: 2, Routers: three, Engines: half}}},
+		"all connections are reset at once":                            {0.7, 0, 0, []faultlab.Fault{{Kind: "reset", At: 3, Routers: allRouters, Engines: allEngines}}},
+		"no feed while a third of the engines are replaced":            {0.5, 0, 0, []faultlab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}, {Kind: "lose", At: 2, For: 1, Engines: three}}},
+		"killed while stopped ones wake and links are cut": {0.6, 2, 2, []faultlab.Fault{{Kind: "stop", At: 2, For: 1.5, Routers: []int{0, 1}},
 			{Kind: "kill", At: 3, For: 1, Routers: []int{2, 3}}, {Kind: "cut-there", At: 2.5, For: 1.5, Routers: []int{4, 5}, Engines: half}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &lab.Schedule{Name: name, Seed: 1, Routers: 9, Engines: 8, Seconds: 7, Load: c.load, Tries: 2, Busiest: 1, Faults: c.faults}
-			h, err := lab.Play(context.Background(), s, lab.Options{Program: program})
+			s := &faultlab.Schedule{Name: name, Seed: 1, Routers: 9, Engines: 8, Seconds: 7, Load: c.load, Tries: 2, Busiest: 1, Faults: c.faults}
+			h, err := faultlab.Play(context.Background(), s, faultlab.Options{Program: program})
 			require.NoError(t, err)
 			killed, woken, back := 0, 0, 0
 			for _, e := range h.Events {
 				switch {
-				case e.What == lab.Down && e.Text == "kill":
+				case e.What == faultlab.Down && e.Text == "kill":
 					killed++
-				case e.What == lab.Up && e.Text == "stop":
+				case e.What == faultlab.Up && e.Text == "stop":
 					woken++
-				case e.What == lab.Up:
+				case e.What == faultlab.Up:
 					back++
 				}
 			}
 			assert.Equal(t, c.killed, killed)
 			assert.Equal(t, c.killed, back, "each is started again, and is ready")
 			assert.Equal(t, c.woken, woken)
-			assert.Greater(t, lab.Measure(h).InTime, 0.2)
-			for _, b := range lab.Audit(h) {
+			assert.Greater(t, faultlab.Measure(h).InTime, 0.2)
+			for _, b := range faultlab.Audit(h) {
 				if b.Auditor != "back" {
 					t.Errorf("%s, at %v: %s", b.Auditor, b.At, b.Text)
 				}
@@ -112,12 +112,12 @@
 	defer goleak.VerifyNone(t)
 	program := router(t)
 	for seed := range uint64((n + 1) / 2) {
-		s := lab.DrawSoak(602+seed, 15) // without the mends of the incident of wall-clock steps, 602 broke a rule
-		h, err := lab.Play(context.Background(), s, lab.Options{Program: program})
+		s := faultlab.DrawSoak(602+seed, 15) // without the mends of the incident of wall-clock steps, 602 broke a rule
+		h, err := faultlab.Play(context.Background(), s, faultlab.Options{Program: program})
 		require.NoError(t, err)
-		assert.Greater(t, lab.Measure(h).InTime, 0.2, s.Name)
-		for _, b := range lab.Audit(h) {
-			if lab.IsInvariant(b.Auditor) {
+		assert.Greater(t, faultlab.Measure(h).InTime, 0.2, s.Name)
+		for _, b := range faultlab.Audit(h) {
+			if faultlab.IsInvariant(b.Auditor) {
 				t.Errorf("%s: %s, at %v: %s", s.Name, b.Auditor, b.At, b.Text)
 			}
 		}
--- a/cmd/bankledge-lab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"bankledge/internal/lab"
+	"bankledge/internal/faultlab"
 )
 
 // mutant is the router with one guard taken off, by which an auditor is seen to be able to fail.
@@ -17,7 +17,7 @@
 	name    string
 	auditor string // that has to find it
 	edits   []edit
-	faults  []lab.Fault
+	faults  []faultlab.Fault
 	load    float64
 }
 
@@ -29,46 +29,46 @@
 
 const (
 	module   = "policy/policy.go"
-	watching = "m.due.At(s.Last, func() { m.giveUp(s, decision.ReasonTimeUp) })"
-	dropping = "	case m.now < s.Last && m.mayRepeat(s):\n		s.Avoid = e\n		m.hold(s)\n	default:\n		m.giveUp(s, decision.ReasonNoRepeat)"
+	watching = "m.due.Schedule(s.Last, func() { m.giveUp(s, decision.ReasonDeadline) })"
+	dropping = "	case m.now < s.Last && m.mayRepeat(s):\n		s.Avoid = e\n		m.hold(s)\n	default:\n		m.giveUp(s, decision.ReasonNotRetryable)"
 )
 
 // roomy has engines never full: at this scale the room that routers keep is as good a guard for cold engines as their budget is.
 var roomy = edit{module, "	others := m.othersOn(e)\n	if !m.isLight(s) && !m.isCold(e) {", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.isLight(s) && !m.isCold(e) {"}
 
 // noBackstop has the router leave open what the module has forgotten.
-var noBackstop = edit{"internal/gateway/route.go", "if !s.over && now.After(s.ends) {", "if false {"}
+var noBackstop = edit{"internal/proxy/route.go", "if !s.over && now.After(s.ends) {", "if false {"}
 
 // repeats has the module take every repeat for harmless; unguarded has the run-time guard do so, too.
 var (
 	repeats   = edit{module, "return len(s.Execs) < most && (s.Home == nil || s.Effect == decision.Idempotent ||", "return len(s.Execs) < most && (true || s.Home == nil || s.Effect == decision.Idempotent ||"}
-	unguarded = edit{"internal/guard/request.go", "	return r.mayRepeat(at, now)", "	return nil"}
+	unguarded = edit{"internal/invariant/request.go", "	return r.mayRepeat(at, now)", "	return nil"}
 )
 
 // asked is where it is kept when an engine was last asked for an execution.
-const asked = "internal/back/instant.go"
+const asked = "internal/upstream/instant.go"
 
 var (
 	allRouters = []int{0, 1, 2, 3, 4, 5, 6, 7, 8}
 	allEngines = []int{0, 1, 2, 3, 4, 5, 6, 7}
-	someCut    = []lab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: []int{0, 1, 2, 3, 4}, Engines: []int{0, 1, 2, 3}}}
-	drained    = []lab.Fault{{Kind: "replace", At: 2, For: 3, Engines: []int{0, 1, 2}}}
-	lost       = []lab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2}}}
-	lostMost   = []lab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2, 3, 4, 5}}}
-	crawling   = []lab.Fault{{Kind: "crawl", At: 2, For: 4, Engines: allEngines, Amount: 5}}
-	heldUp     = []lab.Fault{{Kind: "cut-there", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}}
-	flapping   = flaps([]lab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}})
-	erring     = []lab.Fault{{Kind: "err", At: 2, For: 3, Engines: []int{0, 1}}}
+	someCut    = []faultlab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: []int{0, 1, 2, 3, 4}, Engines: []int{0, 1, 2, 3}}}
+	drained    = []faultlab.Fault{{Kind: "replace", At: 2, For: 3, Engines: []int{0, 1, 2}}}
+	lost       = []faultlab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2}}}
+	lostMost   = []faultlab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2, 3, 4, 5}}}
+	crawling   = []faultlab.Fault{{Kind: "crawl", At: 2, For: 4, Engines: allEngines, Amount: 5}}
+	heldUp     = []faultlab.Fault{{Kind: "cut-there", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}}
+	flapping   = flaps([]faultlab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}})
+	erring     = []faultlab.Fault{{Kind: "err", At: 2, For: 3, Engines: []int{0, 1}}}
 )
 
 // flaps adds wall clocks of all routers that step there and back while links are cut.
-func flaps(faults []lab.Fault) []lab.Fault {
+func flaps(faults []faultlab.Fault) []faultlab.Fault {
 	for i := range 10 {
 		amount := 20.0
 		if i%2 == 1 {
 			amount = -amount
 		}
-		faults = append(faults, lab.Fault{Kind: "clock", At: 2.3 + 0.2*float64(i), Routers: allRouters, Amount: amount})
+		faults = append(faults, faultlab.Fault{Kind: "clock", At: 2.3 + 0.2*float64(i), Routers: allRouters, Amount: amount})
 	}
 	return faults
 }
@@ -82,7 +82,7 @@
 			{
 				file: module,
 				old:  watching,
-				new:  "m.due.At(s.End+time.Second, func() { m.giveUp(s, decision.ReasonTimeUp) })",
+				new:  "m.due.Schedule(s.End+time.Second, func() { m.giveUp(s, decision.ReasonDeadline) })",
 			},
 			noBackstop,
 		},
@@ -94,7 +94,7 @@
 		auditor: "answers",
 		edits: []edit{
 			{
-				file: "internal/front/front.go",
+				file: "internal/downstream/front.go",
 				old:  "return c.queue(appendAnswer(make([]byte, 0, headBytes+leastLength+2+len(body)), typeAnswer, stream, code, body), stream)",
 				new:  "b := appendAnswer(nil, typeAnswer, stream, code, body)\n\treturn c.queue(append(b, b...), stream)",
 			},
@@ -158,7 +158,7 @@
 		auditor: "left",
 		edits: []edit{
 			{
-				file: "internal/back/pool.go",
+				file: "internal/upstream/pool.go",
 				old:  "	c.willReset()\n	p.drop(c)",
 				new:  "	p.drop(c)",
 			},
@@ -171,12 +171,12 @@
 		auditor: "one at a time",
 		edits: []edit{
 			{
-				file: "internal/back/back.go",
+				file: "internal/upstream/back.go",
 				old:  "forgets   = 2 * time.Second ",
 				new:  "forgets   = 2 * time.Millisecond ",
 			},
 		},
-		faults: []lab.Fault{{Kind: "crawl", At: 1, For: 6, Engines: allEngines, Amount: 8}, {Kind: "deaf", At: 2, For: 4, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 2.2, Routers: allRouters, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}},
+		faults: []faultlab.Fault{{Kind: "crawl", At: 1, For: 6, Engines: allEngines, Amount: 8}, {Kind: "deaf", At: 2, For: 4, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 2.2, Routers: allRouters, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}},
 		load:   0.7,
 	},
 	{
@@ -198,8 +198,8 @@
 		edits: []edit{
 			{
 				file: module,
-				old:  "e.Entry, e.Listed = entry, entry.State != decision.Gone",
-				new:  "e.Entry, e.Listed = entry, true\n\t\te.State = decision.Ready",
+				old:  "e.Endpoint, e.Listed = entry, entry.State != decision.Removed",
+				new:  "e.Endpoint, e.Listed = entry, true\n\t\te.State = decision.Ready",
 			},
 		},
 		faults: drained,
@@ -211,7 +211,7 @@
 		edits: []edit{
 			{
 				file: module,
-				old:  "return e.StartedAt > 0 && m.now < e.StartedAt+m.rules.WarmAfter+coldMargin && m.rules.ColdWindow > 0",
+				old:  "return e.StartedAt > 0 && m.now < e.StartedAt+m.rules.SlowStartDuration+coldMargin && m.rules.SlowStartWindow > 0",
 				new:  "return false && e.StartedAt > 0",
 			},
 			roomy,
@@ -251,7 +251,7 @@
 		auditor: "harm",
 		edits: []edit{
 			{
-				file: "internal/back/pool.go",
+				file: "internal/upstream/pool.go",
 				old:  "func (p *pool) put(c *conn) {\n",
 				new:  "func (p *pool) put(c *conn) {\n	p.drop(c)\n	if c != nil {\n		return\n	}\n",
 			},
@@ -269,7 +269,7 @@
 				new:  "e.Left, e.Backoff = true, time.Hour",
 			},
 		},
-		faults: []lab.Fault{{Kind: "cut", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3, 4, 5}}},
+		faults: []faultlab.Fault{{Kind: "cut", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3, 4, 5}}},
 		load:   0.6,
 	},
 	{
@@ -277,12 +277,12 @@
 		auditor: "back",
 		edits: []edit{
 			{
-				file: "internal/feed/feed.go",
+				file: "internal/discovery/feed.go",
 				old:  "silence    = 2500 * time.Millisecond",
 				new:  "silence    = 2500 * time.Second",
 			},
 		},
-		faults: append([]lab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}}, lost...),
+		faults: append([]faultlab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}}, lost...),
 		load:   0.6,
 	},
 }
@@ -308,7 +308,7 @@
 		}
 		found := ""
 		for i := range c.Times {
-			s := &lab.Schedule{Name: m.name, Seed: uint64(i + 1), Routers: 9, Engines: 8, Seconds: 12, Load: m.load, Tries: 2, Busiest: 1, Faults: m.faults}
+			s := &faultlab.Schedule{Name: m.name, Seed: uint64(i + 1), Routers: 9, Engines: 8, Seconds: 12, Load: m.load, Tries: 2, Busiest: 1, Faults: m.faults}
 			if m.auditor == "one at a time" || m.auditor == "left" {
 				s.Work, s.Patience, s.Leavers = mutantWork, mutantPatience, 0.2
 			}
@@ -366,7 +366,7 @@
 
 // mutate builds a program with a guard taken off; the source stays as it is.
 func mutate(name, program string, edits []edit) (path string, drop func(), err error) {
-	dir, err := os.MkdirTemp("", "bankledge-lab")
+	dir, err := os.MkdirTemp("", "bankledge-faultlab")
 	if err != nil {
 		return "", nil, err
 	}
--- a/cmd/bankledge-lab/terms.go
+++ b/cmd/bankledge-faultlab/terms.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"bankledge/internal/trial"
+	"bankledge/internal/simulation"
 )
 
 // terms plays the state machines of the control group and of the routers under a simulated clock.
@@ -81,22 +81,22 @@
 }
 
 func (c *terms) play() (*sums, error) {
-	s := &sums{Bound: trial.Bound(trial.Draw(0, c.Routers).Spans)}
+	s := &sums{Bound: simulation.ContradictionBound(simulation.OptionsForSeed(0, c.Routers).LeaseDurations)}
 	began := time.Now()
 	batch := uint64(4 * runtime.GOMAXPROCS(0))
 	for from := c.From; from < c.From+c.Count && !(c.Stop && s.Broken > 0); from += batch {
 		n := min(batch, c.From+c.Count-from)
-		results := make([]trial.Result, n)
+		results := make([]simulation.Result, n)
 		var group errgroup.Group
 		group.SetLimit(runtime.GOMAXPROCS(0))
 		for i := range n {
 			group.Go(func() error {
-				o := trial.Draw(from+i, c.Routers)
-				o.Push = c.Push
+				o := simulation.OptionsForSeed(from+i, c.Routers)
+				o.PlainPush = c.Push
 				if c.Trace && from+i == c.From {
-					results[i] = trial.Play(o, os.Stderr)
+					results[i] = simulation.Run(o, os.Stderr)
 				} else {
-					results[i] = trial.Play(o, nil)
+					results[i] = simulation.Run(o, nil)
 				}
 				return nil
 			})
@@ -113,18 +113,18 @@
 	return s, nil
 }
 
-func (s *sums) add(r trial.Result) {
+func (s *sums) add(r simulation.Result) {
 	s.Schedules++
-	s.Worst, s.Pairs, s.Versions, s.Terms = max(s.Worst, r.Worst), s.Pairs+r.Pairs, s.Versions+r.Versions, s.Terms+r.Terms
-	s.longest = append(s.longest, r.Worst.Seconds())
-	s.MostLateMS = max(s.MostLateMS, r.Late.Milliseconds())
-	if r.Over > 0 {
+	s.Worst, s.Pairs, s.Versions, s.Terms = max(s.Worst, r.LongestContradiction), s.Pairs+r.Contradictions, s.Versions+r.Versions, s.Terms+r.LeaseShare
+	s.longest = append(s.longest, r.LongestContradiction.Seconds())
+	s.MostLateMS = max(s.MostLateMS, r.ConvergenceDelay.Milliseconds())
+	if r.OverBound > 0 {
 		s.OverIn++
 	}
-	if len(r.Findings) > 0 {
+	if len(r.Violations) > 0 {
 		if s.Broken++; s.First == "" {
-			f := r.Findings[0]
-			s.First = fmt.Sprintf("seed %d, %s at %v: %s", r.Seed, f.Auditor, f.At, f.Text)
+			f := r.Violations[0]
+			s.First = fmt.Sprintf("seed %d, %s at %v: %s", r.Seed, f.Auditor, f.At, f.Detail)
 		}
 	}
 }
@@ -147,11 +147,11 @@
 }
 
 const (
-	routerSide = "internal/agree/router.go"
-	groupSide  = "internal/agree/group.go"
-	both       = "internal/agree/agree.go"
-	versions   = "internal/agree/register.go"
-	process    = "internal/seat/seat.go"
+	routerSide = "internal/lease/router.go"
+	groupSide  = "internal/lease/group.go"
+	both       = "internal/lease/agree.go"
+	versions   = "internal/lease/register.go"
+	process    = "internal/replica/seat.go"
 )
 
 // termMutants are guards of the state machines, each taken off alone.
@@ -174,8 +174,8 @@
 		edits: []edit{
 			{
 				file: both,
-				old:  "return time.Duration(float64(s.Term) * (1 - s.Drift))",
-				new:  "return time.Duration(float64(s.Term) * (1 + s.Drift))",
+				old:  "return time.Duration(float64(s.LeaseDuration) * (1 - s.MaxClockDrift))",
+				new:  "return time.Duration(float64(s.LeaseDuration) * (1 + s.MaxClockDrift))",
 			},
 		},
 	},
@@ -184,8 +184,8 @@
 		edits: []edit{
 			{
 				file: both,
-				old:  "return time.Duration(float64(s.Term) * (1 + s.Drift))",
-				new:  "return s.Term / 2",
+				old:  "return time.Duration(float64(s.LeaseDuration) * (1 + s.MaxClockDrift))",
+				new:  "return s.LeaseDuration / 2",
 			},
 		},
 	},
@@ -194,8 +194,8 @@
 		edits: []edit{
 			{
 				file: groupSide,
-				old:  "max(s.Until, w.at+g.Spans.Owed())",
-				new:  "max(s.Until, w.at+g.Spans.Owed()-g.Spans.Term/2)",
+				old:  "max(s.Expiry, w.at+g.Durations.CoordinatorLease())",
+				new:  "max(s.Expiry, w.at+g.Durations.CoordinatorLease()-g.Durations.LeaseDuration/2)",
 			},
 		},
 	},
@@ -214,7 +214,7 @@
 		edits: []edit{
 			{
 				file: groupSide,
-				old:  "		if s.Until > now && s.Known < g.newest {\n			return nil\n		}\n	}\n	g.asked",
+				old:  "		if s.Expiry > now && s.KnownVersion < g.newest {\n			return nil\n		}\n	}\n	g.asked",
 				new:  "	}\n	g.asked",
 			},
 			{
@@ -229,7 +229,7 @@
 		edits: []edit{
 			{
 				file: groupSide,
-				old:  "free: now + g.Spans.Owed(),",
+				old:  "free: now + g.Durations.CoordinatorLease(),",
 				new:  "free: now,",
 			},
 		},
@@ -239,7 +239,7 @@
 		edits: []edit{
 			{
 				file: groupSide,
-				old:  "	return []GroupAction{Confirm{g.token}}",
+				old:  "	return []CoordinatorAction{ConfirmLeadership{g.token}}",
 				new:  "	return g.confirmed(now)",
 			},
 		},
@@ -249,8 +249,8 @@
 		edits: []edit{
 			{
 				file: groupSide,
-				old:  "	case r.Known == g.newest && r.Known > 0:\n",
-				new:  "	case r.Known > 0:\n		reply.Newest = r.Known\n",
+				old:  "	case r.KnownVersion == g.newest && r.KnownVersion > 0:\n",
+				new:  "	case r.KnownVersion > 0:\n		reply.Newest = r.KnownVersion\n",
 			},
 		},
 	},
@@ -269,8 +269,8 @@
 		edits: []edit{
 			{
 				file: process,
-				old:  "		if e.Sync {\n",
-				new:  "		if e.Sync && e.Snapshot != nil {\n",
+				old:  "		if e.MustSync {\n",
+				new:  "		if e.MustSync && e.Snapshot != nil {\n",
 			},
 		},
 	},
@@ -279,8 +279,8 @@
 		edits: []edit{
 			{
 				file: "internal/consensus/node.go",
-				old:  "e.Persist.Hard, e.Persist.Entries, e.Sync = rd.HardState, rd.Entries, rd.MustSync",
-				new:  "e.Persist.Entries, e.Sync = rd.Entries, rd.MustSync",
+				old:  "e.Persist.HardState, e.Persist.Entries, e.MustSync = rd.HardState, rd.Entries, rd.MustSync",
+				new:  "e.Persist.Entries, e.MustSync = rd.Entries, rd.MustSync",
 			},
 		},
 	},
@@ -289,7 +289,7 @@
 		edits: []edit{
 			{
 				file: versions,
-				old:  "if g.Number() > g.Settled {",
+				old:  "if g.NewestNumber() > g.Activated {",
 				new:  "if false {",
 			},
 			{
@@ -354,7 +354,7 @@
 			},
 			{
 				file: groupSide,
-				old:  "	if len(g.confirm) > 0 && now < g.sentAt+g.Spans.Answer || len(g.confirm)+len(g.fresh) == 0 {",
+				old:  "	if len(g.confirm) > 0 && now < g.sentAt+g.Durations.ReplyTimeout || len(g.confirm)+len(g.fresh) == 0 {",
 				new:  "	if len(g.confirm)+len(g.fresh) == 0 {",
 			},
 		},
@@ -368,7 +368,7 @@
 		if !strings.Contains(m.name, c.Only) {
 			continue
 		}
-		path, drop, err := mutate(m.name, "./cmd/bankledge-lab", m.edits)
+		path, drop, err := mutate(m.name, "./cmd/bankledge-faultlab", m.edits)
 		if err != nil {
 			return err
 		}
--- a/cmd/bankledge/commandline_test.go
+++ b/cmd/bankledge/commandline_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
 )
 
 var update = flag.Bool("update", false, "write the recorded output anew instead of comparing with it")
@@ -24,8 +24,8 @@
 // What the commands print and how they end, byte for byte but for the folder of the files and the version of the build.
 func TestCommandLineOutput(t *testing.T) {
 	dir := t.TempDir()
-	engine := standin.Member("e", "127.0.0.1:9", "active")
-	good := string(standin.Config("127.0.0.1:9", patientSettings, 192, 256, engine))
+	engine := fakes.Member("e", "127.0.0.1:9", "active")
+	good := string(fakes.Config("127.0.0.1:9", patientSettings, 192, 256, engine))
 	for name, text := range map[string]string{
 		"good.json":      good,
 		"memory.json":    strings.Replace(good, `"memory_mb":192`, `"memory_mb":1`, 1),
--- a/cmd/bankledge/deploy_test.go
+++ b/cmd/bankledge/deploy_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
 )
 
 const root = "../.." // of the repository, from here
@@ -73,7 +73,7 @@
 	r.cmd.Dir = dir
 	r.cmd.Env = append(os.Environ(), "LB_CONFIG="+config)
 	r.run(t)
-	c, err := standin.Dial(r.listen)
+	c, err := fakes.Dial(r.listen)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.AwaitReady(patience))
--- a/cmd/bankledge/explain.go
+++ b/cmd/bankledge/explain.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x.declared = cfg.Opening.Workloads
+	x.declared = cfg.Module.Workloads
 	for i, w := range x.declared {
 		x.known[w.Name], x.names = decision.WorkloadID(i), append(x.names, w.Name)
 	}
@@ -138,18 +138,18 @@
 		return nil, errors.New("heap_mb: not an amount")
 	}
 	s := x.reader.Analyse([]byte(*a.Text))
-	said := &explained{Declared: a.Workload, Workload: a.Workload, Reason: classify.Unknown.String(), Kind: s.Kind.String(),
-		Read: append([]int64{}, s.Read.Slice()...), Written: append([]int64{}, s.Written.Slice()...), Normal: string(x.reader.Normal()),
+	said := &explained{Declared: a.Workload, Workload: a.Workload, Reason: classify.ReasonUnknownFingerprint.String(), Kind: s.Kind.String(),
+		Read: append([]int64{}, s.Read.Slice()...), Written: append([]int64{}, s.Written.Slice()...), Normal: string(x.reader.NormalizedText()),
 		Joins: s.Joins, WorkMS: a.WorkMS, MemoryMB: a.MemoryMB}
-	if s.Shape != 0 {
-		said.Shape = strconv.FormatUint(s.Shape, 16)
+	if s.Fingerprint != 0 {
+		said.Shape = strconv.FormatUint(s.Fingerprint, 16)
 		said.Shape = strings.Repeat("0", 16-len(said.Shape)) + said.Shape
 	}
-	if h := s.Holds(); h != sqltext.NoGroup {
+	if h := s.LockedGroup(); h != sqltext.NoGroup {
 		said.Holds = &h
 	}
-	if s.Cut {
-		said.Reason = classify.Large.String()
+	if s.Truncated {
+		said.Reason = classify.ReasonTextTooLarge.String()
 	}
 	if a.Workload == nil || x.declared == nil {
 		return said, nil
@@ -166,8 +166,8 @@
 	if a.MemoryMB != nil {
 		memory = *a.MemoryMB
 	}
-	v := classify.New(x.declared, 0).Look(0, id, work, memory, &s, new(classify.Sight)) // each line for itself: nothing was seen before
-	said.Workload, said.Reason, said.Confidence = &x.names[v.As], v.Reason.String(), v.Confidence
+	v := classify.New(x.declared, 0).Classify(0, id, work, memory, &s, new(classify.Observation)) // each line for itself: nothing was seen before
+	said.Workload, said.Reason, said.Confidence = &x.names[v.Workload], v.Reason.String(), v.Confidence
 	if v.Work > 0 {
 		ms := float64(v.Work) / float64(time.Millisecond)
 		said.WorkMS = &ms
--- a/cmd/bankledge/explain_test.go
+++ b/cmd/bankledge/explain_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
 )
 
 func TestExplain(t *testing.T) {
 	config := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(config, standin.Config("127.0.0.1:9", standin.Settings, 32, 256), 0o600))
+	require.NoError(t, os.WriteFile(config, fakes.Config("127.0.0.1:9", fakes.Settings, 32, 256), 0o600))
 	for _, c := range []struct {
 		name, config, in, err string
 		want                  []string // parts of the lines, in turn
--- a/cmd/bankledge/held_start_test.go
+++ b/cmd/bankledge/held_start_test.go
@@ -8,24 +8,24 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/lab"
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
+	"bankledge/internal/faultlab"
 )
 
 // A link to an engine holds what is sent, as a network that is cut off does, and passes it when it is whole again. The statement was sent
 // elsewhere meanwhile, since no engine keeps what nobody asks for so long: its first start must not come to the engine any more.
 func TestAStartThatIsHeldUpOnItsWay(t *testing.T) {
-	cut := lab.Way{Cut: true}
+	cut := faultlab.Way{Cut: true}
 	var engines []*engine
-	var links []*lab.Link
+	var links []*faultlab.Link
 	var members []string
 	for _, id := range []string{"a", "b"} {
 		e := newEngine(t, id, map[string][]step{"POST": {done("one\n")}})
-		link, err := lab.NewLink(e.Server.Listener.Addr().String())
+		link, err := faultlab.NewLink(e.Server.Listener.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(link.Close)
 		link.Set(cut, cut)
-		engines, links, members = append(engines, e), append(links, link), append(members, standin.Member(id, link.Address(), "active"))
+		engines, links, members = append(engines, e), append(links, link), append(members, fakes.Member(id, link.Address(), "active"))
 	}
 	r := startOn(t, newControl(t), patientSettings, members...)
 	c := dial(t, r)
@@ -36,9 +36,9 @@
 	if holds(1) {
 		first, second = 1, 0
 	}
-	links[second].Set(lab.Way{}, lab.Way{})
+	links[second].Set(faultlab.Way{}, faultlab.Way{})
 	c.answer(1, 20, "one\n")
-	links[first].Set(lab.Way{}, lab.Way{})
+	links[first].Set(faultlab.Way{}, faultlab.Way{})
 	require.Eventually(t, func() bool { return !holds(first) }, patience, time.Millisecond)
 	assert.Never(t, func() bool { return hasStarted(engines[first]) }, time.Second, 10*time.Millisecond, "the first start came after all")
 	assert.True(t, hasStarted(engines[second]))
--- a/cmd/bankledge/main.go
+++ b/cmd/bankledge/main.go
@@ -13,9 +13,9 @@
 	"github.com/alecthomas/kong"
 	"go.uber.org/zap/zapcore"
 
-	"bankledge/internal/gateway"
+	"bankledge/internal/controlclient"
+	"bankledge/internal/proxy"
 	"bankledge/internal/settings"
-	"bankledge/internal/steer"
 )
 
 type commands struct {
@@ -47,13 +47,13 @@
 	}
 	log, flush := newLog(s.Level)
 	defer flush()
-	g := gateway.New(cfg, log)
+	g := proxy.New(cfg, log)
 	if s.Control != "" {
-		file, err := steer.Load(s.Control)
+		file, err := controlclient.LoadConfig(s.Control)
 		if err != nil {
 			return err
 		}
-		g.Steer(file)
+		g.JoinControlGroup(file)
 	}
 	return g.Run(stop, reload, s.load)
 }
@@ -65,16 +65,16 @@
 		return nil, err
 	}
 	if s.Listen != "" {
-		if err := settings.CheckAddress(s.Listen); err != nil {
+		if err := settings.ValidateAddress(s.Listen); err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
-		cfg.Listen = s.Listen
+		cfg.ListenAddress = s.Listen
 	}
 	if s.Name != "" {
 		cfg.Name = s.Name
 	}
-	cfg.AsDeclared = s.Looks == "off"
-	return cfg, gateway.Check(cfg)
+	cfg.ClassificationDisabled = s.Looks == "off"
+	return cfg, proxy.ValidateConfig(cfg)
 }
 
 type check struct {
@@ -85,12 +85,12 @@
 func (c *check) Run() error {
 	cfg, err := settings.Load(c.File)
 	if err == nil {
-		err = gateway.Check(cfg)
+		err = proxy.ValidateConfig(cfg)
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: fit to serve %s on %s\n", c.File, cfg.Name, cfg.Listen)
+	fmt.Printf("%s: fit to serve %s on %s\n", c.File, cfg.Name, cfg.ListenAddress)
 	return nil
 }
 
--- a/cmd/bankledge/main_test.go
+++ b/cmd/bankledge/main_test.go
@@ -21,8 +21,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/guard"
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
+	"bankledge/internal/invariant"
 )
 
 const patience = 15 * time.Second // for what must happen; nothing waits so long when all is well
@@ -44,17 +44,17 @@
 }
 
 // engine is a scripted stand-in.
-type engine struct{ *standin.Engine }
+type engine struct{ *fakes.Engine }
 
-type step = standin.Step
+type step = fakes.Step
 
 var (
-	says, done, pages, raw, after = standin.Says, standin.Done, standin.Pages, standin.Raw, standin.After
-	breaks, silent                = step(standin.Breaks), step(standin.Silent)
+	says, done, pages, raw, after = fakes.Says, fakes.Done, fakes.Pages, fakes.Raw, fakes.After
+	breaks, silent                = step(fakes.Breaks), step(fakes.Silent)
 )
 
 func newEngine(t *testing.T, id string, script map[string][]step) *engine {
-	e := &engine{standin.NewEngine(id, script)}
+	e := &engine{fakes.NewEngine(id, script)}
 	t.Cleanup(e.Close)
 	return e
 }
@@ -78,14 +78,14 @@
 	copies = good + "X-Batches: 1\r\nContent-Length: 4\r\n\r\none\n" + good + "X-Batches: 1\r\nContent-Length: 4\r\n\r\none\n"
 )
 
-func newControl(t *testing.T) *standin.Control {
-	f := standin.NewControl()
+func newControl(t *testing.T) *fakes.Control {
+	f := fakes.NewControl()
 	t.Cleanup(f.Close)
 	return f
 }
 
 func member(e *engine, phase string) string {
-	return standin.Member(e.ID, e.Server.Listener.Addr().String(), phase)
+	return fakes.Member(e.ID, e.Server.Listener.Addr().String(), phase)
 }
 
 // router is the program under test.
@@ -124,18 +124,18 @@
 	"feedback":{"fields":["concurrent","load_share"],"via":"inline"},"guarantees":{"drainGrace":1000000},
 	"machineTypes":["k"],"orgs":[{"name":"acme","quotaPerS":100}],"tick":1000,"zone":"z"}`
 
-func writeConfig(t *testing.T, f *standin.Control, sockets int, engines ...*engine) string {
+func writeConfig(t *testing.T, f *fakes.Control, sockets int, engines ...*engine) string {
 	var members []string
 	for _, e := range engines {
 		members = append(members, member(e, "active"))
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, standin.Config(f.Server.Listener.Addr().String(), patientSettings, 192, sockets, members...), 0o600))
+	require.NoError(t, os.WriteFile(path, fakes.Config(f.Server.Listener.Addr().String(), patientSettings, 192, sockets, members...), 0o600))
 	return path
 }
 
 // start starts the program and waits until it is ready. Its address comes from its log.
-func start(t *testing.T, f *standin.Control, sockets int, engines ...*engine) *router {
+func start(t *testing.T, f *fakes.Control, sockets int, engines ...*engine) *router {
 	r := &router{cmd: exec.Command(program, "serve"), config: writeConfig(t, f, sockets, engines...), log: &lockedLog{}, ended: make(chan error, 1)}
 	r.cmd.Env = append(os.Environ(), "LB_CONFIG="+r.config)
 	r.run(t)
@@ -172,7 +172,7 @@
 		}
 		assert.NotContains(t, r.log.String(), "DATA RACE")
 		assert.NotContains(t, r.log.String(), "panic")
-		assert.NotContains(t, r.log.String(), guard.Message)
+		assert.NotContains(t, r.log.String(), invariant.ViolationMessage)
 		if t.Failed() {
 			t.Log(r.log.String())
 		}
@@ -213,14 +213,14 @@
 }
 
 func (c *client) send(kind byte, stream uint32, payload string) {
-	_, err := c.Write(standin.Frame(kind, stream, payload))
+	_, err := c.Write(fakes.Frame(kind, stream, payload))
 	require.NoError(c.t, err)
 }
 
 // read reads a frame; the code and the body are those of an answer.
 func (c *client) read() (kind byte, stream uint32, code byte, body string) {
 	c.t.Helper()
-	kind, stream, code, body, err := standin.ReadFrame(c.r)
+	kind, stream, code, body, err := fakes.ReadFrame(c.r)
 	require.NoError(c.t, err)
 	return kind, stream, code, body
 }
@@ -239,7 +239,7 @@
 			delete(fields, changes[i])
 		}
 	}
-	return standin.Payload(fields, fmt.Sprintf("SELECT * FROM sales_%d.orders", n))
+	return fakes.Payload(fields, fmt.Sprintf("SELECT * FROM sales_%d.orders", n))
 }
 
 func TestOneStatement(t *testing.T) {
@@ -332,7 +332,7 @@
 	c := dial(t, r)
 	c.send(7, 1, statement("lookup", 1))
 	assert.Equal(t, "POST lookup SELECT * FROM sales_1.orders", e.await(t, "POST"))
-	for _, b := range standin.Frame(7, 2, statement("lookup", 2)) { // a frame that comes in pieces
+	for _, b := range fakes.Frame(7, 2, statement("lookup", 2)) { // a frame that comes in pieces
 		_, err := c.Write([]byte{b})
 		require.NoError(t, err)
 	}
@@ -342,7 +342,7 @@
 	close(second)
 	c.answer(1, 20, "first\n")
 
-	both := append(standin.Frame(7, 4, statement("lookup", 4)), standin.Frame(7, 5, statement("lookup", 5))...) // many in one read
+	both := append(fakes.Frame(7, 4, statement("lookup", 4)), fakes.Frame(7, 5, statement("lookup", 5))...) // many in one read
 	_, err := c.Write(both)
 	require.NoError(t, err)
 	got := map[uint32]string{}
@@ -387,26 +387,26 @@
 		stream     uint32
 		code       byte
 	}{
-		{"unknown type", "frame type 77", standin.Frame(77, 1, "x"), 0, 51},
-		{"a router's type", "frame type 8", standin.Frame(8, 1, "x"), 0, 51},
-		{"stream 0", "not new", standin.Frame(7, 0, statement("lookup", 1)), 0, 51},
-		{"no fields", "cut short", standin.Frame(7, 1, ""), 1, 50},
-		{"fields cut short", "cut short", standin.Frame(7, 1, statement("lookup", 1)[:20]), 1, 50},
-		{"unknown workload", "field c", standin.Frame(7, 1, statement("odd", 1)), 1, 50},
-		{"unknown member group", "field t", standin.Frame(7, 1, statement("lookup", 1, "t", "odd")), 1, 50},
-		{"no id", "field i", standin.Frame(7, 1, statement("lookup", 1, "i", "-")), 1, 50},
-		{"an id with a line feed", "field i", standin.Frame(7, 1, statement("lookup", 1, "i", "0123456789abcd\r\n")), 1, 50},
-		{"no time", "field d", standin.Frame(7, 1, statement("lookup", 1, "d", "-")), 1, 50},
-		{"no time left", "field d", standin.Frame(7, 1, statement("lookup", 1, "d", "0")), 1, 50},
-		{"endless time", "field d", standin.Frame(7, 1, statement("lookup", 1, "d", "Inf")), 1, 50},
-		{"an estimate below 0", "field h", standin.Frame(7, 1, statement("lookup", 1, "h", "-1")), 1, 50},
-		{"an estimate that is no number", "field heap_mb", standin.Frame(7, 1, statement("lookup", 1, "heap_mb", "NaN")), 1, 50},
-		{"an estimate that stands for nothing", "field heap_mb", standin.Frame(7, 1, statement("lookup", 1, "heap_mb", "")), 1, 50},
-		{"an estimate beyond any engine's memory", "field heap_mb", standin.Frame(7, 1, statement("lookup", 1, "heap_mb", "128001")), 1, 50},
-		{"an estimate beyond reason", "field h", standin.Frame(7, 1, statement("lookup", 1, "h", "1e9")), 1, 50},
-		{"no text", "not a text", standin.Frame(7, 1, statement("lookup", 1)[:len(statement("lookup", 1))-len("SELECT * FROM sales_1.orders")]), 1, 50},
-		{"a text that is none", "not a text", standin.Frame(7, 1, statement("lookup", 1)+"\xff\x00"), 1, 50},
-		{"an odd mark", "field r", standin.Frame(7, 1, statement("lookup", 1, "r", "maybe")), 1, 50},
+		{"unknown type", "frame type 77", fakes.Frame(77, 1, "x"), 0, 51},
+		{"a router's type", "frame type 8", fakes.Frame(8, 1, "x"), 0, 51},
+		{"stream 0", "not new", fakes.Frame(7, 0, statement("lookup", 1)), 0, 51},
+		{"no fields", "cut short", fakes.Frame(7, 1, ""), 1, 50},
+		{"fields cut short", "cut short", fakes.Frame(7, 1, statement("lookup", 1)[:20]), 1, 50},
+		{"unknown workload", "field c", fakes.Frame(7, 1, statement("odd", 1)), 1, 50},
+		{"unknown member group", "field t", fakes.Frame(7, 1, statement("lookup", 1, "t", "odd")), 1, 50},
+		{"no id", "field i", fakes.Frame(7, 1, statement("lookup", 1, "i", "-")), 1, 50},
+		{"an id with a line feed", "field i", fakes.Frame(7, 1, statement("lookup", 1, "i", "0123456789abcd\r\n")), 1, 50},
+		{"no time", "field d", fakes.Frame(7, 1, statement("lookup", 1, "d", "-")), 1, 50},
+		{"no time left", "field d", fakes.Frame(7, 1, statement("lookup", 1, "d", "0")), 1, 50},
+		{"endless time", "field d", fakes.Frame(7, 1, statement("lookup", 1, "d", "Inf")), 1, 50},
+		{"an estimate below 0", "field h", fakes.Frame(7, 1, statement("lookup", 1, "h", "-1")), 1, 50},
+		{"an estimate that is no number", "field heap_mb", fakes.Frame(7, 1, statement("lookup", 1, "heap_mb", "NaN")), 1, 50},
+		{"an estimate that stands for nothing", "field heap_mb", fakes.Frame(7, 1, statement("lookup", 1, "heap_mb", "")), 1, 50},
+		{"an estimate beyond any engine's memory", "field heap_mb", fakes.Frame(7, 1, statement("lookup", 1, "heap_mb", "128001")), 1, 50},
+		{"an estimate beyond reason", "field h", fakes.Frame(7, 1, statement("lookup", 1, "h", "1e9")), 1, 50},
+		{"no text", "not a text", fakes.Frame(7, 1, statement("lookup", 1)[:len(statement("lookup", 1))-len("SELECT * FROM sales_1.orders")]), 1, 50},
+		{"a text that is none", "not a text", fakes.Frame(7, 1, statement("lookup", 1)+"\xff\x00"), 1, 50},
+		{"an odd mark", "field r", fakes.Frame(7, 1, statement("lookup", 1, "r", "maybe")), 1, 50},
 		{"length too small", "frame length", []byte{0, 0, 0, 4, 7, 0, 0, 0}, 0, 51},
 		{"length too large", "frame length", []byte{0xff, 0, 0, 0, 7}, 0, 51},
 	} {
@@ -602,7 +602,7 @@
 	r := start(t, newControl(t), 256, newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}}))
 	var flood []byte
 	for stream := range uint32(1000) {
-		flood = append(flood, standin.Frame(7, stream+1, statement("odd", int(stream)))...)
+		flood = append(flood, fakes.Frame(7, stream+1, statement("odd", int(stream)))...)
 	}
 	bad, good := dial(t, r), dial(t, r)
 	go bad.Write(flood)
@@ -620,8 +620,8 @@
 	r := start(t, newControl(t), 256, newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}}))
 	for _, c := range []struct{ name, first, last string }{
 		{"nothing", "", ""},
-		{"half a frame", string(standin.Frame(7, 1, statement("lookup", 1))[:20]), "the frame did not come whole in time"},
-		{"half a frame after a whole one", string(standin.Frame(1, 0, "\x00")) + "\x00\x00\x00", "the frame did not come whole in time"},
+		{"half a frame", string(fakes.Frame(7, 1, statement("lookup", 1))[:20]), "the frame did not come whole in time"},
+		{"half a frame after a whole one", string(fakes.Frame(1, 0, "\x00")) + "\x00\x00\x00", "the frame did not come whole in time"},
 		{"a frame that is large, and endless", "\x00\x04\x00\x00\x07", "the frame did not come whole in time"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/bankledge/memory_test.go
+++ b/cmd/bankledge/memory_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
 )
 
 // Resident memory of the program with 32 MB and 256 descriptors, idle and after 20,000 statements of 300 shapes. By hand:
@@ -24,30 +24,30 @@
 		t.Skip("by hand: BANKLEDGE_BINARIES names programs to compare")
 	}
 	for _, binary := range strings.Split(binaries, ":") {
-		e := standin.NewModel(64, func(string, string) (time.Duration, int) { return 100 * time.Microsecond, 1 })
-		feed := standin.NewControl()
+		e := fakes.NewModel(64, func(string, string) (time.Duration, int) { return 100 * time.Microsecond, 1 })
+		feed := fakes.NewControl()
 		config := filepath.Join(t.TempDir(), "config.json")
-		require.NoError(t, os.WriteFile(config, standin.Config(feed.Server.Listener.Addr().String(), standin.Settings, 32, 256,
-			standin.Member("e", e.Server.Listener.Addr().String(), "active")), 0o600))
+		require.NoError(t, os.WriteFile(config, fakes.Config(feed.Server.Listener.Addr().String(), fakes.Settings, 32, 256,
+			fakes.Member("e", e.Server.Listener.Addr().String(), "active")), 0o600))
 		r := &router{cmd: exec.Command(binary, "serve"), log: &lockedLog{}, ended: make(chan error, 1)}
 		r.cmd.Env = append(os.Environ(), "LB_CONFIG="+config)
 		began := time.Now()
 		r.run(t)
-		c, err := standin.Dial(r.listen)
+		c, err := fakes.Dial(r.listen)
 		require.NoError(t, err)
 		require.NoError(t, c.AwaitReady(patience))
 		ready := time.Since(began)
 		idle := resident(t, r)
-		mix := standin.NewMix(1, standin.MixOptions{Shapes: 300, EstimateOff: 1})
+		mix := fakes.NewMix(1, fakes.MixOptions{Shapes: 300, EstimateOff: 1})
 		first := mix.Next()
-		<-c.Send(map[string]string{"c": standin.Workloads()[first.Declared].Name, "i": "ffffffffffffffff", "d": "4000", "t": "x", "h": "0.1", "heap_mb": "8"}, string(first.Text))
+		<-c.Send(map[string]string{"c": fakes.Workloads()[first.Declared].Name, "i": "ffffffffffffffff", "d": "4000", "t": "x", "h": "0.1", "heap_mb": "8"}, string(first.Text))
 		answered := time.Since(began)
 		var wait sync.WaitGroup
 		places := make(chan struct{}, 24)
 		for n := range 20_000 {
 			item := mix.Next()
 			places <- struct{}{}
-			answer := c.Send(map[string]string{"c": standin.Workloads()[item.Declared].Name, "i": fmt.Sprintf("%016x", n), "d": "4000", "t": "x", "h": "0.1", "heap_mb": "8"}, string(item.Text))
+			answer := c.Send(map[string]string{"c": fakes.Workloads()[item.Declared].Name, "i": fmt.Sprintf("%016x", n), "d": "4000", "t": "x", "h": "0.1", "heap_mb": "8"}, string(item.Text))
 			wait.Go(func() { <-answer; <-places })
 		}
 		wait.Wait()
--- a/cmd/bankledge/slow_test.go
+++ b/cmd/bankledge/slow_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
 )
 
 // slowBed is a router of 48 MB and 512 descriptors before two modelled engines: lookups have short results, reports of
@@ -28,7 +28,7 @@
 func startSlowBed(t *testing.T, binary string) *slowBed {
 	var members []string
 	for i := range 2 {
-		e := standin.NewModel(64, func(string, string) (time.Duration, int) { return 2 * time.Millisecond, 1 })
+		e := fakes.NewModel(64, func(string, string) (time.Duration, int) { return 2 * time.Millisecond, 1 })
 		e.Rows = func(workload string) int {
 			if workload == "report" {
 				return 800
@@ -36,14 +36,14 @@
 			return 0
 		}
 		t.Cleanup(e.Close)
-		members = append(members, standin.Member(fmt.Sprint("e", i), e.Server.Listener.Addr().String(), "active"))
+		members = append(members, fakes.Member(fmt.Sprint("e", i), e.Server.Listener.Addr().String(), "active"))
 	}
 	config := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(config, standin.Config(newControl(t).Server.Listener.Addr().String(), standin.Settings, 48, 512, members...), 0o600))
+	require.NoError(t, os.WriteFile(config, fakes.Config(newControl(t).Server.Listener.Addr().String(), fakes.Settings, 48, 512, members...), 0o600))
 	b := &slowBed{router: &router{cmd: exec.Command(binary, "serve"), config: config, log: &lockedLog{}, ended: make(chan error, 1)}}
 	b.cmd.Env = append(os.Environ(), "LB_CONFIG="+config)
 	b.run(t)
-	c, err := standin.Dial(b.listen)
+	c, err := fakes.Dial(b.listen)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.AwaitReady(patience))
@@ -62,7 +62,7 @@
 	late, began := map[time.Duration]int{}, time.Now()
 	defer func() { t.Logf("over 50 ms, by second: %v", late) }()
 	for range clients {
-		c, err := standin.Dial(b.listen)
+		c, err := fakes.Dial(b.listen)
 		require.NoError(t, err)
 		wait.Go(func() {
 			defer c.Close()
@@ -107,9 +107,9 @@
 		time.AfterFunc(4*time.Second, func() { close(alone) })
 		calm, _ := b.fast(t, 8, alone)
 		before := resident(t, b.router)
-		var slow []*standin.SlowReader
+		var slow []*fakes.SlowReader
 		for range readers {
-			s, err := standin.DialSlow(b.listen, 200)
+			s, err := fakes.DialSlow(b.listen, 200)
 			require.NoError(t, err)
 			slow = append(slow, s)
 			for stream := range uint32(32) {
@@ -170,9 +170,9 @@
 func TestSlowReaders(t *testing.T) {
 	b := startSlowBed(t, program)
 	const reports = 6
-	group := func(n int, rate int64) (peers []*standin.SlowReader) {
+	group := func(n int, rate int64) (peers []*fakes.SlowReader) {
 		for range n {
-			s, err := standin.DialSlow(b.listen, rate)
+			s, err := fakes.DialSlow(b.listen, rate)
 			require.NoError(t, err)
 			peers = append(peers, s)
 			for stream := range uint32(reports) {
@@ -235,7 +235,7 @@
 	b := startSlowBed(t, program)
 	trickle := dial(t, b.router)
 	go func() {
-		for _, c := range standin.Frame(7, 1, strings.Repeat("x", 200)) { // 10 bytes a second
+		for _, c := range fakes.Frame(7, 1, strings.Repeat("x", 200)) { // 10 bytes a second
 			if _, err := trickle.Write([]byte{c}); err != nil {
 				return
 			}
@@ -247,7 +247,7 @@
 	assert.Equal(t, []any{uint32(0), byte(51), "the frame did not come whole in time"}, []any{stream, code, body})
 	assert.Less(t, time.Since(began), 4*time.Second)
 	large := dial(t, b.router)
-	frame := standin.Frame(7, 1, standin.Payload(b.fields("report"), "select a from sales_1.b -- "+strings.Repeat("x", 200_000)))
+	frame := fakes.Frame(7, 1, fakes.Payload(b.fields("report"), "select a from sales_1.b -- "+strings.Repeat("x", 200_000)))
 	for len(frame) > 0 { // 50,000 bytes a second, for four seconds
 		n := min(len(frame), 5_000)
 		_, err := large.Write(frame[:n])
--- a/cmd/bankledge/stop_test.go
+++ b/cmd/bankledge/stop_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
 )
 
 // startWith starts the program with settings of one's own and waits until it is ready.
@@ -32,13 +32,13 @@
 }
 
 // startOn is the same with engines as the control feed told of them.
-func startOn(t *testing.T, f *standin.Control, settings string, members ...string) *router {
+func startOn(t *testing.T, f *fakes.Control, settings string, members ...string) *router {
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, standin.Config(f.Server.Listener.Addr().String(), settings, 64, 256, members...), 0o600))
+	require.NoError(t, os.WriteFile(path, fakes.Config(f.Server.Listener.Addr().String(), settings, 64, 256, members...), 0o600))
 	r := &router{cmd: exec.Command(program, "serve"), config: path, log: &lockedLog{}, ended: make(chan error, 1)}
 	r.cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
 	r.run(t)
-	c, err := standin.Dial(r.listen)
+	c, err := fakes.Dial(r.listen)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.AwaitReady(patience))
@@ -62,7 +62,7 @@
 }
 
 // shortest are settings of which every time is shorter than what a stop leaves to late comers.
-var shortest = strings.NewReplacer("15000000,\"gain", "150000,\"gain", "25000000,\"gain", "180000,\"gain", "4000000,\"gain", "180000,\"gain").Replace(standin.Settings)
+var shortest = strings.NewReplacer("15000000,\"gain", "150000,\"gain", "25000000,\"gain", "180000,\"gain", "4000000,\"gain", "180000,\"gain").Replace(fakes.Settings)
 
 // With statement timeouts far below what a stop leaves to late comers, all that is sent within 0.6 s of SIGTERM has its answer, on connections
 // from before and on new ones.
@@ -99,10 +99,10 @@
 				}
 				sent := time.Since(began)
 				text := statement("lookup", n*1000+i, "d", "180", "t", "-")
-				_, err := c.Write(standin.Frame(7, uint32(i+1), text))
+				_, err := c.Write(fakes.Frame(7, uint32(i+1), text))
 				for reader := bufio.NewReader(c); err == nil; {
 					var kind byte
-					if kind, _, _, _, err = standin.ReadFrame(reader); kind == 8 {
+					if kind, _, _, _, err = fakes.ReadFrame(reader); kind == 8 {
 						break
 					}
 				}
@@ -127,7 +127,7 @@
 func TestStopWhileEnginesHang(t *testing.T) {
 	hung := newEngine(t, "hung", map[string][]step{"POST": {says(202, "")}, "GET 0": {silent}, "DELETE": {silent}})
 	well := newEngine(t, "well", map[string][]step{"POST": {says(202, "")}, "GET 0": {silent}, "DELETE": {says(204, "")}})
-	settings := strings.NewReplacer("15000000,\"gain", "900000,\"gain", "25000000,\"gain", "900000,\"gain", "4000000,\"gain", "900000,\"gain").Replace(standin.Settings)
+	settings := strings.NewReplacer("15000000,\"gain", "900000,\"gain", "25000000,\"gain", "900000,\"gain", "4000000,\"gain", "900000,\"gain").Replace(fakes.Settings)
 	r := startWith(t, settings, hung, well)
 	c := dial(t, r)
 	const n = 16
@@ -146,7 +146,7 @@
 	}
 	well.Script(map[string][]step{"POST": {done("late\n")}, "GET 0": {silent}, "DELETE": {says(204, "")}})
 	late := dial(t, r)
-	frame := standin.Frame(7, 1, statement("lookup", 100, "d", "900", "t", "-"))
+	frame := fakes.Frame(7, 1, statement("lookup", 100, "d", "900", "t", "-"))
 	_, err := late.Write(frame[:len(frame)-1])
 	require.NoError(t, err)
 	r.stop(t)
@@ -157,7 +157,7 @@
 	_, err = late.Write(frame[len(frame)-1:])
 	require.NoError(t, err)
 	for { // its answer, whatever it is, and no second one
-		kind, stream, _, _, err := standin.ReadFrame(late.r)
+		kind, stream, _, _, err := fakes.ReadFrame(late.r)
 		require.NoError(t, err)
 		if kind == 8 {
 			assert.Equal(t, uint32(1), stream)
@@ -166,7 +166,7 @@
 	}
 	answers := map[uint32]byte{}
 	for {
-		kind, stream, code, _, err := standin.ReadFrame(c.r)
+		kind, stream, code, _, err := fakes.ReadFrame(c.r)
 		if err != nil {
 			require.ErrorIs(t, err, io.EOF, "an end, no reset")
 			break
@@ -186,7 +186,7 @@
 // What waits in the accept backlog or in an accepted connection's buffer when the sign comes is answered.
 func TestStopWithStatementsNotReadYet(t *testing.T) {
 	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
-	r := startWith(t, standin.Settings, e)
+	r := startWith(t, fakes.Settings, e)
 	r.holdUp(t) // neither read nor accepted from here on
 	var conns []*client
 	for i := range 20 {
@@ -212,7 +212,7 @@
 // before and on such as were not accepted yet, is answered all the same.
 func TestStopThatIsHeldUp(t *testing.T) {
 	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
-	r := startWith(t, standin.Settings, e)
+	r := startWith(t, fakes.Settings, e)
 	var conns []*client
 	for range 10 {
 		conns = append(conns, dial(t, r))
@@ -233,7 +233,7 @@
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGCONT))
 	for _, c := range conns {
 		for {
-			kind, _, code, body, err := standin.ReadFrame(c.r)
+			kind, _, code, body, err := fakes.ReadFrame(c.r)
 			require.NoError(t, err, "an end, and no answer")
 			if kind == 8 {
 				assert.Equal(t, []any{byte(20), "fine\n"}, []any{code, body})
@@ -247,7 +247,7 @@
 // What lay unread while the router was held up for longer than its client waits is not sent on when it runs again: nobody waits for it.
 func TestNothingIsSentOnForWhoWaitedWhileTheRouterStood(t *testing.T) {
 	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
-	r := startWith(t, standin.Settings, e)
+	r := startWith(t, fakes.Settings, e)
 	c := dial(t, r)
 	c.send(7, 1, statement("lookup", 1, "t", "-"))
 	c.answer(1, 20, "fine\n")
@@ -285,7 +285,7 @@
 		}
 		members := []string{member(drains, phases[0]), member(well, phases[1])}
 		for i := range 500 { // which takes its time to read
-			members = append(members, standin.Member(fmt.Sprint("other ", i), fmt.Sprint("127.0.0.1:", 1+i), "leaving"))
+			members = append(members, fakes.Member(fmt.Sprint("other ", i), fmt.Sprint("127.0.0.1:", 1+i), "leaving"))
 		}
 		f.Events <- fmt.Sprintf("id: %d\ndata: {\"n\":%d,\"members\":{\"members\":[%s]}}\n\n", round+2, round+2, strings.Join(members, ","))
 		f.Events <- ":\n" // once this is taken the one before is written
@@ -309,13 +309,13 @@
 
 // A connection comes up while the router stands, and its engine begins to drain: what waited for it is not sent there.
 func TestAConnectionThatCameUpWhileTheRouterStood(t *testing.T) {
-	listener, accept, err := standin.NotUp()
+	listener, accept, err := fakes.NotUp()
 	require.NoError(t, err)
 	defer listener.Close()
 	f, well := newControl(t), newEngine(t, "well", map[string][]step{"POST": {done("fine\n")}})
-	settings := strings.Replace(standin.Settings, `"connectTimeout":250000`, `"connectTimeout":6000000`, 1) // some come up at their third try only
+	settings := strings.Replace(fakes.Settings, `"connectTimeout":250000`, `"connectTimeout":6000000`, 1) // some come up at their third try only
 	r := startOn(t, f, settings, member(well, "active"))
-	f.Events <- fmt.Sprintf("id: 2\ndata: {\"n\":2,\"members\":{\"members\":[%s,%s]}}\n\n", member(well, "leaving"), standin.Member("drains", listener.Addr().String(), "active"))
+	f.Events <- fmt.Sprintf("id: 2\ndata: {\"n\":2,\"members\":{\"members\":[%s,%s]}}\n\n", member(well, "leaving"), fakes.Member("drains", listener.Addr().String(), "active"))
 	require.Eventually(t, func() bool { return strings.Contains(r.log.String(), "engine list changed") }, patience, time.Millisecond)
 	c := dial(t, r)
 	const n = 20
@@ -330,9 +330,9 @@
 	}, patience, time.Millisecond)
 	r.holdUp(t)
 	accept()
-	members := []string{standin.Member("drains", listener.Addr().String(), "leaving"), member(well, "active")}
+	members := []string{fakes.Member("drains", listener.Addr().String(), "leaving"), member(well, "active")}
 	for i := range 500 { // which takes its time to read
-		members = append(members, standin.Member(fmt.Sprint("other ", i), fmt.Sprint("127.0.0.1:", 1+i), "leaving"))
+		members = append(members, fakes.Member(fmt.Sprint("other ", i), fmt.Sprint("127.0.0.1:", 1+i), "leaving"))
 	}
 	f.Events <- fmt.Sprintf("id: 3\ndata: {\"n\":3,\"members\":{\"members\":[%s]}}\n\n", strings.Join(members, ","))
 	f.Events <- ":\n" // once this is taken the one before is written
@@ -373,7 +373,7 @@
 	e := newEngine(t, "gone", nil)
 	e.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, standin.Config(newControl(t).Server.Listener.Addr().String(), standin.Settings, 64, 256, member(e, "active")), 0o600))
+	require.NoError(t, os.WriteFile(path, fakes.Config(newControl(t).Server.Listener.Addr().String(), fakes.Settings, 64, 256, member(e, "active")), 0o600))
 	r := &router{cmd: exec.Command(program, "serve"), config: path, log: &lockedLog{}, ended: make(chan error, 1)}
 	r.cmd.Env = append(os.Environ(), "LB_CONFIG="+path)
 	r.run(t)
--- a/cmd/bankledge/wallclock_test.go
+++ b/cmd/bankledge/wallclock_test.go
@@ -11,25 +11,25 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/hostfault"
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
+	"bankledge/internal/faultinject"
 )
 
 // forgets is how long an engine runs on with an execution that nobody asks for.
 const forgets = 2 * time.Second
 
 // startOnHost starts the program on a host of its own, whose wall clock can be stepped.
-func startOnHost(t *testing.T, engines ...*engine) (*router, *hostfault.Host) {
+func startOnHost(t *testing.T, engines ...*engine) (*router, *faultinject.Host) {
 	dir := t.TempDir()
-	library, err := hostfault.Build(dir)
+	library, err := faultinject.Build(dir)
 	require.NoError(t, err)
-	host, err := hostfault.New(library, dir, "router")
+	host, err := faultinject.New(library, dir, "router")
 	require.NoError(t, err)
 	r := &router{cmd: exec.Command(program, "serve"), config: writeConfig(t, newControl(t), 256, engines...), log: &lockedLog{}, ended: make(chan error, 1)}
 	r.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+r.config, "LB_LOG_LEVEL=debug"), host.Environment(false)...)
 	r.run(t)
 	t.Cleanup(func() { host.Close() }) // before the program is killed: it has its own mapping
-	c, err := standin.Dial(r.listen)
+	c, err := fakes.Dial(r.listen)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.AwaitReady(patience))
--- a/internal/classify/classify.go
+++ b/internal/classify/classify.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"bankledge/decision"
-	"bankledge/internal/shapes"
+	"bankledge/internal/fingerprint"
 	"bankledge/internal/sqltext"
 )
 
@@ -24,16 +24,16 @@
 
 // The reasons. Down to Confirmed the declared workload stands.
 const (
-	Unknown   Reason = iota // a shape never seen, or seen too seldom
-	Large                   // beyond the budget of the analyser
-	Mixed                   // runs of this shape vary too much to tell
-	Labelled                // labels tell more than shapes or structure here
-	Confirmed               // runs of this shape are as the workload's are
-	Writes                  // a bulk of rows is written under a label that only reads
-	Reads                   // nothing is written under a label of loads
-	Built                   // built like a heavy statement, of a shape not known yet
-	Shape                   // runs of this shape are as another workload's are
-	Shown                   // the same, declared as this workload
+	ReasonUnknownFingerprint  Reason = iota // a shape never seen, or seen too seldom
+	ReasonTextTooLarge                      // beyond the budget of the analyser
+	ReasonInconsistentRuns                  // runs of this shape vary too much to tell
+	ReasonLabelMoreReliable                 // labels tell more than shapes or structure here
+	ReasonRunsMatchLabel                    // runs of this shape are as the workload's are
+	ReasonBulkWrite                         // a bulk of rows is written under a label that only reads
+	ReasonReadOnly                          // nothing is written under a label of loads
+	ReasonTextStructure                     // built like a heavy statement, of a shape not known yet
+	ReasonRunsMatchOther                    // runs of this shape are as another workload's are
+	ReasonLabelRunsMatchOther               // the same, declared as this workload
 	NumReasons
 )
 
@@ -69,22 +69,22 @@
 )
 
 // Verdict is what a statement is held to be. What is not known is 0: then the declared figure stands.
-type Verdict struct {
-	As         decision.WorkloadID
-	Reason     Reason
-	Confidence float64       // 0 to 1, that As is right
-	Work       time.Duration // on one thread
-	MemoryMB   float64
-	Writes     bool // at least, whatever the label says
-	Tables     decision.TableGroup
-	Holds      decision.TableGroup   // written; NoGroup: none
-	Others     []decision.TableGroup // named beside Tables
+type Classification struct {
+	Workload     decision.WorkloadID
+	Reason       Reason
+	Confidence   float64       // 0 to 1, that As is right
+	Work         time.Duration // on one thread
+	MemoryMB     float64
+	Writes       bool // at least, whatever the label says
+	Tables       decision.TableGroup
+	LockedTables decision.TableGroup   // written; NoGroup: none
+	OtherTables  []decision.TableGroup // named beside Tables
 }
 
 // Sight is what Ended needs of a statement that was looked at.
-type Sight struct {
+type Observation struct {
 	shape    uint64
-	record   *shapes.Record
+	record   *fingerprint.Record
 	declared decision.WorkloadID
 	as       decision.WorkloadID
 	built    decision.WorkloadID // what structure alone says; the declared one if nothing
@@ -97,11 +97,11 @@
 // workload is what is known of one workload.
 type workload struct {
 	decision.Workload
-	pace    float64       // how much slower than usual its known shapes run just now, the median; it tends to 1
-	runs    shapes.Sketch // of its statements, in logarithms of seconds
-	ratio   shapes.Sketch // of these over what was claimed, in logarithms
-	medians shapes.Sketch // of its shapes
-	memory  shapes.Sketch // in logarithms of MB
+	pace    float64            // how much slower than usual its known shapes run just now, the median; it tends to 1
+	runs    fingerprint.Sketch // of its statements, in logarithms of seconds
+	ratio   fingerprint.Sketch // of these over what was claimed, in logarithms
+	medians fingerprint.Sketch // of its shapes
+	memory  fingerprint.Sketch // in logarithms of MB
 	threads float64
 }
 
@@ -113,23 +113,23 @@
 
 // Counts is what was decided since the start.
 type Counts struct {
-	Hits, Misses int64 // shapes known and not known
-	ByReason     [NumReasons]int64
-	Treated      map[[2]decision.WorkloadID]int64 // declared, treated as
-	Changed      int64                            // shapes whose behaviour has changed
+	Hits, Misses        int64 // shapes known and not known
+	ByReason            [NumReasons]int64
+	Reclassified        map[[2]decision.WorkloadID]int64 // declared, treated as
+	ChangedFingerprints int64                            // shapes whose behaviour has changed
 }
 
 // Classifier is one instance; a single goroutine calls it.
 type Classifier struct {
 	workloads []*workload
 	pairs     [][]pair
-	shapes    *shapes.Cache
+	shapes    *fingerprint.Cache
 	counts    Counts
 }
 
 // New opens an instance for workloads, with so many bytes for shapes.
 func New(workloads []decision.Workload, bytes int64) *Classifier {
-	c := &Classifier{shapes: shapes.NewCache(bytes), counts: Counts{Treated: map[[2]decision.WorkloadID]int64{}}}
+	c := &Classifier{shapes: fingerprint.NewCache(bytes), counts: Counts{Reclassified: map[[2]decision.WorkloadID]int64{}}}
 	for _, w := range workloads {
 		c.workloads = append(c.workloads, &workload{Workload: w, pace: 1, threads: float64(max(1, w.Threads))})
 		c.pairs = append(c.pairs, make([]pair, len(workloads)))
@@ -146,105 +146,105 @@
 
 // Look tells what a statement is held to be that arrives now, declared as a workload with estimates of its work on one
 // thread and its memory; 0: none. It fills in the sight, for Ended.
-func (c *Classifier) Look(now time.Duration, declared decision.WorkloadID, estimate time.Duration, memoryMB float64,
-	s *sqltext.Statement, sight *Sight) Verdict {
+func (c *Classifier) Classify(now time.Duration, declared decision.WorkloadID, estimate time.Duration, memoryMB float64,
+	s *sqltext.Statement, sight *Observation) Classification {
 	d := c.workloads[declared]
-	v := Verdict{As: declared, Writes: s.Writes, Tables: decision.TableGroup(s.Group()), Holds: decision.TableGroup(s.Holds())}
+	v := Classification{Workload: declared, Writes: s.Writes, Tables: decision.TableGroup(s.PrimaryGroup()), LockedTables: decision.TableGroup(s.LockedGroup())}
 	for _, groups := range []*sqltext.Groups{&s.Written, &s.Read} {
 		for _, g := range groups.Slice() {
-			if t := decision.TableGroup(g); t != v.Tables && !slices.Contains(v.Others, t) {
-				v.Others = append(v.Others, t)
+			if t := decision.TableGroup(g); t != v.Tables && !slices.Contains(v.OtherTables, t) {
+				v.OtherTables = append(v.OtherTables, t)
 			}
 		}
 	}
-	*sight = Sight{shape: s.Shape, declared: declared, built: declared, memoryMB: memoryMB,
+	*sight = Observation{shape: s.Fingerprint, declared: declared, built: declared, memoryMB: memoryMB,
 		estimate: estimate.Seconds(), claimed: estimate.Seconds() / d.threads}
-	if s.Shape != 0 {
-		sight.record = c.shapes.Met(s.Shape)
+	if s.Fingerprint != 0 {
+		sight.record = c.shapes.Lookup(s.Fingerprint)
 	}
-	if sight.built = c.byStructure(declared, s); s.Cut {
-		v.Reason, v.Confidence = Large, 0
+	if sight.built = c.byStructure(declared, s); s.Truncated {
+		v.Reason, v.Confidence = ReasonTextTooLarge, 0
 	} else {
-		v.As, v.Reason, v.Confidence = c.which(now, declared, sight, s)
+		v.Workload, v.Reason, v.Confidence = c.which(now, declared, sight, s)
 	}
-	sight.claimed = sight.estimate / c.workloads[v.As].threads
-	v.Work, v.MemoryMB = c.figures(now, v.As, sight)
-	sight.as = v.As
+	sight.claimed = sight.estimate / c.workloads[v.Workload].threads
+	v.Work, v.MemoryMB = c.figures(now, v.Workload, sight)
+	sight.as = v.Workload
 	c.counts.ByReason[v.Reason]++
-	if v.As != declared {
-		c.counts.Treated[[2]decision.WorkloadID{declared, v.As}]++
+	if v.Workload != declared {
+		c.counts.Reclassified[[2]decision.WorkloadID{declared, v.Workload}]++
 	}
 	return v
 }
 
 // which decides the workload: first what the text says for certain, then what runs have shown, then how it is built.
-func (c *Classifier) which(now time.Duration, declared decision.WorkloadID, sight *Sight,
+func (c *Classifier) which(now time.Duration, declared decision.WorkloadID, sight *Observation,
 	s *sqltext.Statement) (decision.WorkloadID, Reason, float64) {
 	d, rec := c.workloads[declared], sight.record
 	switch {
-	case !d.Load && bulk(s):
+	case !d.BulkLoad && bulk(s):
 		if load, ok := c.onlyLoad(); ok {
-			return load, Writes, 0.99
+			return load, ReasonBulkWrite, 0.99
 		}
-		return declared, Confirmed, 0.5
-	case d.Load && s.Kind == sqltext.Select && !s.Writes && !s.ForUpdate:
+		return declared, ReasonRunsMatchLabel, 0.5
+	case d.BulkLoad && s.Kind == sqltext.Select && !s.Writes && !s.ForUpdate:
 		if _, heavy, ok := c.reading(); ok {
-			return heavy, Reads, 0.99
+			return heavy, ReasonReadOnly, 0.99
 		}
-		return declared, Unknown, 0.5
-	case d.Load || s.Writes: // loads are what they are, and a small write is as its client says
-		return declared, Confirmed, 0.9
+		return declared, ReasonUnknownFingerprint, 0.5
+	case d.BulkLoad || s.Writes: // loads are what they are, and a small write is as its client says
+		return declared, ReasonRunsMatchLabel, 0.9
 	}
 	told, claimed := c.labelsTell(declared, sight.built), sight.claimed
-	if cell := rec.Cell(int(declared)); cell != nil && cell.Full() && rec.Runs(now) >= shapes.RecentRuns/2 {
+	if cell := rec.RunTimesOf(int(declared)); cell != nil && cell.Full() && rec.Runs(now) >= fingerprint.RecentRuns/2 {
 		if cell.Spread() > mixedSpread {
-			return declared, Mixed, 0
+			return declared, ReasonInconsistentRuns, 0
 		}
-		median, n := cell.Median(), float64(min(cell.N(), 4*shapes.RecentRuns))
+		median, n := cell.Median(), float64(min(cell.N(), 4*fingerprint.RecentRuns))
 		if all := rec.Run.N(); float64(cell.N()) > majority/(majority+1)*all { // nearly all runs were declared so
 			median, n = rec.Run.Quantile(0.5), all
 		}
-		return c.byCost(declared, median, max(median, cell.High()), n, s, Shown, 0, rec)
+		return c.byCost(declared, median, max(median, cell.High()), n, s, ReasonLabelRunsMatchOther, 0, rec)
 	}
 	if n := rec.Runs(now); n >= wholeRuns {
 		if rec.Run.Spread() > mixedSpread {
-			return declared, Mixed, 0
+			return declared, ReasonInconsistentRuns, 0
 		}
-		if claimed *= math.Exp(c.measure(declared)); rec.Ratio.N() >= shapes.RecentRuns { // as claims of this shape came out
+		if claimed *= math.Exp(c.measure(declared)); rec.Ratio.N() >= fingerprint.RecentRuns { // as claims of this shape came out
 			claimed = sight.claimed * math.Exp(rec.Ratio.Quantile(0.5))
 		}
-		as, reason, sure := c.byCost(declared, rec.Run.Quantile(0.5), rec.Run.Quantile(0.8), n, s, Shape, claimed, rec)
+		as, reason, sure := c.byCost(declared, rec.Run.Quantile(0.5), rec.Run.Quantile(0.8), n, s, ReasonRunsMatchOther, claimed, rec)
 		if as != declared && c.labelsTell(declared, as) {
-			return declared, Labelled, 0
+			return declared, ReasonLabelMoreReliable, 0
 		}
 		return as, reason, sure
 	}
 	switch {
 	case sight.built == declared:
-		return declared, Unknown, 0.5
+		return declared, ReasonUnknownFingerprint, 0.5
 	case told:
-		return declared, Labelled, 0
+		return declared, ReasonLabelMoreReliable, 0
 	}
 	p := c.pairs[declared][sight.built]
 	if p.refuted >= votesLeast && float64(p.refuted) > refuteShare*float64(p.borneOut) {
-		return declared, Labelled, 0
+		return declared, ReasonLabelMoreReliable, 0
 	}
-	return sight.built, Built, float64(p.borneOut+9) / float64(p.borneOut+p.refuted+10)
+	return sight.built, ReasonTextStructure, float64(p.borneOut+9) / float64(p.borneOut+p.refuted+10)
 }
 
 // byCost compares a median run with how the workloads' shapes run. Lighter than declared is only what its own label
 // has shown, or what claims to be no heavier: nobody gains by claiming more work. And for that nearly all runs have to be
 // light, not half of them.
 func (c *Classifier) byCost(declared decision.WorkloadID, median, high, n float64, s *sqltext.Statement, reason Reason,
-	claimed float64, rec *shapes.Record) (decision.WorkloadID, Reason, float64) {
+	claimed float64, rec *fingerprint.Record) (decision.WorkloadID, Reason, float64) {
 	mu, sigma, ok := c.runsOf(declared)
 	if !ok {
-		return declared, Unknown, 0.5
+		return declared, ReasonUnknownFingerprint, 0.5
 	}
 	best, ratio := declared, 0.0
 	for i, w := range c.workloads {
 		other, spread, ok := c.runsOf(decision.WorkloadID(i))
-		if w.Load || !ok || decision.WorkloadID(i) == declared {
+		if w.BulkLoad || !ok || decision.WorkloadID(i) == declared {
 			continue
 		}
 		at, called := median, labels(rec, i)/labels(rec, int(declared))
@@ -256,9 +256,9 @@
 		switch {
 		case (at-mu)*(other-mu) <= 0: // it lies on the other side of the declared workload
 			continue
-		case other < mu && reason == Shape && claimed > 0 && math.Log(claimed) > (mu+other)/2:
+		case other < mu && reason == ReasonRunsMatchOther && claimed > 0 && math.Log(claimed) > (mu+other)/2:
 			continue
-		case other > mu && s.KeyEqual > 0 && !s.Grouped && reason == Shape:
+		case other > mu && s.KeyEqual > 0 && !s.Grouped && reason == ReasonRunsMatchOther:
 			r -= pointDoubt
 		}
 		if r *= n / (n + doubtRuns); r > 1 { // what most clients call it speaks where the cost does
@@ -271,12 +271,12 @@
 	if sure := 1 / (1 + math.Exp(needed-ratio)); ratio > needed {
 		return best, reason, sure
 	}
-	return declared, Confirmed, n / (n + doubtRuns)
+	return declared, ReasonRunsMatchLabel, n / (n + doubtRuns)
 }
 
 // labels is how many runs of a shape were declared as a workload, and one.
-func labels(rec *shapes.Record, workload int) float64 {
-	if cell := rec.Cell(workload); cell != nil {
+func labels(rec *fingerprint.Record, workload int) float64 {
+	if cell := rec.RunTimesOf(workload); cell != nil {
 		return float64(1 + cell.N())
 	}
 	return 1
@@ -310,7 +310,7 @@
 	if w.runs.N() >= workloadN {
 		return math.Exp(w.runs.Quantile(0.5))
 	}
-	return w.SLO.Seconds() / 4
+	return w.LatencyObjective.Seconds() / 4
 }
 
 // reading is the lightest and the heaviest of the workloads that are no loads, by how they run or, until that is known,
@@ -319,13 +319,13 @@
 	light, heavy = -1, -1
 	weight := c.usual
 	for _, w := range c.workloads {
-		if !w.Load && w.runs.N() < workloadN { // what is known of one is no measure for what is guessed of another
-			weight = func(id decision.WorkloadID) float64 { return c.workloads[id].SLO.Seconds() }
+		if !w.BulkLoad && w.runs.N() < workloadN { // what is known of one is no measure for what is guessed of another
+			weight = func(id decision.WorkloadID) float64 { return c.workloads[id].LatencyObjective.Seconds() }
 		}
 	}
 	for i, w := range c.workloads {
 		switch id := decision.WorkloadID(i); {
-		case w.Load:
+		case w.BulkLoad:
 		case light < 0:
 			light, heavy = id, id
 		case weight(id) < weight(light):
@@ -339,7 +339,7 @@
 
 func (c *Classifier) onlyLoad() (load decision.WorkloadID, ok bool) {
 	for i, w := range c.workloads {
-		if w.Load {
+		if w.BulkLoad {
 			if ok {
 				return 0, false
 			}
@@ -396,7 +396,7 @@
 // figures weighs what is known of the run against each other, by how sure each is: the estimate, corrected by how
 // estimates of this shape came out; the shape's own median; the workload's. What engines being slow adds for all is
 // taken off again. The declared figures stand (0) as long as the result is close to them, or nothing better is known.
-func (c *Classifier) figures(now time.Duration, as decision.WorkloadID, sight *Sight) (time.Duration, float64) {
+func (c *Classifier) figures(now time.Duration, as decision.WorkloadID, sight *Observation) (time.Duration, float64) {
 	w, rec := c.workloads[as], sight.record
 	n, slow, memory := rec.Runs(now), c.measure(as), c.memory(as, sight)
 	sum, weight := 0.0, 0.0
@@ -409,7 +409,7 @@
 	}
 	if sight.claimed > 0 {
 		bias, spread := slow, claimSpread
-		if rec != nil && rec.Ratio.N() >= shapes.RecentRuns {
+		if rec != nil && rec.Ratio.N() >= fingerprint.RecentRuns {
 			bias, spread = rec.Ratio.Quantile(0.5), max(0.05, rec.Ratio.Spread())
 		}
 		log := math.Log(sight.claimed) + bias
@@ -434,7 +434,7 @@
 }
 
 // memory is what a statement is held to need where that is more than it declares.
-func (c *Classifier) memory(as decision.WorkloadID, sight *Sight) float64 {
+func (c *Classifier) memory(as decision.WorkloadID, sight *Observation) float64 {
 	need := sight.memoryMB
 	if r := sight.record; r != nil && need > 0 && r.Memory.N() >= memoryRuns {
 		if factor := math.Exp(r.Memory.Quantile(0.75)); factor > math.Exp(worthwhile) {
@@ -452,7 +452,7 @@
 
 // Ended hears that an execution has ended after a time. One that did not complete teaches only where it ran longer than
 // was expected, that it takes so long at least. missingMB is what the engine told to be missing, 0: nothing.
-func (c *Classifier) Ended(now time.Duration, sight *Sight, took time.Duration, completed bool, missingMB float64) {
+func (c *Classifier) RecordEnd(now time.Duration, sight *Observation, took time.Duration, completed bool, missingMB float64) {
 	if sight.shape == 0 || took <= 0 {
 		return
 	}
@@ -470,10 +470,10 @@
 		w.pace = math.Exp((math.Log(w.pace) + step) * (1 - paceFade))
 	}
 	if r == nil || r.Run.N() == 0 {
-		r = c.shapes.Learns(sight.shape)
+		r = c.shapes.RecordFor(sight.shape)
 	}
-	if r.Ran(now, int(sight.declared), run, sight.claimed) {
-		c.counts.Changed++
+	if r.AddRun(now, int(sight.declared), run, sight.claimed) {
+		c.counts.ChangedFingerprints++
 	}
 	if completed && sight.memoryMB > 0 {
 		r.Memory.Add(math.Log((sight.memoryMB + max(0, missingMB)) / sight.memoryMB))
@@ -484,8 +484,8 @@
 			w.ratio.Add(math.Log(run / sight.claimed))
 		}
 	}
-	if cell := r.Cell(int(sight.declared)); cell != nil && cell.Full() && cell.N()%shapes.RecentRuns == 0 {
-		if times := cell.N() / shapes.RecentRuns; times&(times-1) == 0 && sight.as == sight.declared {
+	if cell := r.RunTimesOf(int(sight.declared)); cell != nil && cell.Full() && cell.N()%fingerprint.RecentRuns == 0 {
+		if times := cell.N() / fingerprint.RecentRuns; times&(times-1) == 0 && sight.as == sight.declared {
 			w.medians.Add(cell.Median())
 		}
 		c.vote(sight, r, cell)
@@ -493,9 +493,9 @@
 }
 
 // vote counts what a shape that is known by now says of labels and of structure.
-func (c *Classifier) vote(sight *Sight, r *shapes.Record, cell *shapes.Recent) {
+func (c *Classifier) vote(sight *Observation, r *fingerprint.Record, cell *fingerprint.RecentRunTimes) {
 	d := sight.declared
-	if b := sight.built; b != d && cell.N() == shapes.RecentRuns { // once a shape
+	if b := sight.built; b != d && cell.N() == fingerprint.RecentRuns { // once a shape
 		mine, _, known := c.runsOf(d)
 		other, _, otherKnown := c.runsOf(b)
 		if known && otherKnown {
@@ -508,8 +508,8 @@
 	}
 	for i := range c.workloads {
 		o := decision.WorkloadID(i)
-		other := r.Cell(i)
-		if o == d || other == nil || !other.Full() || r.Voted {
+		other := r.RunTimesOf(i)
+		if o == d || other == nil || !other.Full() || r.LabelCounted {
 			continue
 		}
 		mine, _, known := c.runsOf(d)
@@ -517,7 +517,7 @@
 		if !known || !theirsKnown {
 			continue
 		}
-		r.Voted = true
+		r.LabelCounted = true
 		if gap := cell.Median() - other.Median(); math.Abs(gap) > apart && gap*(mine-theirs) > 0 {
 			c.pairs[d][o].apart++
 			c.pairs[o][d].apart++
--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 
 	"bankledge/decision"
+	"bankledge/internal/fakes"
 	"bankledge/internal/sqltext"
-	"bankledge/internal/standin"
 )
 
 const (
@@ -28,25 +28,25 @@
 }
 
 func newBed() *bed {
-	b := &bed{Classifier: New(standin.Workloads(), 1<<20)}
+	b := &bed{Classifier: New(fakes.Workloads(), 1<<20)}
 	for i := range 2 * workloadN {
 		jitter := math.Exp(0.4 * math.Sin(float64(i)))
-		b.end("select x from sales_1.l"+string(rune('a'+i%20))+" where id = 1", standin.Lookup, 100*time.Millisecond, 0.1*jitter)
-		b.end("select x, count(*) from sales_1.r"+string(rune('a'+i%20))+" where d > 1 group by x", standin.Report, 4*time.Second, 2*jitter)
+		b.end("select x from sales_1.l"+string(rune('a'+i%20))+" where id = 1", fakes.Lookup, 100*time.Millisecond, 0.1*jitter)
+		b.end("select x, count(*) from sales_1.r"+string(rune('a'+i%20))+" where d > 1 group by x", fakes.Report, 4*time.Second, 2*jitter)
 	}
 	return b
 }
 
-func (b *bed) look(text string, declared decision.WorkloadID, estimate time.Duration) (Verdict, *Sight) {
+func (b *bed) look(text string, declared decision.WorkloadID, estimate time.Duration) (Classification, *Observation) {
 	built := b.reader.Analyse([]byte(text))
 	b.now += time.Millisecond
-	sight := new(Sight)
-	return b.Look(b.now, declared, estimate, 50, &built, sight), sight
+	sight := new(Observation)
+	return b.Classify(b.now, declared, estimate, 50, &built, sight), sight
 }
 
 func (b *bed) end(text string, declared decision.WorkloadID, estimate time.Duration, seconds float64) {
 	_, sight := b.look(text, declared, estimate)
-	b.Ended(b.now, sight, time.Duration(seconds*float64(time.Second)), true, 0)
+	b.RecordEnd(b.now, sight, time.Duration(seconds*float64(time.Second)), true, 0)
 }
 
 // ends ends so many, a little different in time.
@@ -66,57 +66,57 @@
 		as       decision.WorkloadID
 		reason   Reason
 	}{
-		{"unknown, nothing speaks", nil, point, standin.Lookup, 0, standin.Lookup, Unknown},
-		{"built like a report", nil, analytic, standin.Lookup, 0, standin.Report, Built},
-		{"built like a report, and called one", nil, analytic, standin.Report, 0, standin.Report, Unknown},
-		{"built like a lookup, called a report: never lighter unseen", nil, point, standin.Report, 0, standin.Report, Unknown},
-		{"a bulk write", nil, "insert into sales_3.a select * from b", standin.Lookup, 0, standin.PriceLoad, Writes},
-		{"a small write", nil, "insert into sales_3.a values (1), (2)", standin.Lookup, 0, standin.Lookup, Confirmed},
-		{"a write by key", nil, "update sales_3.a set x = 1 where id = 2", standin.Report, 0, standin.Report, Confirmed},
-		{"a select under a load's label", nil, point, standin.PriceLoad, 0, standin.Report, Reads},
-		{"a locking select under a load's label", nil, point + " for update", standin.PriceLoad, 0, standin.PriceLoad, Confirmed},
-		{"a procedure under a load's label", nil, "exec sales_3.load_it", standin.PriceLoad, 0, standin.PriceLoad, Confirmed},
-		{"too large", nil, analytic + " -- " + string(make([]byte, sqltext.Budget)), standin.Lookup, 0, standin.Lookup, Large},
-		{"runs as a lookup", func(b *bed) { b.ends(20, analytic, standin.Lookup, 0, 0.1) }, analytic, standin.Lookup, 0, standin.Lookup, Confirmed},
-		{"runs as a report", func(b *bed) { b.ends(20, plain, standin.Lookup, 0, 2) }, plain, standin.Lookup, 0, standin.Report, Shown},
-		{"too few runs", func(b *bed) { b.ends(5, plain, standin.Lookup, 0, 2) }, plain, standin.Lookup, 0, standin.Lookup, Unknown},
-		{"others' runs", func(b *bed) { b.ends(20, plain, standin.Report, 0, 2) }, plain, standin.Lookup, 0, standin.Report, Shape},
-		{"lighter, shown under its own label", func(b *bed) { b.ends(20, point, standin.Report, 0, 0.1) }, point, standin.Report, 0, standin.Lookup, Shown},
-		{"lighter by others' runs, and claimed so", func(b *bed) { b.ends(20, point, standin.Lookup, 0, 0.1) }, point, standin.Report, 100 * time.Millisecond, standin.Lookup, Shape},
-		{"lighter by others' runs, but claimed heavy", func(b *bed) { b.ends(20, point, standin.Lookup, 0, 0.1) }, point, standin.Report, 5 * time.Second, standin.Report, Confirmed},
+		{"unknown, nothing speaks", nil, point, fakes.Lookup, 0, fakes.Lookup, ReasonUnknownFingerprint},
+		{"built like a report", nil, analytic, fakes.Lookup, 0, fakes.Report, ReasonTextStructure},
+		{"built like a report, and called one", nil, analytic, fakes.Report, 0, fakes.Report, ReasonUnknownFingerprint},
+		{"built like a lookup, called a report: never lighter unseen", nil, point, fakes.Report, 0, fakes.Report, ReasonUnknownFingerprint},
+		{"a bulk write", nil, "insert into sales_3.a select * from b", fakes.Lookup, 0, fakes.PriceLoad, ReasonBulkWrite},
+		{"a small write", nil, "insert into sales_3.a values (1), (2)", fakes.Lookup, 0, fakes.Lookup, ReasonRunsMatchLabel},
+		{"a write by key", nil, "update sales_3.a set x = 1 where id = 2", fakes.Report, 0, fakes.Report, ReasonRunsMatchLabel},
+		{"a select under a load's label", nil, point, fakes.PriceLoad, 0, fakes.Report, ReasonReadOnly},
+		{"a locking select under a load's label", nil, point + " for update", fakes.PriceLoad, 0, fakes.PriceLoad, ReasonRunsMatchLabel},
+		{"a procedure under a load's label", nil, "exec sales_3.load_it", fakes.PriceLoad, 0, fakes.PriceLoad, ReasonRunsMatchLabel},
+		{"too large", nil, analytic + " -- " + string(make([]byte, sqltext.MaxAnalysedBytes)), fakes.Lookup, 0, fakes.Lookup, ReasonTextTooLarge},
+		{"runs as a lookup", func(b *bed) { b.ends(20, analytic, fakes.Lookup, 0, 0.1) }, analytic, fakes.Lookup, 0, fakes.Lookup, ReasonRunsMatchLabel},
+		{"runs as a report", func(b *bed) { b.ends(20, plain, fakes.Lookup, 0, 2) }, plain, fakes.Lookup, 0, fakes.Report, ReasonLabelRunsMatchOther},
+		{"too few runs", func(b *bed) { b.ends(5, plain, fakes.Lookup, 0, 2) }, plain, fakes.Lookup, 0, fakes.Lookup, ReasonUnknownFingerprint},
+		{"others' runs", func(b *bed) { b.ends(20, plain, fakes.Report, 0, 2) }, plain, fakes.Lookup, 0, fakes.Report, ReasonRunsMatchOther},
+		{"lighter, shown under its own label", func(b *bed) { b.ends(20, point, fakes.Report, 0, 0.1) }, point, fakes.Report, 0, fakes.Lookup, ReasonLabelRunsMatchOther},
+		{"lighter by others' runs, and claimed so", func(b *bed) { b.ends(20, point, fakes.Lookup, 0, 0.1) }, point, fakes.Report, 100 * time.Millisecond, fakes.Lookup, ReasonRunsMatchOther},
+		{"lighter by others' runs, but claimed heavy", func(b *bed) { b.ends(20, point, fakes.Lookup, 0, 0.1) }, point, fakes.Report, 5 * time.Second, fakes.Report, ReasonRunsMatchLabel},
 		{"light and heavy by literal", func(b *bed) {
 			for range 10 {
-				b.end(plain, standin.Lookup, 0, 0.05)
-				b.end(plain, standin.Lookup, 0, 3)
+				b.end(plain, fakes.Lookup, 0, 0.05)
+				b.end(plain, fakes.Lookup, 0, 3)
 			}
-		}, plain, standin.Lookup, 0, standin.Lookup, Mixed},
+		}, plain, fakes.Lookup, 0, fakes.Lookup, ReasonInconsistentRuns},
 		{"an index is dropped: known again after nine more", func(b *bed) {
-			b.ends(40, plain, standin.Lookup, 0, 0.1)
+			b.ends(40, plain, fakes.Lookup, 0, 0.1)
 			for i := range 18 {
-				b.ends(1, plain, standin.Lookup, 0, 3)
-				b.ends(3, strings.Replace(point, "items", "i"+string(rune('a'+i)), 1), standin.Lookup, 0, 0.1)
+				b.ends(1, plain, fakes.Lookup, 0, 3)
+				b.ends(3, strings.Replace(point, "items", "i"+string(rune('a'+i)), 1), fakes.Lookup, 0, 0.1)
 			}
-		}, plain, standin.Lookup, 0, standin.Report, Shown},
+		}, plain, fakes.Lookup, 0, fakes.Report, ReasonLabelRunsMatchOther},
 		{"labels tell more than shapes", func(b *bed) {
 			for i := range 5 { // five shapes that both labels use, each at its own cost
 				text := strings.Replace(plain, "items", "items"+string(rune('a'+i)), 1)
 				for range 20 {
-					b.ends(1, text, standin.Lookup, 0, 0.1)
-					b.ends(1, text, standin.Report, 0, 2)
+					b.ends(1, text, fakes.Lookup, 0, 0.1)
+					b.ends(1, text, fakes.Report, 0, 2)
 				}
 			}
-			b.ends(40, plain, standin.Report, 0, 2)
-		}, plain, standin.Lookup, 0, standin.Lookup, Labelled},
+			b.ends(40, plain, fakes.Report, 0, 2)
+		}, plain, fakes.Lookup, 0, fakes.Lookup, ReasonLabelMoreReliable},
 		{"structure misleads here", func(b *bed) {
 			for i := range 5 {
-				b.ends(20, strings.Replace(analytic, "sales_3.a", "sales_3.a"+string(rune('a'+i)), 1), standin.Lookup, 0, 0.1)
+				b.ends(20, strings.Replace(analytic, "sales_3.a", "sales_3.a"+string(rune('a'+i)), 1), fakes.Lookup, 0, 0.1)
 			}
-		}, analytic, standin.Lookup, 0, standin.Lookup, Labelled},
+		}, analytic, fakes.Lookup, 0, fakes.Lookup, ReasonLabelMoreReliable},
 		{"a claim alone teaches nothing", func(b *bed) {
 			for range 1000 {
-				b.look(point, standin.Lookup, time.Hour)
+				b.look(point, fakes.Lookup, time.Hour)
 			}
-		}, point, standin.Lookup, time.Hour, standin.Lookup, Unknown},
+		}, point, fakes.Lookup, time.Hour, fakes.Lookup, ReasonUnknownFingerprint},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed()
@@ -124,7 +124,7 @@
 				c.before(b)
 			}
 			v, _ := b.look(c.text, c.declared, c.estimate)
-			assert.Equal(t, []any{c.as, c.reason.String()}, []any{v.As, v.Reason.String()})
+			assert.Equal(t, []any{c.as, c.reason.String()}, []any{v.Workload, v.Reason.String()})
 			assert.GreaterOrEqual(t, v.Confidence, 0.0)
 			assert.LessOrEqual(t, v.Confidence, 1.0)
 		})
@@ -133,50 +133,50 @@
 
 func TestWorkAndMemory(t *testing.T) {
 	t.Run("nothing known: what is declared", func(t *testing.T) {
-		v, _ := newBed().look(point, standin.Lookup, 123*time.Millisecond)
+		v, _ := newBed().look(point, fakes.Lookup, 123*time.Millisecond)
 		assert.Equal(t, []any{time.Duration(0), 0.0}, []any{v.Work, v.MemoryMB})
 	})
 	t.Run("an estimate five times too low is mended", func(t *testing.T) {
 		b := newBed()
 		for i := range 30 {
-			b.ends(1, point, standin.Lookup, 20*time.Millisecond, 0.1)
-			b.ends(3, strings.Replace(point, "items", "i"+string(rune('a'+i)), 1), standin.Lookup, 100*time.Millisecond, 0.1)
+			b.ends(1, point, fakes.Lookup, 20*time.Millisecond, 0.1)
+			b.ends(3, strings.Replace(point, "items", "i"+string(rune('a'+i)), 1), fakes.Lookup, 100*time.Millisecond, 0.1)
 		}
-		v, _ := b.look(point, standin.Lookup, 20*time.Millisecond)
+		v, _ := b.look(point, fakes.Lookup, 20*time.Millisecond)
 		assert.InDelta(t, 0.1, v.Work.Seconds(), 0.04)
 	})
 	t.Run("a right one stays as it is, also when all engines are slow", func(t *testing.T) {
 		b := newBed()
 		for range 4 {
-			b.ends(30, point, standin.Lookup, 100*time.Millisecond, 0.3)
-			b.ends(30, plain, standin.Lookup, 100*time.Millisecond, 0.3)
+			b.ends(30, point, fakes.Lookup, 100*time.Millisecond, 0.3)
+			b.ends(30, plain, fakes.Lookup, 100*time.Millisecond, 0.3)
 		}
-		v, _ := b.look(point, standin.Lookup, 100*time.Millisecond)
+		v, _ := b.look(point, fakes.Lookup, 100*time.Millisecond)
 		assert.Zero(t, v.Work)
 	})
 	t.Run("a client that claims falsely does not move what others' statements are held to take", func(t *testing.T) {
 		b := newBed()
 		for range 40 {
-			b.ends(1, point, standin.Lookup, time.Millisecond, 0.1)
+			b.ends(1, point, fakes.Lookup, time.Millisecond, 0.1)
 		}
-		v, _ := b.look(point, standin.Lookup, 100*time.Millisecond)
+		v, _ := b.look(point, fakes.Lookup, 100*time.Millisecond)
 		assert.Less(t, v.Work, 600*time.Millisecond)
 	})
 	t.Run("structure alone: the usual of the other workload, or the claim if that is more", func(t *testing.T) {
 		b := newBed()
-		v, _ := b.look(analytic, standin.Lookup, time.Millisecond)
+		v, _ := b.look(analytic, fakes.Lookup, time.Millisecond)
 		assert.InDelta(t, 4, v.Work.Seconds(), 1.5)
-		v, _ = b.look(analytic, standin.Lookup, time.Minute)
+		v, _ = b.look(analytic, fakes.Lookup, time.Minute)
 		assert.Equal(t, time.Minute, v.Work)
 	})
 	t.Run("spills teach memory, up to a bound", func(t *testing.T) {
 		for _, c := range []struct{ missing, want float64 }{{50, 100}, {5000, 50 * memoryMost}, {0, 0}} {
 			b := newBed()
 			for range 20 {
-				_, sight := b.look(point, standin.Lookup, 0)
-				b.Ended(b.now, sight, 100*time.Millisecond, true, c.missing)
+				_, sight := b.look(point, fakes.Lookup, 0)
+				b.RecordEnd(b.now, sight, 100*time.Millisecond, true, c.missing)
 			}
-			v, _ := b.look(point, standin.Lookup, 0)
+			v, _ := b.look(point, fakes.Lookup, 0)
 			assert.InDelta(t, c.want, v.MemoryMB, 0.01)
 		}
 	})
@@ -186,25 +186,25 @@
 func TestEnds(t *testing.T) {
 	b := newBed()
 	for range 20 {
-		_, sight := b.look(plain, standin.Lookup, 0)
-		b.Ended(b.now, sight, time.Millisecond, false, 0)
+		_, sight := b.look(plain, fakes.Lookup, 0)
+		b.RecordEnd(b.now, sight, time.Millisecond, false, 0)
 	}
-	v, sight := b.look(plain, standin.Lookup, 0)
-	assert.Equal(t, Unknown, v.Reason, "called off early, they tell nothing")
+	v, sight := b.look(plain, fakes.Lookup, 0)
+	assert.Equal(t, ReasonUnknownFingerprint, v.Reason, "called off early, they tell nothing")
 	require.NotZero(t, sight.shape)
 	for range 20 {
-		_, sight := b.look(plain, standin.Lookup, 0)
-		b.Ended(b.now, sight, 4*time.Second, false, 0)
+		_, sight := b.look(plain, fakes.Lookup, 0)
+		b.RecordEnd(b.now, sight, 4*time.Second, false, 0)
 	}
-	v, _ = b.look(plain, standin.Lookup, 0)
-	assert.EqualValues(t, standin.Report, v.As, "what timed out takes so long at least")
-	b.Ended(b.now, new(Sight), time.Second, true, 0)
-	b.Ended(b.now, sight, -time.Second, true, 0)
+	v, _ = b.look(plain, fakes.Lookup, 0)
+	assert.EqualValues(t, fakes.Report, v.Workload, "what timed out takes so long at least")
+	b.RecordEnd(b.now, new(Observation), time.Second, true, 0)
+	b.RecordEnd(b.now, sight, -time.Second, true, 0)
 }
 
 func TestGroupsOfVerdict(t *testing.T) {
-	v, _ := newBed().look("insert into sales_3.a select * from sales_4.b, sales_3.c join mart_5.d on true", standin.PriceLoad, 0)
-	assert.Equal(t, []any{decision.TableGroup(3), decision.TableGroup(3), []decision.TableGroup{4, 5}, true}, []any{v.Tables, v.Holds, v.Others, v.Writes})
+	v, _ := newBed().look("insert into sales_3.a select * from sales_4.b, sales_3.c join mart_5.d on true", fakes.PriceLoad, 0)
+	assert.Equal(t, []any{decision.TableGroup(3), decision.TableGroup(3), []decision.TableGroup{4, 5}, true}, []any{v.Tables, v.LockedTables, v.OtherTables, v.Writes})
 }
 
 const long = "SELECT o.id, o.customer_name, o.order_date, o.total_amount, c.city, c.discount_group, i.stock_on_hand, i.reorder_level FROM sales_17.orders o JOIN sales_17.customers c ON c.id = o.customer_id LEFT JOIN sales_17.items i ON i.sku = o.sku AND i.branch = o.branch WHERE o.id = 9182736455 AND o.branch = 'bangna' AND o.status IN ('open', 'held', 'part delivered') AND o.order_date >= '2026-11-01' /* counter terminal 17, price and stock of one order */ ORDER BY o.order_date DESC, o.id LIMIT 20 OFFSET 0"
@@ -213,11 +213,11 @@
 func BenchmarkLook(b *testing.B) {
 	bed := newBed()
 	text := long
-	bed.ends(30, text, standin.Lookup, 100*time.Millisecond, 0.1)
-	raw, sight := []byte(text), new(Sight)
+	bed.ends(30, text, fakes.Lookup, 100*time.Millisecond, 0.1)
+	raw, sight := []byte(text), new(Observation)
 	b.ReportAllocs()
 	for b.Loop() {
 		built := bed.reader.Analyse(raw)
-		bed.Look(bed.now, standin.Lookup, 100*time.Millisecond, 50, &built, sight)
+		bed.Classify(bed.now, fakes.Lookup, 100*time.Millisecond, 50, &built, sight)
 	}
 }
--- a/internal/classify/mix_test.go
+++ b/internal/classify/mix_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"bankledge/internal/fakes"
 	"bankledge/internal/sqltext"
-	"bankledge/internal/standin"
 )
 
 // tally is what a run over a mix has shown.
@@ -28,8 +28,8 @@
 }
 
 // play runs statements of a mix past a classifier, and has their ends teach it, unless nothing is to be learned.
-func play(mix *standin.Mix, n int, learns bool) *tally {
-	c, reader := New(standin.Workloads(), 1<<20), new(sqltext.Analyser)
+func play(mix *fakes.Mix, n int, learns bool) *tally {
+	c, reader := New(fakes.Workloads(), 1<<20), new(sqltext.Analyser)
 	t, seen, r := &tally{missed: map[string]int{}}, map[int]int{}, rand.New(rand.NewPCG(5, 5))
 	sums, counts := [3]float64{}, [3]float64{}
 	for i := range n {
@@ -37,10 +37,10 @@
 		now := time.Duration(i) * 8 * time.Millisecond
 		built := reader.Analyse(item.Text)
 		before, _ := c.shapes.Counts()
-		sight := new(Sight)
-		v := c.Look(now, item.Declared, item.Estimate, item.MemoryMB, &built, sight)
+		sight := new(Observation)
+		v := c.Classify(now, item.Declared, item.Estimate, item.MemoryMB, &built, sight)
 		after, _ := c.shapes.Counts()
-		t.confusion[item.True][v.As]++
+		t.confusion[item.True][v.Workload]++
 		warm := item.Shape >= 0 && seen[item.Shape] >= 20
 		if item.Shape >= 0 {
 			if seen[item.Shape] > 0 {
@@ -49,12 +49,12 @@
 			}
 			seen[item.Shape]++
 		}
-		if v.As != item.Declared {
+		if v.Workload != item.Declared {
 			t.treated++
 			if warm {
 				t.warmTreated++
 			}
-			if v.As == item.True {
+			if v.Workload == item.True {
 				t.right++
 				if warm {
 					t.warmHit++
@@ -65,10 +65,10 @@
 			t.mislabelled++
 			if warm {
 				t.warmMis++
-				if v.As == item.True {
+				if v.Workload == item.True {
 					t.warmRight++
 				} else {
-					t.missed[fmt.Sprint(standin.Workloads()[item.True].Name, " declared ", standin.Workloads()[item.Declared].Name, ": ", v.Reason)]++
+					t.missed[fmt.Sprint(fakes.Workloads()[item.True].Name, " declared ", fakes.Workloads()[item.Declared].Name, ": ", v.Reason)]++
 				}
 			}
 		}
@@ -87,7 +87,7 @@
 		if learns { // engines are up to twice as slow for a while, and noisy
 			slow := 1.5 + 0.5*math.Sin(float64(i)/3000)
 			took := item.Work.Seconds() / float64(c.workloads[item.True].threads) * slow * math.Exp(0.15*r.NormFloat64())
-			c.Ended(now, sight, time.Duration(took*float64(time.Second)), true, 0)
+			c.RecordEnd(now, sight, time.Duration(took*float64(time.Second)), true, 0)
 		}
 	}
 	return t
@@ -103,7 +103,7 @@
 func (t *tally) String() string {
 	var b strings.Builder
 	for w, row := range t.confusion {
-		fmt.Fprintf(&b, "%-10s %6d %6d %6d\n", standin.Workloads()[w].Name, row[0], row[1], row[2])
+		fmt.Fprintf(&b, "%-10s %6d %6d %6d\n", fakes.Workloads()[w].Name, row[0], row[1], row[2])
 	}
 	fmt.Fprintf(&b, "treated %d precision %.4f recall %.3f; warm: precision %.4f recall %.3f (of %d); known %.4f\n", t.treated, share(t.right, t.treated),
 		share(t.right, t.mislabelled), share(t.warmHit, t.warmTreated), share(t.warmRight, t.warmMis), t.warmMis, share(t.known, t.usual))
@@ -120,22 +120,22 @@
 // The figures of docs/results.md; the thresholds are those that were asked for.
 func TestRecordedMix(t *testing.T) {
 	const n = 30_000
-	usual := standin.MixOptions{Shapes: 300, EstimateOff: 1}
+	usual := fakes.MixOptions{Shapes: 300, EstimateOff: 1}
 	for _, c := range []struct {
 		name              string
-		o                 standin.MixOptions
+		o                 fakes.MixOptions
 		learns            bool
 		precision, recall float64
 	}{
 		{"warm", usual, true, 0.995, 0.95},
-		{"cold, structure alone, shapes never seen", standin.MixOptions{Shapes: 300, EstimateOff: 1, Mutated: true}, false, 0.995, 0.6},
-		{"estimates off by 5", standin.MixOptions{Shapes: 300, EstimateOff: 5}, true, 0.995, 0.95},
-		{"beside one-off shapes", standin.MixOptions{Shapes: 300, EstimateOff: 1, OneOffs: 0.3}, true, 0.995, 0.95},
-		{"nothing mislabelled", standin.MixOptions{Shapes: 300, EstimateOff: 1, Honest: true}, true, 0, 0},
-		{"costs that differ by literal", standin.MixOptions{Shapes: 300, EstimateOff: 1, Honest: true, Bimodal: true}, true, 0, 0},
+		{"cold, structure alone, shapes never seen", fakes.MixOptions{Shapes: 300, EstimateOff: 1, Mutated: true}, false, 0.995, 0.6},
+		{"estimates off by 5", fakes.MixOptions{Shapes: 300, EstimateOff: 5}, true, 0.995, 0.95},
+		{"beside one-off shapes", fakes.MixOptions{Shapes: 300, EstimateOff: 1, OneOffs: 0.3}, true, 0.995, 0.95},
+		{"nothing mislabelled", fakes.MixOptions{Shapes: 300, EstimateOff: 1, Honest: true}, true, 0, 0},
+		{"costs that differ by literal", fakes.MixOptions{Shapes: 300, EstimateOff: 1, Honest: true, Bimodal: true}, true, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := play(standin.NewMix(11, c.o), n, c.learns)
+			got := play(fakes.NewMix(11, c.o), n, c.learns)
 			t.Logf("\n%s", got)
 			if c.o.Honest {
 				assert.Less(t, share(got.treated, n), 0.0005, "honest statements treated as others")
@@ -158,10 +158,10 @@
 
 // Added to each lookup of the mix, and to one of 500 bytes: percentiles of single calls, text to verdict.
 func BenchmarkAddedLatency(b *testing.B) {
-	bed, mix := newBed(), standin.NewMix(11, standin.MixOptions{Shapes: 300, EstimateOff: 1})
+	bed, mix := newBed(), fakes.NewMix(11, fakes.MixOptions{Shapes: 300, EstimateOff: 1})
 	var texts [][]byte
 	for len(texts) < 20_000 {
-		if item := mix.Next(); item.True == standin.Lookup {
+		if item := mix.Next(); item.True == fakes.Lookup {
 			texts = append(texts, item.Text)
 		}
 	}
@@ -170,12 +170,12 @@
 		text func(i int) []byte
 	}{{"mix", func(i int) []byte { return texts[i%len(texts)] }}, {"500_bytes", func(int) []byte { return []byte(long) }}} {
 		b.Run(c.name, func(b *testing.B) {
-			took, sight := make([]float64, 0, b.N), new(Sight)
+			took, sight := make([]float64, 0, b.N), new(Observation)
 			for i := range b.N {
 				text := c.text(i)
 				began := time.Now()
 				built := bed.reader.Analyse(text)
-				bed.Look(bed.now, standin.Lookup, 100*time.Millisecond, 50, &built, sight)
+				bed.Classify(bed.now, fakes.Lookup, 100*time.Millisecond, 50, &built, sight)
 				took = append(took, float64(time.Since(began)))
 			}
 			b.ReportMetric(quantile(took, 0.5), "p50-ns")
--- a/internal/version/recording_test.go
+++ b/internal/configversion/recording_test.go
@@ -1,4 +1,4 @@
-package version
+package configversion
 
 import (
 	"bytes"
@@ -53,7 +53,7 @@
 		line = bytes.TrimSuffix(line, []byte("\n"))
 		v, err := Decode(line)
 		require.NoError(t, err)
-		assert.NoError(t, v.Follows(before))
+		assert.NoError(t, v.CheckFollows(before))
 		assert.Equal(t, string(line), string(v.Encode()))
 		before = v
 	}
@@ -92,10 +92,10 @@
 		"none": {next, nil}, "next": {next, good}, "older": {good, next}, "later": {New(next, "", fleet(4), nil, ""), good}, "lineage": {New(nil, "m", fleet(2), nil, ""), good},
 		"past": {New(New(nil, "lineage", fleet(9), nil, ""), "", fleet(2), nil, ""), good}, "twice": {New(nil, "lineage", fleet(9), nil, ""), good},
 	} {
-		record("follows "+name, pair[0].Follows(pair[1]))
+		record("follows "+name, pair[0].CheckFollows(pair[1]))
 	}
 	for _, list := range [][]string{nil, {"floor", "kind"}, {"floor", "any"}, {""}} {
-		record(fmt.Sprintf("forced %q", list), CheckForced(list))
+		record(fmt.Sprintf("forced %q", list), CheckGuardNames(list))
 	}
 	lines := slices.Sorted(strings.Lines(out.String()))
 	compareWithFile(t, "testdata/errors.golden", []byte(strings.Join(lines, "")))
@@ -113,14 +113,14 @@
 		}
 		var forced []string
 		if random.IntN(4) == 0 {
-			forced = []string{Names()[random.IntN(len(Names()))]}
+			forced = []string{GuardNames()[random.IntN(len(GuardNames()))]}
 		}
-		guards := Guards{MostGone: float64(random.IntN(4)) / 4}
-		for _, list := range [][]Breach{guards.Broken(before, floor, next, forced), guards.Broken(nil, nil, next, forced)} {
+		guards := Guards{MaxRemovedShare: float64(random.IntN(4)) / 4}
+		for _, list := range [][]Violation{guards.Violations(before, floor, next, forced), guards.Violations(nil, nil, next, forced)} {
 			for _, b := range list {
 				fmt.Fprintf(hash, "%s ", b.Guard)
 			}
-			fmt.Fprintf(hash, "%v\n", Say(list))
+			fmt.Fprintf(hash, "%v\n", ViolationsError(list))
 		}
 		fmt.Fprintf(hash, "%q\n", Diff(before, next))
 		before = next
--- a/internal/version/version.go
+++ b/internal/configversion/version.go
@@ -1,6 +1,6 @@
 // Package version holds numbered versions of the rules and lists: their number, the lineage that they belong to, their hash and
 // canonical form, and the guards that turn down a version that can hardly be meant. It does no I/O and has no clock.
-package version
+package configversion
 
 import (
 	"bytes"
@@ -18,27 +18,27 @@
 
 // Version is one numbered set of rules. It is never changed once it has its number.
 type Version struct {
-	Number  uint64       `json:"number"`
-	Lineage string       `json:"lineage"` // which group wrote it: drawn when the group is founded
-	Before  string       `json:"before"`  // hash of the version before, "" of the first
-	Forced  []string     `json:"forced"`  // guards that its author took off by name, sorted
-	Note    string       `json:"note"`    // why, in its author's words
-	Rules   *rules.Rules `json:"rules"`
-	Hash    string       `json:"hash"` // of all the rest
+	Number       uint64       `json:"number"`
+	Lineage      string       `json:"lineage"` // which group wrote it: drawn when the group is founded
+	PreviousHash string       `json:"before"`  // hash of the version before, "" of the first
+	ForcedGuards []string     `json:"forced"`  // guards that its author took off by name, sorted
+	Note         string       `json:"note"`    // why, in its author's words
+	Rules        *rules.Rules `json:"rules"`
+	Hash         string       `json:"hash"` // of all the rest
 }
 
 // Most is how many bytes a version may have.
-const Most = 1 << 20
+const MaxEncodedBytes = 1 << 20
 
 const mostNote = 1000
 
 // New makes the version that follows on another (nil: the first of its lineage). The rules have passed their check.
 func New(before *Version, lineage string, r *rules.Rules, forced []string, note string) *Version {
-	v := &Version{Number: 1, Lineage: lineage, Forced: append([]string{}, forced...), Note: note, Rules: r}
+	v := &Version{Number: 1, Lineage: lineage, ForcedGuards: append([]string{}, forced...), Note: note, Rules: r}
 	if before != nil {
-		v.Number, v.Lineage, v.Before = before.Number+1, before.Lineage, before.Hash
+		v.Number, v.Lineage, v.PreviousHash = before.Number+1, before.Lineage, before.Hash
 	}
-	slices.Sort(v.Forced)
+	slices.Sort(v.ForcedGuards)
 	v.Hash = v.sum()
 	return v
 }
@@ -65,8 +65,8 @@
 
 // Decode reads a version and checks its rules and its hash; an error names the field. What is half there has no hash that fits.
 func Decode(raw []byte) (*Version, error) {
-	if len(raw) > Most {
-		return nil, fmt.Errorf("version: %d bytes, over %d", len(raw), Most)
+	if len(raw) > MaxEncodedBytes {
+		return nil, fmt.Errorf("version: %d bytes, over %d", len(raw), MaxEncodedBytes)
 	}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -84,7 +84,7 @@
 	case v.Rules == nil:
 		return nil, errors.New("version: rules: missing")
 	}
-	if err := v.Rules.Check(); err != nil {
+	if err := v.Rules.Validate(); err != nil {
 		return nil, fmt.Errorf("version %d: rules: %w", v.Number, err)
 	}
 	if v.Hash != v.sum() {
@@ -94,13 +94,13 @@
 }
 
 // Follows tells why a version does not follow on another: another lineage, a gap, another past. A nil one before is no reason.
-func (v *Version) Follows(before *Version) error {
+func (v *Version) CheckFollows(before *Version) error {
 	switch {
 	case before == nil:
 		return nil
 	case v.Lineage != before.Lineage:
 		return fmt.Errorf("lineage %s, this is %s: another group wrote it", v.Lineage, before.Lineage)
-	case v.Number == before.Number+1 && v.Before != before.Hash:
+	case v.Number == before.Number+1 && v.PreviousHash != before.Hash:
 		return fmt.Errorf("version %d has another past than ours", v.Number)
 	case v.Number == before.Number && v.Hash != before.Hash:
 		return fmt.Errorf("there are two versions %d", v.Number)
@@ -110,46 +110,46 @@
 
 // Guards are the bounds on what one version may change.
 type Guards struct {
-	MostGone float64 `json:"MostGone"` // share of the engines that one version may take away, or set to leaving
+	MaxRemovedShare float64 `json:"MostGone"` // share of the engines that one version may take away, or set to leaving
 }
 
 // The guards, by the names under which they can be taken off.
 const (
-	GuardAll   = "all-engines"      // no engine is left
-	GuardShare = "share-of-engines" // more engines go at once than the stated share
-	GuardKind  = "kind"             // no engine is left of the kinds that a workload is bound to
-	GuardPlace = "placement"        // a table group is kept off every engine
-	GuardMeet  = "nothing-in-between"
-	GuardFloor = "floor" // it forbids what routers without a term count on
+	GuardAllEngines       = "all-engines"      // no engine is left
+	GuardShareOfEngines   = "share-of-engines" // more engines go at once than the stated share
+	GuardKind             = "kind"             // no engine is left of the kinds that a workload is bound to
+	GuardPlacement        = "placement"        // a table group is kept off every engine
+	GuardNothingInBetween = "nothing-in-between"
+	GuardFloor            = "floor" // it forbids what routers without a term count on
 )
 
 // Names lists the guards.
-func Names() []string {
-	return []string{GuardAll, GuardShare, GuardKind, GuardPlace, GuardMeet, GuardFloor}
+func GuardNames() []string {
+	return []string{GuardAllEngines, GuardShareOfEngines, GuardKind, GuardPlacement, GuardNothingInBetween, GuardFloor}
 }
 
 // Breach is a guard that a version would break.
-type Breach struct{ Guard, Text string }
+type Violation struct{ Guard, Message string }
 
 // Broken tells which guards a change of rules breaks that are not taken off. before is nil for the first version; floor is what
 // routers without a term may count on (nil: nothing yet).
-func (g Guards) Broken(before, floor, next *rules.Rules, forced []string) (list []Breach) {
+func (g Guards) Violations(before, floor, next *rules.Rules, forced []string) (list []Violation) {
 	add := func(guard, text string, args ...any) {
 		if !slices.Contains(forced, guard) {
-			list = append(list, Breach{guard, fmt.Sprintf(text, args...)})
+			list = append(list, Violation{guard, fmt.Sprintf(text, args...)})
 		}
 	}
 	if next.Engines != nil {
 		g.lists(before, next, add)
 	}
 	if before != nil {
-		if between := rules.Meet(before, next); next.Engines != nil && active(next) > 0 && before.Engines != nil && active(before) > 0 && active(between) == 0 {
-			add(GuardMeet, "no engine is active before and after: between the two, routers would have none")
+		if between := rules.Intersect(before, next); next.Engines != nil && active(next) > 0 && before.Engines != nil && active(before) > 0 && active(between) == 0 {
+			add(GuardNothingInBetween, "no engine is active before and after: between the two, routers would have none")
 		}
 	}
 	if floor != nil {
 		var off []string
-		for _, f := range rules.Offends(floor, next) {
+		for _, f := range rules.Conflicts(floor, next) {
 			if f.Name != "engines" && f.Name != "kept_off" && f.Name != "kinds" { // lists: docs/control.md, what is not promised
 				off = append(off, f.Name)
 			}
@@ -164,7 +164,7 @@
 // lists has the guards of the list of engines.
 func (g Guards) lists(before, next *rules.Rules, add func(guard, text string, args ...any)) {
 	if active(next) == 0 {
-		add(GuardAll, "no engine is active")
+		add(GuardAllEngines, "no engine is active")
 	}
 	if before != nil && before.Engines != nil {
 		gone := 0
@@ -173,18 +173,18 @@
 				gone++
 			}
 		}
-		if share := float64(gone) / float64(max(1, active(before))); share > g.MostGone {
-			add(GuardShare, "%d of %d active engines go at once, over a share of %v", gone, active(before), g.MostGone)
+		if share := float64(gone) / float64(max(1, active(before))); share > g.MaxRemovedShare {
+			add(GuardShareOfEngines, "%d of %d active engines go at once, over a share of %v", gone, active(before), g.MaxRemovedShare)
 		}
 	}
-	for _, w := range slices.Sorted(maps.Keys(next.Kinds)) {
-		if n := count(next, func(id string, e rules.Engine) bool { return slices.Contains(next.Kinds[w], e.Kind) }); n == 0 {
+	for _, w := range slices.Sorted(maps.Keys(next.AllowedMachineTypes)) {
+		if n := count(next, func(id string, e rules.Engine) bool { return slices.Contains(next.AllowedMachineTypes[w], e.Kind) }); n == 0 {
 			add(GuardKind, "no active engine is of a kind that %s is bound to", w)
 		}
 	}
-	for _, table := range slices.Sorted(maps.Keys(next.KeptOff)) {
-		if n := count(next, func(id string, _ rules.Engine) bool { return !slices.Contains(next.KeptOff[table], id) }); n == 0 && active(next) > 0 {
-			add(GuardPlace, "table group %s is kept off every active engine", table)
+	for _, table := range slices.Sorted(maps.Keys(next.PlacementExclusions)) {
+		if n := count(next, func(id string, _ rules.Engine) bool { return !slices.Contains(next.PlacementExclusions[table], id) }); n == 0 && active(next) > 0 {
+			add(GuardPlacement, "table group %s is kept off every active engine", table)
 		}
 	}
 }
@@ -203,23 +203,23 @@
 }
 
 // CheckForced tells whether all names are guards.
-func CheckForced(forced []string) error {
+func CheckGuardNames(forced []string) error {
 	for _, f := range forced {
-		if !slices.Contains(Names(), f) {
-			return fmt.Errorf("forced: %q is no guard: %s", f, strings.Join(Names(), ", "))
+		if !slices.Contains(GuardNames(), f) {
+			return fmt.Errorf("forced: %q is no guard: %s", f, strings.Join(GuardNames(), ", "))
 		}
 	}
 	return nil
 }
 
 // Say is the breaches in one line.
-func Say(list []Breach) error {
+func ViolationsError(list []Violation) error {
 	if len(list) == 0 {
 		return nil
 	}
 	var text []string
 	for _, b := range list {
-		text = append(text, b.Text+" (force it by the name "+b.Guard+")")
+		text = append(text, b.Message+" (force it by the name "+b.Guard+")")
 	}
 	return errors.New(strings.Join(text, "; "))
 }
@@ -227,10 +227,10 @@
 // Diff tells, a line a field, what differs between two sets of rules and who is the looser there.
 func Diff(a, b *rules.Rules) (lines []string) {
 	looser, tighter := map[string]bool{}, map[string]bool{}
-	for _, f := range rules.Offends(b, a) {
+	for _, f := range rules.Conflicts(b, a) {
 		looser[f.Name] = true
 	}
-	for _, f := range rules.Offends(a, b) {
+	for _, f := range rules.Conflicts(a, b) {
 		tighter[f.Name] = true
 	}
 	one, other := fieldsOf(a), fieldsOf(b)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -17,68 +17,68 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"bankledge/internal/draw"
+	"bankledge/internal/detrand"
 )
 
 // Settings of one process.
 type Settings struct {
-	ID        uint64
-	Voters    []uint64      // at the founding; a process that joins later names none
-	Heartbeat time.Duration // of the leader
-	Election  time.Duration // a leader not heard of for so long, to twice as long, is replaced
-	Seed      uint64
-	Log       raft.Logger
+	ID                uint64
+	Voters            []uint64      // at the founding; a process that joins later names none
+	HeartbeatInterval time.Duration // of the leader
+	ElectionTimeout   time.Duration // a leader not heard of for so long, to twice as long, is replaced
+	Seed              uint64
+	Logger            raft.Logger
 }
 
 // Check tells what is wrong; an error names the field.
-func (s *Settings) Check() error {
+func (s *Settings) Validate() error {
 	switch {
 	case s.ID == 0:
 		return errors.New("id: missing")
-	case s.Heartbeat <= 0:
+	case s.HeartbeatInterval <= 0:
 		return errors.New("heartbeat: not above 0")
-	case s.Election < 3*s.Heartbeat:
-		return fmt.Errorf("election: %v is under three heartbeats", s.Election)
+	case s.ElectionTimeout < 3*s.HeartbeatInterval:
+		return fmt.Errorf("election: %v is under three heartbeats", s.ElectionTimeout)
 	}
 	return nil
 }
 
 // State is what has to outlive the process.
-type State struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot
-	Entries  []*pb.Entry
+type PersistentState struct {
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot
+	Entries   []*pb.Entry
 }
 
 // Effects are what Step asks for, in this order: Persist is synced to the disk; then Send is sent, then Snapshot and Committed
 // are applied, then Done is called. A process whose disk fails ends there.
 type Effects struct {
-	Persist   State
-	Sync      bool
-	Send      []*pb.Message
-	Snapshot  *pb.Snapshot // to take up before Committed, if not nil
-	Committed []*pb.Entry
-	Reads     []Read
-	Role      *Role // where it has changed
+	Persist          PersistentState
+	MustSync         bool
+	Messages         []*pb.Message
+	Snapshot         *pb.Snapshot // to take up before Committed, if not nil
+	CommittedEntries []*pb.Entry
+	ConfirmedReads   []ConfirmedRead
+	RoleChange       *Role // where it has changed
 }
 
 // Any tells whether there is anything to do.
-func (e *Effects) Any() bool {
-	return e.Persist.Hard != nil || e.Persist.Snapshot != nil || len(e.Persist.Entries) > 0 || len(e.Send) > 0 || len(e.Committed) > 0 ||
-		len(e.Reads) > 0 || e.Role != nil
+func (e *Effects) HasWork() bool {
+	return e.Persist.HardState != nil || e.Persist.Snapshot != nil || len(e.Persist.Entries) > 0 || len(e.Messages) > 0 || len(e.CommittedEntries) > 0 ||
+		len(e.ConfirmedReads) > 0 || e.RoleChange != nil
 }
 
 // Read is a confirmation: this process led when it was asked for it, and all that was committed then is in the log up to Index.
-type Read struct {
+type ConfirmedRead struct {
 	Token uint64
 	Index uint64
 }
 
 // Role is what a process is.
 type Role struct {
-	Leads  bool
-	Leader uint64 // 0: none is known
-	Term   uint64
+	IsLeader bool
+	Leader   uint64 // 0: none is known
+	Term     uint64
 }
 
 // Node is one process's part.
@@ -86,7 +86,7 @@
 	Settings
 	raw      *raft.RawNode
 	store    *raft.MemoryStorage
-	chance   draw.Source
+	chance   detrand.Source
 	beat     time.Duration // of the next tick
 	heard    time.Duration // of the leader, last
 	call     time.Duration // of the next election, if no leader is heard until then
@@ -105,16 +105,16 @@
 const never = math.MaxInt32
 
 // New takes a process's part up again, or founds it. applied is how far the log was applied to what the caller kept.
-func New(s Settings, kept State, applied uint64, now time.Duration) (*Node, error) {
-	if err := s.Check(); err != nil {
+func New(s Settings, kept PersistentState, applied uint64, now time.Duration) (*Node, error) {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	n := &Node{Settings: s, store: raft.NewMemoryStorage(), chance: draw.Source{Seed: s.Seed}, answered: map[uint64]time.Duration{}, members: &pb.ConfState{}}
-	founded := kept.Snapshot == nil && len(kept.Entries) == 0 && kept.Hard == nil
+	n := &Node{Settings: s, store: raft.NewMemoryStorage(), chance: detrand.Source{Seed: s.Seed}, answered: map[uint64]time.Duration{}, members: &pb.ConfState{}}
+	founded := kept.Snapshot == nil && len(kept.Entries) == 0 && kept.HardState == nil
 	switch {
 	case founded && len(s.Voters) > 0: // all that found it begin with the same snapshot
 		kept.Snapshot = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: slices.Sorted(slices.Values(s.Voters))}}}
-		kept.Hard = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
+		kept.HardState = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
 		applied = 1
 	}
 	if kept.Snapshot != nil {
@@ -123,12 +123,12 @@
 		}
 		n.members = kept.Snapshot.GetMetadata().GetConfState()
 	}
-	if at := kept.Snapshot.GetMetadata().GetIndex(); kept.Hard != nil && kept.Hard.GetCommit() < at {
+	if at := kept.Snapshot.GetMetadata().GetIndex(); kept.HardState != nil && kept.HardState.GetCommit() < at {
 		// How far is committed is not synced by itself, and a snapshot may have been since: what it holds was committed.
-		kept.Hard = &pb.HardState{Term: proto.Uint64(kept.Hard.GetTerm()), Vote: proto.Uint64(kept.Hard.GetVote()), Commit: proto.Uint64(at)}
+		kept.HardState = &pb.HardState{Term: proto.Uint64(kept.HardState.GetTerm()), Vote: proto.Uint64(kept.HardState.GetVote()), Commit: proto.Uint64(at)}
 	}
-	if kept.Hard != nil {
-		if err := n.store.SetHardState(kept.Hard); err != nil {
+	if kept.HardState != nil {
+		if err := n.store.SetHardState(kept.HardState); err != nil {
 			return nil, fmt.Errorf("hard state: %w", err)
 		}
 	}
@@ -139,42 +139,42 @@
 	if err != nil {
 		return nil, err
 	}
-	if kept.Hard != nil && kept.Hard.GetCommit() > last {
-		return nil, fmt.Errorf("the log ends at %d, and %d was committed: it is damaged", last, kept.Hard.GetCommit())
+	if kept.HardState != nil && kept.HardState.GetCommit() > last {
+		return nil, fmt.Errorf("the log ends at %d, and %d was committed: it is damaged", last, kept.HardState.GetCommit())
 	}
 	n.applied = applied
 	n.raw, err = raft.NewRawNode(&raft.Config{ID: s.ID, ElectionTick: never, HeartbeatTick: 1, Storage: n.store, Applied: applied,
 		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxInflightBytes: 16 << 20, MaxUncommittedEntriesSize: 64 << 20,
-		PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, Logger: s.Log})
+		PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, Logger: s.Logger})
 	if err != nil {
 		return nil, err
 	}
-	n.beat, n.heard = now, now-s.Election
+	n.beat, n.heard = now, now-s.ElectionTimeout
 	n.again(now)
 	return n, nil
 }
 
 // Founding is what a process that founds a group has to keep before anything else.
-func (n *Node) Founding() State {
+func (n *Node) InitialState() PersistentState {
 	snap, _ := n.store.Snapshot()
 	hard, _, _ := n.store.InitialState()
-	return State{Hard: hard, Snapshot: snap}
+	return PersistentState{HardState: hard, Snapshot: snap}
 }
 
 // again draws when the next election is called.
 func (n *Node) again(now time.Duration) {
-	n.call = now + n.Election + time.Duration(n.chance.Float()*float64(n.Election))
+	n.call = now + n.ElectionTimeout + time.Duration(n.chance.Float64()*float64(n.ElectionTimeout))
 }
 
 // Tick lets time pass.
 func (n *Node) Tick(now time.Duration) {
 	if n.elected {
-		if n.mute = n.mute && !n.followed(now) || !n.mute && now >= n.since+2*n.Election && !n.followed(now); n.mute {
-			n.beat = now + n.Heartbeat
+		if n.mute = n.mute && !n.followed(now) || !n.mute && now >= n.since+2*n.ElectionTimeout && !n.followed(now); n.mute {
+			n.beat = now + n.HeartbeatInterval
 		}
-		for ; now >= n.beat; n.beat += n.Heartbeat {
+		for ; now >= n.beat; n.beat += n.HeartbeatInterval {
 			n.raw.Tick()
-			if now-n.beat > 4*n.Heartbeat { // it was stopped: one is enough
+			if now-n.beat > 4*n.HeartbeatInterval { // it was stopped: one is enough
 				n.beat = now
 			}
 		}
@@ -193,7 +193,7 @@
 func (n *Node) votes() bool { return slices.Contains(n.members.GetVoters(), n.ID) }
 
 // Wake is when Tick has to be called at the latest.
-func (n *Node) Wake() time.Duration {
+func (n *Node) NextDeadline() time.Duration {
 	if n.elected {
 		return n.beat
 	}
@@ -207,7 +207,7 @@
 	}
 	switch m.GetType() {
 	case pb.MsgPreVote, pb.MsgVote: // who hears the leader does not help to replace it
-		if n.role.Leads || now < n.heard+n.Election {
+		if n.role.IsLeader || now < n.heard+n.ElectionTimeout {
 			return nil
 		}
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
@@ -226,7 +226,7 @@
 func (n *Node) followed(now time.Duration) bool {
 	answer := 0
 	for _, id := range n.members.GetVoters() {
-		if id == n.ID || now < n.answered[id]+2*n.Election {
+		if id == n.ID || now < n.answered[id]+2*n.ElectionTimeout {
 			answer++
 		}
 	}
@@ -234,10 +234,10 @@
 }
 
 // Unreachable tells that a process was not reached.
-func (n *Node) Unreachable(id uint64) { n.raw.ReportUnreachable(id) }
+func (n *Node) ReportUnreachable(id uint64) { n.raw.ReportUnreachable(id) }
 
 // SnapshotSent tells how the sending of a snapshot ended.
-func (n *Node) SnapshotSent(id uint64, ok bool) {
+func (n *Node) ReportSnapshot(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
@@ -247,43 +247,43 @@
 
 // Propose asks for an entry. It may be dropped without a word when the leader changes.
 func (n *Node) Propose(data []byte) error {
-	if !n.role.Leads {
+	if !n.role.IsLeader {
 		return raft.ErrProposalDropped
 	}
 	return n.raw.Propose(data)
 }
 
 // Confirm asks for a confirmation that this process leads; Effects.Reads brings it.
-func (n *Node) Confirm(token uint64) {
-	if n.role.Leads {
+func (n *Node) RequestReadConfirmation(token uint64) {
+	if n.role.IsLeader {
 		n.raw.ReadIndex(fmt.Appendf(nil, "%d", token))
 	}
 }
 
 // Change is a change of who belongs to the group: one process a time.
-type Change struct {
+type MembershipChange struct {
 	ID     uint64
 	Remove bool
-	Votes  bool // else it listens only, until it has caught up
+	Voter  bool // else it listens only, until it has caught up
 }
 
 // ProposeChange asks for a change of members; context is kept with it.
-func (n *Node) ProposeChange(c Change, context []byte) error {
+func (n *Node) ProposeMembershipChange(c MembershipChange, context []byte) error {
 	kind := pb.ConfChangeAddLearnerNode
 	switch {
 	case c.Remove:
 		kind = pb.ConfChangeRemoveNode
-	case c.Votes:
+	case c.Voter:
 		kind = pb.ConfChangeAddNode
 	}
-	if !n.role.Leads {
+	if !n.role.IsLeader {
 		return raft.ErrProposalDropped
 	}
 	return n.raw.ProposeConfChange(&pb.ConfChange{Type: kind.Enum(), NodeId: proto.Uint64(c.ID), Context: context})
 }
 
 // Applied tells that a change of members was applied, and returns the members since.
-func (n *Node) ApplyChange(e *pb.Entry) (*pb.ConfChange, *pb.ConfState, error) {
+func (n *Node) ApplyMembershipChange(e *pb.Entry) (*pb.ConfChange, *pb.ConfState, error) {
 	cc := new(pb.ConfChange)
 	if err := proto.Unmarshal(e.GetData(), cc); err != nil {
 		return nil, nil, err
@@ -293,13 +293,13 @@
 }
 
 // Members are the processes that belong to the group.
-func (n *Node) Members() *pb.ConfState { return n.members }
+func (n *Node) ConfState() *pb.ConfState { return n.members }
 
 // Role is what this process is.
 func (n *Node) Role() Role { return n.role }
 
 // Behind is how many entries of its log another process lacks, as the leader knows; false: it is not known.
-func (n *Node) Behind(id uint64) (uint64, bool) {
+func (n *Node) ReplicationLag(id uint64) (uint64, bool) {
 	p, known := n.raw.Status().Progress[id]
 	last, err := n.store.LastIndex()
 	if !known || err != nil {
@@ -319,9 +319,9 @@
 	}
 	n.rd, n.ready = n.raw.Ready(), true
 	rd := &n.rd
-	e.Persist.Hard, e.Persist.Entries, e.Sync = rd.HardState, rd.Entries, rd.MustSync
+	e.Persist.HardState, e.Persist.Entries, e.MustSync = rd.HardState, rd.Entries, rd.MustSync
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		e.Persist.Snapshot, e.Snapshot, e.Sync = rd.Snapshot, rd.Snapshot, true
+		e.Persist.Snapshot, e.Snapshot, e.MustSync = rd.Snapshot, rd.Snapshot, true
 		if err := n.store.ApplySnapshot(rd.Snapshot); err == nil {
 			n.members = rd.Snapshot.GetMetadata().GetConfState()
 			n.applied = rd.Snapshot.GetMetadata().GetIndex()
@@ -333,15 +333,15 @@
 	if err := n.store.Append(rd.Entries); err != nil {
 		panic(err) // the library hands out only what follows
 	}
-	e.Send, e.Committed = rd.Messages, rd.CommittedEntries
+	e.Messages, e.CommittedEntries = rd.Messages, rd.CommittedEntries
 	for _, r := range rd.ReadStates {
 		var token uint64
 		if _, err := fmt.Sscanf(string(r.RequestCtx), "%d", &token); err == nil {
-			e.Reads = append(e.Reads, Read{token, r.Index})
+			e.ConfirmedReads = append(e.ConfirmedReads, ConfirmedRead{token, r.Index})
 		}
 	}
 	if n.mute {
-		e.Send = nil
+		e.Messages = nil
 	}
 	return e
 }
@@ -356,14 +356,14 @@
 	}
 	n.elected = elected
 	n.mute = n.mute && elected
-	role := Role{Leads: elected && !n.mute, Leader: status.Lead, Term: status.HardState.GetTerm()}
+	role := Role{IsLeader: elected && !n.mute, Leader: status.Lead, Term: status.HardState.GetTerm()}
 	if role != n.role {
-		n.role, e.Role = role, &role
+		n.role, e.RoleChange = role, &role
 	}
 }
 
 // Done tells that the last effects are done.
-func (n *Node) Done() {
+func (n *Node) Advance() {
 	if !n.ready {
 		return
 	}
@@ -399,4 +399,4 @@
 }
 
 // Index is how far the log is applied.
-func (n *Node) Index() uint64 { return n.applied }
+func (n *Node) AppliedIndex() uint64 { return n.applied }
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -31,7 +31,7 @@
 )
 
 // ErrDamaged tells that what was read is not what was written.
-var ErrDamaged = errors.New("the store is damaged: remove this process from the group, and add it anew with an empty folder")
+var ErrCorrupted = errors.New("the store is damaged: remove this process from the group, and add it anew with an empty folder")
 
 // Store is one process's disk. It is used by one goroutine.
 type Store struct {
@@ -41,10 +41,10 @@
 }
 
 // Open opens or makes the store of a process in a folder. Two processes can't have the same one, nor one process another's.
-func Open(dir string, id uint64) (*Store, error) { return OpenOn(vfs.Default, dir, id) }
+func Open(dir string, id uint64) (*Store, error) { return OpenFS(vfs.Default, dir, id) }
 
 // OpenOn does so on a file system, such as one that fails in a test.
-func OpenOn(fs vfs.FS, dir string, id uint64) (s *Store, err error) {
+func OpenFS(fs vfs.FS, dir string, id uint64) (s *Store, err error) {
 	defer recovered(&err)
 	if fs == vfs.Default {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -55,7 +55,7 @@
 		FormatMajorVersion: pebble.FormatNewest}) // with it, what was synced and is damaged is told from a tail that was not synced
 	switch {
 	case pebble.IsCorruptionError(err):
-		return nil, fmt.Errorf("store: %w: %w", ErrDamaged, err)
+		return nil, fmt.Errorf("store: %w: %w", ErrCorrupted, err)
 	case err != nil:
 		return nil, fmt.Errorf("store: is it another process's? %w", err)
 	}
@@ -83,7 +83,7 @@
 	noted := make([]byte, 12)
 	if n, err := s.mark.ReadAt(noted, 0); n == len(noted) && err == nil && binary.BigEndian.Uint32(noted[8:]) == crc32.Checksum(noted[:8], table) {
 		if number := binary.BigEndian.Uint64(noted); number > s.seq {
-			return fmt.Errorf("%w: it ends at change %d, and %d was synced", ErrDamaged, s.seq, number)
+			return fmt.Errorf("%w: it ends at change %d, and %d was synced", ErrCorrupted, s.seq, number)
 		}
 	}
 	return nil
@@ -128,20 +128,20 @@
 
 func damaged(err error) error {
 	if pebble.IsCorruptionError(err) {
-		return fmt.Errorf("%w: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: %w", ErrCorrupted, err)
 	}
 	return err
 }
 
 // Load reads all that is kept, checked.
-func (s *Store) Load() (kept consensus.State, err error) {
+func (s *Store) Load() (kept consensus.PersistentState, err error) {
 	defer recovered(&err)
 	if kept, err = s.load(); err != nil {
-		return consensus.State{}, fmt.Errorf("store: %w", err)
+		return consensus.PersistentState{}, fmt.Errorf("store: %w", err)
 	}
 	snap := kept.Snapshot.GetMetadata().GetIndex()
 	if len(kept.Entries) > 0 && kept.Entries[0].GetIndex() > snap+1 {
-		return consensus.State{}, fmt.Errorf("store: entries from %d, the snapshot ends at %d: %w", kept.Entries[0].GetIndex(), snap, ErrDamaged)
+		return consensus.PersistentState{}, fmt.Errorf("store: entries from %d, the snapshot ends at %d: %w", kept.Entries[0].GetIndex(), snap, ErrCorrupted)
 	}
 	for len(kept.Entries) > 0 && kept.Entries[0].GetIndex() <= snap { // kept for those who are behind only as long as the process runs
 		kept.Entries = kept.Entries[1:]
@@ -149,7 +149,7 @@
 	return kept, nil
 }
 
-func (s *Store) load() (kept consensus.State, err error) {
+func (s *Store) load() (kept consensus.PersistentState, err error) {
 	hard, snap := new(pb.HardState), new(pb.Snapshot)
 	for key, into := range map[string]proto.Message{string(hardKey): hard, string(snapKey): snap} {
 		raw, done, err := s.db.Get([]byte(key))
@@ -164,7 +164,7 @@
 			return kept, fmt.Errorf("%s: %w", key, damaged(err))
 		}
 		if into == hard {
-			kept.Hard = hard
+			kept.HardState = hard
 		} else {
 			kept.Snapshot = snap
 		}
@@ -181,7 +181,7 @@
 			return kept, fmt.Errorf("entry: %w", err)
 		}
 		if key := entries.Key(); len(key) != 9 || binary.BigEndian.Uint64(key[1:]) != e.GetIndex() || next != 0 && e.GetIndex() != next {
-			return kept, fmt.Errorf("entry %d: %w", e.GetIndex(), ErrDamaged)
+			return kept, fmt.Errorf("entry %d: %w", e.GetIndex(), ErrCorrupted)
 		}
 		next = e.GetIndex() + 1
 		kept.Entries = append(kept.Entries, e)
@@ -190,7 +190,7 @@
 }
 
 // Save keeps a change; it has been synced when this returns. After an error nothing may be said to anybody that rests on it.
-func (s *Store) Save(change consensus.State) (err error) {
+func (s *Store) Save(change consensus.PersistentState) (err error) {
 	defer recovered(&err)
 	b := s.db.NewBatch()
 	defer b.Close()
@@ -198,8 +198,8 @@
 		put(b, snapKey, change.Snapshot)
 		b.DeleteRange(index(0), index(change.Snapshot.GetMetadata().GetIndex()+1), nil)
 	}
-	if change.Hard != nil {
-		put(b, hardKey, change.Hard)
+	if change.HardState != nil {
+		put(b, hardKey, change.HardState)
 	}
 	if len(change.Entries) > 0 { // what was written from there on before is replaced
 		b.DeleteRange(index(change.Entries[0].GetIndex()), []byte{logKeys + 1}, nil)
@@ -248,7 +248,7 @@
 // open reads a record and checks it.
 func open(raw []byte, into proto.Message) error {
 	if len(raw) < 4 || binary.BigEndian.Uint32(raw) != crc32.Checksum(raw[4:], table) {
-		return ErrDamaged
+		return ErrCorrupted
 	}
 	return proto.Unmarshal(raw[4:], into)
 }
--- a/internal/steer/link.go
+++ b/internal/controlclient/link.go
@@ -1,4 +1,4 @@
-package steer
+package controlclient
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 
 	"go.uber.org/zap"
 
-	"bankledge/internal/agree"
+	"bankledge/internal/configversion"
 	"bankledge/internal/http1"
+	"bankledge/internal/lease"
 	"bankledge/internal/sse"
-	"bankledge/internal/version"
 )
 
 const (
@@ -28,32 +28,32 @@
 )
 
 // Link carries out what the router's side asks for. Do never waits; what comes of it is posted.
-type Link struct {
-	Addresses []string
-	Late      time.Duration // that an answer to a renewal may take and still count
-	Post      func(agree.RouterEvent)
-	Log       *zap.Logger
+type Transport struct {
+	Addresses     []string
+	ReplyDeadline time.Duration // that an answer to a renewal may take and still count
+	Deliver       func(lease.ClientEvent)
+	Log           *zap.Logger
 
-	asks   chan agree.Ask
-	follow chan agree.Refollow
+	asks   chan lease.SendRenewal
+	follow chan lease.ReopenStream
 	calls  sync.WaitGroup
 	idle   chan net.Conn // a connection for the next renewal
 }
 
 // NewLink returns a link. Run has to be called.
-func NewLink(addresses []string, spans agree.Spans, post func(agree.RouterEvent), log *zap.Logger) *Link {
-	return &Link{Addresses: addresses, Late: spans.Held(), Post: post, Log: log, asks: make(chan agree.Ask, queued), follow: make(chan agree.Refollow, 1), idle: make(chan net.Conn, 1)}
+func NewTransport(addresses []string, spans lease.Durations, post func(lease.ClientEvent), log *zap.Logger) *Transport {
+	return &Transport{Addresses: addresses, ReplyDeadline: spans.ClientLease(), Deliver: post, Log: log, asks: make(chan lease.SendRenewal, queued), follow: make(chan lease.ReopenStream, 1), idle: make(chan net.Conn, 1)}
 }
 
 // Do takes something to do.
-func (l *Link) Do(a agree.RouterAction) {
+func (l *Transport) Execute(a lease.ClientAction) {
 	switch a := a.(type) {
-	case agree.Ask:
+	case lease.SendRenewal:
 		select {
 		case l.asks <- a:
 		default: // those before it have not been sent yet: it is as if it had been lost
 		}
-	case agree.Refollow:
+	case lease.ReopenStream:
 		select { // the last one counts
 		case <-l.follow:
 		default:
@@ -62,13 +62,13 @@
 		case l.follow <- a:
 		default:
 		}
-	case agree.Say:
+	case lease.LogMessage:
 		l.Log.Warn("control", zap.String("says", a.Text))
 	}
 }
 
 // Run serves until ctx ends.
-func (l *Link) Run(ctx context.Context) error {
+func (l *Transport) Run(ctx context.Context) error {
 	defer l.calls.Wait()
 	leave := context.CancelFunc(func() {})
 	defer func() { leave() }()
@@ -85,7 +85,7 @@
 					l.renew(ctx, ask)
 				})
 			default:
-				l.Post(agree.Unanswered{Seq: ask.Renewal.Seq})
+				l.Deliver(lease.RenewalFailed{Seq: ask.Renewal.Seq})
 			}
 		case f := <-l.follow:
 			leave()
@@ -97,23 +97,23 @@
 }
 
 // renew sends a renewal and posts what comes of it.
-func (l *Link) renew(ctx context.Context, ask agree.Ask) {
+func (l *Transport) renew(ctx context.Context, ask lease.SendRenewal) {
 	reply, err := l.call(ctx, ask)
 	if err != nil {
 		l.Log.Debug("a renewal has no answer", zap.Uint64("seq", ask.Renewal.Seq), zap.Error(err))
-		l.Post(agree.Unanswered{Seq: ask.Renewal.Seq})
+		l.Deliver(lease.RenewalFailed{Seq: ask.Renewal.Seq})
 		return
 	}
-	l.Post(agree.Told{Reply: reply})
+	l.Deliver(lease.ReplyReceived{Reply: reply})
 }
 
-func (l *Link) call(ctx context.Context, ask agree.Ask) (reply agree.Reply, err error) {
-	address := l.Addresses[ask.Address%len(l.Addresses)]
+func (l *Transport) call(ctx context.Context, ask lease.SendRenewal) (reply lease.Reply, err error) {
+	address := l.Addresses[ask.AddressIndex%len(l.Addresses)]
 	body, err := json.Marshal(ask.Renewal)
 	if err != nil {
 		return reply, err
 	}
-	until := time.Now().Add(l.Late)
+	until := time.Now().Add(l.ReplyDeadline)
 	conn, err := l.connect(ctx, address)
 	if err != nil {
 		return reply, err
@@ -131,7 +131,7 @@
 		return reply, err
 	}
 	reader := http1.NewReader(conn)
-	head, said, err := reader.Answer(mostReply)
+	head, said, err := reader.ReadResponse(mostReply)
 	switch {
 	case err != nil:
 		return reply, err
@@ -156,7 +156,7 @@
 }
 
 // connect takes the connection that rests, if it leads to this address and nothing lies on it, or makes one.
-func (l *Link) connect(ctx context.Context, address string) (net.Conn, error) {
+func (l *Transport) connect(ctx context.Context, address string) (net.Conn, error) {
 	select {
 	case c := <-l.idle:
 		if c.RemoteAddr().String() == address && quiet(c) {
@@ -179,7 +179,7 @@
 }
 
 // Close gives back the connection that rests; it is called after Run.
-func (l *Link) Close() {
+func (l *Transport) Close() {
 	select {
 	case c := <-l.idle:
 		c.Close()
@@ -188,16 +188,16 @@
 }
 
 // stream follows the versions until it ends, and posts that it has.
-func (l *Link) stream(ctx context.Context, f agree.Refollow) {
-	address := l.Addresses[f.Address%len(l.Addresses)]
-	err := l.once(ctx, address, f.After)
+func (l *Transport) stream(ctx context.Context, f lease.ReopenStream) {
+	address := l.Addresses[f.AddressIndex%len(l.Addresses)]
+	err := l.once(ctx, address, f.AfterVersion)
 	if ctx.Err() == nil {
 		l.Log.Debug("the stream of versions has ended", zap.String("address", address), zap.Error(err))
-		l.Post(agree.Lost{})
+		l.Deliver(lease.StreamLost{})
 	}
 }
 
-func (l *Link) once(ctx context.Context, address string, after uint64) error {
+func (l *Transport) once(ctx context.Context, address string, after uint64) error {
 	dial, cancel := context.WithTimeout(ctx, connectIn)
 	defer cancel()
 	raw, err := (&net.Dialer{}).DialContext(dial, "tcp", address)
@@ -211,38 +211,38 @@
 		return err
 	}
 	reader := http1.NewReader(alive{raw})
-	head, err := reader.Head()
+	head, err := reader.ReadHeader()
 	if err != nil {
 		return err
 	}
 	if head.Status != 200 {
 		return fmt.Errorf("the group answered %d", head.Status)
 	}
-	return sse.Read(reader.Body(head), version.Most+mostReply, sse.Handler{Event: func(e sse.Event) error { return l.news(ctx, e) }})
+	return sse.Read(reader.BodyReader(head), configversion.MaxEncodedBytes+mostReply, sse.Handler{OnEvent: func(e sse.Event) error { return l.news(ctx, e) }})
 }
 
 // news posts an event of the stream. What can't be read is said, and ends the stream: it comes again on the next one.
-func (l *Link) news(ctx context.Context, e sse.Event) error {
+func (l *Transport) news(ctx context.Context, e sse.Event) error {
 	var n struct {
 		Lineage string          `json:"lineage"`
 		Settled uint64          `json:"settled"`
 		Version json.RawMessage `json:"version"`
 	}
 	err := json.Unmarshal([]byte(e.Data), &n)
-	var v *version.Version
+	var v *configversion.Version
 	if err == nil && len(n.Version) > 0 {
-		v, err = version.Decode(n.Version)
+		v, err = configversion.Decode(n.Version)
 	}
 	switch {
 	case ctx.Err() != nil:
 		return io.EOF
 	case err != nil:
-		l.Post(agree.Unfit{Err: err})
+		l.Deliver(lease.InvalidVersionReceived{Err: err})
 		return err
 	case v != nil:
-		l.Post(agree.Came{Version: v, Settled: n.Settled})
+		l.Deliver(lease.VersionReceived{Version: v, Activated: n.Settled})
 	default:
-		l.Post(agree.Settled{Lineage: n.Lineage, Number: n.Settled})
+		l.Deliver(lease.VersionActivated{Lineage: n.Lineage, Number: n.Settled})
 	}
 	return nil
 }
--- a/internal/steer/wire_test.go
+++ b/internal/controlclient/wire_test.go
@@ -1,4 +1,4 @@
-package steer
+package controlclient
 
 import (
 	"bufio"
@@ -18,9 +18,9 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"bankledge/internal/agree"
+	"bankledge/internal/configversion"
+	"bankledge/internal/lease"
 	"bankledge/internal/rules"
-	"bankledge/internal/version"
 )
 
 // peer is one connection at the group's end.
@@ -77,10 +77,10 @@
 	group, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer group.Close()
-	events := make(chan agree.RouterEvent, 100)
-	spans := agree.Defaults()
-	spans.Term = time.Minute // answers count for so long
-	l := NewLink([]string{"127.0.0.1:1", group.Addr().String()}, spans, func(e agree.RouterEvent) { events <- e }, zap.NewNop())
+	events := make(chan lease.ClientEvent, 100)
+	spans := lease.DefaultDurations()
+	spans.LeaseDuration = time.Minute // answers count for so long
+	l := NewTransport([]string{"127.0.0.1:1", group.Addr().String()}, spans, func(e lease.ClientEvent) { events <- e }, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- l.Run(ctx) }()
@@ -90,47 +90,47 @@
 		l.Close()
 	}()
 
-	renewal := agree.Renewal{Name: "router-a", Incarnation: "i1", Seq: 7, Lineage: "abc", Known: 3, Hash: "h", Spans: "term 2s, drift 0.01", Term: 900, Word: "a word"}
-	l.Do(agree.Ask{Renewal: renewal, Address: 1})
+	renewal := lease.Renewal{Name: "router-a", Incarnation: "i1", Seq: 7, Lineage: "abc", KnownVersion: 3, KnownHash: "h", DurationsKey: "term 2s, drift 0.01", RemainingMillis: 900, LastMessage: "a word"}
+	l.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 1})
 	renewals := accept(t, group)
 	body := `{"name":"router-a","incarnation":"i1","seq":7,"lineage":"abc","known":3,"hash":"h","spans":"term 2s, drift 0.01","term":900,"word":"a word"}`
 	want := fmt.Sprintf("POST /v1/term HTTP/1.1\r\nHost: <group>\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	assert.Equal(t, want, renewals.request())
 	renewals.answer(response("200 OK", `{"seq":7,"granted":true,"lineage":"abc","newest":3,"settled":2,"refused":"","leader":""}`))
-	assert.Equal(t, agree.Told{Reply: agree.Reply{Seq: 7, Granted: true, Lineage: "abc", Newest: 3, Settled: 2}}, <-events)
+	assert.Equal(t, lease.ReplyReceived{Reply: lease.Reply{Seq: 7, Granted: true, Lineage: "abc", Newest: 3, Activated: 2}}, <-events)
 	for _, unfit := range []string{
 		response("200 OK", `{"seq":6,"granted":true}`), response("503 Service Unavailable", "this process is busy, or ends\n"), response("200 OK", "{"), "no HTTP\r\n\r\n",
 	} {
 		renewals.Close()
-		l.Do(agree.Ask{Renewal: renewal, Address: 1})
+		l.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 1})
 		renewals = accept(t, group)
 		assert.Equal(t, want, renewals.request())
 		renewals.answer(unfit)
-		assert.Equal(t, agree.Unanswered{Seq: 7}, <-events, unfit)
+		assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-events, unfit)
 	}
-	l.Do(agree.Ask{Renewal: renewal, Address: 0})
-	assert.Equal(t, agree.Unanswered{Seq: 7}, <-events, "nobody listens")
+	l.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 0})
+	assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-events, "nobody listens")
 
-	l.Do(agree.Refollow{Address: 3, After: 12})
+	l.Execute(lease.ReopenStream{AddressIndex: 3, AfterVersion: 12})
 	stream := accept(t, group)
 	assert.Equal(t, "GET /v1/versions/events HTTP/1.1\r\nHost: <group>\r\nAccept: text/event-stream\r\nLast-Event-ID: 12\r\n\r\n", stream.request())
 	r := &rules.Rules{Routers: 2}
-	require.NoError(t, r.Check())
-	v := version.New(nil, "abc", r, nil, "a note")
+	require.NoError(t, r.Validate())
+	v := configversion.New(nil, "abc", r, nil, "a note")
 	stream.answer("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\nid: 1\ndata: {\"lineage\":\"abc\",\"settled\":0,\"version\":" + string(v.Encode()) + "}\n\n")
-	assert.Equal(t, agree.Came{Version: v}, <-events)
+	assert.Equal(t, lease.VersionReceived{Version: v}, <-events)
 	stream.answer("data: {\"lineage\":\"abc\",\"settled\":1}\n\n")
-	assert.Equal(t, agree.Settled{Lineage: "abc", Number: 1}, <-events)
+	assert.Equal(t, lease.VersionActivated{Lineage: "abc", Number: 1}, <-events)
 	stream.answer("data: {\"version\":{\"number\":1}}\n\n")
-	unfit, is := (<-events).(agree.Unfit)
+	unfit, is := (<-events).(lease.InvalidVersionReceived)
 	require.True(t, is)
 	assert.EqualError(t, unfit.Err, "version: lineage: missing")
-	assert.Equal(t, agree.Lost{}, <-events)
-	l.Do(agree.Refollow{Address: 1})
+	assert.Equal(t, lease.StreamLost{}, <-events)
+	l.Execute(lease.ReopenStream{AddressIndex: 1})
 	stream = accept(t, group)
 	assert.Contains(t, stream.request(), "Last-Event-ID: 0\r\n")
 	stream.answer(response("503 Service Unavailable", "too many streams\n"))
-	assert.Equal(t, agree.Lost{}, <-events)
+	assert.Equal(t, lease.StreamLost{}, <-events)
 }
 
 // A connection that rests serves the next renewal.
@@ -138,8 +138,8 @@
 	group, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer group.Close()
-	events := make(chan agree.RouterEvent, 1)
-	l := NewLink([]string{group.Addr().String()}, agree.Defaults(), func(e agree.RouterEvent) { events <- e }, zap.NewNop())
+	events := make(chan lease.ClientEvent, 1)
+	l := NewTransport([]string{group.Addr().String()}, lease.DefaultDurations(), func(e lease.ClientEvent) { events <- e }, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- l.Run(ctx) }()
@@ -150,13 +150,13 @@
 	}()
 	var p *peer
 	for seq := range uint64(3) {
-		l.Do(agree.Ask{Renewal: agree.Renewal{Seq: seq}})
+		l.Execute(lease.SendRenewal{Renewal: lease.Renewal{Seq: seq}})
 		if p == nil {
 			p = accept(t, group)
 		}
 		p.request()
 		p.answer(response("200 OK", fmt.Sprintf(`{"seq":%d}`, seq)))
-		assert.Equal(t, agree.Told{Reply: agree.Reply{Seq: seq}}, <-events)
+		assert.Equal(t, lease.ReplyReceived{Reply: lease.Reply{Seq: seq}}, <-events)
 	}
 }
 
@@ -184,7 +184,7 @@
 	} {
 		path := filepath.Join(t.TempDir(), "control.json")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		f, err := Load(path)
+		f, err := LoadConfig(path)
 		if says == "" {
 			require.NoError(t, err, text)
 			assert.Equal(t, []string{"127.0.0.1:7201"}, f.Addresses)
@@ -192,6 +192,6 @@
 		}
 		assert.EqualError(t, err, says, text)
 	}
-	_, err := Load("no/such/file")
+	_, err := LoadConfig("no/such/file")
 	assert.EqualError(t, err, "control: open no/such/file: no such file or directory")
 }
--- a/internal/control/client.go
+++ b/internal/controlserver/client.go
@@ -1,4 +1,4 @@
-package control
+package controlserver
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"bankledge/internal/agree"
-	"bankledge/internal/seat"
-	"bankledge/internal/version"
+	"bankledge/internal/configversion"
+	"bankledge/internal/lease"
+	"bankledge/internal/replica"
 )
 
 const (
@@ -25,41 +25,41 @@
 )
 
 // News is an event of the stream of versions.
-type News struct {
-	Lineage string           `json:"lineage"`
-	Settled uint64           `json:"settled"`
-	Version *version.Version `json:"version,omitempty"` // nil: only what is in force has changed
+type VersionEvent struct {
+	Lineage   string                 `json:"lineage"`
+	Activated uint64                 `json:"settled"`
+	Version   *configversion.Version `json:"version,omitempty"` // nil: only what is in force has changed
 }
 
 // Status is what a process says of the group.
 type Status struct {
-	ID       uint64                 `json:"id"`
-	Leads    bool                   `json:"leads"` // proven just now
-	Leader   uint64                 `json:"leader"`
-	Term     uint64                 `json:"term"`
-	Lineage  string                 `json:"lineage"`
-	Newest   uint64                 `json:"newest"`
-	Settled  uint64                 `json:"settled"`
-	Hash     string                 `json:"hash"`
-	T        int64                  `json:"t_ms"`
-	Disk     uint64                 `json:"disk_bytes"`
-	Members  map[uint64]seat.Member `json:"members"`
-	Sessions []agree.Session        `json:"sessions"`
-	Error    string                 `json:"error,omitempty"` // why it can't prove that it leads
+	ID                     uint64                    `json:"id"`
+	IsLeader               bool                      `json:"leads"` // proven just now
+	Leader                 uint64                    `json:"leader"`
+	Term                   uint64                    `json:"term"`
+	Lineage                string                    `json:"lineage"`
+	NewestVersion          uint64                    `json:"newest"`
+	Activated              uint64                    `json:"settled"`
+	NewestHash             string                    `json:"hash"`
+	MaxContradictionMillis int64                     `json:"t_ms"`
+	StorageBytes           uint64                    `json:"disk_bytes"`
+	Members                map[uint64]replica.Member `json:"members"`
+	Sessions               []lease.Session           `json:"sessions"`
+	Error                  string                    `json:"error,omitempty"` // why it can't prove that it leads
 }
 
 // Change is a change of members that is asked for.
 type Change struct {
-	ID     uint64      `json:"id"`
-	Member seat.Member `json:"member"`
-	Remove bool        `json:"remove"`
+	MemberID uint64         `json:"id"`
+	Member   replica.Member `json:"member"`
+	Remove   bool           `json:"remove"`
 }
 
 // Versions lists what is kept.
-type Versions struct {
-	Lineage  string             `json:"lineage"`
-	Settled  uint64             `json:"settled"`
-	Versions []*version.Version `json:"versions"`
+type VersionList struct {
+	Lineage   string                   `json:"lineage"`
+	Activated uint64                   `json:"settled"`
+	Versions  []*configversion.Version `json:"versions"`
 }
 
 // client serves routers and operators.
@@ -80,7 +80,7 @@
 	mux.HandleFunc("GET /v1/status", v.status)
 	mux.HandleFunc("GET /v1/versions", func(w http.ResponseWriter, r *http.Request) {
 		view := v.view.Load()
-		say(w, http.StatusOK, Versions{view.Lineage, view.Settled, view.Versions})
+		say(w, http.StatusOK, VersionList{view.Lineage, view.Settled, view.Versions})
 	})
 	return mux
 }
@@ -107,11 +107,11 @@
 			view := v.view.Load()
 			for _, x := range view.after(known) {
 				known, settled = x.Number, view.Settled
-				text += event(x.Number, News{view.Lineage, view.Settled, x})
+				text += event(x.Number, VersionEvent{view.Lineage, view.Settled, x})
 			}
 			if view.Settled > settled {
 				settled = view.Settled
-				text += event(0, News{Lineage: view.Lineage, Settled: settled})
+				text += event(0, VersionEvent{Lineage: view.Lineage, Activated: settled})
 			}
 			if text != "" {
 				break
@@ -128,7 +128,7 @@
 	}
 }
 
-func event(id uint64, n News) string {
+func event(id uint64, n VersionEvent) string {
 	raw, err := json.Marshal(n)
 	if err != nil {
 		return ":\n\n"
@@ -142,14 +142,16 @@
 
 // term answers a renewal.
 func (v *Server) term(w http.ResponseWriter, r *http.Request) {
-	var renewal agree.Renewal
+	var renewal lease.Renewal
 	if !read(w, r, mostRenewal, &renewal) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), v.settings.Spans().Term)
+	ctx, cancel := context.WithTimeout(r.Context(), v.settings.LeaseDurations().LeaseDuration)
 	defer cancel()
-	a, err := v.ask(ctx, func(call uint64) seat.Event { return seat.Router{Event: agree.Heard{Call: call, Renewal: renewal}} })
-	answer, is := a.(agree.Answer)
+	a, err := v.ask(ctx, func(call uint64) replica.Event {
+		return replica.LeaseRequest{Event: lease.RenewalReceived{CallID: call, Renewal: renewal}}
+	})
+	answer, is := a.(lease.SendReply)
 	if err != nil || !is {
 		http.Error(w, errBusy.Error(), http.StatusServiceUnavailable)
 		return
@@ -159,11 +161,13 @@
 
 // propose takes a proposal and answers once it has its outcome.
 func (v *Server) propose(w http.ResponseWriter, r *http.Request) {
-	var entry agree.Entry
-	if !read(w, r, version.Most, &entry) {
+	var entry lease.Entry
+	if !read(w, r, configversion.MaxEncodedBytes, &entry) {
 		return
 	}
-	v.tell(w, r, func(call uint64) seat.Event { return seat.Router{Event: agree.Wanted{Call: call, Entry: entry}} })
+	v.tell(w, r, func(call uint64) replica.Event {
+		return replica.LeaseRequest{Event: lease.ProposalReceived{CallID: call, Entry: entry}}
+	})
 }
 
 // members takes a change of members.
@@ -172,21 +176,21 @@
 	if !read(w, r, mostRenewal, &c) {
 		return
 	}
-	v.tell(w, r, func(call uint64) seat.Event {
-		return seat.Join{Call: call, ID: c.ID, Member: c.Member, Remove: c.Remove}
+	v.tell(w, r, func(call uint64) replica.Event {
+		return replica.MembershipRequest{CallID: call, MemberID: c.MemberID, Member: c.Member, Remove: c.Remove}
 	})
 }
 
 // tell answers a call that has an outcome.
-func (v *Server) tell(w http.ResponseWriter, r *http.Request, event func(uint64) seat.Event) {
+func (v *Server) tell(w http.ResponseWriter, r *http.Request, event func(uint64) replica.Event) {
 	ctx, cancel := context.WithTimeout(r.Context(), proposeWithin)
 	defer cancel()
 	a, err := v.ask(ctx, event)
-	told, is := a.(agree.Tell)
+	told, is := a.(lease.SendOutcome)
 	switch {
 	case err != nil || !is:
 		http.Error(w, errBusy.Error(), http.StatusServiceUnavailable)
-	case told.Outcome.Error == agree.ErrNotLeading.Error():
+	case told.Outcome.Error == lease.ErrNotLeader.Error():
 		say(w, http.StatusMisdirectedRequest, told.Outcome)
 	case told.Outcome.Error != "":
 		say(w, http.StatusConflict, told.Outcome)
@@ -199,21 +203,23 @@
 func (v *Server) status(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusWithin)
 	defer cancel()
-	proof, err := v.ask(ctx, func(call uint64) seat.Event { return seat.Router{Event: agree.Check{Call: call}} })
+	proof, err := v.ask(ctx, func(call uint64) replica.Event {
+		return replica.LeaseRequest{Event: lease.LeadershipCheckRequested{CallID: call}}
+	})
 	view := v.view.Load()
-	s := Status{ID: v.settings.ID, Leader: view.Leader, Term: view.Term, Lineage: view.Lineage, Settled: view.Settled, T: v.settings.Spans().T().Milliseconds(),
-		Disk: v.disk.Size(), Members: view.Members}
+	s := Status{ID: v.settings.ID, Leader: view.Leader, Term: view.Term, Lineage: view.Lineage, Activated: view.Settled, MaxContradictionMillis: v.settings.LeaseDurations().MaxContradiction().Milliseconds(),
+		StorageBytes: v.disk.Size(), Members: view.Members}
 	if n := view.newest(); n != nil {
-		s.Newest, s.Hash = n.Number, n.Hash
+		s.NewestVersion, s.NewestHash = n.Number, n.Hash
 	}
-	told, is := proof.(agree.Tell)
+	told, is := proof.(lease.SendOutcome)
 	switch {
 	case err != nil || !is:
 		s.Error = "it can't prove that it leads: " + errors.Join(err).Error()
 	case told.Outcome.Error != "":
 		s.Error = told.Outcome.Error
 	default:
-		s.Leads, s.Sessions = true, v.sessions(ctx)
+		s.IsLeader, s.Sessions = true, v.sessions(ctx)
 	}
 	say(w, http.StatusOK, s)
 }
--- a/internal/control/control_test.go
+++ b/internal/controlserver/control_test.go
@@ -1,4 +1,4 @@
-package control
+package controlserver
 
 import (
 	"bufio"
@@ -21,18 +21,18 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"bankledge/internal/agree"
 	"bankledge/internal/consensus"
 	"bankledge/internal/consensus/store"
+	"bankledge/internal/controlclient"
+	"bankledge/internal/lease"
 	"bankledge/internal/rules"
-	"bankledge/internal/steer"
 )
 
 // alone are the settings of one process alone, on free addresses.
 func alone(t *testing.T, dir string) *Settings {
 	path := filepath.Join(t.TempDir(), "alone.jsonnet")
 	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, `{id: 1, dir: %q, peer: '127.0.0.1:0', client: '127.0.0.1:0', term_ms: 400, renew_ms: 60, answer_ms: 60, batch_ms: 10, pause_ms: 10, heartbeat_ms: 10, election_ms: 50}`, dir), 0o600))
-	s, err := Load(path)
+	s, err := LoadSettings(path)
 	require.NoError(t, err)
 	return s
 }
@@ -45,10 +45,10 @@
 	once bool
 }
 
-func serve(t *testing.T, s *Settings, wrap func(Disk) Disk) *running {
-	disk, err := store.Open(s.Dir, s.ID)
+func serve(t *testing.T, s *Settings, wrap func(Storage) Storage) *running {
+	disk, err := store.Open(s.DataDir, s.ID)
 	require.NoError(t, err)
-	v, err := NewOn(s, wrap(disk), zap.NewNop())
+	v, err := NewWithStorage(s, wrap(disk), zap.NewNop())
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &running{Server: v, t: t, stop: cancel, end: make(chan error, 1)}
@@ -71,11 +71,11 @@
 	return NewClient([]string{r.listen.Addr().String()}, 10*time.Second)
 }
 
-func plain(d Disk) Disk { return d }
+func plain(d Storage) Storage { return d }
 
 func aRule(multiple float64) json.RawMessage {
-	r := &rules.Rules{Routers: 2, ColdMultiple: multiple}
-	if err := r.Check(); err != nil {
+	r := &rules.Rules{Routers: 2, SlowStartMultiple: multiple}
+	if err := r.Validate(); err != nil {
 		panic(err)
 	}
 	return r.Canonical()
@@ -87,33 +87,33 @@
 	dir := t.TempDir()
 	r := serve(t, alone(t, dir), plain)
 	c := r.client()
-	o, err := c.Propose(agree.Entry{Kind: agree.Propose, ID: "a", Rules: aRule(2)})
+	o, err := c.Propose(lease.Entry{Kind: lease.EntryPropose, ID: "a", Rules: aRule(2)})
 	require.NoError(t, err)
-	require.NoError(t, c.AwaitSettled(o.Number))
-	o, err = c.Propose(agree.Entry{Kind: agree.Propose, ID: "a", Rules: aRule(2)})
+	require.NoError(t, c.AwaitActivated(o.Number))
+	o, err = c.Propose(lease.Entry{Kind: lease.EntryPropose, ID: "a", Rules: aRule(2)})
 	require.NoError(t, err)
 	assert.Equal(t, uint64(1), o.Number, "asked twice, counted once")
-	_, err = c.Propose(agree.Entry{Kind: agree.Propose, ID: "b", Rules: aRule(1)})
+	_, err = c.Propose(lease.Entry{Kind: lease.EntryPropose, ID: "b", Rules: aRule(1)})
 	assert.ErrorContains(t, err, "floor")
 
 	news := follow(t, r, 0)
 	first := <-news
 	require.NotNil(t, first.Version)
-	_, err = c.Propose(agree.Entry{Kind: agree.Propose, ID: "c", Rules: aRule(3)})
+	_, err = c.Propose(lease.Entry{Kind: lease.EntryPropose, ID: "c", Rules: aRule(3)})
 	require.NoError(t, err)
 	second := <-news
 	assert.Equal(t, uint64(2), second.Version.Number)
-	for n := second; n.Settled < 2; { // it is in force at once here, since no router has a term
+	for n := second; n.Activated < 2; { // it is in force at once here, since no router has a term
 		n = <-news
 	}
 	s, err := c.Status()
 	require.NoError(t, err)
-	assert.True(t, s.Leads)
+	assert.True(t, s.IsLeader)
 	require.NoError(t, r.close())
 
 	r = serve(t, alone(t, dir), plain)
 	c = r.client()
-	require.Eventually(t, func() bool { s, err := c.Status(); return err == nil && s.Leads }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { s, err := c.Status(); return err == nil && s.IsLeader }, 10*time.Second, 10*time.Millisecond)
 	list, err := c.Versions()
 	require.NoError(t, err)
 	assert.Len(t, list.Versions, 2)
@@ -124,19 +124,19 @@
 }
 
 // follow follows the versions after a number.
-func follow(t *testing.T, r *running, after uint64) chan News {
+func follow(t *testing.T, r *running, after uint64) chan VersionEvent {
 	ask, err := http.NewRequestWithContext(t.Context(), "GET", "http://"+r.listen.Addr().String()+"/v1/versions/events", nil)
 	require.NoError(t, err)
 	ask.Header.Set("Last-Event-ID", fmt.Sprint(after))
 	said, err := http.DefaultClient.Do(ask)
 	require.NoError(t, err)
-	news := make(chan News, 100)
+	news := make(chan VersionEvent, 100)
 	t.Cleanup(func() { said.Body.Close() })
 	go func() {
 		defer close(news)
 		for lines := bufio.NewScanner(said.Body); lines.Scan(); {
 			if data, is := bytes.CutPrefix(lines.Bytes(), []byte("data: ")); is {
-				var n News
+				var n VersionEvent
 				if json.Unmarshal(data, &n) == nil {
 					news <- n
 				}
@@ -148,27 +148,27 @@
 
 // failing is a disk that fails from some time on.
 type failing struct {
-	Disk
+	Storage
 	fails atomic.Bool
 }
 
-func (f *failing) Save(s consensus.State) error {
+func (f *failing) Save(s consensus.PersistentState) error {
 	if f.fails.Load() {
 		return errors.New("no space left on device")
 	}
-	return f.Disk.Save(s)
+	return f.Storage.Save(s)
 }
 
 // A process whose disk fails says so and serves no more: what it could not keep is acknowledged to nobody.
 func TestDiskFails(t *testing.T) {
 	disk := &failing{}
-	r := serve(t, alone(t, t.TempDir()), func(d Disk) Disk { disk.Disk = d; return disk })
+	r := serve(t, alone(t, t.TempDir()), func(d Storage) Storage { disk.Storage = d; return disk })
 	c := r.client()
-	_, err := c.Propose(agree.Entry{Kind: agree.Propose, ID: "a", Rules: aRule(2)})
+	_, err := c.Propose(lease.Entry{Kind: lease.EntryPropose, ID: "a", Rules: aRule(2)})
 	require.NoError(t, err)
 	disk.fails.Store(true)
 	c.within = 300 * time.Millisecond
-	_, err = c.Propose(agree.Entry{Kind: agree.Propose, ID: "b", Rules: aRule(3)})
+	_, err = c.Propose(lease.Entry{Kind: lease.EntryPropose, ID: "b", Rules: aRule(3)})
 	assert.Error(t, err)
 	assert.ErrorContains(t, <-r.end, "no space left")
 	r.once = true
@@ -176,26 +176,26 @@
 
 // stalling is a disk that keeps nothing until it is released.
 type stalling struct {
-	Disk
+	Storage
 	stalls   atomic.Bool
 	reached  chan struct{}
 	released chan struct{}
 }
 
-func (s *stalling) Save(change consensus.State) error {
+func (s *stalling) Save(change consensus.PersistentState) error {
 	if s.stalls.CompareAndSwap(true, false) {
 		close(s.reached)
 		<-s.released
 	}
-	return s.Disk.Save(change)
+	return s.Storage.Save(change)
 }
 
 // A process whose disk does not answer is busy, and says so to routers and operators in the same words as ever.
 func TestBusy(t *testing.T) {
 	disk := &stalling{reached: make(chan struct{}), released: make(chan struct{})}
-	r := serve(t, alone(t, t.TempDir()), func(d Disk) Disk { disk.Disk = d; return disk })
+	r := serve(t, alone(t, t.TempDir()), func(d Storage) Storage { disk.Storage = d; return disk })
 	defer close(disk.released)
-	require.Eventually(t, func() bool { s, err := r.client().Status(); return err == nil && s.Leads }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { s, err := r.client().Status(); return err == nil && s.IsLeader }, 10*time.Second, 10*time.Millisecond)
 	at := "http://" + r.listen.Addr().String()
 	call := func(ctx context.Context, method, path, body string) (int, string, error) {
 		ask, err := http.NewRequestWithContext(ctx, method, at+path, strings.NewReader(body))
@@ -238,7 +238,7 @@
 		{"POST", "/v1/proposals", `{"kind": "settle", "id": "x", "number": 9}`, 409}, {"POST", "/v1/proposals", `[]`, 400}, {"GET", "/v1/none", "", 404},
 		{"POST", "/v1/members", `{"id": 1}`, 409}, {"DELETE", "/v1/status", "", 405}, {"POST", "/v1/members", `{"id": 9, "remove": true}`, 409},
 	} {
-		require.Eventually(t, func() bool { s, err := r.client().Status(); return err == nil && s.Leads }, 10*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { s, err := r.client().Status(); return err == nil && s.IsLeader }, 10*time.Second, 10*time.Millisecond)
 		ask, err := http.NewRequest(c.method, "http://"+r.listen.Addr().String()+c.path, strings.NewReader(c.body))
 		require.NoError(t, err)
 		said, err := http.DefaultClient.Do(ask)
@@ -270,11 +270,11 @@
 	} {
 		path := filepath.Join(t.TempDir(), "s.jsonnet")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := Load(path)
+		_, err := LoadSettings(path)
 		assert.ErrorContains(t, err, says, text)
 	}
-	s, err := Load("")
+	s, err := LoadSettings("")
 	require.NoError(t, err)
 	assert.Equal(t, uint64(1), s.ID)
-	assert.Equal(t, s.Spans(), (&steer.File{}).Spans(), "both sides have the same usual spans")
+	assert.Equal(t, s.LeaseDurations(), (&controlclient.Config{}).LeaseDurations(), "both sides have the same usual spans")
 }
