--- a/internal/control/operator.go
+++ b/internal/controlserver/operator.go
@@ -1,4 +1,4 @@
-package control
+package controlserver
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"bankledge/internal/agree"
+	"bankledge/internal/lease"
 	"bankledge/internal/rules"
 )
 
@@ -102,12 +102,12 @@
 }
 
 // Propose proposes a version. It is asked for under one id, so however often it is sent it counts once.
-func (c *Client) Propose(e agree.Entry) (o agree.Outcome, err error) {
+func (c *Client) Propose(e lease.Entry) (o lease.Outcome, err error) {
 	err = c.call("POST", "/v1/proposals", e, &o, func() error {
 		text := o.Error
 		o.Error = "" // an answer that comes later may not name it
 		switch {
-		case strings.Contains(text, agree.ErrSpreading.Error()):
+		case strings.Contains(text, lease.ErrRolloutInProgress.Error()):
 			return errors.New(text)
 		case text != "":
 			return final{text}
@@ -124,7 +124,7 @@
 	short.within = min(c.within, 3*time.Second)
 	var other *Status
 	err := short.call("GET", "/v1/status", nil, &s, func() error {
-		if !s.Leads {
+		if !s.IsLeader {
 			seen := s
 			other, s = &seen, Status{}
 			return errElsewhere
@@ -138,14 +138,14 @@
 }
 
 // Versions lists what is kept.
-func (c *Client) Versions() (*Versions, error) {
-	var v Versions
+func (c *Client) Versions() (*VersionList, error) {
+	var v VersionList
 	err := c.call("GET", "/v1/versions", nil, &v, func() error { return nil })
 	return &v, err
 }
 
 // Rules are those of a version.
-func (c *Client) Rules(number uint64) (*rules.Rules, error) {
+func (c *Client) VersionRules(number uint64) (*rules.Rules, error) {
 	list, err := c.Versions()
 	if err != nil {
 		return nil, err
@@ -159,12 +159,12 @@
 }
 
 // AwaitSettled waits until a version is in force.
-func (c *Client) AwaitSettled(number uint64) error {
+func (c *Client) AwaitActivated(number uint64) error {
 	until := time.Now().Add(c.within)
 	for {
 		s, err := c.Status()
 		switch {
-		case err == nil && s.Settled >= number:
+		case err == nil && s.Activated >= number:
 			return nil
 		case time.Now().After(until):
 			return fmt.Errorf("version %d is not in force yet: see status", number)
@@ -174,8 +174,8 @@
 }
 
 // Change changes the members.
-func (c *Client) Change(change Change) error {
-	var o agree.Outcome
+func (c *Client) ChangeMembership(change Change) error {
+	var o lease.Outcome
 	return c.call("POST", "/v1/members", change, &o, func() error {
 		if o.Error != "" {
 			return final{o.Error}
--- a/internal/control/peers.go
+++ b/internal/controlserver/peers.go
@@ -1,4 +1,4 @@
-package control
+package controlserver
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"bankledge/internal/seat"
+	"bankledge/internal/replica"
 )
 
 const (
@@ -80,9 +80,9 @@
 			snapshot = snapshot || m.GetType() == pb.MsgSnap
 		}
 		if err := p.call(id, batch); err != nil {
-			p.server.post(seat.Unreachable{ID: id, Snapshot: snapshot})
+			p.server.post(replica.PeerUnreachable{PeerID: id, SnapshotLost: snapshot})
 		} else if snapshot {
-			p.server.post(seat.Reached{ID: id})
+			p.server.post(replica.SnapshotDelivered{PeerID: id})
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		}
 		for _, m := range list {
 			select {
-			case v.inbox <- input{event: seat.Received{Message: m}}:
+			case v.inbox <- input{event: replica.MessageReceived{Message: m}}:
 			case <-r.Context().Done():
 				return
 			}
--- a/internal/control/server.go
+++ b/internal/controlserver/server.go
@@ -1,4 +1,4 @@
-package control
+package controlserver
 
 import (
 	"bytes"
@@ -20,12 +20,12 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"bankledge/internal/agree"
+	"bankledge/internal/configversion"
 	"bankledge/internal/consensus"
 	"bankledge/internal/consensus/store"
-	"bankledge/internal/draw"
-	"bankledge/internal/seat"
-	"bankledge/internal/version"
+	"bankledge/internal/detrand"
+	"bankledge/internal/lease"
+	"bankledge/internal/replica"
 )
 
 func bytesReader(raw []byte) io.Reader { return bytes.NewReader(raw) }
@@ -39,9 +39,9 @@
 )
 
 // Disk keeps what the seat saves. Save returns once it is synced.
-type Disk interface {
-	Load() (consensus.State, error)
-	Save(consensus.State) error
+type Storage interface {
+	Load() (consensus.PersistentState, error)
+	Save(consensus.PersistentState) error
 	Size() uint64
 	Close() error
 }
@@ -50,11 +50,11 @@
 type Server struct {
 	settings *Settings
 	log      *zap.Logger
-	disk     Disk
+	disk     Storage
 	origin   time.Time
 	inbox    chan input
-	seat     *seat.Seat // owned by the goroutine of run
-	calls    map[uint64]chan agree.GroupAction
+	seat     *replica.Replica // owned by the goroutine of run
+	calls    map[uint64]chan lease.CoordinatorAction
 	lastCall atomic.Uint64
 	peers    *peers
 	view     atomic.Pointer[View]
@@ -66,18 +66,18 @@
 
 // input is one thing for the seat; reply gets the answer to a call.
 type input struct {
-	event seat.Event
+	event replica.Event
 	call  uint64
-	reply chan agree.GroupAction
-	look  func(*seat.Seat, time.Duration)
+	reply chan lease.CoordinatorAction
+	look  func(*replica.Replica, time.Duration)
 }
 
 // View is what this process knows, as all handlers may see it.
 type View struct {
 	Lineage  string
 	Settled  uint64
-	Versions []*version.Version // oldest first
-	Members  map[uint64]seat.Member
+	Versions []*configversion.Version // oldest first
+	Members  map[uint64]replica.Member
 	Leads    bool
 	Leader   uint64
 	Term     uint64
@@ -85,26 +85,26 @@
 
 // New opens a process: its disk, its sockets. Nothing runs yet.
 func New(s *Settings, log *zap.Logger) (*Server, error) {
-	disk, err := store.Open(s.Dir, s.ID)
+	disk, err := store.Open(s.DataDir, s.ID)
 	if err != nil {
 		return nil, err
 	}
-	return NewOn(s, disk, log)
+	return NewWithStorage(s, disk, log)
 }
 
 // NewOn does so on a disk, which it closes.
-func NewOn(s *Settings, disk Disk, log *zap.Logger) (v *Server, err error) {
-	v = &Server{settings: s, log: log, disk: disk, origin: time.Now().Add(-time.Hour), inbox: make(chan input, inboxSize), calls: map[uint64]chan agree.GroupAction{}, Ready: make(chan struct{})}
+func NewWithStorage(s *Settings, disk Storage, log *zap.Logger) (v *Server, err error) {
+	v = &Server{settings: s, log: log, disk: disk, origin: time.Now().Add(-time.Hour), inbox: make(chan input, inboxSize), calls: map[uint64]chan lease.CoordinatorAction{}, Ready: make(chan struct{})}
 	v.news.init()
 	defer func() {
 		if err != nil {
 			v.close()
 		}
 	}()
-	if v.listen, err = net.Listen("tcp", s.Client); err != nil {
+	if v.listen, err = net.Listen("tcp", s.ClientAddress); err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	if v.between, err = net.Listen("tcp", s.Peer); err != nil {
+	if v.between, err = net.Listen("tcp", s.PeerAddress); err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
 	return v, nil
@@ -128,17 +128,17 @@
 	if err != nil {
 		return err
 	}
-	t, err := v.settings.Seat()
+	t, err := v.settings.ReplicaSettings()
 	if err != nil {
 		return err
 	}
 	var drawn [16]byte
 	rand.Read(drawn[:])
 	t.Lineage = hex.EncodeToString(drawn[:8])
-	t.Node.Seed = draw.Rank(hex.EncodeToString(drawn[8:]), t.Node.ID)
-	t.Node.Log = &raft.DefaultLogger{Logger: quietLog}
+	t.Consensus.Seed = detrand.Hash(hex.EncodeToString(drawn[8:]), t.Consensus.ID)
+	t.Consensus.Logger = &raft.DefaultLogger{Logger: quietLog}
 	began := time.Now()
-	seated, do, err := seat.New(t, kept, v.now())
+	seated, do, err := replica.New(t, kept, v.now())
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 	group.Go(func() error { return serveHTTP(ctx, v.listen, v.client()) })
 	group.Go(func() error { return serveHTTP(ctx, v.between, v.among()) })
 	v.log.Info("serving", zap.Uint64("id", v.settings.ID), zap.Stringer("client", v.listen.Addr()), zap.Stringer("peer", v.between.Addr()),
-		zap.Duration("recovered_in", time.Since(began)), zap.Uint64("disk_bytes", v.disk.Size()), zap.Duration("T", v.settings.Spans().T()))
+		zap.Duration("recovered_in", time.Since(began)), zap.Uint64("disk_bytes", v.disk.Size()), zap.Duration("T", v.settings.LeaseDurations().MaxContradiction()))
 	close(v.Ready)
 	err = group.Wait()
 	v.peers.wait()
@@ -179,11 +179,11 @@
 
 // run feeds the seat until ctx ends. It alone touches the seat and the disk. The log's library breaks down when the group tells it of
 // what it has acknowledged and does not have: then its disk has lost what was synced, and it must not go on.
-func (v *Server) run(ctx context.Context, do []seat.Action) (err error) {
+func (v *Server) run(ctx context.Context, do []replica.Action) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			v.log.Error("the log broke down: this process serves no more", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
-			err = fmt.Errorf("%w: %v", store.ErrDamaged, p)
+			err = fmt.Errorf("%w: %v", store.ErrCorrupted, p)
 		}
 	}()
 	timer := time.NewTimer(0)
@@ -193,8 +193,8 @@
 			v.log.Error("the disk fails: this process serves no more", zap.Error(err))
 			return err
 		}
-		timer.Reset(max(0, v.seat.Wake(v.now())-v.now()))
-		in := input{event: seat.Tick{}}
+		timer.Reset(max(0, v.seat.NextDeadline(v.now())-v.now()))
+		in := input{event: replica.Tick{}}
 		select {
 		case <-ctx.Done():
 			return nil
@@ -206,7 +206,7 @@
 }
 
 // hear hands one thing to the seat.
-func (v *Server) hear(in input) []seat.Action {
+func (v *Server) hear(in input) []replica.Action {
 	if in.look != nil {
 		in.look(v.seat, v.now())
 		return nil
@@ -216,35 +216,35 @@
 	}
 	if gone, is := in.event.(forget); is {
 		delete(v.calls, gone.call)
-		return v.seat.Step(v.now(), seat.Router{Event: agree.Gone{Call: gone.call}})
+		return v.seat.Step(v.now(), replica.LeaseRequest{Event: lease.CallCancelled{CallID: gone.call}})
 	}
 	return v.seat.Step(v.now(), in.event)
 }
 
 // forget is a call that nobody waits for any more.
 type forget struct {
-	seat.Event
+	replica.Event
 	call uint64
 }
 
 // carryOut does what the seat asks for, in its order.
-func (v *Server) carryOut(do []seat.Action) error {
+func (v *Server) carryOut(do []replica.Action) error {
 	for _, a := range do {
 		switch a := a.(type) {
-		case seat.Save:
-			if err := v.disk.Save(a.Change); err != nil {
+		case replica.Persist:
+			if err := v.disk.Save(a.State); err != nil {
 				return err
 			}
-		case seat.Send:
+		case replica.SendMessage:
 			v.peers.send(a.Message)
-		case seat.Group:
+		case replica.LeaseResponse:
 			v.answer(a.Action)
-		case seat.Publish:
+		case replica.PublishState:
 			v.look()
-		case seat.Moved:
-			v.log.Info("role", zap.Bool("leads", a.Role.Leads), zap.Uint64("leader", a.Role.Leader), zap.Uint64("term", a.Role.Term))
+		case replica.RoleChanged:
+			v.log.Info("role", zap.Bool("leads", a.Role.IsLeader), zap.Uint64("leader", a.Role.Leader), zap.Uint64("term", a.Role.Term))
 			v.look()
-		case seat.Changed:
+		case replica.MembershipChanged:
 			v.log.Info("members changed", zap.Any("members", a.Members))
 			v.look()
 		}
@@ -252,13 +252,13 @@
 	return nil
 }
 
-func (v *Server) answer(a agree.GroupAction) {
+func (v *Server) answer(a lease.CoordinatorAction) {
 	call := uint64(0)
 	switch a := a.(type) {
-	case agree.Answer:
-		call = a.Call
-	case agree.Tell:
-		call = a.Call
+	case lease.SendReply:
+		call = a.CallID
+	case lease.SendOutcome:
+		call = a.CallID
 	}
 	if reply := v.calls[call]; reply != nil {
 		delete(v.calls, call)
@@ -269,14 +269,14 @@
 // look makes what this process knows by now visible to all handlers.
 func (v *Server) look() {
 	reg, role := v.seat.Register(), v.seat.Role()
-	view := &View{Lineage: reg.Lineage, Settled: reg.Settled, Versions: append([]*version.Version(nil), reg.Versions...), Leads: v.seat.Leads(), Leader: role.Leader, Term: role.Term,
-		Members: map[uint64]seat.Member{}}
+	view := &View{Lineage: reg.Lineage, Settled: reg.Activated, Versions: append([]*configversion.Version(nil), reg.Versions...), Leads: v.seat.IsLeader(), Leader: role.Leader, Term: role.Term,
+		Members: map[uint64]replica.Member{}}
 	for id, m := range v.seat.Members() {
 		view.Members[id] = m
 	}
 	if old := v.view.Load(); old != nil && view.newest() != nil && (old.newest() == nil || old.newest().Number < view.newest().Number) {
 		n := view.newest()
-		v.log.Info("version", zap.Uint64("number", n.Number), zap.String("hash", n.Hash[:12]), zap.Strings("forced", n.Forced), zap.String("note", n.Note))
+		v.log.Info("version", zap.Uint64("number", n.Number), zap.String("hash", n.Hash[:12]), zap.Strings("forced", n.ForcedGuards), zap.String("note", n.Note))
 	}
 	if old := v.view.Load(); old != nil && old.Settled < view.Settled {
 		v.log.Info("in force", zap.Uint64("number", view.Settled))
@@ -285,7 +285,7 @@
 	v.news.tell()
 }
 
-func (w *View) newest() *version.Version {
+func (w *View) newest() *configversion.Version {
 	if len(w.Versions) == 0 {
 		return nil
 	}
@@ -293,7 +293,7 @@
 }
 
 // after lists what a router that knows the version with this number has to be sent.
-func (w *View) after(number uint64) (list []*version.Version) {
+func (w *View) after(number uint64) (list []*configversion.Version) {
 	for _, x := range w.Versions {
 		if x.Number > number && x.Number >= w.Settled {
 			list = append(list, x)
@@ -305,8 +305,8 @@
 var errBusy = errors.New("this process is busy, or ends")
 
 // ask hands the seat a call and waits for its answer.
-func (v *Server) ask(ctx context.Context, event func(call uint64) seat.Event) (agree.GroupAction, error) {
-	call, reply := v.lastCall.Add(1), make(chan agree.GroupAction, 1)
+func (v *Server) ask(ctx context.Context, event func(call uint64) replica.Event) (lease.CoordinatorAction, error) {
+	call, reply := v.lastCall.Add(1), make(chan lease.CoordinatorAction, 1)
 	select {
 	case v.inbox <- input{event: event(call), call: call, reply: reply}:
 	case <-ctx.Done():
@@ -325,9 +325,9 @@
 }
 
 // sessions are the routers that this process knows, if it leads.
-func (v *Server) sessions(ctx context.Context) (list []agree.Session) {
+func (v *Server) sessions(ctx context.Context) (list []lease.Session) {
 	done := make(chan struct{})
-	look := func(t *seat.Seat, now time.Duration) {
+	look := func(t *replica.Replica, now time.Duration) {
 		list = t.Sessions(now)
 		close(done)
 	}
@@ -345,7 +345,7 @@
 }
 
 // post hands the seat something that nobody waits for; when the inbox is full it is lost, as on a network.
-func (v *Server) post(e seat.Event) {
+func (v *Server) post(e replica.Event) {
 	select {
 	case v.inbox <- input{event: e}:
 	default:
--- a/internal/draw/draw.go
+++ b/internal/detrand/draw.go
@@ -1,5 +1,5 @@
 // Package draw makes all chance and all hashing repeatable: FNV over what it is given.
-package draw
+package detrand
 
 import (
 	"encoding/binary"
@@ -12,16 +12,16 @@
 }
 
 // Float returns the next number in [0, 1).
-func (s *Source) Float() float64 {
+func (s *Source) Float64() float64 {
 	s.count++
 	return float64(sum(nil, s.Seed, s.count)>>11) / (1 << 53)
 }
 
 // Rank is the rendezvous weight of a name for a key.
-func Rank(name string, key ...uint64) uint64 { return sum([]byte(name), key...) }
+func Hash(name string, key ...uint64) uint64 { return sum([]byte(name), key...) }
 
 // Part is a number in [0, 1) by a name and a key.
-func Part(name string, key ...uint64) float64 { return float64(Rank(name, key...)>>11) / (1 << 53) }
+func Fraction(name string, key ...uint64) float64 { return float64(Hash(name, key...)>>11) / (1 << 53) }
 
 func sum(name []byte, numbers ...uint64) uint64 {
 	h := fnv.New64a()
--- a/internal/feed/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"bufio"
@@ -96,10 +96,10 @@
 			t.Parallel()
 			address, asked := scripted(t, c.parts...)
 			took := make(chan int64, 10)
-			f := &Feed{Address: address, Last: 4, Log: zap.NewNop(), Take: func(c Change) { took <- c.Number }}
+			f := &Client{Address: address, LastEventID: 4, Log: zap.NewNop(), OnEvent: func(c WatchEvent) { took <- c.Number }}
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
-			go func() { ended <- f.Follow(ctx) }()
+			go func() { ended <- f.Watch(ctx) }()
 			require.Equal(t, "4", <-asked)
 			began := time.Now() // the event that it will not be told of is in the feed from here on
 			select {
@@ -118,7 +118,7 @@
 // A feed that comments as it should and has nothing to tell keeps its connection while another cannot be had; one that is slow to begin is
 // given ever more time.
 func TestAWatchThatIsFine(t *testing.T) {
-	f := &Feed{}
+	f := &Client{}
 	for _, want := range []time.Duration{firstLine, firstLine * 3 / 2, silence, silence} {
 		assert.Equal(t, want, f.patience().Round(time.Microsecond))
 		f.barren++
--- a/internal/feed/feed.go
+++ b/internal/discovery/feed.go
@@ -1,5 +1,5 @@
 // Package feed follows the control feed: numbered changes of the list of engines, as server-sent events.
-package feed
+package discovery
 
 import (
 	"bytes"
@@ -37,39 +37,39 @@
 )
 
 // Member is an engine in a change, with the address where it listens.
-type Member struct {
-	decision.Entry
+type Endpoint struct {
+	decision.Endpoint
 	Address       string
 	upSinceMillis int64 // Unix time of a late start, or 0
 }
 
 // Change is one numbered event. Complete: it holds the whole list.
-type Change struct {
-	Number   int64
-	Version  int64
-	Complete bool
-	Members  []Member
+type WatchEvent struct {
+	Number    int64
+	Revision  int64
+	Complete  bool
+	Endpoints []Endpoint
 }
 
 var states = map[string]decision.EngineState{"active": decision.Ready, "leaving": decision.Draining,
-	"left": decision.Gone}
+	"left": decision.Removed}
 
 // Parse reads one event; ok is false for an event that holds no list. Times of starts are not worked out yet.
-func Parse(raw []byte) (c Change, ok bool, err error) {
+func ParseEvent(raw []byte) (c WatchEvent, ok bool, err error) {
 	var in struct {
 		N       int64 `json:"n"`
 		Members *struct {
 			Revision int64 `json:"revision"`
 			Complete bool  `json:"complete"`
 			Members  []struct {
-				ID       decision.EngineID `json:"id"`
-				HostPort string            `json:"host_port"`
-				Locality decision.Zone     `json:"locality"`
-				Flavor   decision.Kind     `json:"flavor"`
-				Cell     decision.Cell     `json:"cell"`
-				Phase    string            `json:"phase"`
-				Size     float64           `json:"size"`
-				UpSince  float64           `json:"up_since_ms"`
+				ID       decision.EngineID    `json:"id"`
+				HostPort string               `json:"host_port"`
+				Locality decision.Zone        `json:"locality"`
+				Flavor   decision.MachineType `json:"flavor"`
+				Cell     decision.Cell        `json:"cell"`
+				Phase    string               `json:"phase"`
+				Size     float64              `json:"size"`
+				UpSince  float64              `json:"up_since_ms"`
 			} `json:"members"`
 		} `json:"members"`
 	}
@@ -80,30 +80,30 @@
 	if in.Members == nil {
 		return c, false, nil
 	}
-	c.Version, c.Complete = in.Members.Revision, in.Members.Complete
+	c.Revision, c.Complete = in.Members.Revision, in.Members.Complete
 	for _, m := range in.Members.Members {
-		state, err := settings.Word("phase", m.Phase, states)
+		state, err := settings.LookUpWord("phase", m.Phase, states)
 		if err != nil {
 			return c, false, err
 		}
 		if m.ID == "" {
 			return c, false, errors.New("a member without an id")
 		}
-		if err := settings.CheckAddress(m.HostPort); err != nil && state != decision.Gone {
+		if err := settings.ValidateAddress(m.HostPort); err != nil && state != decision.Removed {
 			return c, false, fmt.Errorf("host_port of %s: %w", m.ID, err)
 		}
-		c.Members = append(c.Members, Member{Address: m.HostPort, upSinceMillis: int64(m.UpSince), Entry: decision.Entry{Engine: m.ID,
-			Zone: m.Locality, Kind: m.Flavor, Cell: m.Cell, State: state, Weight: m.Size}})
+		c.Endpoints = append(c.Endpoints, Endpoint{Address: m.HostPort, upSinceMillis: int64(m.UpSince), Endpoint: decision.Endpoint{Engine: m.ID,
+			Zone: m.Locality, MachineType: m.Flavor, Cell: m.Cell, State: state, Weight: m.Size}})
 	}
 	return c, true, nil
 }
 
 // Feed follows the control feed at an address.
-type Feed struct {
-	Address string
-	Last    int64 // number of the last event taken
-	Take    func(Change)
-	Log     *zap.Logger
+type Client struct {
+	Address     string
+	LastEventID int64 // number of the last event taken
+	OnEvent     func(WatchEvent)
+	Log         *zap.Logger
 
 	starts engineStarts
 	synced time.Time                   // when all that the feed had to tell was known; zero: never yet
@@ -122,12 +122,12 @@
 }
 
 // New prepares to follow the control feed at an address, with take hearing each change. origin is that of the router's clock.
-func New(address string, origin time.Time, take func(Change), log *zap.Logger) *Feed {
-	return &Feed{Address: address, Take: take, Log: log, starts: engineStarts{origin: origin}}
+func New(address string, origin time.Time, take func(WatchEvent), log *zap.Logger) *Client {
+	return &Client{Address: address, OnEvent: take, Log: log, starts: engineStarts{origin: origin}}
 }
 
 // Known reads the events of the configuration, before the feed is followed: it hands out those that hold a list, and goes on from last.
-func (f *Feed) Known(events []json.RawMessage, take func(Change)) (last int64, err error) {
+func (f *Client) ApplyKnownEvents(events []json.RawMessage, take func(WatchEvent)) (last int64, err error) {
 	for _, raw := range events {
 		c, held, err := f.read(raw)
 		if err != nil {
@@ -142,8 +142,8 @@
 }
 
 // read reads one event that is heard now.
-func (f *Feed) read(raw []byte) (c Change, ok bool, err error) {
-	if c, ok, err = Parse(raw); err == nil {
+func (f *Client) read(raw []byte) (c WatchEvent, ok bool, err error) {
+	if c, ok, err = ParseEvent(raw); err == nil {
 		f.starts.resolve(&c, f.synced, time.Now())
 	}
 	return c, ok, err
@@ -157,7 +157,7 @@
 
 // Move makes the feed go on at another address, from the number last taken, at once. Events that the caller
 // knows of are taken first, as far as they are new. Of several moves the last counts.
-func (f *Feed) Move(address string, known []json.RawMessage) {
+func (f *Client) SetAddress(address string, known []json.RawMessage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next = &place{address, known}
@@ -167,7 +167,7 @@
 }
 
 // settle carries out a move; the context that it returns ends with the next one.
-func (f *Feed) settle(ctx context.Context) (stay context.Context, leave context.CancelFunc, moved bool) {
+func (f *Client) settle(ctx context.Context) (stay context.Context, leave context.CancelFunc, moved bool) {
 	f.mu.Lock()
 	next := f.next
 	f.next = nil
@@ -175,7 +175,7 @@
 	f.leave = leave
 	f.mu.Unlock()
 	if next != nil {
-		f.Log.Info("control feed moves", zap.String("to", next.address), zap.Int64("last", f.Last))
+		f.Log.Info("control feed moves", zap.String("to", next.address), zap.Int64("last", f.LastEventID))
 		f.Address = next.address
 		f.catchUp(next.known)
 	}
@@ -183,15 +183,15 @@
 }
 
 // catchUp takes what is new of a list of events, as far as it follows on what was taken.
-func (f *Feed) catchUp(known []json.RawMessage) {
+func (f *Client) catchUp(known []json.RawMessage) {
 	for _, raw := range known {
 		c, held, err := f.read(raw)
-		if err != nil || c.Number > f.Last+1 && !c.Complete {
+		if err != nil || c.Number > f.LastEventID+1 && !c.Complete {
 			return // the feed itself tells of it
 		}
-		if c.Number > f.Last {
-			if f.Last = c.Number; held {
-				f.Take(c)
+		if c.Number > f.LastEventID {
+			if f.LastEventID = c.Number; held {
+				f.OnEvent(c)
 			}
 		}
 	}
@@ -199,7 +199,7 @@
 
 // Follow follows the feed until ctx ends: a connection that ends or falls silent is made anew at once, then
 // with growing pauses while nothing comes.
-func (f *Feed) Follow(ctx context.Context) error {
+func (f *Client) Watch(ctx context.Context) error {
 	pause := time.Duration(0)
 	defer f.dropSpare()
 	for ctx.Err() == nil {
@@ -208,11 +208,11 @@
 			f.dropSpare() // it leads to the old place
 			pause, f.barren = 0, 0
 		}
-		before := f.Last
+		before := f.LastEventID
 		began := time.Now()
 		err := f.once(stay)
 		renewed := errors.Is(err, errRenewed)
-		if f.Last > before || renewed || time.Since(began) > firstLine/2 { // it came up: the next one at once
+		if f.LastEventID > before || renewed || time.Since(began) > firstLine/2 { // it came up: the next one at once
 			pause = 0
 		}
 		if renewed {
@@ -220,7 +220,7 @@
 			continue
 		}
 		if stay.Err() == nil {
-			f.Log.Warn("control feed lost, connecting anew", zap.Error(err), zap.Int64("last", f.Last), zap.Duration("pause", pause))
+			f.Log.Warn("control feed lost, connecting anew", zap.Error(err), zap.Int64("last", f.LastEventID), zap.Duration("pause", pause))
 		}
 		select {
 		case <-time.After(pause):
@@ -235,7 +235,7 @@
 var errRenewed = errors.New("another connection has taken its place")
 
 // once follows the feed on one connection, the one that has taken the last one's place or a new one.
-func (f *Feed) once(ctx context.Context) error {
+func (f *Client) once(ctx context.Context) error {
 	raw := f.spare
 	f.spare = nil
 	if raw == nil {
@@ -262,7 +262,7 @@
 		}
 	}()
 	reader := http1.NewReader(stream)
-	head, err := reader.Head()
+	head, err := reader.ReadHeader()
 	if err != nil {
 		return err
 	}
@@ -270,11 +270,11 @@
 		return fmt.Errorf("control feed answered %d", head.Status)
 	}
 	stream.heads = true
-	return f.events(reader.Body(head))
+	return f.events(reader.BodyReader(head))
 }
 
 // Behind tells whether the control feed has told something that was not read, or not taken, yet. Anybody may ask.
-func (f *Feed) Behind() (behind bool) {
+func (f *Client) HasUnreadEvents() (behind bool) {
 	conn := f.conn.Load()
 	if conn == nil {
 		return false
@@ -291,7 +291,7 @@
 	return behind
 }
 
-func (f *Feed) dropSpare() {
+func (f *Client) dropSpare() {
 	if f.spare != nil {
 		f.spare.Close()
 		f.spare = nil
@@ -299,7 +299,7 @@
 }
 
 // ask makes a connection and asks for what follows the last event taken.
-func (f *Feed) ask(ctx context.Context) (net.Conn, error) {
+func (f *Client) ask(ctx context.Context) (net.Conn, error) {
 	dial, cancel := context.WithTimeout(ctx, connectIn)
 	defer cancel()
 	raw, err := (&net.Dialer{}).DialContext(dial, "tcp", f.Address)
@@ -308,7 +308,7 @@
 	}
 	raw.SetDeadline(time.Now().Add(firstLine))
 	call := "GET /v1/events HTTP/1.1\r\nHost: " + f.Address + "\r\nAccept: text/event-stream\r\nLast-Event-ID: " +
-		strconv.FormatInt(f.Last, 10) + "\r\n\r\n"
+		strconv.FormatInt(f.LastEventID, 10) + "\r\n\r\n"
 	if _, err := io.WriteString(raw, call); err != nil {
 		raw.Close()
 		return nil, err
@@ -318,7 +318,7 @@
 
 // patience is how long a new connection is given for its first line. All connections that an event may meet before it is told
 // have to fit in the time after which it counts as told; and a feed that is slow to begin has to be given time in the end.
-func (f *Feed) patience() time.Duration {
+func (f *Client) patience() time.Duration {
 	patience := firstLine
 	for range f.barren {
 		patience = min(silence, patience*3/2)
@@ -367,9 +367,9 @@
 }
 
 // events reads server-sent events until the stream ends or one calls for a new connection.
-func (f *Feed) events(body io.Reader) error {
+func (f *Client) events(body io.Reader) error {
 	return sse.Read(body, mostEvent, sse.Handler{
-		Event: func(e sse.Event) error {
+		OnEvent: func(e sse.Event) error {
 			if f.stream != nil {
 				f.stream.event = time.Now()
 			}
@@ -379,12 +379,12 @@
 			}
 			return err
 		},
-		Comment: func() { f.synced = time.Now() },
+		OnComment: func() { f.synced = time.Now() },
 	})
 }
 
 // event takes one event: repeats are passed over, a gap is asked for again once.
-func (f *Feed) event(id, data string) error {
+func (f *Client) event(id, data string) error {
 	c, held, err := f.read([]byte(data))
 	if n, bad := strconv.ParseInt(id, 10, 64); bad == nil {
 		c.Number = n
@@ -396,17 +396,17 @@
 		}
 		f.Log.Error("an event of the control feed is passed over", zap.String("id", id), zap.Error(err))
 		f.skipped = 0
-		f.Last = max(f.Last, c.Number)
+		f.LastEventID = max(f.LastEventID, c.Number)
 		return nil
-	case c.Number <= f.Last:
+	case c.Number <= f.LastEventID:
 		return nil
-	case c.Number > f.Last+1 && !f.gapAsked:
+	case c.Number > f.LastEventID+1 && !f.gapAsked:
 		f.gapAsked = true
-		return fmt.Errorf("event %d after %d: asking for what is between", c.Number, f.Last)
+		return fmt.Errorf("event %d after %d: asking for what is between", c.Number, f.LastEventID)
 	}
-	f.Last, f.skipped, f.gapAsked = c.Number, 0, false
+	f.LastEventID, f.skipped, f.gapAsked = c.Number, 0, false
 	if held {
-		f.Take(c)
+		f.OnEvent(c)
 	}
 	return nil
 }
--- a/internal/feed/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"bufio"
@@ -47,14 +47,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var took []int64
-			f := &Feed{Last: 4, Log: zap.NewNop(), Take: func(c Change) { took = append(took, c.Number) }}
+			f := &Client{LastEventID: 4, Log: zap.NewNop(), OnEvent: func(c WatchEvent) { took = append(took, c.Number) }}
 			var err error
 			for range c.tries {
 				err = f.events(iotest.HalfReader(strings.NewReader(c.in)))
 			}
 			require.ErrorContains(t, err, c.err)
 			assert.Equal(t, c.took, took)
-			assert.Equal(t, c.last, f.Last)
+			assert.Equal(t, c.last, f.LastEventID)
 		})
 	}
 }
@@ -69,7 +69,7 @@
 		{"as it is", "", "", 0, decision.Ready, ""},
 		{"started late", `"size":4`, `"up_since_ms":1090000`, 1090000, decision.Ready, ""},
 		{"drains", "active", "leaving", 0, decision.Draining, ""},
-		{"gone, address and all", `"127.0.0.1:9","locality":"z","flavor":"k","cell":2,"phase":"active"`, `"","phase":"left"`, 0, decision.Gone, ""},
+		{"gone, address and all", `"127.0.0.1:9","locality":"z","flavor":"k","cell":2,"phase":"active"`, `"","phase":"left"`, 0, decision.Removed, ""},
 		{"an unknown state", "active", "asleep", 0, 0, "unknown word"},
 		{"no id", "e1", "", 0, 0, "without an id"},
 		{"no address", "127.0.0.1:9", "nowhere", 0, 0, "host_port"},
@@ -77,15 +77,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			raw := `{"n":3,"members":{"revision":9,"complete":true,"members":[` + strings.Replace(member, c.from, c.to, 1) + `]}}`
-			got, ok, err := Parse([]byte(raw))
+			got, ok, err := ParseEvent([]byte(raw))
 			if c.err != "" {
 				require.ErrorContains(t, err, c.err)
 				return
 			}
 			require.NoError(t, err)
-			require.True(t, ok && got.Complete && got.Number == 3 && got.Version == 9 && len(got.Members) == 1)
-			assert.Equal(t, c.upSince, got.Members[0].upSinceMillis)
-			assert.Equal(t, c.state, got.Members[0].State)
+			require.True(t, ok && got.Complete && got.Number == 3 && got.Revision == 9 && len(got.Endpoints) == 1)
+			assert.Equal(t, c.upSince, got.Endpoints[0].upSinceMillis)
+			assert.Equal(t, c.state, got.Endpoints[0].State)
 		})
 	}
 }
@@ -94,7 +94,7 @@
 	f.Add(event("5", "5"))
 	f.Add("\ufeffid: 1\r\rdata\n\n:x\n")
 	f.Fuzz(func(t *testing.T, in string) {
-		feed := &Feed{Log: zap.NewNop(), Take: func(Change) {}}
+		feed := &Client{Log: zap.NewNop(), OnEvent: func(WatchEvent) {}}
 		if err := feed.events(strings.NewReader(in)); err == nil {
 			t.Fatal("a stream that ends without an error", io.EOF)
 		}
@@ -148,16 +148,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			feed := &Feed{Address: c.from, Last: 3, Log: zap.NewNop(), Take: func(Change) {}}
+			feed := &Client{Address: c.from, LastEventID: 3, Log: zap.NewNop(), OnEvent: func(WatchEvent) {}}
 			ended := make(chan error, 1)
-			go func() { ended <- feed.Follow(ctx) }()
+			go func() { ended <- feed.Watch(ctx) }()
 			if strings.HasSuffix(c.name, "silent") {
 				require.Equal(t, "silent 3", <-heard)
 			}
 			for range 5 {
-				feed.Move(lost.Addr().String(), nil)
+				feed.SetAddress(lost.Addr().String(), nil)
 			}
-			feed.Move(place("now"), c.known)
+			feed.SetAddress(place("now"), c.known)
 			require.Equal(t, "now "+c.last, <-heard)
 			cancel()
 			require.NoError(t, <-ended)
--- a/internal/feed/starts.go
+++ b/internal/discovery/starts.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"maps"
@@ -28,12 +28,12 @@
 
 // resolve gives the members of a change, heard now, their times of start. Nothing in it can have been told before synced, when all that
 // the feed had to tell was known; zero: nothing is known of that.
-func (s *engineStarts) resolve(c *Change, synced, now time.Time) {
-	for i := range c.Members {
-		m := &c.Members[i]
+func (s *engineStarts) resolve(c *WatchEvent, synced, now time.Time) {
+	for i := range c.Endpoints {
+		m := &c.Endpoints[i]
 		m.StartedAt = s.at(m.Engine, m.upSinceMillis, synced, now)
 		if start, ok := s.byID[m.Engine]; ok {
-			start.gone = m.State == decision.Gone
+			start.gone = m.State == decision.Removed
 			s.byID[m.Engine] = start
 		}
 	}
--- a/internal/feed/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"fmt"
@@ -57,15 +57,15 @@
 func TestEngineStartsAreForgotten(t *testing.T) {
 	s := engineStarts{origin: time.Now()}
 	tell := func(id string, state decision.EngineState) {
-		c := Change{Members: []Member{{Entry: decision.Entry{Engine: decision.EngineID(id), State: state}, upSinceMillis: 1}}}
+		c := WatchEvent{Endpoints: []Endpoint{{Endpoint: decision.Endpoint{Engine: decision.EngineID(id), State: state}, upSinceMillis: 1}}}
 		s.resolve(&c, time.Time{}, time.Now())
 	}
 	tell("listed", decision.Ready)
-	tell("back", decision.Gone)
+	tell("back", decision.Removed)
 	tell("back", decision.Ready)
 	for i := range 5 * mostStarts {
 		tell(fmt.Sprint(i), decision.Ready)
-		tell(fmt.Sprint(i), decision.Gone)
+		tell(fmt.Sprint(i), decision.Removed)
 		require.LessOrEqual(t, len(s.byID), mostStarts)
 	}
 	assert.Contains(t, s.byID, decision.EngineID("listed"))
@@ -77,16 +77,16 @@
 	const ago = 30 * time.Minute // by a wall clock that is ahead
 	late := fmt.Sprintf(`{"n":2,"members":{"members":[{"id":"e2","host_port":"127.0.0.1:9","phase":"active","up_since_ms":%d}]}}`, time.Now().Add(-ago).UnixMilli())
 	address, _ := scripted(t, says(streamHead+":\n\nid: 2\ndata: "+late+"\n\n"))
-	took := make(chan Change, 1)
-	f := New(address, time.Now().Add(-time.Hour), func(c Change) { took <- c }, zap.NewNop())
-	_, err := f.Known(nil, func(Change) {})
+	took := make(chan WatchEvent, 1)
+	f := New(address, time.Now().Add(-time.Hour), func(c WatchEvent) { took <- c }, zap.NewNop())
+	_, err := f.ApplyKnownEvents(nil, func(WatchEvent) {})
 	require.NoError(t, err)
-	f.Last = 1
+	f.LastEventID = 1
 	followed := make(chan error, 1)
-	go func() { followed <- f.Follow(t.Context()) }()
+	go func() { followed <- f.Watch(t.Context()) }()
 	select {
 	case c := <-took:
-		assert.InDelta(t, time.Hour.Seconds(), c.Members[0].StartedAt.Seconds(), 10)
+		assert.InDelta(t, time.Hour.Seconds(), c.Endpoints[0].StartedAt.Seconds(), 10)
 	case <-time.After(10 * time.Second):
 		t.Fatal("nothing was told")
 	}
--- a/internal/feed/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"bufio"
@@ -21,10 +21,10 @@
 var update = flag.Bool("update", false, "rewrite what the router does in testdata")
 
 // changeText writes a change as a line, without the start times that are worked out by the clock.
-func changeText(c Change) string {
-	text := fmt.Sprintf("%d revision %d complete %t", c.Number, c.Version, c.Complete)
-	for _, m := range c.Members {
-		text += fmt.Sprintf("; %q %q %q %q %d %d %s", m.Engine, m.Address, m.Zone, m.Kind, m.Cell, m.State,
+func changeText(c WatchEvent) string {
+	text := fmt.Sprintf("%d revision %d complete %t", c.Number, c.Revision, c.Complete)
+	for _, m := range c.Endpoints {
+		text += fmt.Sprintf("; %q %q %q %q %d %d %s", m.Engine, m.Address, m.Zone, m.MachineType, m.Cell, m.State,
 			strconv.FormatFloat(m.Weight, 'g', -1, 64))
 	}
 	return text
@@ -65,7 +65,7 @@
 			raw = text
 			return ""
 		}
-		c, held, err := Parse([]byte(raw))
+		c, held, err := ParseEvent([]byte(raw))
 		switch {
 		case err != nil:
 			return "error " + errorText(err)
@@ -93,14 +93,14 @@
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			t.Parallel()
-			p := &wirePlay{t: t, took: make(chan Change, 100)}
+			p := &wirePlay{t: t, took: make(chan WatchEvent, 100)}
 			for i := range p.places {
 				var err error
 				p.places[i], err = net.Listen("tcp", "127.0.0.1:0")
 				require.NoError(t, err)
 				t.Cleanup(func() { p.places[i].Close() })
 			}
-			p.feed = New(p.places[0].Addr().String(), time.Now(), func(c Change) { p.took <- c }, zap.NewNop())
+			p.feed = New(p.places[0].Addr().String(), time.Now(), func(c WatchEvent) { p.took <- c }, zap.NewNop())
 			playLines(t, file, p.step)
 		})
 	}
@@ -109,10 +109,10 @@
 // wirePlay plays one transcript.
 type wirePlay struct {
 	t       *testing.T
-	feed    *Feed
+	feed    *Client
 	places  [2]net.Listener
 	at      int // the place where the next request is awaited
-	took    chan Change
+	took    chan WatchEvent
 	conn    net.Conn
 	follows bool
 	known   string // why the last known event could not be taken
@@ -126,13 +126,13 @@
 	case "last":
 		n, err := strconv.ParseInt(rest, 10, 64)
 		require.NoError(t, err)
-		p.feed.Last = n
+		p.feed.LastEventID = n
 	case "known":
 		if strings.HasPrefix(rest, "error") {
 			return "known " + p.known
 		}
-		last, err := p.feed.Known([]json.RawMessage{json.RawMessage(rest)}, func(c Change) { p.took <- c })
-		p.feed.Last = max(p.feed.Last, last)
+		last, err := p.feed.ApplyKnownEvents([]json.RawMessage{json.RawMessage(rest)}, func(c WatchEvent) { p.took <- c })
+		p.feed.LastEventID = max(p.feed.LastEventID, last)
 		p.known = ""
 		if err != nil {
 			p.known = "error " + errorText(err)
@@ -160,7 +160,7 @@
 		if rest != "" {
 			events = append(events, json.RawMessage(rest))
 		}
-		p.feed.Move(p.places[1].Addr().String(), events)
+		p.feed.SetAddress(p.places[1].Addr().String(), events)
 	default:
 		t.Fatalf("unknown step %q", line)
 	}
@@ -175,7 +175,7 @@
 	p.follows = true
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- p.feed.Follow(ctx) }()
+	go func() { ended <- p.feed.Watch(ctx) }()
 	p.t.Cleanup(func() {
 		cancel()
 		require.NoError(p.t, <-ended)
--- a/internal/front/closing.go
+++ b/internal/downstream/closing.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"bankledge/internal/guard"
+	"bankledge/internal/invariant"
 )
 
 // closeReason says why a client's connection ended. It is for logs.
@@ -51,7 +51,7 @@
 		why = *noted
 	}
 	if len(left) > 0 && (why == closedForRoom || why == closedIdle) {
-		c.front.Violations.Count(&guard.Violation{Rule: guard.NoLostRequest, Detail: fmt.Sprintf("%s with streams %v open: %s", c.raw.RemoteAddr(), left, why)})
+		c.front.Violations.Record(&invariant.Violation{Rule: invariant.NoLostRequest, Detail: fmt.Sprintf("%s with streams %v open: %s", c.raw.RemoteAddr(), left, why)})
 	}
 	c.front.log.Debug("client connection ended", zap.Stringer("client", c.raw.RemoteAddr()), zap.String("why", string(why)),
 		zap.Uint32s("open", left), zap.Duration("after", time.Since(c.since)))
--- a/internal/front/crossing_test.go
+++ b/internal/downstream/crossing_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"bankledge/internal/account"
+	"bankledge/internal/flowcontrol"
 )
 
 const (
@@ -39,12 +39,12 @@
 	return true
 }
 
-func (k *taker) TakeIn(c *Conn, _ uint32, _ Fields, _ []byte) bool {
+func (k *taker) HandleStatement(c *Conn, _ uint32, _ Fields, _ []byte) bool {
 	k.took <- c
 	return true
 }
 
-func (k *taker) Left(c *Conn, streams []uint32) {
+func (k *taker) HandleCancel(c *Conn, streams []uint32) {
 	if hears := k.hears.Load(); hears != nil {
 		(*hears)(c)
 	}
@@ -53,9 +53,9 @@
 	}
 }
 
-func serve(t *testing.T) (*Front, *taker, string) {
+func serve(t *testing.T) (*Server, *taker, string) {
 	k := &taker{took: make(chan *Conn, 100), left: make(chan uint32, 100), asked: make(chan struct{}, 100)}
-	f := New(k, 10, 1<<20, account.Derive(64, 10), zap.NewNop())
+	f := New(k, 10, 1<<20, flowcontrol.DeriveLimits(64, 10), zap.NewNop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -199,15 +199,15 @@
 func TestWhatIsNotHeardYet(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	assert.False(t, Awaited(listener))
+	assert.False(t, AcceptPending(listener))
 	waits := dial(t, listener.Addr().String())
-	require.Eventually(t, func() bool { return Awaited(listener) }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return AcceptPending(listener) }, patience, time.Millisecond)
 	_, err = listener.Accept()
 	require.NoError(t, err)
-	assert.False(t, Awaited(listener))
+	assert.False(t, AcceptPending(listener))
 	waits.Close()
 	listener.Close()
-	assert.False(t, Awaited(listener))
+	assert.False(t, AcceptPending(listener))
 
 	f, k, address := serve(t)
 	gate := make(chan struct{})
@@ -217,13 +217,13 @@
 	_, err = c.Write(append(frameOf(1), appendFrame(nil, typeLeft, 1, 0)...))
 	require.NoError(t, err)
 	await(t, k.took)
-	assert.Zero(t, f.Unheard())
+	assert.Zero(t, f.PendingReads())
 	_, err = c.Write(frameOf(2)) // its reader stands at the gate
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return f.Unheard() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return f.PendingReads() == 1 }, patience, time.Millisecond)
 	close(gate)
 	await(t, k.took)
-	assert.Zero(t, f.Unheard())
+	assert.Zero(t, f.PendingReads())
 	for range cap(f.slots) - 1 { // all places are taken by those that may still have something on its way
 		taken := dial(t, address)
 		_, err := taken.Write(frameOf(1))
@@ -231,7 +231,7 @@
 		await(t, k.took)
 	}
 	dial(t, address)
-	require.Eventually(t, func() bool { return f.Unheard() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return f.PendingReads() == 1 }, patience, time.Millisecond)
 }
 
 // A client from which nothing is read, since it takes nothing in, may leave like any other.
@@ -317,9 +317,9 @@
 		raw, err := listener.Accept()
 		require.NoError(t, err)
 		k := &taker{took: make(chan *Conn, 1), left: make(chan uint32, 1)}
-		f := New(k, 10, 1<<20, account.Derive(64, 10), zap.NewNop())
+		f := New(k, 10, 1<<20, flowcontrol.DeriveLimits(64, 10), zap.NewNop())
 		long := time.Now().Add(-time.Minute)
-		c := &Conn{front: f, raw: raw, wake: make(chan struct{}, 1), flow: make(chan struct{}, 1), open: map[uint32]bool{}, apart: map[uint32]bool{}, since: long, idle: long, spoke: spoke, account: f.book.Open("x")}
+		c := &Conn{front: f, raw: raw, wake: make(chan struct{}, 1), flow: make(chan struct{}, 1), open: map[uint32]bool{}, apart: map[uint32]bool{}, since: long, idle: long, spoke: spoke, account: f.book.OpenPeer("x")}
 		f.enter(c)
 		assert.NotZero(t, c.dispensable())
 		_, err = client.Write(frameOf(1))
@@ -370,7 +370,7 @@
 	conn, body := await(t, k.took), bytes.Repeat([]byte("row\n"), 12_000)
 	conn.Answer(1, CodeCompleted, body)
 	require.Eventually(t, conn.settled, patience, time.Millisecond, "it is with the kernel")
-	assert.Positive(t, f.Queued())
+	assert.Positive(t, f.PendingWrites())
 	rested := func() int {
 		conn.mu.Lock()
 		conn.idle = time.Now().Add(-time.Minute)
@@ -380,6 +380,6 @@
 	assert.Zero(t, rested(), "nor is its connection closed for another")
 	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
 	assert.Equal(t, body, readFrame(t, bufio.NewReader(c)).payload[2:])
-	require.Eventually(t, func() bool { return f.Queued() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return f.PendingWrites() == 0 }, patience, time.Millisecond)
 	assert.Equal(t, 1, rested())
 }
--- a/internal/front/frame.go
+++ b/internal/downstream/frame.go
@@ -1,5 +1,5 @@
 // Package front speaks with clients: binary frames over TCP, and the connections that carry them.
-package front
+package downstream
 
 import (
 	"encoding/binary"
--- a/internal/front/frame_test.go
+++ b/internal/downstream/frame_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"bankledge/internal/account"
+	"bankledge/internal/flowcontrol"
 )
 
 func TestParseFrame(t *testing.T) {
@@ -114,16 +114,16 @@
 
 type nobody struct{}
 
-func (nobody) TakeIn(*Conn, uint32, Fields, []byte) bool { return true }
-func (nobody) Left(*Conn, []uint32)                      {}
-func (nobody) Stalled(*Conn, bool)                       {}
-func (nobody) Release(*Conn, string)                     {}
-func (nobody) Ready() bool                               { return true }
+func (nobody) HandleStatement(*Conn, uint32, Fields, []byte) bool { return true }
+func (nobody) HandleCancel(*Conn, []uint32)                       {}
+func (nobody) HandleBackpressure(*Conn, bool)                     {}
+func (nobody) AbortOpenStatements(*Conn, string)                  {}
+func (nobody) Ready() bool                                        { return true }
 
 // Frames that are large and have not come whole share what room there is, and give it back.
 func TestLargeFramesShareRoom(t *testing.T) {
 	const room = mostLength + 100
-	f := New(nobody{}, 10, room, account.Derive(64, 10), zap.NewNop())
+	f := New(nobody{}, 10, room, flowcontrol.DeriveLimits(64, 10), zap.NewNop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/front/front.go
+++ b/internal/downstream/front.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
-	"bankledge/internal/account"
-	"bankledge/internal/buffer"
-	"bankledge/internal/guard"
+	"bankledge/internal/flowcontrol"
+	"bankledge/internal/invariant"
+	"bankledge/internal/readbuffer"
 )
 
 const (
@@ -47,25 +47,25 @@
 )
 
 // Taker takes in what clients send. No call may block on a socket; the slices are good for the call only.
-type Taker interface {
+type Handler interface {
 	// TakeIn takes a statement, which is then owed one Answer on its stream, or none after Left. It tells
 	// whether the statement was fit; one that was not is answered already.
-	TakeIn(c *Conn, stream uint32, fields Fields, text []byte) (fit bool)
+	HandleStatement(c *Conn, stream uint32, fields Fields, text []byte) (fit bool)
 	// Left tells that nobody waits for these streams any more.
-	Left(c *Conn, streams []uint32)
+	HandleCancel(c *Conn, streams []uint32)
 	// Stalled tells that so much waits for a client that nothing is read from it any more, or that this is over.
-	Stalled(c *Conn, stalled bool)
+	HandleBackpressure(c *Conn, stalled bool)
 	// Release asks for the last answers of all that is open on a connection: its client takes in too little.
-	Release(c *Conn, why string)
+	AbortOpenStatements(c *Conn, why string)
 	// Ready tells whether the router may be sent statements.
 	Ready() bool
 }
 
 // Front owns the clients' connections.
-type Front struct {
-	Violations *guard.Violations // counts second answers and requests that are lost by a close
+type Server struct {
+	Violations *invariant.Recorder // counts second answers and requests that are lost by a close
 
-	taker Taker
+	taker Handler
 	log   *zap.Logger
 	slots chan struct{} // one for each connection that may be held
 	room  atomic.Int64  // bytes left for large frames that have not come whole
@@ -75,23 +75,23 @@
 	seated atomic.Int64 // connections that were accepted and wait for a place
 
 	booking sync.Mutex // guards the accounts; innermost
-	book    *account.Book
+	book    *flowcontrol.Controller
 
 	mu       sync.Mutex
 	conns    map[*Conn]struct{}
 	stopping bool
 	evicted  int64
-	slow     Slow
+	slow     SlowClientStats
 	told     time.Time // when the last line about a released client was written
 }
 
 // Slow counts what slow clients led to.
-type Slow struct{ Stalled, Released, Shortened int64 }
+type SlowClientStats struct{ Stalled, Released, Shortened int64 }
 
 // New returns a front that holds at most so many connections, and so many bytes of large frames that have
 // not come whole.
-func New(taker Taker, most int, room int64, limits account.Limits, log *zap.Logger) *Front {
-	f := &Front{Violations: guard.NewViolations(log), taker: taker, log: log, start: time.Now(), book: account.NewBook(limits), slots: make(chan struct{}, most), conns: map[*Conn]struct{}{}}
+func New(taker Handler, most int, room int64, limits flowcontrol.Limits, log *zap.Logger) *Server {
+	f := &Server{Violations: invariant.NewRecorder(log), taker: taker, log: log, start: time.Now(), book: flowcontrol.NewController(limits), slots: make(chan struct{}, most), conns: map[*Conn]struct{}{}}
 	f.room.Store(room)
 	f.peeks.New = func() any { return new([gonePeek]byte) }
 	return f
@@ -99,7 +99,7 @@
 
 // Serve accepts connections until the listener is closed, and waits until all have ended. When ctx ends,
 // so do the connections.
-func (f *Front) Serve(ctx context.Context, listener net.Listener) error {
+func (f *Server) Serve(ctx context.Context, listener net.Listener) error {
 	var group errgroup.Group
 	defer group.Wait()
 	ctx, cancel := context.WithCancel(ctx)
@@ -130,10 +130,10 @@
 		host, _, _ := net.SplitHostPort(raw.RemoteAddr().String())
 		c := &Conn{front: f, raw: raw, wake: make(chan struct{}, 1), flow: make(chan struct{}, 1), open: map[uint32]bool{}, apart: map[uint32]bool{}, since: now, idle: now}
 		f.booking.Lock()
-		c.account = f.book.Open(host)
+		c.account = f.book.OpenPeer(host)
 		f.booking.Unlock()
 		if tcp, ok := raw.(*net.TCPConn); ok {
-			tcp.SetWriteBuffer(int(f.book.Limits().Kernel))
+			tcp.SetWriteBuffer(int(f.book.Limits().SendBufferBytes))
 		}
 		f.enter(c)
 		f.seated.Add(-1)
@@ -146,7 +146,7 @@
 }
 
 // Awaited tells whether a connection waits to be accepted.
-func Awaited(listener net.Listener) (some bool) {
+func AcceptPending(listener net.Listener) (some bool) {
 	sys, ok := listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -163,7 +163,7 @@
 
 // place takes a place for a connection. Where there is none, others make room; as long as all of them have
 // statements open, the new one waits.
-func (f *Front) place(ctx context.Context) bool {
+func (f *Server) place(ctx context.Context) bool {
 	for {
 		select {
 		case f.slots <- struct{}{}:
@@ -183,7 +183,7 @@
 
 // evict closes the connection that is the least loss of those with nothing open: first what sent something
 // unfit, then what never sent a frame, then what has been idle; among equals the one that has been so longest.
-func (f *Front) evict() {
+func (f *Server) evict() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var least *Conn
@@ -200,14 +200,14 @@
 }
 
 // Evicted counts the connections that were closed to make room.
-func (f *Front) Evicted() int64 {
+func (f *Server) Evicted() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.evicted
 }
 
 // Stop tells every client, now and later, to send no new statement on its connection.
-func (f *Front) Stop() {
+func (f *Server) StartDraining() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopping = true
@@ -218,7 +218,7 @@
 
 // Queued is the number of frames that still wait to be written or are being written, and of connections whose client
 // has not taken in yet what was.
-func (f *Front) Queued() (n int) {
+func (f *Server) PendingWrites() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -234,7 +234,7 @@
 
 // Unheard is the number of connections that wait for a place, or on which something lies that was not read yet: it may be a
 // statement whose last byte came in time.
-func (f *Front) Unheard() int {
+func (f *Server) PendingReads() int {
 	n := int(f.seated.Load())
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -246,7 +246,7 @@
 	return n
 }
 
-func (f *Front) enter(c *Conn) {
+func (f *Server) enter(c *Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conns[c] = struct{}{}
@@ -255,14 +255,14 @@
 	}
 }
 
-func (f *Front) leave(c *Conn) {
+func (f *Server) leave(c *Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, c)
 }
 
 // tend looks after clients that take in too little, until the last connection has ended.
-func (f *Front) tend(ctx context.Context, serving <-chan struct{}) {
+func (f *Server) tend(ctx context.Context, serving <-chan struct{}) {
 	tick := time.NewTicker(tendEvery)
 	defer tick.Stop()
 	for {
@@ -288,17 +288,17 @@
 }
 
 // Slow tells what slow clients led to so far, and what waits for clients now.
-func (f *Front) Slow() (s Slow, out, texts int64) {
+func (f *Server) FlowControlStats() (s SlowClientStats, out, texts int64) {
 	f.mu.Lock()
 	s = f.slow
 	f.mu.Unlock()
 	f.booking.Lock()
 	defer f.booking.Unlock()
-	out, texts, _ = f.book.Held()
+	out, texts, _ = f.book.Usage()
 	return s, out, texts
 }
 
-func (f *Front) count(n func(*Slow)) {
+func (f *Server) count(n func(*SlowClientStats)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n(&f.slow)
@@ -306,9 +306,9 @@
 
 // Conn is a client's connection: one goroutine reads, one writes.
 type Conn struct {
-	front   *Front
+	front   *Server
 	raw     net.Conn
-	account *account.Peer
+	account *flowcontrol.Peer
 	wake    chan struct{} // something to write, or the end
 	flow    chan struct{} // reading may go on
 	done    <-chan struct{}
@@ -334,7 +334,7 @@
 }
 
 // booked calls the account under its lock.
-func (c *Conn) booked(do func(now time.Duration, a *account.Peer)) {
+func (c *Conn) booked(do func(now time.Duration, a *flowcontrol.Peer)) {
 	c.front.booking.Lock()
 	defer c.front.booking.Unlock()
 	do(time.Since(c.front.start), c.account)
@@ -343,7 +343,7 @@
 // measure finds out what the kernel holds for the client, which is what the client has not taken in.
 func (c *Conn) measure() {
 	if left, ok := c.unsent(); ok {
-		c.booked(func(now time.Duration, a *account.Peer) { a.Left(now, int64(left)) })
+		c.booked(func(now time.Duration, a *flowcontrol.Peer) { a.RecordUnsent(now, int64(left)) })
 	}
 }
 
@@ -415,11 +415,11 @@
 // look judges how the client takes its answers in: whether reading from it stops or goes on, and whether it is released.
 func (c *Conn) look() {
 	var holds, stalled, slow bool
-	c.booked(func(_ time.Duration, a *account.Peer) { holds = a.Kernel() > 0 })
+	c.booked(func(_ time.Duration, a *flowcontrol.Peer) { holds = a.SendBufferBytes() > 0 })
 	if holds {
 		c.measure()
 	}
-	c.booked(func(now time.Duration, a *account.Peer) { stalled, slow = a.Stalled(), a.TooSlow(now) })
+	c.booked(func(now time.Duration, a *flowcontrol.Peer) { stalled, slow = a.Stalled(), a.TooSlow(now) })
 	c.mu.Lock()
 	turned := c.stalled != stalled && !c.ended
 	c.stalled = stalled
@@ -431,9 +431,9 @@
 	c.mu.Unlock()
 	if turned {
 		if stalled {
-			c.front.count(func(s *Slow) { s.Stalled++ })
+			c.front.count(func(s *SlowClientStats) { s.Stalled++ })
 		}
-		c.front.taker.Stalled(c, stalled)
+		c.front.taker.HandleBackpressure(c, stalled)
 	}
 	if release {
 		c.release()
@@ -474,8 +474,8 @@
 		}
 	}
 	c.mu.Unlock()
-	c.front.count(func(s *Slow) { s.Shortened += shortened })
-	c.front.taker.Release(c, tooSlow)
+	c.front.count(func(s *SlowClientStats) { s.Shortened += shortened })
+	c.front.taker.AbortOpenStatements(c, tooSlow)
 	c.fault(tooSlow)
 }
 
@@ -483,7 +483,7 @@
 func (c *Conn) shorten(o *outgoing) {
 	before := len(o.bytes)
 	o.bytes = appendAnswer(nil, typeAnswer, o.stream, CodeAborted, []byte(tooSlow))
-	c.booked(func(now time.Duration, a *account.Peer) { a.Force(now, int64(len(o.bytes)-before)) })
+	c.booked(func(now time.Duration, a *flowcontrol.Peer) { a.ForceQueue(now, int64(len(o.bytes)-before)) })
 }
 
 // shortest is the most that a frame may hold which is queued whatever waits.
@@ -550,7 +550,7 @@
 	group.Wait()
 	c.front.leave(c)
 	c.raw.Close()
-	c.booked(func(_ time.Duration, a *account.Peer) { a.Close() })
+	c.booked(func(_ time.Duration, a *flowcontrol.Peer) { a.Close() })
 }
 
 // end gives back what the connection holds: its streams to the taker, its writer to the runtime.
@@ -567,20 +567,20 @@
 	c.mu.Unlock()
 	c.logEnd(left)
 	if len(left) > 0 {
-		c.front.taker.Left(c, left)
+		c.front.taker.HandleCancel(c, left)
 	}
 	c.notify()
 }
 
 func (c *Conn) read() {
-	buf := buffer.New(headBytes + mostLength)
+	buf := readbuffer.New(headBytes + mostLength)
 	began, spoke, unfit := c.since, false, 0        // since when a frame is awaited; one has come; those that could not be used
 	limits, late := c.front.book.Limits(), int64(0) // bytes of the frame that came after its grace
 	room := int64(0)                                // taken of what large frames share
 	defer func() { c.front.room.Add(room) }()
 	for {
 		for {
-			f, size, err := parseFrame(buf.Next())
+			f, size, err := parseFrame(buf.Bytes())
 			if err != nil {
 				c.lose(err.Error())
 				return
@@ -592,24 +592,24 @@
 				c.lose("too many frames that cannot be used")
 				return
 			}
-			buf.Take(size)
+			buf.Discard(size)
 			c.front.room.Add(room)
 			began, spoke, room, late = time.Now(), true, 0, 0
 		}
 		if unfit > 0 { // the answers are on their way; what cannot be used is read no faster than this
 			time.Sleep(min(unfitPauseMost, time.Duration(unfit)*unfitPause))
-			if c.glance(buf.Next()) {
+			if c.glance(buf.Bytes()) {
 				c.because(closedByClient)
 				return
 			}
 		}
-		if size := frameSize(buf.Next()); size > freeFrame && room == 0 {
+		if size := frameSize(buf.Bytes()); size > freeFrame && room == 0 {
 			if room = int64(size); c.front.room.Add(-room) < 0 {
 				c.lose("no memory left for the frame")
 				return
 			}
 		}
-		waited, gone := c.awaitFlow(buf.Next())
+		waited, gone := c.awaitFlow(buf.Bytes())
 		if gone {
 			c.because(closedByClient)
 			return
@@ -617,7 +617,7 @@
 		if waited { // the router was the one who was waited for
 			began, late = time.Now(), 0
 		}
-		idle, until := spoke && len(buf.Next()) == 0, time.Now().Add(limits.FrameWait(time.Since(began), late))
+		idle, until := spoke && len(buf.Bytes()) == 0, time.Now().Add(limits.FrameReadTimeout(time.Since(began), late))
 		if idle {
 			until = time.Now().Add(idleTime)
 		}
@@ -638,7 +638,7 @@
 					began, late = time.Now(), 0
 					continue
 				}
-				if len(buf.Next()) > 0 {
+				if len(buf.Bytes()) > 0 {
 					c.lose("the frame did not come whole in time")
 				}
 			}
@@ -763,7 +763,7 @@
 			c.isUnfit()
 			c.Answer(f.stream, CodeRejected, []byte(err.Error()))
 		default:
-			if !c.front.taker.TakeIn(c, f.stream, fields, text) {
+			if !c.front.taker.HandleStatement(c, f.stream, fields, text) {
 				c.isUnfit()
 			}
 		}
@@ -781,7 +781,7 @@
 	}
 	c.mu.Unlock()
 	if open && !gone {
-		c.front.taker.Left(c, []uint32{stream})
+		c.front.taker.HandleCancel(c, []uint32{stream})
 	}
 }
 
@@ -822,7 +822,7 @@
 }
 
 // Release ends a stream for which no answer is owed.
-func (c *Conn) Release(stream uint32) {
+func (c *Conn) CloseStream(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.open, stream)
@@ -854,37 +854,37 @@
 	default:
 		o := outgoing{bytes, stream}
 		kept := len(bytes) <= shortest
-		c.booked(func(now time.Duration, a *account.Peer) {
+		c.booked(func(now time.Duration, a *flowcontrol.Peer) {
 			if kept {
-				a.Force(now, int64(len(bytes)))
+				a.ForceQueue(now, int64(len(bytes)))
 			} else if c.released.IsZero() {
-				kept = a.Queue(now, int64(len(bytes)))
+				kept = a.TryQueue(now, int64(len(bytes)))
 			}
 		})
 		if !kept && c.released.IsZero() { // as last seen; it may have been taken in since
 			c.measure()
-			c.booked(func(now time.Duration, a *account.Peer) { kept = a.Queue(now, int64(len(bytes))) })
+			c.booked(func(now time.Duration, a *flowcontrol.Peer) { kept = a.TryQueue(now, int64(len(bytes))) })
 		}
 		if !kept {
 			o.bytes = appendAnswer(nil, typeAnswer, stream, CodeAborted, []byte(tooSlow))
-			c.booked(func(now time.Duration, a *account.Peer) { a.Force(now, int64(len(o.bytes))) })
-			defer c.front.count(func(s *Slow) { s.Shortened++ })
+			c.booked(func(now time.Duration, a *flowcontrol.Peer) { a.ForceQueue(now, int64(len(o.bytes))) })
+			defer c.front.count(func(s *SlowClientStats) { s.Shortened++ })
 		}
 		if c.out = append(c.out, o); stream != 0 {
 			c.answered++
 		}
 		if len(bytes) > shortest && !c.stalled { // also where this one could not be kept
-			c.booked(func(_ time.Duration, a *account.Peer) { c.stalled = a.Stalled() })
+			c.booked(func(_ time.Duration, a *flowcontrol.Peer) { c.stalled = a.Stalled() })
 			stalled = c.stalled
 		}
 	}
 	c.mu.Unlock()
 	c.notify()
 	if second {
-		c.front.Violations.Count(&guard.Violation{Rule: guard.OneAnswer, Detail: fmt.Sprintf("stream %d of %s is not open", stream, c.raw.RemoteAddr())})
+		c.front.Violations.Record(&invariant.Violation{Rule: invariant.OneAnswer, Detail: fmt.Sprintf("stream %d of %s is not open", stream, c.raw.RemoteAddr())})
 	}
 	if stalled {
-		c.front.count(func(s *Slow) { s.Stalled++ })
+		c.front.count(func(s *SlowClientStats) { s.Stalled++ })
 	}
 	return stalled
 }
@@ -951,9 +951,9 @@
 func (c *Conn) next(out []outgoing) (_ []outgoing, full bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.booked(func(_ time.Duration, a *account.Peer) {
-		for len(c.out) > 0 && a.MayWrite(int64(len(c.out[0].bytes))) {
-			a.Wrote(int64(len(c.out[0].bytes)))
+	c.booked(func(_ time.Duration, a *flowcontrol.Peer) {
+		for len(c.out) > 0 && a.CanWrite(int64(len(c.out[0].bytes))) {
+			a.RecordWritten(int64(len(c.out[0].bytes)))
 			out, c.out = append(out, c.out[0]), c.out[1:]
 		}
 	})
@@ -968,7 +968,9 @@
 func (c *Conn) mayGoOn() (may bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.booked(func(_ time.Duration, a *account.Peer) { may = len(c.out) > 0 && a.MayWrite(int64(len(c.out[0].bytes))) })
+	c.booked(func(_ time.Duration, a *flowcontrol.Peer) {
+		may = len(c.out) > 0 && a.CanWrite(int64(len(c.out[0].bytes)))
+	})
 	return may
 }
 
@@ -994,12 +996,12 @@
 }
 
 // HoldText asks whether a statement's text may be held for this client; what may is to be given back by GiveText.
-func (c *Conn) HoldText(n int) (fits bool) {
-	c.booked(func(_ time.Duration, a *account.Peer) { fits = a.HoldText(int64(n)) })
+func (c *Conn) ReserveText(n int) (fits bool) {
+	c.booked(func(_ time.Duration, a *flowcontrol.Peer) { fits = a.ReserveText(int64(n)) })
 	return fits
 }
 
 // GiveText gives back the room of a text, also once the connection has ended.
-func (c *Conn) GiveText(n int) {
-	c.booked(func(_ time.Duration, a *account.Peer) { a.GiveText(int64(n)) })
+func (c *Conn) ReleaseText(n int) {
+	c.booked(func(_ time.Duration, a *flowcontrol.Peer) { a.ReleaseText(int64(n)) })
 }
--- a/internal/front/guard_test.go
+++ b/internal/downstream/guard_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/guard"
+	"bankledge/internal/invariant"
 )
 
 // A second answer on a stream is counted and does not come to the client.
@@ -24,7 +24,7 @@
 	require.Eventually(t, func() bool { return !conn.busy() }, patience, time.Millisecond) // its write has returned
 	assert.Zero(t, f.Violations.Total())
 	conn.Answer(1, CodeAborted, nil)
-	assert.Equal(t, int64(1), f.Violations.Of(guard.OneAnswer))
+	assert.Equal(t, int64(1), f.Violations.Recorded(invariant.OneAnswer))
 	_, err = c.Write(appendFrame(nil, typeReadyAsked, 0, 0)) // what comes next is the answer to that
 	require.NoError(t, err)
 	assert.Equal(t, byte(typeReadyTold), readFrame(t, r).kind)
@@ -41,6 +41,6 @@
 		conn.because(why)
 		require.NoError(t, conn.raw.Close())
 		assert.Equal(t, uint32(1), await(t, k.left))
-		assert.Equal(t, counted, f.Violations.Of(guard.NoLostRequest), why)
+		assert.Equal(t, counted, f.Violations.Recorded(invariant.NoLostRequest), why)
 	}
 }
--- a/internal/front/wire_test.go
+++ b/internal/downstream/wire_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"bankledge/internal/account"
+	"bankledge/internal/flowcontrol"
 )
 
 var update = flag.Bool("update", false, "rewrite the received frames of testdata/wire")
@@ -38,7 +38,7 @@
 
 func (w *wireEvents) Ready() bool { return <-w.ready }
 
-func (w *wireEvents) TakeIn(c *Conn, stream uint32, fields Fields, text []byte) bool {
+func (w *wireEvents) HandleStatement(c *Conn, stream uint32, fields Fields, text []byte) bool {
 	w.conns <- c
 	told := string(text)
 	if len(told) > 100 {
@@ -48,14 +48,14 @@
 	return string(text) != "unfit"
 }
 
-func (w *wireEvents) Left(_ *Conn, streams []uint32) {
+func (w *wireEvents) HandleCancel(_ *Conn, streams []uint32) {
 	slices.Sort(streams)
 	w.events <- fmt.Sprintf("cancel %d", streams)
 }
 
-func (w *wireEvents) Stalled(_ *Conn, stalled bool) {}
+func (w *wireEvents) HandleBackpressure(_ *Conn, stalled bool) {}
 
-func (w *wireEvents) Release(c *Conn, why string) {
+func (w *wireEvents) AbortOpenStatements(c *Conn, why string) {
 	for _, stream := range w.abortOpen {
 		c.Answer(stream, CodeAborted, []byte(why))
 	}
@@ -111,7 +111,7 @@
 // wirePlay plays one transcript.
 type wirePlay struct {
 	t       *testing.T
-	server  *Front
+	server  *Server
 	handler *wireEvents
 	address string
 	client  net.Conn
@@ -124,14 +124,14 @@
 	t.Helper()
 	name, rest, _ := strings.Cut(line, " ")
 	if p.server == nil {
-		limits, room := account.Derive(64, 10), int64(1<<20)
+		limits, room := flowcontrol.DeriveLimits(64, 10), int64(1<<20)
 		if name == "limits" {
 			words := strings.Fields(rest)
-			room, limits.Out = int64(p.number(words[0])), int64(p.number(words[1]))
+			room, limits.AnswerBytes = int64(p.number(words[0])), int64(p.number(words[1]))
 			var err error
-			limits.Grace, err = time.ParseDuration(words[2])
+			limits.ReadGrace, err = time.ParseDuration(words[2])
 			require.NoError(t, err)
-			limits.Window, err = time.ParseDuration(words[3])
+			limits.ReadWindow, err = time.ParseDuration(words[3])
 			require.NoError(t, err)
 		}
 		p.serve(room, limits)
@@ -180,20 +180,20 @@
 		}
 		p.conn.Answer(uint32(p.number(words[0])), Code(p.number(words[1])), []byte(body))
 	case "closestream":
-		p.conn.Release(uint32(p.number(rest)))
+		p.conn.CloseStream(uint32(p.number(rest)))
 	case "aborts":
 		for _, stream := range words {
 			p.handler.abortOpen = append(p.handler.abortOpen, uint32(p.number(stream)))
 		}
 	case "drain":
-		p.server.Stop()
+		p.server.StartDraining()
 	default:
 		t.Fatalf("unknown step %q", line)
 	}
 	return ""
 }
 
-func (p *wirePlay) serve(room int64, limits account.Limits) {
+func (p *wirePlay) serve(room int64, limits flowcontrol.Limits) {
 	p.handler = &wireEvents{events: make(chan string, 100), conns: make(chan *Conn, 100), ready: make(chan bool, 100)}
 	p.server = New(p.handler, 10, room, limits, zap.NewNop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/belief/belief_test.go
+++ b/internal/estimate/belief_test.go
@@ -1,4 +1,4 @@
-package belief
+package estimate
 
 import (
 	"math"
@@ -13,43 +13,43 @@
 	"bankledge/decision"
 )
 
-func warming(routers float64) *Warming {
-	return &Warming{Rules: decision.Rules{ColdMultiple: 4, ColdShare: 0.3, WarmAfter: 15 * time.Second, ColdWindow: 1500 * time.Millisecond},
-		Lag: 2 * time.Second, Usable: 0.85, Safety: 0.6, Routers: routers, Asked: 1}
+func warming(routers float64) *SlowStartBudget {
+	return &SlowStartBudget{Rules: decision.Rules{SlowStartMultiple: 4, SlowStartShare: 0.3, SlowStartDuration: 15 * time.Second, SlowStartWindow: 1500 * time.Millisecond},
+		AgeUncertainty: 2 * time.Second, UsableShare: 0.85, SafetyShare: 0.6, Routers: routers, MinDemandShare: 1}
 }
 
 func TestWarming(t *testing.T) {
 	w := warming(2)
-	w.See(0.1, 3, false)
-	part, certain := w.Part(16, 0)
+	w.ObserveStatement(0.1, 3, false)
+	part, certain := w.RouterBudget(16, 0)
 	assert.True(t, certain, "each of two routers has room for two of the heaviest")
 	assert.InDelta(t, 0.6*4*0.3*0.85*16*1.5/2, part, 1e-9)
 
-	came := func(light, heavy int) *Warming {
+	came := func(light, heavy int) *SlowStartBudget {
 		w := warming(300)
 		for range 60 { // a second each
-			w.Pass(time.Second, 80*16)
+			w.Advance(time.Second, 80*16)
 			for range light {
-				w.See(0.1, 0.1, false)
+				w.ObserveStatement(0.1, 0.1, false)
 			}
 			for range heavy {
-				w.See(1, 1, false)
+				w.ObserveStatement(1, 1, false)
 			}
-			w.See(100, 1, true)
+			w.ObserveStatement(100, 1, true)
 		}
 		return w
 	}
 	w = came(4, 1)
-	_, certain = w.Part(16, 0)
+	_, certain = w.RouterBudget(16, 0)
 	assert.False(t, certain)
-	young, old := w.Share(16, 0), w.Share(16, 12*time.Second)
+	young, old := w.SendProbability(16, 0), w.SendProbability(16, 12*time.Second)
 	assert.Greater(t, young, 0.0)
 	assert.Less(t, young, old, "more as it warms")
 	assert.LessOrEqual(t, old, 1.0/80, "an even share at the most")
-	assert.InDelta(t, 2*young, w.Share(32, 0), young/1.5, "about twice as much where there are twice as many cores")
-	assert.Less(t, came(40, 10).Share(16, 0), young/2, "less where more comes")
-	assert.Less(t, came(0, 1).Share(16, 0), young, "less where statements are heavy")
-	assert.NotPanics(t, func() { (&Warming{}).Share(1, 0); (&Warming{}).Part(1, 0) })
+	assert.InDelta(t, 2*young, w.SendProbability(32, 0), young/1.5, "about twice as much where there are twice as many cores")
+	assert.Less(t, came(40, 10).SendProbability(16, 0), young/2, "less where more comes")
+	assert.Less(t, came(0, 1).SendProbability(16, 0), young, "less where statements are heavy")
+	assert.NotPanics(t, func() { (&SlowStartBudget{}).SendProbability(1, 0); (&SlowStartBudget{}).RouterBudget(1, 0) })
 }
 
 // The sum over all routers, each of which knows only its own: what a cold engine is sent in any window, over what it bears then.
@@ -94,7 +94,7 @@
 	r := rand.New(rand.NewPCG(seed, 9))
 	means, mix := []float64{0.1, 1, 3}, []float64{0.80, 0.15, 0.05}
 	rate := load * engines * cores / routers / 0.38 // statements a second and router
-	all := make([]*Warming, routers)
+	all := make([]*SlowStartBudget, routers)
 	for i := range all {
 		all[i] = warming(says * routers)
 	}
@@ -106,10 +106,10 @@
 				w = warming(says * routers)
 				all[i] = w
 			}
-			w.Pass(step, engines*cores)
+			w.Advance(step, engines*cores)
 			share := 0.0
 			if age >= 0 {
-				share = w.Share(cores, age)
+				share = w.SendProbability(cores, age)
 			}
 			mean := rate * step.Seconds()
 			if i == 0 {
@@ -122,7 +122,7 @@
 					k++
 				}
 				work := means[k] * r.ExpFloat64()
-				w.See(work, means[k], false)
+				w.ObserveStatement(work, means[k], false)
 				if age >= 0 {
 					even += work / engines
 					if r.Float64() < share {
@@ -151,34 +151,34 @@
 }
 
 func TestRhythm(t *testing.T) {
-	var r Rhythm
+	var r ArrivalRate
 	assert.Equal(t, 3.0, r.Expected(3), "nothing is known yet")
 	for range 60 {
-		r.Pass(1)
+		r.Advance(1)
 	}
 	assert.Less(t, r.Expected(3), 0.45, "nothing came")
 	for range 60 {
-		r.Pass(1)
-		r.See(2)
+		r.Advance(1)
+		r.Observe(2)
 	}
 	assert.InDelta(t, 2, r.Expected(3), 0.3)
 	for range 60 {
-		r.Pass(1)
+		r.Advance(1)
 	}
 	assert.Less(t, r.Expected(3), 0.8, "what was seen fades")
 }
 
 func TestCrowd(t *testing.T) {
-	c := Crowd{Fresh: 3 * time.Second, Learn: 0.5}
+	c := PeerLoad{FreshFor: 3 * time.Second, LearningRate: 0.5}
 	for i := range 20 {
-		c.Hear(time.Duration(i)*time.Second, 10)
+		c.Observe(time.Duration(i)*time.Second, 10)
 	}
 	now := 20 * time.Second
-	c.Hear(now, 10)
-	assert.InDelta(t, 40, c.Held(now, 40, now), 1e-9, "a fresh report is what counts")
-	assert.InDelta(t, 40, c.Held(now, 40, now-3*time.Second), 1e-9)
-	assert.InDelta(t, 10+30/math.E, c.Held(now, 40, now-6*time.Second), 0.1)
-	assert.InDelta(t, 10, c.Held(now, 0, now-time.Minute), 0.1, "not seen is not empty")
-	assert.InDelta(t, 0, c.Held(now+time.Minute, 40, now), 0.1, "nothing is heard of anywhere: look again")
-	assert.Less(t, c.Held(now+7*time.Second, 40, now), 13.0)
+	c.Observe(now, 10)
+	assert.InDelta(t, 40, c.Estimate(now, 40, now), 1e-9, "a fresh report is what counts")
+	assert.InDelta(t, 40, c.Estimate(now, 40, now-3*time.Second), 1e-9)
+	assert.InDelta(t, 10+30/math.E, c.Estimate(now, 40, now-6*time.Second), 0.1)
+	assert.InDelta(t, 10, c.Estimate(now, 0, now-time.Minute), 0.1, "not seen is not empty")
+	assert.InDelta(t, 0, c.Estimate(now+time.Minute, 40, now), 0.1, "nothing is heard of anywhere: look again")
+	assert.Less(t, c.Estimate(now+7*time.Second, 40, now), 13.0)
 }
--- a/internal/standin/client.go
+++ b/internal/fakes/client.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"bankledge/internal/front"
+	"bankledge/internal/downstream"
 )
 
 // Frame is a frame of the clients' protocol.
@@ -46,7 +46,7 @@
 
 // Answer is one final answer.
 type Answer struct {
-	Code front.Code
+	Code downstream.Code
 	Body string
 	Took time.Duration
 	Err  error // the connection ended first
@@ -112,7 +112,7 @@
 		c.going = c.going || kind == typeNoMore
 		if s := c.open[stream]; s != nil && (kind == typeAnswer || kind == typeReadyTold) {
 			delete(c.open, stream)
-			s.answer <- Answer{Code: front.Code(code), Body: body, Took: time.Since(s.at)}
+			s.answer <- Answer{Code: downstream.Code(code), Body: body, Took: time.Since(s.at)}
 		} else if kind == typeAnswer && c.left[stream] {
 			delete(c.left, stream)
 		} else if kind == typeAnswer && stream > 0 && c.Again != nil {
@@ -178,7 +178,7 @@
 		switch a := <-answer; {
 		case a.Err != nil:
 			return a.Err
-		case a.Code == front.CodeCompleted:
+		case a.Code == downstream.CodeCompleted:
 			return nil
 		}
 	}
--- a/internal/standin/engine.go
+++ b/internal/fakes/engine.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"bankledge/internal/span"
+	"bankledge/internal/slidingwindow"
 )
 
 // Step is one answer of a scripted engine.
@@ -166,7 +166,7 @@
 	born  time.Time
 	slow  float64 // times as long; 0: as usual
 	errs  bool    // all that comes ends with an error
-	sent  span.Sum
+	sent  slidingwindow.Sum
 	fell  bool
 }
 
@@ -216,7 +216,7 @@
 	}
 	at := now.Sub(m.born)
 	m.sent.Add(at, work.Seconds())
-	of := m.sent.Over(at-m.Cold.Window) / (m.Cold.Multiple * m.warmth(now) * m.Cores * m.Cold.Window.Seconds())
+	of := m.sent.Since(at-m.Cold.Window) / (m.Cold.Multiple * m.warmth(now) * m.Cores * m.Cold.Window.Seconds())
 	if of > 1 && !m.fell {
 		m.fell = true
 		m.tell(ModelEvent{What: "fell", Of: of})
--- a/internal/standin/mix.go
+++ b/internal/fakes/mix.go
@@ -1,6 +1,6 @@
 // Package standin holds what tests and the project's own experiments put in the place of the world outside: a mix of
 // statements, engines, a control feed and clients. Nothing of it is part of the router.
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -24,10 +24,10 @@
 // Workloads is what an instance is told of the mix's workloads.
 func Workloads() []decision.Workload {
 	return []decision.Workload{
-		{Name: "lookup", Importance: 1, SLO: 800 * time.Millisecond, StatementTimeout: 4 * time.Second, Threads: 1, WaitsForLoads: true},
-		{Name: "report", Importance: 7.5, LateShare: 0.3, SLO: 3 * time.Second, StatementTimeout: 15 * time.Second, Threads: 2},
-		{Name: "price-load", Importance: 10, LateShare: 0.6, SLO: 3 * time.Second, StatementTimeout: 25 * time.Second, Threads: 2,
-			Effect: decision.NonIdempotent, Load: true},
+		{Name: "lookup", PriorityWeight: 1, LatencyObjective: 800 * time.Millisecond, StatementTimeout: 4 * time.Second, Threads: 1, WaitsForBulkLoads: true},
+		{Name: "report", PriorityWeight: 7.5, LateFactor: 0.3, LatencyObjective: 3 * time.Second, StatementTimeout: 15 * time.Second, Threads: 2},
+		{Name: "price-load", PriorityWeight: 10, LateFactor: 0.6, LatencyObjective: 3 * time.Second, StatementTimeout: 25 * time.Second, Threads: 2,
+			Idempotency: decision.NonIdempotent, BulkLoad: true},
 	}
 }
 
--- a/internal/standin/notup.go
+++ b/internal/fakes/notup.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"net"
--- a/internal/hostfault/hostfault.go
+++ b/internal/faultinject/hostfault.go
@@ -1,7 +1,7 @@
 // Package hostfault gives a process under test the faults of a bad host: a wall clock that steps and socket calls that fail. It
 // works by a library that the dynamic linker preloads, so the process has to be linked dynamically. It needs no privileges, and
 // touches nothing but that process.
-package hostfault
+package faultinject
 
 import (
 	_ "embed"
--- a/internal/hostfault/hostfault_test.go
+++ b/internal/faultinject/hostfault_test.go
@@ -1,4 +1,4 @@
-package hostfault
+package faultinject
 
 import (
 	"bufio"
--- a/internal/lab/agreed.go
+++ b/internal/faultlab/agreed.go
@@ -1,11 +1,11 @@
-package lab
+package faultlab
 
 import (
 	"fmt"
 	"time"
 
+	"bankledge/internal/configversion"
 	"bankledge/internal/rules"
-	"bankledge/internal/version"
 )
 
 // Contradictions is what the auditors of agreement find in a history.
@@ -44,7 +44,7 @@
 // Agreement goes through a history and compares, at each change, what all routers act on with what those that have a term go by.
 func Agreement(h *History) (c Contradictions) {
 	c.since = map[pair]time.Duration{}
-	by := map[uint64]*version.Version{}
+	by := map[uint64]*configversion.Version{}
 	for _, v := range h.Versions {
 		by[v.Number] = v
 	}
@@ -63,8 +63,8 @@
 		}
 		text := ""
 		if acts, v := acting(a, by, own), by[n]; acts != nil && v != nil {
-			if list := rules.Offends(acts, v.Rules); len(list) > 0 {
-				text = list[0].Name + ": " + list[0].Words
+			if list := rules.Conflicts(acts, v.Rules); len(list) > 0 {
+				text = list[0].Name + ": " + list[0].Description
 			}
 		}
 		memo[key] = text
@@ -145,7 +145,7 @@
 // end takes a contradiction that is over.
 func (c *Contradictions) end(long time.Duration, a side, by uint64, at time.Duration, text string) {
 	c.Worst = max(c.Worst, long)
-	if long > GroupSpans.T()+slack {
+	if long > GroupSpans.MaxContradiction()+slack {
 		c.Breaches = append(c.Breaches, Breach{Auditor: "contradiction", At: at, Text: fmt.Sprintf("for %v a router acted on versions %d and %d while another went by %d: %s", long, a.settled, a.pending, by, text)})
 	}
 }
@@ -167,7 +167,7 @@
 }
 
 // acknowledged finds proposals that were told a number and are not there, or two that got one.
-func (c *Contradictions) acknowledged(h *History, by map[uint64]*version.Version) {
+func (c *Contradictions) acknowledged(h *History, by map[uint64]*configversion.Version) {
 	got, newest, oldest := map[uint64]string{}, uint64(0), uint64(0)
 	for n := range by {
 		newest = max(newest, n)
@@ -189,12 +189,12 @@
 }
 
 // acting are the rules that a router acts on; nil: not known.
-func acting(a side, by map[uint64]*version.Version, own *rules.Rules) (r *rules.Rules) {
+func acting(a side, by map[uint64]*configversion.Version, own *rules.Rules) (r *rules.Rules) {
 	add := func(with *rules.Rules) {
 		if r == nil {
 			r = with
 		} else if with != nil {
-			r = rules.Meet(r, with)
+			r = rules.Intersect(r, with)
 		}
 	}
 	for _, n := range []uint64{a.settled, a.pending} {
@@ -215,8 +215,8 @@
 // groupOwn are the rules of the routers' own settings, as far as the auditors need them.
 func groupOwn(s *Schedule) *rules.Rules {
 	r := groupRules(&field{s: s})
-	r.FurtherShare, r.FurtherFree = 0, 0
-	if r.Check() != nil {
+	r.RetryBudgetShare, r.RetryBudgetFree = 0, 0
+	if r.Validate() != nil {
 		return nil
 	}
 	return r
--- a/internal/lab/audit.go
+++ b/internal/faultlab/audit.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"bankledge/internal/harm"
-	"bankledge/internal/harm/watch"
+	"bankledge/internal/retrybudget"
+	"bankledge/internal/retrybudget/observer"
 )
 
 // Breach is something that must not be, found in a history.
@@ -239,31 +239,31 @@
 
 // harms: all routers' extra work keeps the fleet's bounds, in any span of the ledger.
 func harms(h *History) (found []Breach) {
-	ledger, firsts := watch.New(Harm), map[string]bool{}
-	ledger.Free[harm.Handshake] = float64(h.Schedule.Routers * h.Schedule.Engines) // one on each link, to begin with
+	ledger, firsts := observer.New(Harm), map[string]bool{}
+	ledger.Allowance[retrybudget.Handshake] = float64(h.Schedule.Routers * h.Schedule.Engines) // one on each link, to begin with
 	for _, e := range h.Events {
 		switch e.What {
 		case Sent:
-			ledger.Taken(e.At)
+			ledger.RecordAdmitted(e.At)
 		case Answered:
 			if e.Code == codeCompleted {
-				ledger.Completed(e.At)
+				ledger.RecordCompleted(e.At)
 			}
 		case Started:
 			if firsts[e.Statement] {
-				ledger.Extra(e.At, harm.Further)
+				ledger.RecordExtraWork(e.At, retrybudget.AdditionalAttempt)
 			}
 			firsts[e.Statement] = true
 		case Called:
-			ledger.Extra(e.At, harm.CallOff)
+			ledger.RecordExtraWork(e.At, retrybudget.Cancellation)
 		case Probed:
-			ledger.Extra(e.At, harm.Probe)
+			ledger.RecordExtraWork(e.At, retrybudget.HealthCheck)
 		case Dialled:
-			ledger.Extra(e.At, harm.Handshake)
+			ledger.RecordExtraWork(e.At, retrybudget.Handshake)
 		default:
 			continue
 		}
-		for _, over := range ledger.Over(e.At) {
+		for _, over := range ledger.Violations(e.At) {
 			found = append(found, Breach{At: e.At, Text: over})
 		}
 	}
--- a/internal/lab/crowd.go
+++ b/internal/faultlab/crowd.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"bankledge/internal/agree"
-	"bankledge/internal/control"
-	"bankledge/internal/steer"
-	"bankledge/internal/version"
+	"bankledge/internal/configversion"
+	"bankledge/internal/controlclient"
+	"bankledge/internal/controlserver"
+	"bankledge/internal/lease"
 )
 
 // Crowd is a measurement of the control service: a group of real processes, and router sides that are as the router's, with its link, many
@@ -54,25 +54,25 @@
 // crowdRouter is one router's side.
 type crowdRouter struct {
 	mu     sync.Mutex
-	core   *agree.Router
-	link   *steer.Link
-	ground agree.Ground
+	core   *lease.Client
+	link   *controlclient.Transport
+	ground lease.ActiveConfiguration
 	acts   map[uint64]time.Time // since when it acts on a version in force
 	origin time.Time
 	wake   chan struct{}
 }
 
-func (r *crowdRouter) post(ev agree.RouterEvent) {
+func (r *crowdRouter) post(ev lease.ClientEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range r.core.Step(time.Since(r.origin), ev) {
-		if u, is := a.(agree.Use); is {
-			if r.ground = u.On; u.On.Term && u.On.Pending == 0 {
-				r.acts[u.On.Settled] = time.Now()
+		if u, is := a.(lease.ApplyRules); is {
+			if r.ground = u.Configuration; u.Configuration.Leased && u.Configuration.Pending == 0 {
+				r.acts[u.Configuration.Activated] = time.Now()
 			}
 			continue
 		}
-		r.link.Do(a)
+		r.link.Execute(a)
 	}
 	select {
 	case r.wake <- struct{}{}:
@@ -82,9 +82,9 @@
 
 func (r *crowdRouter) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		r.post(agree.Look{})
+		r.post(lease.ClientTick{})
 		r.mu.Lock()
-		rest := r.core.Wake() - time.Since(r.origin)
+		rest := r.core.NextDeadline() - time.Since(r.origin)
 		r.mu.Unlock()
 		select {
 		case <-r.wake:
@@ -102,7 +102,7 @@
 // Run measures.
 func (c Crowd) Run(ctx context.Context) (f CrowdFigures, err error) {
 	f.Routers = c.Routers
-	fld := &field{s: &Schedule{Routers: 1, Control: c.Members}, o: Options{Control: c.Control}, dir: c.Dir, versions: map[uint64]*version.Version{}, began: time.Now()}
+	fld := &field{s: &Schedule{Routers: 1, Control: c.Members}, o: Options{Control: c.Control}, dir: c.Dir, versions: map[uint64]*configversion.Version{}, began: time.Now()}
 	defer fld.close()
 	if err := fld.startGroup(ctx); err != nil {
 		return f, err
@@ -119,8 +119,8 @@
 	var all []*crowdRouter
 	for i := range c.Routers {
 		r := &crowdRouter{acts: map[uint64]time.Time{}, origin: time.Now().Add(-time.Hour), wake: make(chan struct{}, 1)}
-		r.core = agree.NewRouter(agree.Setup{Spans: GroupSpans, Name: fmt.Sprint("r", i), Incarnation: fmt.Sprint("x", i), Own: own, Guards: version.Guards{MostGone: 1}, Addresses: len(addresses), Seed: uint64(i)})
-		r.link = steer.NewLink(addresses, GroupSpans, r.post, zap.NewNop())
+		r.core = lease.NewClient(lease.ClientSettings{Durations: GroupSpans, Name: fmt.Sprint("r", i), Incarnation: fmt.Sprint("x", i), LocalRules: own, Guards: configversion.Guards{MaxRemovedShare: 1}, AddressCount: len(addresses), Seed: uint64(i)})
+		r.link = controlclient.NewTransport(addresses, GroupSpans, r.post, zap.NewNop())
 		all = append(all, r)
 		g.Go(func() error {
 			defer r.link.Close()
@@ -128,17 +128,17 @@
 		})
 		g.Go(func() error { return r.run(ctx) })
 	}
-	client := control.NewClient(addresses, 20*time.Second)
+	client := controlserver.NewClient(addresses, 20*time.Second)
 	next := 0
 	propose := func() (uint64, time.Duration, error) {
 		next++
 		r := groupRules(&field{s: &Schedule{Routers: c.Routers}})
-		r.FurtherFree, r.ColdMultiple = 10+float64(next%2), 3+float64(next%3) // up and down
-		if err := r.Check(); err != nil {
+		r.RetryBudgetFree, r.SlowStartMultiple = 10+float64(next%2), 3+float64(next%3) // up and down
+		if err := r.Validate(); err != nil {
 			return 0, 0, err
 		}
 		began := time.Now()
-		o, err := client.Propose(agree.Entry{Kind: agree.Propose, ID: fmt.Sprint("c", next), Rules: r.Canonical(), Forced: []string{version.GuardFloor}})
+		o, err := client.Propose(lease.Entry{Kind: lease.EntryPropose, ID: fmt.Sprint("c", next), Rules: r.Canonical(), ForcedGuards: []string{configversion.GuardFloor}})
 		return o.Number, time.Since(began), err
 	}
 	if _, _, err := propose(); err != nil {
@@ -224,7 +224,7 @@
 func withTerm(all []*crowdRouter) (n int) {
 	for _, r := range all {
 		r.mu.Lock()
-		if r.ground.Term {
+		if r.ground.Leased {
 			n++
 		}
 		r.mu.Unlock()
--- a/internal/lab/field.go
+++ b/internal/faultlab/field.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"cmp"
@@ -17,10 +17,10 @@
 	"golang.org/x/sync/errgroup"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"bankledge/internal/front"
-	"bankledge/internal/hostfault"
-	"bankledge/internal/standin"
-	"bankledge/internal/version"
+	"bankledge/internal/configversion"
+	"bankledge/internal/downstream"
+	"bankledge/internal/fakes"
+	"bankledge/internal/faultinject"
 )
 
 // Options say with what a schedule is played.
@@ -62,7 +62,7 @@
 		coldness.Multiple, coldness.Window.Microseconds(), me, says)...)
 }
 
-var coldness = standin.Coldness{Share: 0.31, Multiple: 4, Warm: 5 * time.Second, Window: time.Second}
+var coldness = fakes.Coldness{Share: 0.31, Multiple: 4, Warm: 5 * time.Second, Window: time.Second}
 
 // field is one play: the processes, the links between them, and the history that they leave.
 type field struct {
@@ -73,9 +73,9 @@
 	mu       sync.Mutex
 	history  []Event
 	routers  []*router
-	engines  []*engine                   // by place; one that is replaced keeps its place
-	members  []*member                   // of the control group
-	versions map[uint64]*version.Version // that it has written
+	engines  []*engine                         // by place; one that is replaced keeps its place
+	members  []*member                         // of the control group
+	versions map[uint64]*configversion.Version // that it has written
 	born     int
 	library  string   // that gives routers a host whose faults can be chosen; nothing: the schedule has none
 	sources  sync.Map // address of a connection's near end, as an engine sees it: the router
@@ -87,9 +87,9 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	f := &field{s: s, o: o, dir: o.Dir, versions: map[uint64]*version.Version{}}
+	f := &field{s: s, o: o, dir: o.Dir, versions: map[uint64]*configversion.Version{}}
 	if f.dir == "" {
-		dir, err := os.MkdirTemp("", "bankledge-lab")
+		dir, err := os.MkdirTemp("", "bankledge-faultlab")
 		if err != nil {
 			return nil, err
 		}
@@ -165,14 +165,14 @@
 func (f *field) start(ctx context.Context) error {
 	f.began = time.Now()
 	if f.s.needsHosts() {
-		library, err := hostfault.Build(f.dir)
+		library, err := faultinject.Build(f.dir)
 		if err != nil {
 			return err
 		}
 		f.library = library
 	}
 	for i := range f.s.Engines {
-		f.engines = append(f.engines, f.newEngine(i, standin.Coldness{}))
+		f.engines = append(f.engines, f.newEngine(i, fakes.Coldness{}))
 	}
 	if err := f.startGroup(ctx); err != nil {
 		return err
@@ -213,18 +213,18 @@
 type engine struct {
 	id    string
 	place int
-	model *standin.Model
+	model *fakes.Model
 	gone  bool
 }
 
-func (f *field) newEngine(place int, cold standin.Coldness) *engine {
+func (f *field) newEngine(place int, cold fakes.Coldness) *engine {
 	f.mu.Lock()
 	f.born++
 	e := &engine{id: fmt.Sprintf("e%02d", f.born), place: place}
 	f.mu.Unlock()
-	m := standin.NewModel(engineCores, func(_, text string) (time.Duration, int) { return costs(text) })
+	m := fakes.NewModel(engineCores, func(_, text string) (time.Duration, int) { return costs(text) })
 	m.Cold, m.Progress, m.Drop = cold, true, 2*time.Second
-	m.Tell = func(x standin.ModelEvent) {
+	m.Tell = func(x fakes.ModelEvent) {
 		from := -1
 		if r, ok := f.sources.Load(x.Peer); ok {
 			from = r.(int)
@@ -335,7 +335,7 @@
 			e.What, e.Text = Broken, a.Err.Error()
 		}
 		f.note(e)
-		if a.Err != nil || a.Code != front.CodeRejected || try >= f.s.Tries || ctx.Err() != nil {
+		if a.Err != nil || a.Code != downstream.CodeRejected || try >= f.s.Tries || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(clientPause)
--- a/internal/lab/group.go
+++ b/internal/faultlab/group.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 
 	"syscall"
 
-	"bankledge/internal/agree"
-	"bankledge/internal/control"
+	"bankledge/internal/controlserver"
+	"bankledge/internal/lease"
 	"bankledge/internal/rules"
 )
 
@@ -98,7 +98,7 @@
 }
 
 // Spans of a play with a control group: shorter than usual, so that it takes seconds.
-var GroupSpans = agree.Spans{Term: time.Second, Renew: 200 * time.Millisecond, Answer: 200 * time.Millisecond, Drift: 0.01, Batch: 50 * time.Millisecond, Pause: 50 * time.Millisecond}
+var GroupSpans = lease.Durations{LeaseDuration: time.Second, RenewInterval: 200 * time.Millisecond, ReplyTimeout: 200 * time.Millisecond, MaxClockDrift: 0.01, MaxBatch: 50 * time.Millisecond, MaxPause: 50 * time.Millisecond}
 
 // start starts the process: it finds the others by links of its own.
 func (m *member) start(ctx context.Context) error {
@@ -107,9 +107,9 @@
 	if m.lost {
 		return nil
 	}
-	members := map[string]control.Member{}
+	members := map[string]controlserver.Member{}
 	for _, o := range m.f.members {
-		at := control.Member{Peer: o.peer, Client: o.client}
+		at := controlserver.Member{Peer: o.peer, Client: o.client}
 		if o != m {
 			at.Peer = o.peers[m.n].Address()
 		}
@@ -117,8 +117,8 @@
 	}
 	s := GroupSpans
 	file := filepath.Join(m.f.dir, fmt.Sprintf("member-%d.json", m.n))
-	raw, err := json.Marshal(control.Settings{ID: uint64(m.n + 1), Dir: fmt.Sprintf("member-%d", m.n), Members: members, Term: s.Term.Milliseconds(), Renew: s.Renew.Milliseconds(),
-		Answer: s.Answer.Milliseconds(), Batch: s.Batch.Milliseconds(), Pause: s.Pause.Milliseconds(), Drift: &s.Drift, Heartbeat: 50, Election: 400, MostGone: 1, Compact: 50})
+	raw, err := json.Marshal(controlserver.Settings{ID: uint64(m.n + 1), DataDir: fmt.Sprintf("member-%d", m.n), Members: members, LeaseMillis: s.LeaseDuration.Milliseconds(), RenewIntervalMillis: s.RenewInterval.Milliseconds(),
+		ReplyTimeoutMillis: s.ReplyTimeout.Milliseconds(), MaxBatchMillis: s.MaxBatch.Milliseconds(), MaxPauseMillis: s.MaxPause.Milliseconds(), MaxClockDrift: &s.MaxClockDrift, HeartbeatMillis: 50, ElectionTimeoutMillis: 400, MaxRemovedShare: 1, CompactionInterval: 50})
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 // leader is the place of the process that can prove that it leads; -1: none can just now.
 func (f *field) leader() int {
 	for _, m := range f.members {
-		if s, err := control.NewClient([]string{m.client}, 300*time.Millisecond).Status(); err == nil && s.Leads {
+		if s, err := controlserver.NewClient([]string{m.client}, 300*time.Millisecond).Status(); err == nil && s.IsLeader {
 			return m.n
 		}
 	}
@@ -273,11 +273,11 @@
 
 // groupRules are what operators begin with: looser than the routers' own.
 func groupRules(f *field) *rules.Rules {
-	r := &rules.Rules{Routers: f.s.Routers, Importance: map[string]float64{}, OverImportance: 1, FurtherShare: 1, FurtherFree: 10, Probes: 2, ColdShare: coldness.Share,
-		ColdMultiple: coldness.Multiple, WarmAfter: coldness.Warm.Milliseconds(), DrainGrace: 1000}
+	r := &rules.Rules{Routers: f.s.Routers, PriorityWeights: map[string]float64{}, OverQuotaFactor: 1, RetryBudgetShare: 1, RetryBudgetFree: 10, HealthChecksPerStatement: 2, SlowStartShare: coldness.Share,
+		SlowStartMultiple: coldness.Multiple, WarmAfterMillis: coldness.Warm.Milliseconds(), DrainGraceMillis: 1000}
 	for _, w := range workloads {
-		r.Importance[w.name] = w.importance
-		r.MayTurnAway = append(r.MayTurnAway, w.name)
+		r.PriorityWeights[w.name] = w.importance
+		r.SheddableWorkloads = append(r.SheddableWorkloads, w.name)
 	}
 	return r
 }
@@ -304,13 +304,13 @@
 		if n > 0 {
 			changeRules(r, chance, n)
 		}
-		if err := r.Check(); err != nil {
+		if err := r.Validate(); err != nil {
 			return err
 		}
-		e := agree.Entry{Kind: agree.Propose, ID: fmt.Sprintf("p%d", n), Rules: r.Canonical(), Forced: []string{"floor"}}
+		e := lease.Entry{Kind: lease.EntryPropose, ID: fmt.Sprintf("p%d", n), Rules: r.Canonical(), ForcedGuards: []string{"floor"}}
 		due := time.Since(f.began)
 		send := func() {
-			o, err := control.NewClient(addresses, 15*time.Second).Propose(e)
+			o, err := controlserver.NewClient(addresses, 15*time.Second).Propose(e)
 			if err == nil {
 				f.note(Event{At: due, What: Wanted, Router: -1, Statement: e.ID, Version: o.Number})
 				f.note(Event{What: Written, Router: -1, Statement: e.ID, Version: o.Number})
@@ -329,23 +329,23 @@
 	scale := []float64{0.8, 1.25}[chance.IntN(2)]
 	switch chance.IntN(4) {
 	case 0:
-		r.ColdMultiple = min(8, max(2, r.ColdMultiple*scale))
+		r.SlowStartMultiple = min(8, max(2, r.SlowStartMultiple*scale))
 	case 1:
-		r.Probes = min(4, max(1, r.Probes*scale))
+		r.HealthChecksPerStatement = min(4, max(1, r.HealthChecksPerStatement*scale))
 	case 2:
-		r.FurtherShare = min(2, max(0.5, r.FurtherShare*scale))
-		r.ColdShare = min(0.31, max(0.1, r.ColdShare/scale))
+		r.RetryBudgetShare = min(2, max(0.5, r.RetryBudgetShare*scale))
+		r.SlowStartShare = min(0.31, max(0.1, r.SlowStartShare/scale))
 	case 3:
-		r.Importance["lookup"] = min(3, max(0.5, r.Importance["lookup"]*scale))
+		r.PriorityWeights["lookup"] = min(3, max(0.5, r.PriorityWeights["lookup"]*scale))
 	}
-	r.FurtherFree = 10 + float64(n%2) // never the same as the one before
+	r.RetryBudgetFree = 10 + float64(n%2) // never the same as the one before
 }
 
 // watch takes down, as it comes, what the group has written, for the auditors: the group itself keeps the last ones only.
 func (f *field) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, m := range f.members {
-			if list, err := control.NewClient([]string{m.client}, 200*time.Millisecond).Versions(); err == nil {
+			if list, err := controlserver.NewClient([]string{m.client}, 200*time.Millisecond).Versions(); err == nil {
 				f.mu.Lock()
 				for _, v := range list.Versions {
 					f.versions[v.Number] = v
@@ -374,13 +374,13 @@
 	}
 	// A process that lags knows less than the group: each is asked, until one has what the leader can prove to be the newest.
 	newest := uint64(0)
-	if s, err := control.NewClient(addresses, 5*time.Second).Status(); err == nil && s.Leads {
-		newest = s.Newest
+	if s, err := controlserver.NewClient(addresses, 5*time.Second).Status(); err == nil && s.IsLeader {
+		newest = s.NewestVersion
 	}
 	until := time.Now().Add(5 * time.Second)
 	for have := uint64(0); have == 0 || have < newest && time.Now().Before(until); {
 		for _, a := range addresses {
-			list, err := control.NewClient([]string{a}, time.Second).Versions()
+			list, err := controlserver.NewClient([]string{a}, time.Second).Versions()
 			if err != nil {
 				continue
 			}
--- a/internal/lab/history.go
+++ b/internal/faultlab/history.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"bankledge/internal/version"
+	"bankledge/internal/configversion"
 )
 
 // Event is one line of a history: what happened where, by one clock, from the start of the traffic.
@@ -61,7 +61,7 @@
 type History struct {
 	Schedule *Schedule
 	Events   []Event // in order of time
-	Versions []*version.Version
+	Versions []*configversion.Version
 }
 
 // Sort orders the events by time.
--- a/internal/lab/link_test.go
+++ b/internal/faultlab/link_test.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"io"
--- a/internal/lab/measure.go
+++ b/internal/faultlab/measure.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"math"
@@ -6,15 +6,15 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"bankledge/internal/harm"
+	"bankledge/internal/retrybudget"
 )
 
 // Harm is the fleet's bound for each kind of extra work, as the lab audits it.
-var Harm = harm.Bounds{Span: 5 * time.Second, Of: [harm.Kinds]harm.Bound{
-	harm.Further:   {OfCompleted: 0.5, OfTaken: 0.1},
-	harm.CallOff:   {OfCompleted: 0.5, OfTaken: 0.1},
-	harm.Probe:     {OfCompleted: 0.5, OfTaken: 0.5},
-	harm.Handshake: {OfCompleted: 1, OfTaken: 1},
+var Harm = retrybudget.Bounds{Window: 5 * time.Second, ByKind: [retrybudget.NumWorkKinds]retrybudget.Bound{
+	retrybudget.AdditionalAttempt: {PerCompleted: 0.5, PerAdmitted: 0.1},
+	retrybudget.Cancellation:      {PerCompleted: 0.5, PerAdmitted: 0.1},
+	retrybudget.HealthCheck:       {PerCompleted: 0.5, PerAdmitted: 0.5},
+	retrybudget.Handshake:         {PerCompleted: 1, PerAdmitted: 1},
 }}
 
 // Figures are what a history comes to.
--- a/internal/lab/router.go
+++ b/internal/faultlab/router.go
@@ -1,4 +1,4 @@
-package lab
+package faultlab
 
 import (
 	"bufio"
@@ -18,18 +18,18 @@
 	"syscall"
 	"time"
 
-	"bankledge/internal/guard"
-	"bankledge/internal/hostfault"
-	"bankledge/internal/standin"
-	"bankledge/internal/steer"
+	"bankledge/internal/controlclient"
+	"bankledge/internal/fakes"
+	"bankledge/internal/faultinject"
+	"bankledge/internal/invariant"
 )
 
 // router is a process of the real router, with all links that lead to and from it.
 type router struct {
 	f        *field
 	n        int
-	host     *hostfault.Host // nil: the machine's own; it outlives the process, as a host does
-	door     *Link           // from clients
+	host     *faultinject.Host // nil: the machine's own; it outlives the process, as a host does
+	door     *Link             // from clients
 	feed     *feed
 	feedLink *Link
 
@@ -38,15 +38,15 @@
 	cmd     *exec.Cmd
 	ended   chan struct{}
 	starts  int
-	clients []*standin.Client
-	open    map[*standin.Client]int // statements of each
+	clients []*fakes.Client
+	open    map[*fakes.Client]int // statements of each
 }
 
 func (f *field) newRouter(n int) (*router, error) {
-	r := &router{f: f, n: n, links: map[string]*Link{}, open: map[*standin.Client]int{}}
+	r := &router{f: f, n: n, links: map[string]*Link{}, open: map[*fakes.Client]int{}}
 	var err error
 	if f.library != "" {
-		if r.host, err = hostfault.New(f.library, f.dir, fmt.Sprintf("router-%d", n)); err != nil {
+		if r.host, err = faultinject.New(f.library, f.dir, fmt.Sprintf("router-%d", n)); err != nil {
 			return nil, err
 		}
 	}
@@ -175,7 +175,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	c, err := standin.Dial(r.door.Address())
+	c, err := fakes.Dial(r.door.Address())
 	if err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 
 // confesses notes what the router's own checks have found: a rule that it would have broken, or a panic.
 func (r *router) confesses(line []byte) {
-	if bytes.Contains(line, []byte(guard.Message)) || bytes.Contains(line, []byte(`"panic"`)) || bytes.HasPrefix(line, []byte("panic:")) {
+	if bytes.Contains(line, []byte(invariant.ViolationMessage)) || bytes.Contains(line, []byte(`"panic"`)) || bytes.HasPrefix(line, []byte("panic:")) {
 		r.f.note(Event{What: Violated, Router: r.n, Text: string(line)})
 	}
 }
@@ -197,8 +197,8 @@
 // controlFile writes where the control group is: by links of this router's own.
 func (r *router) controlFile() (string, error) {
 	s := GroupSpans
-	file := steer.File{Term: s.Term.Milliseconds(), Renew: s.Renew.Milliseconds(), Answer: s.Answer.Milliseconds(), Batch: s.Batch.Milliseconds(),
-		Pause: s.Pause.Milliseconds(), Drift: s.Drift, MostGone: 1}
+	file := controlclient.Config{LeaseMillis: s.LeaseDuration.Milliseconds(), RenewIntervalMillis: s.RenewInterval.Milliseconds(), ReplyTimeoutMillis: s.ReplyTimeout.Milliseconds(), MaxBatchMillis: s.MaxBatch.Milliseconds(),
+		MaxPauseMillis: s.MaxPause.Milliseconds(), MaxClockDrift: s.MaxClockDrift, MaxRemovedShare: 1}
 	for _, m := range r.f.members {
 		file.Addresses = append(file.Addresses, m.routers[r.n].Address())
 	}
@@ -269,10 +269,10 @@
 var errLeft = errors.New("the client left")
 
 // send sends a statement on a connection with room for it, and waits for its answer so long, or until it leaves.
-func (r *router) send(ctx context.Context, within, leave time.Duration, fields map[string]string, text string) standin.Answer {
+func (r *router) send(ctx context.Context, within, leave time.Duration, fields map[string]string, text string) fakes.Answer {
 	c, err := r.client()
 	if err != nil {
-		return standin.Answer{Err: err}
+		return fakes.Answer{Err: err}
 	}
 	defer func() {
 		r.mu.Lock()
@@ -289,15 +289,15 @@
 		return a
 	case <-leaves:
 		c.Leave(stream)
-		return standin.Answer{Err: errLeft}
+		return fakes.Answer{Err: errLeft}
 	case <-time.After(within):
-		return standin.Answer{Err: errors.New("no answer")}
+		return fakes.Answer{Err: errors.New("no answer")}
 	case <-ctx.Done():
-		return standin.Answer{Err: ctx.Err()}
+		return fakes.Answer{Err: ctx.Err()}
 	}
 }
 
-func (r *router) client() (*standin.Client, error) {
+func (r *router) client() (*fakes.Client, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := 0; i < len(r.clients); i++ {
@@ -312,7 +312,7 @@
 			return c, nil
 		}
 	}
-	c, err := standin.Dial(r.door.Address())
+	c, err := fakes.Dial(r.door.Address())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/shapes/shapes.go
+++ b/internal/fingerprint/shapes.go
@@ -1,7 +1,7 @@
 // Package shapes remembers what statements of one shape have shown: how long they ran, against their estimate too, what
 // memory they needed, and how each declared workload fared among them. Only ends of executions teach; what is
 // kept is bounded in bytes, and shapes seen once do not push out usual ones. It decides nothing and knows no clock.
-package shapes
+package fingerprint
 
 import (
 	"encoding/binary"
@@ -83,25 +83,25 @@
 func (s *Sketch) Spread() float64 { return (s.Quantile(0.9) - s.Quantile(0.1)) / 2.563 }
 
 // Recent holds the last few values.
-type Recent struct {
+type RecentRunTimes struct {
 	n  uint32
 	at [RecentRuns]float32
 }
 
 // Add takes a value in place of the oldest.
-func (r *Recent) Add(v float64) {
+func (r *RecentRunTimes) Add(v float64) {
 	r.at[r.n%RecentRuns] = float32(v)
 	r.n++
 }
 
 // N is how many values came in all.
-func (r *Recent) N() int { return int(r.n) }
+func (r *RecentRunTimes) N() int { return int(r.n) }
 
 // Full tells whether there are as many as are kept.
-func (r *Recent) Full() bool { return r.n >= RecentRuns }
+func (r *RecentRunTimes) Full() bool { return r.n >= RecentRuns }
 
 // sorted is the values kept, the least first, and how many there are.
-func (r *Recent) sorted() (kept [RecentRuns]float32, n int) {
+func (r *RecentRunTimes) sorted() (kept [RecentRuns]float32, n int) {
 	kept, n = r.at, min(int(r.n), RecentRuns)
 	for i := 1; i < n; i++ { // so few are sorted fastest by hand, and without a slice that escapes
 		for j := i; j > 0 && kept[j] < kept[j-1]; j-- {
@@ -112,7 +112,7 @@
 }
 
 // Median is the middle one; 0 if there is none.
-func (r *Recent) Median() float64 {
+func (r *RecentRunTimes) Median() float64 {
 	if r.n == 0 {
 		return 0
 	}
@@ -121,7 +121,7 @@
 }
 
 // High is one that nearly all lie below: the second highest of a full row.
-func (r *Recent) High() float64 {
+func (r *RecentRunTimes) High() float64 {
 	if r.n == 0 {
 		return 0
 	}
@@ -130,7 +130,7 @@
 }
 
 // Spread is the standard deviation that the inner seven of nine values speak for.
-func (r *Recent) Spread() float64 {
+func (r *RecentRunTimes) Spread() float64 {
 	sorted, n := r.sorted()
 	if n < RecentRuns {
 		return 0
@@ -140,22 +140,22 @@
 
 // Record is what one shape has shown. All values are natural logarithms.
 type Record struct {
-	Run    Sketch // seconds, on an idle engine
-	Ratio  Sketch // run over the declared estimate
-	Memory Sketch // memory needed over the declared estimate
-	Voted  bool   // what it says of labels has been counted
+	Run          Sketch // seconds, on an idle engine
+	Ratio        Sketch // run over the declared estimate
+	Memory       Sketch // memory needed over the declared estimate
+	LabelCounted bool   // what it says of labels has been counted
 
 	seen  time.Duration
-	last  Recent
-	cells []Recent  // by declared workload
-	then  [2]bounds // of all runs, up to 9 and up to 18 runs ago: what has changed since does not blur them
+	last  RecentRunTimes
+	cells []RecentRunTimes // by declared workload
+	then  [2]bounds        // of all runs, up to 9 and up to 18 runs ago: what has changed since does not blur them
 }
 
 // bounds are the 10th, 50th and 90th percentiles of so many runs.
 type bounds struct{ low, middle, high, n float64 }
 
 // Cell is what statements of this shape declared as a workload have shown; nil: nothing.
-func (r *Record) Cell(workload int) *Recent {
+func (r *Record) RunTimesOf(workload int) *RecentRunTimes {
 	if r == nil || workload >= len(r.cells) || r.cells[workload].n == 0 {
 		return nil
 	}
@@ -173,12 +173,12 @@
 // Ran teaches one run: of a declared workload, so many seconds long, over its estimate in seconds where there is one.
 // It tells whether the shape's behaviour has changed: eight of its last nine runs lie on one side of nearly all before.
 // Then what was known before them is forgotten.
-func (r *Record) Ran(now time.Duration, workload int, seconds, estimate float64) (changed bool) {
+func (r *Record) AddRun(now time.Duration, workload int, seconds, estimate float64) (changed bool) {
 	v := math.Log(max(seconds, leastRuns))
 	r.seen = now
 	if workload < mostCells {
 		for len(r.cells) <= workload {
-			r.cells = append(r.cells, Recent{})
+			r.cells = append(r.cells, RecentRunTimes{})
 		}
 		r.cells[workload].Add(v)
 	}
@@ -203,7 +203,7 @@
 	for _, old := range sorted {
 		r.Run.Add(float64(old))
 	}
-	r.last, r.then, r.Voted = Recent{}, [2]bounds{}, false
+	r.last, r.then, r.LabelCounted = RecentRunTimes{}, [2]bounds{}, false
 	return true
 }
 
@@ -228,7 +228,7 @@
 func (c *Cache) Counts() (hits, misses int64) { return c.hits, c.misses }
 
 // Met notes that a statement of a shape has come, and returns what is known of the shape, or nil.
-func (c *Cache) Met(shape uint64) *Record {
+func (c *Cache) Lookup(shape uint64) *Record {
 	binary.LittleEndian.PutUint64(c.key[:], shape)
 	if found, ok := c.lfu.Get(string(c.key[:])); ok {
 		c.hits++
@@ -240,7 +240,7 @@
 
 // Learns returns the record of a shape of which a run ended, a new one if need be. Whether that one stays is decided
 // by how often its shape is met against the one that it would push out.
-func (c *Cache) Learns(shape uint64) *Record {
+func (c *Cache) RecordFor(shape uint64) *Record {
 	binary.LittleEndian.PutUint64(c.key[:], shape)
 	if found, ok := c.lfu.Get(string(c.key[:])); ok {
 		return found.(*Record)
--- a/internal/shapes/shapes_test.go
+++ b/internal/fingerprint/shapes_test.go
@@ -1,4 +1,4 @@
-package shapes
+package fingerprint
 
 import (
 	"math"
@@ -38,13 +38,13 @@
 	return map[string]func() store{
 		"tinylfu": func() store {
 			c := NewCache(bytes)
-			return store{c.Met, func(k uint64) { c.Learns(k).Ran(0, 0, 1, 1) }}
+			return store{c.Lookup, func(k uint64) { c.RecordFor(k).AddRun(0, 0, 1, 1) }}
 		},
 		"lru": func() store {
 			c, _ := simplelru.NewLRU[uint64, *Record](bytes/RecordBytes, nil)
 			return store{func(k uint64) *Record { r, _ := c.Get(k); return r }, func(k uint64) {
 				r := &Record{}
-				r.Ran(0, 0, 1, 1)
+				r.AddRun(0, 0, 1, 1)
 				c.Add(k, r)
 			}}
 		},
@@ -52,7 +52,7 @@
 			m := map[uint64]*Record{}
 			return store{func(k uint64) *Record { return m[k] }, func(k uint64) {
 				r := &Record{}
-				r.Ran(0, 0, 1, 1)
+				r.AddRun(0, 0, 1, 1)
 				m[k] = r
 			}}
 		},
@@ -113,9 +113,9 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 60 * c.Size() {
 		shape := spread(uint64(r.IntN(c.Size())))
-		c.Met(shape)
-		rec := c.Learns(shape)
-		rec.Ran(0, r.IntN(3), math.Exp(r.NormFloat64()), 1)
+		c.Lookup(shape)
+		rec := c.RecordFor(shape)
+		rec.AddRun(0, r.IntN(3), math.Exp(r.NormFloat64()), 1)
 		rec.Memory.Add(r.NormFloat64())
 	}
 	each := float64(heap()-before) / float64(c.Size())
@@ -146,8 +146,8 @@
 	t.Run("nothing is known of none", func(t *testing.T) {
 		var r *Record
 		assert.Zero(t, r.Runs(0))
-		assert.Nil(t, r.Cell(0))
-		assert.Nil(t, (&Record{}).Cell(3))
+		assert.Nil(t, r.RunTimesOf(0))
+		assert.Nil(t, (&Record{}).RunTimesOf(3))
 	})
 	t.Run("a change is noticed within nine runs, and never where there is none", func(t *testing.T) {
 		r := rand.New(rand.NewPCG(2, 2))
@@ -162,7 +162,7 @@
 					if i >= before {
 						seconds *= c.factor
 					}
-					changed := rec.Ran(time.Duration(i), 0, seconds, 1)
+					changed := rec.AddRun(time.Duration(i), 0, seconds, 1)
 					require.False(t, changed && i < before, "where nothing changed")
 					if changed && noticed == 0 {
 						noticed = i - before + 1
@@ -181,15 +181,15 @@
 	t.Run("knowledge fades unseen", func(t *testing.T) {
 		rec := &Record{}
 		for range 16 {
-			rec.Ran(time.Hour, 0, 1, 0)
+			rec.AddRun(time.Hour, 0, 1, 0)
 		}
 		assert.Equal(t, []float64{16, 8, 4}, []float64{rec.Runs(time.Hour), rec.Runs(2 * time.Hour), rec.Runs(3 * time.Hour)})
 	})
 	t.Run("workloads beyond those told apart teach the shape all the same", func(t *testing.T) {
 		rec := &Record{}
-		rec.Ran(0, mostCells, 1, 1)
-		rec.Ran(0, 1<<30, math.Inf(1), 0)
-		assert.Nil(t, rec.Cell(mostCells))
+		rec.AddRun(0, mostCells, 1, 1)
+		rec.AddRun(0, 1<<30, math.Inf(1), 0)
+		assert.Nil(t, rec.RunTimesOf(mostCells))
 		assert.Equal(t, 1.0, rec.Run.N())
 	})
 }
@@ -214,6 +214,6 @@
 	r, rec := rand.New(rand.NewPCG(1, 1)), &Record{}
 	b.ReportAllocs()
 	for b.Loop() {
-		rec.Ran(0, 0, math.Exp(r.NormFloat64()), 1)
+		rec.AddRun(0, 0, math.Exp(r.NormFloat64()), 1)
 	}
 }
--- a/internal/account/account.go
+++ b/internal/flowcontrol/account.go
@@ -1,20 +1,20 @@
 // Package account keeps what waits on behalf of each peer, and tells when it is too much or moves too slowly. A peer is
 // one connection; all connections of one address make up a host; one book holds all. It is told of bytes and times, and
 // answers with verdicts: no I/O, no clock, no goroutines. A lock of its owner guards it.
-package account
+package flowcontrol
 
 import "time"
 
 // Limits are what may wait. Bytes, bytes a second.
 type Limits struct {
-	Out        int64         // of answers, for all peers: queued, or written and not yet taken in
-	Texts      int64         // of statements held, for all peers
-	Kernel     int64         // written to one peer and not yet taken in, before no more is written
-	ReaderRate int64         // the least at which a peer takes its answers in, in the mean over Window
-	WriterRate int64         // the least at which a frame comes in after FrameGrace
-	Grace      time.Duration // before a reader is judged
-	Window     time.Duration // over which it is judged
-	FrameGrace time.Duration // in which any frame may come, however slowly
+	AnswerBytes     int64         // of answers, for all peers: queued, or written and not yet taken in
+	TextBytes       int64         // of statements held, for all peers
+	SendBufferBytes int64         // written to one peer and not yet taken in, before no more is written
+	MinReadRate     int64         // the least at which a peer takes its answers in, in the mean over Window
+	MinWriteRate    int64         // the least at which a frame comes in after FrameGrace
+	ReadGrace       time.Duration // before a reader is judged
+	ReadWindow      time.Duration // over which it is judged
+	FrameGrace      time.Duration // in which any frame may come, however slowly
 }
 
 // The shares that limits are derived by, and the rates and times that stand whatever the machine.
@@ -32,10 +32,10 @@
 )
 
 // Derive works out limits for so much memory and so many connections.
-func Derive(memoryMB int64, peers int) Limits {
+func DeriveLimits(memoryMB int64, peers int) Limits {
 	out := memoryMB << 20 / outShare
-	return Limits{Out: out, Texts: memoryMB << 20 / textShare, Kernel: min(max(out/int64(max(1, peers)), leastKernel), mostKernel),
-		ReaderRate: readerRate, WriterRate: writerRate, Grace: grace, Window: window, FrameGrace: frameGrace}
+	return Limits{AnswerBytes: out, TextBytes: memoryMB << 20 / textShare, SendBufferBytes: min(max(out/int64(max(1, peers)), leastKernel), mostKernel),
+		MinReadRate: readerRate, MinWriteRate: writerRate, ReadGrace: grace, ReadWindow: window, FrameGrace: frameGrace}
 }
 
 const (
@@ -49,7 +49,7 @@
 )
 
 // Book holds the accounts of all peers.
-type Book struct {
+type Controller struct {
 	limits  Limits
 	out     int64
 	texts   int64
@@ -66,13 +66,15 @@
 }
 
 // NewBook opens a book.
-func NewBook(limits Limits) *Book { return &Book{limits: limits, hosts: map[string]*host{}} }
+func NewController(limits Limits) *Controller {
+	return &Controller{limits: limits, hosts: map[string]*host{}}
+}
 
 // Limits are those in force.
-func (b *Book) Limits() Limits { return b.limits }
+func (b *Controller) Limits() Limits { return b.limits }
 
 // Held is what waits in all: bytes of answers, bytes of texts, and peers.
-func (b *Book) Held() (out, texts int64, peers int) {
+func (b *Controller) Usage() (out, texts int64, peers int) {
 	for _, h := range b.hosts {
 		peers += h.peers
 	}
@@ -81,19 +83,19 @@
 
 // Peer is one connection's account.
 type Peer struct {
-	book    *Book
+	book    *Controller
 	host    *host
 	queued  int64 // answers not written yet
 	kernel  int64 // written and, as last seen, not yet taken in
 	texts   int64
-	took    int64 // in all
-	denied  bool  // an answer could not be kept for it; nothing more is done for it until there is room again
-	reading Meter // how it takes answers in
+	took    int64     // in all
+	denied  bool      // an answer could not be kept for it; nothing more is done for it until there is room again
+	reading RateMeter // how it takes answers in
 	closed  bool
 }
 
 // Open opens the account of a connection from an address.
-func (b *Book) Open(address string) *Peer {
+func (b *Controller) OpenPeer(address string) *Peer {
 	h := b.hosts[address]
 	if h == nil {
 		h = &host{name: address}
@@ -121,14 +123,14 @@
 }
 
 // Out is how much waits for the peer.
-func (p *Peer) Out() int64 { return p.queued + p.kernel }
+func (p *Peer) PendingBytes() int64 { return p.queued + p.kernel }
 
 // Kernel is what was written to it and, as last seen, not yet taken in.
-func (p *Peer) Kernel() int64 { return p.kernel }
+func (p *Peer) SendBufferBytes() int64 { return p.kernel }
 
 // add changes what is out, here and all the way up.
 func (p *Peer) add(n int64) {
-	before := p.Out()
+	before := p.PendingBytes()
 	h, b := p.host, p.book
 	if h.out == 0 && n > 0 {
 		b.waiting++
@@ -151,57 +153,59 @@
 	if p.host.out == 0 {
 		others++
 	}
-	if p.Out() == 0 {
+	if p.PendingBytes() == 0 {
 		peers++
 	}
-	return (p.book.limits.Out - p.book.limits.Out/reserve) / int64(max(1, others)) / int64(max(1, peers))
+	return (p.book.limits.AnswerBytes - p.book.limits.AnswerBytes/reserve) / int64(max(1, others)) / int64(max(1, peers))
 }
 
 // Queue asks whether an answer of so many bytes may wait for the peer, and books it if so. One for which nothing waits may
 // have one more, and one that has taken its answers so far a few, as long as there is memory: what waits for others, in
 // the part of it that is shared, does not count against these.
-func (p *Peer) Queue(now time.Duration, n int64) bool {
+func (p *Peer) TryQueue(now time.Duration, n int64) bool {
 	b := p.book
 	was := p.denied
 	p.denied = true
 	switch {
 	case p.closed:
 		return false
-	case b.out+n > b.limits.Out:
+	case b.out+n > b.limits.AnswerBytes:
 		return false
-	case p.Out() == 0: // one is kept for anyone
+	case p.PendingBytes() == 0: // one is kept for anyone
 	case p.kernel == 0 && p.took >= trustOver*n && p.queued+n <= trustMost: // for one that takes its answers, some more
-	case b.out+n <= b.limits.Out/2 && p.Out()+n <= firstMost: // in hand when it turned out to be slow
-	case b.out+n > b.limits.Out-b.limits.Out/reserve || p.Out()+n > p.share():
+	case b.out+n <= b.limits.AnswerBytes/2 && p.PendingBytes()+n <= firstMost: // in hand when it turned out to be slow
+	case b.out+n > b.limits.AnswerBytes-b.limits.AnswerBytes/reserve || p.PendingBytes()+n > p.share():
 		return false
 	}
 	p.denied = was
-	p.Force(now, n)
+	p.ForceQueue(now, n)
 	return true
 }
 
 // Force books what has to be said whatever waits: the short words that end a statement or a connection.
-func (p *Peer) Force(now time.Duration, n int64) {
+func (p *Peer) ForceQueue(now time.Duration, n int64) {
 	if p.closed {
 		return
 	}
 	p.add(n)
 	p.queued += n
-	p.reading.Waits(now, true)
+	p.reading.SetWaiting(now, true)
 }
 
 // MayWrite tells whether so much may be written now without the kernel holding more than it should.
-func (p *Peer) MayWrite(n int64) bool { return p.kernel == 0 || p.kernel+n <= p.book.limits.Kernel }
+func (p *Peer) CanWrite(n int64) bool {
+	return p.kernel == 0 || p.kernel+n <= p.book.limits.SendBufferBytes
+}
 
 // Wrote notes that so much was handed to the kernel.
-func (p *Peer) Wrote(n int64) {
+func (p *Peer) RecordWritten(n int64) {
 	if !p.closed {
 		p.queued, p.kernel = p.queued-n, p.kernel+n
 	}
 }
 
 // Left notes how much of what was written the peer has not taken in yet, as the kernel tells.
-func (p *Peer) Left(now time.Duration, left int64) {
+func (p *Peer) RecordUnsent(now time.Duration, left int64) {
 	if p.closed || left >= p.kernel {
 		return
 	}
@@ -209,36 +213,36 @@
 	p.add(-taken)
 	p.kernel = left
 	p.took += taken
-	p.reading.Moved(now, taken)
-	p.reading.Waits(now, p.Out() > 0)
+	p.reading.Record(now, taken)
+	p.reading.SetWaiting(now, p.PendingBytes() > 0)
 }
 
 // Stalled tells whether so much waits for the peer that nothing further is taken from it, nor done for it.
 func (p *Peer) Stalled() bool {
-	b, out := p.book, p.Out()
-	if p.denied = p.denied && b.out > b.limits.Out/2; p.denied {
+	b, out := p.book, p.PendingBytes()
+	if p.denied = p.denied && b.out > b.limits.AnswerBytes/2; p.denied {
 		return true
 	}
 	if out > 0 && p.took >= trustOver*out {
 		return out > trustMost
 	}
-	return out > p.share()/stallShare || out > 0 && (out > firstMost || b.out > b.limits.Out/pressure)
+	return out > p.share()/stallShare || out > 0 && (out > firstMost || b.out > b.limits.AnswerBytes/pressure)
 }
 
 // TooSlow tells whether the peer takes its answers in at less than the least rate. It is judged only while something
 // waits for it, and not where all that waits is taken in within the window, however little that is.
 func (p *Peer) TooSlow(now time.Duration) bool {
 	l := p.book.limits
-	moved, judged := p.reading.Over(now, l.Grace, l.Window)
-	return judged && moved < p.Out() && moved < int64(float64(l.ReaderRate)*l.Window.Seconds())
+	moved, judged := p.reading.MovedWithin(now, l.ReadGrace, l.ReadWindow)
+	return judged && moved < p.PendingBytes() && moved < int64(float64(l.MinReadRate)*l.ReadWindow.Seconds())
 }
 
 // HoldText asks whether a statement's text may be held for the peer, and books it if so. Half of the room goes to
 // whoever comes first, the rest to hosts alike and within one to its peers, so that one that floods waits for itself.
-func (p *Peer) HoldText(n int64) bool {
+func (p *Peer) ReserveText(n int64) bool {
 	b, h := p.book, p.host
-	free := b.limits.Texts / textLeast
-	if b.texts+n > b.limits.Texts || b.texts+n > free && p.texts > 0 && p.texts+n > free/int64(max(1, len(b.hosts)))/int64(max(1, h.peers)) {
+	free := b.limits.TextBytes / textLeast
+	if b.texts+n > b.limits.TextBytes || b.texts+n > free && p.texts > 0 && p.texts+n > free/int64(max(1, len(b.hosts)))/int64(max(1, h.peers)) {
 		return false
 	}
 	b.texts, h.texts, p.texts = b.texts+n, h.texts+n, p.texts+n
@@ -246,7 +250,7 @@
 }
 
 // GiveText gives back a text, also after Close.
-func (p *Peer) GiveText(n int64) {
+func (p *Peer) ReleaseText(n int64) {
 	p.book.texts, p.host.texts, p.texts = p.book.texts-n, p.host.texts-n, p.texts-n
 	if p.closed {
 		p.tidy()
@@ -257,7 +261,7 @@
 const meterSlots = 16
 
 // Meter measures how much moves, over a sliding window, while somebody is waited for.
-type Meter struct {
+type RateMeter struct {
 	waits bool
 	since time.Duration // it is waited for
 	step  int64         // the slot last written
@@ -265,15 +269,15 @@
 }
 
 // Waits notes whether the peer is waited for from now on. What moved before a wait does not count for it.
-func (m *Meter) Waits(now time.Duration, waits bool) {
+func (m *RateMeter) SetWaiting(now time.Duration, waits bool) {
 	if waits && !m.waits {
-		*m = Meter{since: now, step: -1}
+		*m = RateMeter{since: now, step: -1}
 	}
 	m.waits = waits
 }
 
 // Moved notes that so much has moved by now. Slots are of one width for all windows.
-func (m *Meter) Moved(now time.Duration, n int64) {
+func (m *RateMeter) Record(now time.Duration, n int64) {
 	step := int64(now / slotWidth)
 	if m.step < 0 {
 		m.step = step
@@ -293,11 +297,11 @@
 
 // Over is how much has moved over the window; judged: the peer has been waited for over the grace and the window without
 // a break.
-func (m *Meter) Over(now time.Duration, grace, window time.Duration) (moved int64, judged bool) {
+func (m *RateMeter) MovedWithin(now time.Duration, grace, window time.Duration) (moved int64, judged bool) {
 	if !m.waits || now-m.since < grace+window {
 		return 0, false
 	}
-	m.Moved(now, 0)
+	m.Record(now, 0)
 	for i := range min(int64(window/slotWidth), meterSlots-1) {
 		moved += m.moved[(m.step-i+2*meterSlots)%meterSlots]
 	}
@@ -306,7 +310,7 @@
 
 // FrameWait is how long to wait for the next bytes of a frame that has been coming for so long, and of which so much has
 // come since the grace ended: from there on it has to come at the least rate, half a second's worth ahead.
-func (l Limits) FrameWait(since time.Duration, sinceGrace int64) time.Duration {
-	ahead := time.Duration(float64(sinceGrace) / float64(l.WriterRate) * float64(time.Second))
+func (l Limits) FrameReadTimeout(since time.Duration, sinceGrace int64) time.Duration {
+	ahead := time.Duration(float64(sinceGrace) / float64(l.MinWriteRate) * float64(time.Second))
 	return l.FrameGrace + frameSlack + ahead - since
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"bankledge/internal/buffer"
+	"bankledge/internal/readbuffer"
 )
 
 const (
@@ -25,35 +25,35 @@
 var ErrMalformed = errors.New("malformed HTTP")
 
 // Head is an answer's status and headers.
-type Head struct {
+type Header struct {
 	Status int
 	Close  bool // the connection ends with this answer
 	fields map[string]string
 }
 
 // Get is the value of a header, named in any case; empty if absent.
-func (h Head) Get(name string) string { return h.fields[strings.ToLower(name)] }
+func (h Header) Field(name string) string { return h.fields[strings.ToLower(name)] }
 
 // Reader reads the answers on one connection.
 type Reader struct {
 	src io.Reader
-	buf *buffer.Buffer
+	buf *readbuffer.Buffer
 }
 
 // NewReader reads answers from a connection.
-func NewReader(src io.Reader) *Reader { return &Reader{src: src, buf: buffer.New(readAhead)} }
+func NewReader(src io.Reader) *Reader { return &Reader{src: src, buf: readbuffer.New(readAhead)} }
 
 // Buffered tells whether bytes were read that no call has taken.
-func (r *Reader) Buffered() bool { return len(r.buf.Next()) > 0 }
+func (r *Reader) Buffered() bool { return len(r.buf.Bytes()) > 0 }
 
 // Answer reads a whole answer, with a body of at most so many bytes. What claims to hold more is not read, and a
 // body that only the end of the connection ends is none: nothing tells whether it came whole.
-func (r *Reader) Answer(most int) (Head, []byte, error) {
-	head, err := r.Head()
+func (r *Reader) ReadResponse(most int) (Header, []byte, error) {
+	head, err := r.ReadHeader()
 	if err != nil {
 		return head, nil, err
 	}
-	switch body := r.Body(head).(type) {
+	switch body := r.BodyReader(head).(type) {
 	case untilEnd:
 		return head, nil, fmt.Errorf("%w: a body without an end", ErrMalformed)
 	case *sized:
@@ -61,7 +61,7 @@
 			return head, nil, fmt.Errorf("%w: body over %d bytes", ErrMalformed, most)
 		}
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body(head), int64(most)+1))
+	body, err := io.ReadAll(io.LimitReader(r.BodyReader(head), int64(most)+1))
 	if err == nil && len(body) > most {
 		err = fmt.Errorf("%w: body over %d bytes", ErrMalformed, most)
 	}
@@ -69,65 +69,65 @@
 }
 
 // Head reads a status line and headers; interim answers are passed over.
-func (r *Reader) Head() (Head, error) {
+func (r *Reader) ReadHeader() (Header, error) {
 	for early := 0; ; {
-		raw := r.buf.Next()
+		raw := r.buf.Bytes()
 		if i := bytes.Index(raw, []byte("\r\n\r\n")); i >= 0 && i <= mostHead {
-			head, err := ParseHead(raw[:i])
-			r.buf.Take(i + 4)
+			head, err := ParseHeader(raw[:i])
+			r.buf.Discard(i + 4)
 			if err != nil || head.Status >= 200 {
 				return head, err
 			}
 			if early++; early > mostEarly {
-				return Head{}, fmt.Errorf("%w: over %d interim answers", ErrMalformed, mostEarly)
+				return Header{}, fmt.Errorf("%w: over %d interim answers", ErrMalformed, mostEarly)
 			}
 			continue
 		}
 		if len(raw) > mostHead {
-			return Head{}, fmt.Errorf("%w: headers over %d bytes", ErrMalformed, mostHead)
+			return Header{}, fmt.Errorf("%w: headers over %d bytes", ErrMalformed, mostHead)
 		}
 		if err := r.fill(); err != nil {
-			return Head{}, err
+			return Header{}, err
 		}
 	}
 }
 
 // ParseHead reads a status line and headers, without the empty line that ends them.
-func ParseHead(raw []byte) (Head, error) {
+func ParseHeader(raw []byte) (Header, error) {
 	lines := strings.Split(string(raw), "\r\n")
 	version, rest, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 || (version != "HTTP/1.1" && version != "HTTP/1.0") {
-		return Head{}, fmt.Errorf("%w: status line", ErrMalformed)
+		return Header{}, fmt.Errorf("%w: status line", ErrMalformed)
 	}
-	h := Head{Status: status, fields: make(map[string]string, len(lines)), Close: version == "HTTP/1.0"}
+	h := Header{Status: status, fields: make(map[string]string, len(lines)), Close: version == "HTTP/1.0"}
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t\r\n") {
-			return Head{}, fmt.Errorf("%w: header line", ErrMalformed)
+			return Header{}, fmt.Errorf("%w: header line", ErrMalformed)
 		}
 		name, value = strings.ToLower(name), strings.Trim(value, " \t")
 		if old, twice := h.fields[name]; twice && name == "content-length" && old != value {
-			return Head{}, fmt.Errorf("%w: two lengths", ErrMalformed)
+			return Header{}, fmt.Errorf("%w: two lengths", ErrMalformed)
 		}
 		h.fields[name] = value
 	}
-	if strings.EqualFold(h.Get("Connection"), "close") {
+	if strings.EqualFold(h.Field("Connection"), "close") {
 		h.Close = true
 	}
 	return h, nil
 }
 
 // Body reads the body that belongs to a head.
-func (r *Reader) Body(h Head) io.Reader {
-	length := h.Get("Content-Length")
+func (r *Reader) BodyReader(h Header) io.Reader {
+	length := h.Field("Content-Length")
 	n, err := strconv.ParseUint(length, 10, 62)
 	switch {
 	case h.Status == 204 || h.Status == 304:
 		return &sized{r, 0}
-	case h.Get("Transfer-Encoding") != "":
-		if !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked") {
+	case h.Field("Transfer-Encoding") != "":
+		if !strings.EqualFold(h.Field("Transfer-Encoding"), "chunked") {
 			return broken{fmt.Errorf("%w: transfer coding", ErrMalformed)}
 		}
 		return &chunked{r: r}
@@ -148,23 +148,23 @@
 }
 
 func (r *Reader) take(p []byte) (int, error) {
-	for len(r.buf.Next()) == 0 {
+	for len(r.buf.Bytes()) == 0 {
 		if err := r.fill(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, r.buf.Next())
-	r.buf.Take(n)
+	n := copy(p, r.buf.Bytes())
+	r.buf.Discard(n)
 	return n, nil
 }
 
 // line reads one line of a chunked body.
 func (r *Reader) line() (string, error) {
 	for {
-		raw := r.buf.Next()
+		raw := r.buf.Bytes()
 		if i := bytes.Index(raw, []byte("\r\n")); i >= 0 && i <= mostLine {
 			line := string(raw[:i])
-			r.buf.Take(i + 2)
+			r.buf.Discard(i + 2)
 			return line, nil
 		}
 		if len(raw) > mostLine {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -43,7 +43,7 @@
 		{"an endless chunk line", ok + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1", 300), "", "chunk line", 200, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			head, body, err := NewReader(iotest.OneByteReader(strings.NewReader(c.in))).Answer(64)
+			head, body, err := NewReader(iotest.OneByteReader(strings.NewReader(c.in))).ReadResponse(64)
 			if c.err != "" {
 				require.ErrorContains(t, err, c.err)
 				return
@@ -60,7 +60,7 @@
 	r := NewReader(strings.NewReader(ok + "Content-Length: 1\r\n\r\na" + ok + "X: y\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nb\r\n0\r\n\r\n" +
 		ok + "Content-Length: 1\r\n\r\nc"))
 	for _, want := range []string{"a", "b", "c"} {
-		_, body, err := r.Answer(64)
+		_, body, err := r.ReadResponse(64)
 		require.NoError(t, err)
 		assert.Equal(t, want, string(body))
 	}
@@ -72,7 +72,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, in string) {
-		_, body, err := NewReader(strings.NewReader(in)).Answer(64)
+		_, body, err := NewReader(strings.NewReader(in)).ReadResponse(64)
 		if err == nil && len(body) > 64 {
 			t.Fatalf("%d bytes of body", len(body))
 		}
--- a/internal/http1/recorded_test.go
+++ b/internal/http1/recorded_test.go
@@ -95,7 +95,7 @@
 // describeAnswer reads an answer and says what came of it, with the whole text of an error.
 func describeAnswer(input string) string {
 	reader := NewReader(iotest.OneByteReader(strings.NewReader(input)))
-	head, body, err := reader.Answer(bodyLimit)
+	head, body, err := reader.ReadResponse(bodyLimit)
 	shown := input
 	if len(shown) > 400 {
 		shown = fmt.Sprintf("%s... (%d bytes)", shown[:100], len(shown))
--- a/internal/guard/violations.go
+++ b/internal/invariant/violations.go
@@ -1,7 +1,7 @@
 // Package guard checks at run time, beside whatever decided it, that each act in the life of a request keeps the rules: sending,
 // repeating, answering, ending an execution and closing a connection. It has no clock, does no I/O and decides nothing: who asks
 // it does not do what would break a rule, and the violation is counted and logged. A count above zero is a defect of the router.
-package guard
+package invariant
 
 import (
 	"fmt"
@@ -17,15 +17,15 @@
 
 // The rules.
 const (
-	OneExecutionAtOnce Rule = iota // no execution begins while another of the statement is out, where second copies are not allowed
-	NoEffectTwice                  // what may have run is repeated only as its workload allows
-	WithinExecutions               // no more executions of a statement than the settings allow
-	NothingAfterEnd                // no execution begins once the statement is over
-	Placement                      // a statement runs only in the zones and on the kinds of machine that its workload allows
-	OneAnswer                      // a statement has one final answer
-	TrueRejection                  // a rejection says that nothing ran, or that a repeat is harmless
-	ProvenEnd                      // an execution that was started ends with a proof that its engine does not run it
-	NoLostRequest                  // a client connection is not closed while a request on it is owed an answer
+	OneAttemptAtATime    Rule = iota // no execution begins while another of the statement is out, where second copies are not allowed
+	NoDuplicateEffect                // what may have run is repeated only as its workload allows
+	WithinAttemptLimit               // no more executions of a statement than the settings allow
+	NoAttemptAfterFinish             // no execution begins once the statement is over
+	Placement                        // a statement runs only in the zones and on the kinds of machine that its workload allows
+	OneAnswer                        // a statement has one final answer
+	SafeRejection                    // a rejection says that nothing ran, or that a repeat is harmless
+	ProvenAttemptEnd                 // an execution that was started ends with a proof that its engine does not run it
+	NoLostRequest                    // a client connection is not closed while a request on it is owed an answer
 	numRules
 )
 
@@ -47,28 +47,28 @@
 }
 
 // Violations counts violations by rule, and logs each. Goroutines share it.
-type Violations struct {
+type Recorder struct {
 	log    *zap.Logger
 	counts [numRules]atomic.Int64
 }
 
 // NewViolations returns a count of none.
-func NewViolations(log *zap.Logger) *Violations { return &Violations{log: log} }
+func NewRecorder(log *zap.Logger) *Recorder { return &Recorder{log: log} }
 
 // Message is the message of the log line that a violation leaves.
-const Message = "rule violated, not done"
+const ViolationMessage = "rule violated, not done"
 
 // Count counts a violation and logs it.
-func (v *Violations) Count(x *Violation) {
+func (v *Recorder) Record(x *Violation) {
 	v.counts[x.Rule].Add(1)
-	v.log.Error(Message, zap.Stringer("rule", x.Rule), zap.String("statement", string(x.Statement)), zap.String("detail", x.Detail), zap.Stack("stack"))
+	v.log.Error(ViolationMessage, zap.Stringer("rule", x.Rule), zap.String("statement", string(x.Statement)), zap.String("detail", x.Detail), zap.Stack("stack"))
 }
 
 // Of is how often a rule would have been broken.
-func (v *Violations) Of(r Rule) int64 { return v.counts[r].Load() }
+func (v *Recorder) Recorded(r Rule) int64 { return v.counts[r].Load() }
 
 // Total is how often any rule would have been broken.
-func (v *Violations) Total() (n int64) {
+func (v *Recorder) Total() (n int64) {
 	for r := range v.counts {
 		n += v.counts[r].Load()
 	}
--- a/internal/agree/recording_test.go
+++ b/internal/lease/recording_test.go
@@ -1,4 +1,4 @@
-package agree
+package lease
 
 import (
 	"crypto/sha256"
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"bankledge/internal/configversion"
 	"bankledge/internal/rules"
-	"bankledge/internal/version"
 )
 
 // The recordings drive the state machines with generated events and hash every action, rendered in words that no rename changes. The
@@ -67,13 +67,13 @@
 }
 
 // generatedVersions is a lineage whose rules tighten and loosen, with a list of engines from the second version on.
-func generatedVersions(t *testing.T, random *rand.Rand, lineage string, n int) []*version.Version {
+func generatedVersions(t *testing.T, random *rand.Rand, lineage string, n int) []*configversion.Version {
 	t.Helper()
-	var list []*version.Version
-	var before *version.Version
+	var list []*configversion.Version
+	var before *configversion.Version
 	for i := range n {
-		r := &rules.Rules{Routers: 3 + random.IntN(2), ColdMultiple: float64(random.IntN(5)), ColdShare: 0.25, Probes: float64(1 + random.IntN(3)),
-			Shares: map[string]float64{"a": float64(random.IntN(3))}, MayTurnAway: []string{"a", "b", "c"}[:random.IntN(4)]}
+		r := &rules.Rules{Routers: 3 + random.IntN(2), SlowStartMultiple: float64(random.IntN(5)), SlowStartShare: 0.25, HealthChecksPerStatement: float64(1 + random.IntN(3)),
+			TenantQuotas: map[string]float64{"a": float64(random.IntN(3))}, SheddableWorkloads: []string{"a", "b", "c"}[:random.IntN(4)]}
 		if i > 0 {
 			r.Engines = map[string]rules.Engine{}
 			for e := range 4 {
@@ -83,12 +83,12 @@
 				}
 			}
 		}
-		require.NoError(t, r.Check())
+		require.NoError(t, r.Validate())
 		var forced []string
 		if random.IntN(4) > 0 {
-			forced = version.Names()
+			forced = configversion.GuardNames()
 		}
-		before = version.New(before, lineage, r, forced, fmt.Sprint("note ", i))
+		before = configversion.New(before, lineage, r, forced, fmt.Sprint("note ", i))
 		list = append(list, before)
 	}
 	return list
@@ -117,39 +117,39 @@
 func recordClient(r *recording) {
 	versions := generatedVersions(r.t, r.random, "l", 200)
 	other := generatedVersions(r.t, r.random, "m", 200)
-	own := &rules.Rules{Routers: 4, ColdMultiple: 2, ColdShare: 0.25, Probes: 2, MayTurnAway: []string{"a"}}
-	require.NoError(r.t, own.Check())
+	own := &rules.Rules{Routers: 4, SlowStartMultiple: 2, SlowStartShare: 0.25, HealthChecksPerStatement: 2, SheddableWorkloads: []string{"a"}}
+	require.NoError(r.t, own.Validate())
 	lineage := ""
 	if r.chance(0.5) {
 		lineage = "l"
 	}
-	client := NewRouter(Setup{Spans: Defaults(), Name: "r1", Incarnation: "x", Lineage: lineage, Own: own, Guards: version.Guards{MostGone: 0.5},
-		Addresses: 1 + r.random.IntN(3), Seed: r.random.Uint64()})
+	client := NewClient(ClientSettings{Durations: DefaultDurations(), Name: "r1", Incarnation: "x", Lineage: lineage, LocalRules: own, Guards: configversion.Guards{MaxRemovedShare: 0.5},
+		AddressCount: 1 + r.random.IntN(3), Seed: r.random.Uint64()})
 	var renewals []Renewal    // that have been sent, the last of them
 	known := r.random.IntN(2) // number of the version that the client was sent last
 	newest := known + 1       // number of the version that was written last
-	step := func(event RouterEvent) {
+	step := func(event ClientEvent) {
 		for _, action := range client.Step(r.now, event) {
 			switch a := action.(type) {
-			case Ask:
-				r.line("renew", "%d %s", a.Address, r.json(a.Renewal))
+			case SendRenewal:
+				r.line("renew", "%d %s", a.AddressIndex, r.json(a.Renewal))
 				renewals = append(renewals, a.Renewal)
 				renewals = renewals[max(0, len(renewals)-12):]
-			case Use:
+			case ApplyRules:
 				canonical := "nothing"
 				if a.Rules != nil {
 					canonical = string(a.Rules.Canonical())
 				}
-				r.line("use", "%v %d %d %s %s", a.On.Term, a.On.Settled, a.On.Pending, a.On, canonical)
-			case Refollow:
-				r.line("reopen", "%d %d", a.Address, a.After)
-			case Say:
+				r.line("use", "%v %d %d %s %s", a.Configuration.Leased, a.Configuration.Activated, a.Configuration.Pending, a.Configuration, canonical)
+			case ReopenStream:
+				r.line("reopen", "%d %d", a.AddressIndex, a.AfterVersion)
+			case LogMessage:
 				r.line("log", "%q", a.Text)
 			default:
 				require.Fail(r.t, "unknown action")
 			}
 		}
-		r.line("times", "%d %d", client.Wake(), client.Until())
+		r.line("times", "%d %d", client.NextDeadline(), client.LeaseExpiry())
 	}
 	for range eventsPerSeed {
 		r.advance()
@@ -160,35 +160,35 @@
 		switch draw := r.random.IntN(100); {
 		case draw < 25:
 			if r.chance(0.5) {
-				r.now = max(r.now, client.Wake())
+				r.now = max(r.now, client.NextDeadline())
 			}
-			step(Look{})
+			step(ClientTick{})
 		case draw < 60 && len(renewals) > 0:
-			step(Told{Reply: r.reply(renewals, uint64(newest), settled)})
+			step(ReplyReceived{Reply: r.reply(renewals, uint64(newest), settled)})
 		case draw < 68 && len(renewals) > 0:
-			step(Unanswered{Seq: renewals[r.random.IntN(len(renewals))].Seq})
+			step(RenewalFailed{Seq: renewals[r.random.IntN(len(renewals))].Seq})
 		case draw < 84:
 			known = min(newest, known+1)
 			if r.chance(0.1) {
 				known = newest
 			}
-			step(Came{Version: versions[known-1], Settled: settled})
+			step(VersionReceived{Version: versions[known-1], Activated: settled})
 		case draw < 86: // out of order, doubled or from another lineage
 			list := versions
 			if r.chance(0.3) {
 				list = other
 			}
-			step(Came{Version: list[r.random.IntN(newest)], Settled: settled})
+			step(VersionReceived{Version: list[r.random.IntN(newest)], Activated: settled})
 		case draw < 87: // another version of a number
-			fork := version.New(versions[max(0, newest-2)], "", own, nil, fmt.Sprint(r.now))
-			step(Came{Version: fork, Settled: settled})
+			fork := configversion.New(versions[max(0, newest-2)], "", own, nil, fmt.Sprint(r.now))
+			step(VersionReceived{Version: fork, Activated: settled})
 		case draw < 94:
-			step(Settled{Lineage: []string{"l", "l", "l", "m", ""}[r.random.IntN(5)], Number: settled})
+			step(VersionActivated{Lineage: []string{"l", "l", "l", "m", ""}[r.random.IntN(5)], Number: settled})
 		case draw < 98:
-			step(Lost{})
+			step(StreamLost{})
 		default:
 			text := []string{"hash", strings.Repeat("long ", 100), "not \xff valid"}[r.random.IntN(3)]
-			step(Unfit{Err: errors.New(text)})
+			step(InvalidVersionReceived{Err: errors.New(text)})
 		}
 	}
 }
@@ -199,22 +199,22 @@
 	if r.chance(0.15) {
 		renewal = renewals[r.random.IntN(len(renewals))]
 	}
-	reply := Reply{Seq: renewal.Seq, Lineage: "l", Newest: newest, Settled: settled, Granted: renewal.Known == newest}
+	reply := Reply{Seq: renewal.Seq, Lineage: "l", Newest: newest, Activated: settled, Granted: renewal.KnownVersion == newest}
 	switch draw := r.random.IntN(40); draw {
 	case 0:
 		reply.Seq = uint64(r.random.IntN(1000))
 	case 1:
-		reply = Reply{Seq: renewal.Seq, Refused: "this process does not lead the group", Leader: "h:1"}
+		reply = Reply{Seq: renewal.Seq, RejectReason: "this process does not lead the group", LeaderAddress: "h:1"}
 	case 2:
-		reply = Reply{Seq: renewal.Seq, Leader: "h:1"}
+		reply = Reply{Seq: renewal.Seq, LeaderAddress: "h:1"}
 	case 3:
-		reply = Reply{Seq: renewal.Seq, Refused: strings.Repeat("é", 150)}
+		reply = Reply{Seq: renewal.Seq, RejectReason: strings.Repeat("é", 150)}
 	case 4:
 		reply.Lineage = "m"
 	case 5:
 		reply.Granted = !reply.Granted
 	case 6:
-		reply.Newest, reply.Granted = renewal.Known, true
+		reply.Newest, reply.Granted = renewal.KnownVersion, true
 	}
 	return reply
 }
@@ -245,7 +245,7 @@
 }
 
 // apply applies the oldest written entry, or some state of an older leader.
-func (s *replicated) apply(r *recording) Applied {
+func (s *replicated) apply(r *recording) StateApplied {
 	var outcomes []Outcome
 	if len(s.written) > 0 {
 		entry := s.written[0]
@@ -261,32 +261,32 @@
 			outcomes = append(outcomes, Outcome{ID: entry.ID, Number: s.newest})
 		}
 	}
-	return Applied{Lineage: "l", Newest: s.newest, Settled: s.settled, Hash: s.hash, Outcomes: outcomes}
+	return StateApplied{Lineage: "l", Newest: s.newest, Activated: s.settled, Hash: s.hash, Outcomes: outcomes}
 }
 
 func recordCoordinator(r *recording) {
-	group := NewGroup(Defaults())
+	group := NewCoordinator(DefaultDurations())
 	state := replicated{newest: 1, settled: 1, hash: "hash1"}
 	var tokens []uint64
 	call, leads := uint64(0), false
-	step := func(event GroupEvent) {
+	step := func(event CoordinatorEvent) {
 		for _, action := range group.Step(r.now, event) {
 			switch a := action.(type) {
-			case Confirm:
+			case ConfirmLeadership:
 				r.line("confirm", "%d", a.Token)
 				tokens = append(tokens, a.Token)
-			case Answer:
-				r.line("answer", "%d %s", a.Call, r.json(a.Reply))
-			case Append:
+			case SendReply:
+				r.line("answer", "%d %s", a.CallID, r.json(a.Reply))
+			case AppendEntry:
 				r.line("append", "%s", r.json(a.Entry))
 				state.written = append(state.written, a.Entry)
-			case Tell:
-				r.line("tell", "%d %s", a.Call, r.json(a.Outcome))
+			case SendOutcome:
+				r.line("tell", "%d %s", a.CallID, r.json(a.Outcome))
 			default:
 				require.Fail(r.t, "unknown action")
 			}
 		}
-		r.line("wake", "%d", group.Wake(r.now))
+		r.line("wake", "%d", group.NextDeadline(r.now))
 	}
 	step(state.apply(r))
 	for i := range eventsPerSeed {
@@ -295,42 +295,42 @@
 		switch draw := r.random.IntN(1000); {
 		case draw < 15 || i == 0:
 			leads = true
-			step(Led{})
+			step(LeadershipGained{})
 		case draw < 20:
 			leads = false
 			state.written = nil
-			step(Deposed{})
+			step(LeadershipLost{})
 		case draw < 370:
-			step(Heard{Call: call, Renewal: r.renewal(&state)})
+			step(RenewalReceived{CallID: call, Renewal: r.renewal(&state)})
 		case draw < 600 && len(tokens) > 0:
 			token := tokens[len(tokens)-1]
 			if r.chance(0.1) {
 				token = tokens[r.random.IntN(len(tokens))]
 			}
-			step(Confirmed{Token: token})
+			step(LeadershipConfirmed{Token: token})
 		case draw < 680:
-			step(Wanted{Call: call, Entry: r.proposal(call)})
+			step(ProposalReceived{CallID: call, Entry: r.proposal(call)})
 		case draw < 850:
 			step(state.apply(r))
 		case draw < 870 && len(state.written) > 0:
 			entry := state.written[0]
 			state.written = state.written[1:]
-			step(Dropped{ID: entry.ID, Err: errors.New("not written")})
+			step(AppendFailed{ProposalID: entry.ID, Err: errors.New("not written")})
 		case draw < 900:
-			step(Check{Call: call})
+			step(LeadershipCheckRequested{CallID: call})
 		case draw < 920:
-			step(Gone{Call: call - uint64(r.random.IntN(20))})
+			step(CallCancelled{CallID: call - uint64(r.random.IntN(20))})
 		case draw < 925 && leads: // more at once than are taken
 			for range 1000 {
 				call++
-				step(Wanted{Call: call, Entry: r.proposal(call)})
+				step(ProposalReceived{CallID: call, Entry: r.proposal(call)})
 			}
 		default:
-			step(Tick{})
+			step(CoordinatorTick{})
 		}
 		if r.chance(0.05) {
 			for _, s := range group.Sessions(r.now) {
-				r.line("session", "%d %d %s", s.Until, s.Heard, r.json(s))
+				r.line("session", "%d %d %s", s.Expiry, s.LastRenewal, r.json(s))
 			}
 		}
 		if r.chance(0.002) {
@@ -342,26 +342,26 @@
 // renewal is one that a router may send, at times one that is refused.
 func (r *recording) renewal(state *replicated) Renewal {
 	incarnation := fmt.Sprint("x", r.random.IntN(12))
-	renewal := Renewal{Name: "r" + incarnation[1:2], Incarnation: incarnation, Seq: r.random.Uint64N(1000), Lineage: "l", Known: state.newest, Hash: state.hash, Spans: Defaults().Key()}
+	renewal := Renewal{Name: "r" + incarnation[1:2], Incarnation: incarnation, Seq: r.random.Uint64N(1000), Lineage: "l", KnownVersion: state.newest, KnownHash: state.hash, DurationsKey: DefaultDurations().CompatibilityKey()}
 	switch r.random.IntN(30) {
 	case 0:
 		renewal.Name = strings.Repeat("x", 201)
 	case 1:
 		renewal.Incarnation = ""
 	case 2:
-		renewal.Spans = "others"
+		renewal.DurationsKey = "others"
 	case 3:
 		renewal.Lineage = "m"
 	case 4:
-		renewal.Known++
+		renewal.KnownVersion++
 	case 5:
-		renewal.Hash = "other"
+		renewal.KnownHash = "other"
 	case 6, 7, 8, 9:
-		renewal.Known = max(1, renewal.Known-1)
+		renewal.KnownVersion = max(1, renewal.KnownVersion-1)
 	case 10:
-		renewal.Known, renewal.Hash, renewal.Lineage = 0, "", ""
+		renewal.KnownVersion, renewal.KnownHash, renewal.Lineage = 0, "", ""
 	case 11:
-		renewal.Word = "a word"
+		renewal.LastMessage = "a word"
 	case 12:
 		renewal.Incarnation = fmt.Sprint(r.random.Uint64())
 	}
@@ -386,28 +386,28 @@
 // TestRecordedCoordinatorLimits hands in more renewals than are kept, and hashes who is refused.
 func TestRecordedCoordinatorLimits(t *testing.T) {
 	r := newRecording(t, 5)
-	group := NewGroup(Defaults())
-	step := func(event GroupEvent) {
+	group := NewCoordinator(DefaultDurations())
+	step := func(event CoordinatorEvent) {
 		for _, action := range group.Step(r.now, event) {
 			switch a := action.(type) {
-			case Answer:
-				r.line("answer", "%d %s", a.Call, r.json(a.Reply))
-			case Tell:
-				r.line("tell", "%d %s", a.Call, r.json(a.Outcome))
-			case Confirm:
+			case SendReply:
+				r.line("answer", "%d %s", a.CallID, r.json(a.Reply))
+			case SendOutcome:
+				r.line("tell", "%d %s", a.CallID, r.json(a.Outcome))
+			case ConfirmLeadership:
 				r.line("confirm", "%d", a.Token)
 			}
 		}
 	}
-	step(Applied{Lineage: "l", Newest: 1, Settled: 1, Hash: "h"})
-	step(Led{})
+	step(StateApplied{Lineage: "l", Newest: 1, Activated: 1, Hash: "h"})
+	step(LeadershipGained{})
 	for call := range uint64(9000) {
-		step(Heard{Call: call, Renewal: Renewal{Name: "r", Incarnation: fmt.Sprint(call), Lineage: "l", Known: 1, Hash: "h", Spans: Defaults().Key()}})
+		step(RenewalReceived{CallID: call, Renewal: Renewal{Name: "r", Incarnation: fmt.Sprint(call), Lineage: "l", KnownVersion: 1, KnownHash: "h", DurationsKey: DefaultDurations().CompatibilityKey()}})
 	}
-	step(Check{Call: 9000})
-	step(Confirmed{Token: 1})
-	step(Confirmed{Token: 2})
-	step(Heard{Call: 9001, Renewal: Renewal{Name: "r", Incarnation: "another"}})
+	step(LeadershipCheckRequested{CallID: 9000})
+	step(LeadershipConfirmed{Token: 1})
+	step(LeadershipConfirmed{Token: 2})
+	step(RenewalReceived{CallID: 9001, Renewal: Renewal{Name: "r", Incarnation: "another"}})
 	assert.Equal(t, "a289eb778bfa5ff709302da6b2a7a865713d43ae82f9d425fafbbf0106ac8942", r.sum())
 }
 
@@ -415,7 +415,7 @@
 // is sent.
 func TestRecordedRegister(t *testing.T) {
 	r := newRecording(t, 6)
-	register := Register{Guards: version.Guards{MostGone: 0.5}}
+	register := Register{Guards: configversion.Guards{MaxRemovedShare: 0.5}}
 	versions := generatedVersions(t, r.random, "l", 60)
 	var forced []string
 	entry := func(i int) []byte {
@@ -424,23 +424,23 @@
 		case 0:
 			return []byte("{")
 		case 1:
-			return []byte(r.json(Entry{Kind: "found", Name: fmt.Sprint("lineage", i)}))
+			return []byte(r.json(Entry{Kind: "found", Lineage: fmt.Sprint("lineage", i)}))
 		case 2, 3, 4, 5:
-			return []byte(r.json(Entry{Kind: "settle", Number: register.Number() + uint64(r.random.IntN(3)) - 1}))
+			return []byte(r.json(Entry{Kind: "settle", Number: register.NewestNumber() + uint64(r.random.IntN(3)) - 1}))
 		case 6:
 			return []byte(r.json(Entry{Kind: "other"}))
 		case 7:
-			e.Kind, e.Number = "rollback", uint64(r.random.IntN(1+int(register.Number())))
+			e.Kind, e.Number = "rollback", uint64(r.random.IntN(1+int(register.NewestNumber())))
 		case 8:
 			e.Rules = json.RawMessage(`{"routers": 0}`)
 		case 9:
-			e.Rules, e.Forced = versions[r.random.IntN(60)].Rules.Canonical(), []string{"any"}
+			e.Rules, e.ForcedGuards = versions[r.random.IntN(60)].Rules.Canonical(), []string{"any"}
 		default:
 			e.Rules = versions[r.random.IntN(60)].Rules.Canonical()
 			if forced = nil; r.chance(0.8) {
-				forced = version.Names()
+				forced = configversion.GuardNames()
 			}
-			e.Forced = forced
+			e.ForcedGuards = forced
 		}
 		if r.chance(0.01) {
 			e.Note = strings.Repeat("n", 1001)
@@ -453,7 +453,7 @@
 		r.line("outcome", "%v %s", proposed, r.json(outcome))
 		snapshot := register.Snapshot()
 		r.line("snapshot", "%s", snapshot)
-		for _, v := range register.After(uint64(max(0, int(register.Number())-r.random.IntN(4)))) {
+		for _, v := range register.UpdatesAfter(uint64(max(0, int(register.NewestNumber())-r.random.IntN(4)))) {
 			r.line("after", "%d", v.Number)
 		}
 		if i%10 == 0 {
@@ -463,26 +463,26 @@
 			register = again
 		}
 	}
-	assert.Greater(t, register.Number(), uint64(64), "versions")
+	assert.Greater(t, register.NewestNumber(), uint64(64), "versions")
 	assert.Equal(t, "f32d1d41e4fcd20ca7d6ab621f0cce9a4b8d4e449f54d1cf08a12c0f625ec7b4", r.sum())
 }
 
 // TestRecordedDurations lists what follows from the configured durations, and the texts of the errors.
 func TestRecordedDurations(t *testing.T) {
 	var lines []string
-	for _, s := range []Spans{
-		Defaults(),
-		{Term: time.Second, Renew: 200 * ms, Answer: 200 * ms, Drift: 0.05},
-		{Term: 3*time.Second + 1, Renew: 333 * ms, Answer: 77 * ms, Drift: 0.2, Batch: time.Second, Pause: 7},
-		{Term: 2 * time.Second, Renew: 900 * ms, Answer: 400 * ms},
-		{Term: time.Second, Renew: ms, Answer: 200 * ms},
-		{Term: time.Second, Renew: 200 * ms, Answer: 2 * time.Second},
-		{Term: time.Second, Renew: 200 * ms, Answer: 200 * ms, Batch: 600 * ms},
-		{Term: time.Second, Renew: 200 * ms, Answer: 200 * ms, Pause: -1},
-		{Term: time.Second, Renew: 200 * ms, Answer: 200 * ms, Drift: 0.21},
-		{Term: 2 * time.Hour},
+	for _, s := range []Durations{
+		DefaultDurations(),
+		{LeaseDuration: time.Second, RenewInterval: 200 * ms, ReplyTimeout: 200 * ms, MaxClockDrift: 0.05},
+		{LeaseDuration: 3*time.Second + 1, RenewInterval: 333 * ms, ReplyTimeout: 77 * ms, MaxClockDrift: 0.2, MaxBatch: time.Second, MaxPause: 7},
+		{LeaseDuration: 2 * time.Second, RenewInterval: 900 * ms, ReplyTimeout: 400 * ms},
+		{LeaseDuration: time.Second, RenewInterval: ms, ReplyTimeout: 200 * ms},
+		{LeaseDuration: time.Second, RenewInterval: 200 * ms, ReplyTimeout: 2 * time.Second},
+		{LeaseDuration: time.Second, RenewInterval: 200 * ms, ReplyTimeout: 200 * ms, MaxBatch: 600 * ms},
+		{LeaseDuration: time.Second, RenewInterval: 200 * ms, ReplyTimeout: 200 * ms, MaxPause: -1},
+		{LeaseDuration: time.Second, RenewInterval: 200 * ms, ReplyTimeout: 200 * ms, MaxClockDrift: 0.21},
+		{LeaseDuration: 2 * time.Hour},
 	} {
-		lines = append(lines, fmt.Sprintf("%d %d %d %d %s: %v", s.Held(), s.Owed(), s.T(), s.Settles(), s.Key(), s.Check()))
+		lines = append(lines, fmt.Sprintf("%d %d %d %d %s: %v", s.ClientLease(), s.CoordinatorLease(), s.MaxContradiction(), s.MaxActivation(), s.CompatibilityKey(), s.Validate()))
 	}
 	assert.Equal(t, []string{
 		"1980000000 2020000000 2100000000 2440404040 term 2s, drift 0.01: <nil>",
--- a/internal/agree/register.go
+++ b/internal/lease/register.go
@@ -1,4 +1,4 @@
-package agree
+package lease
 
 import (
 	"encoding/json"
@@ -6,27 +6,27 @@
 	"fmt"
 	"slices"
 
+	"bankledge/internal/configversion"
 	"bankledge/internal/rules"
-	"bankledge/internal/version"
 )
 
 // Entry is what the group writes to its log.
 type Entry struct {
-	Kind   string          `json:"kind"`             // found, propose, rollback or settle
-	ID     string          `json:"id,omitempty"`     // of the proposal: one that is written twice counts once
-	Name   string          `json:"name,omitempty"`   // found: the lineage
-	Number uint64          `json:"number,omitempty"` // rollback: to this one; settle: up to this one
-	Rules  json.RawMessage `json:"rules,omitempty"`
-	Forced []string        `json:"forced,omitempty"`
-	Note   string          `json:"note,omitempty"`
+	Kind         string          `json:"kind"`             // found, propose, rollback or settle
+	ID           string          `json:"id,omitempty"`     // of the proposal: one that is written twice counts once
+	Lineage      string          `json:"name,omitempty"`   // found: the lineage
+	Number       uint64          `json:"number,omitempty"` // rollback: to this one; settle: up to this one
+	Rules        json.RawMessage `json:"rules,omitempty"`
+	ForcedGuards []string        `json:"forced,omitempty"`
+	Note         string          `json:"note,omitempty"`
 }
 
 // The kinds of entries.
 const (
-	Found    = "found"
-	Propose  = "propose"
-	Rollback = "rollback"
-	Settle   = "settle"
+	EntryFound    = "found"
+	EntryPropose  = "propose"
+	EntryRollback = "rollback"
+	EntryActivate = "settle"
 )
 
 // Outcome is what became of a proposal.
@@ -39,21 +39,21 @@
 // Register is the group's replicated state: the versions. All processes of the group apply the same entries in the same order and
 // so hold the same one.
 type Register struct {
-	Guards   version.Guards     `json:"guards"`
-	Lineage  string             `json:"lineage"`
-	Floor    *rules.Rules       `json:"floor"`    // of the first version
-	Versions []*version.Version `json:"versions"` // the last ones, oldest first
-	Settled  uint64             `json:"settled"`  // all up to this are in force
-	Outcomes []Outcome          `json:"outcomes"` // of the last proposals
+	Guards    configversion.Guards     `json:"guards"`
+	Lineage   string                   `json:"lineage"`
+	Floor     *rules.Rules             `json:"floor"`    // of the first version
+	Versions  []*configversion.Version `json:"versions"` // the last ones, oldest first
+	Activated uint64                   `json:"settled"`  // all up to this are in force
+	Outcomes  []Outcome                `json:"outcomes"` // of the last proposals
 }
 
 const mostKept, mostOutcomes = 64, 1024
 
 // ErrSpreading tells that a proposal has to wait: the version before it is not in force yet.
-var ErrSpreading = errors.New("still spreading")
+var ErrRolloutInProgress = errors.New("still spreading")
 
 // Newest is the newest version, nil: there is none.
-func (g *Register) Newest() *version.Version {
+func (g *Register) Newest() *configversion.Version {
 	if len(g.Versions) == 0 {
 		return nil
 	}
@@ -61,7 +61,7 @@
 }
 
 // Number is that of the newest version, 0: there is none.
-func (g *Register) Number() uint64 {
+func (g *Register) NewestNumber() uint64 {
 	if v := g.Newest(); v != nil {
 		return v.Number
 	}
@@ -69,8 +69,8 @@
 }
 
 // At is the version with a number, nil: it is not kept.
-func (g *Register) At(number uint64) *version.Version {
-	i := slices.IndexFunc(g.Versions, func(v *version.Version) bool { return v.Number == number })
+func (g *Register) ByNumber(number uint64) *configversion.Version {
+	i := slices.IndexFunc(g.Versions, func(v *configversion.Version) bool { return v.Number == number })
 	if i < 0 {
 		return nil
 	}
@@ -79,9 +79,9 @@
 
 // After lists what a router that knows the version with this number has to be sent: the newest one, and before it the one that is in
 // force beside it.
-func (g *Register) After(number uint64) (list []*version.Version) {
+func (g *Register) UpdatesAfter(number uint64) (list []*configversion.Version) {
 	for _, v := range g.Versions {
-		if v.Number > number && v.Number >= g.Settled {
+		if v.Number > number && v.Number >= g.Activated {
 			list = append(list, v)
 		}
 	}
@@ -95,15 +95,15 @@
 		return Outcome{}, false
 	}
 	switch e.Kind {
-	case Found:
+	case EntryFound:
 		if g.Lineage == "" {
-			g.Lineage = e.Name
+			g.Lineage = e.Lineage
 		}
-	case Settle:
-		if e.Number <= g.Number() {
-			g.Settled = max(g.Settled, e.Number)
+	case EntryActivate:
+		if e.Number <= g.NewestNumber() {
+			g.Activated = max(g.Activated, e.Number)
 		}
-	case Propose, Rollback:
+	case EntryPropose, EntryRollback:
 		return g.propose(e), true
 	}
 	return Outcome{}, false
@@ -124,7 +124,7 @@
 		}
 		g.Versions = g.Versions[max(0, len(g.Versions)-mostKept):]
 	}
-	if errors.Is(err, ErrSpreading) {
+	if errors.Is(err, ErrRolloutInProgress) {
 		return o // it may come again
 	}
 	g.Outcomes = append(g.Outcomes, o)
@@ -133,20 +133,20 @@
 }
 
 // next is the version that an entry asks for.
-func (g *Register) next(e Entry) (*version.Version, error) {
+func (g *Register) next(e Entry) (*configversion.Version, error) {
 	if g.Lineage == "" {
 		return nil, errors.New("the group is not founded yet")
 	}
-	if g.Number() > g.Settled {
-		return nil, fmt.Errorf("version %d is %w", g.Number(), ErrSpreading)
+	if g.NewestNumber() > g.Activated {
+		return nil, fmt.Errorf("version %d is %w", g.NewestNumber(), ErrRolloutInProgress)
 	}
-	if err := version.CheckForced(e.Forced); err != nil {
+	if err := configversion.CheckGuardNames(e.ForcedGuards); err != nil {
 		return nil, err
 	}
 	var r *rules.Rules
 	switch e.Kind {
-	case Rollback:
-		old := g.At(e.Number)
+	case EntryRollback:
+		old := g.ByNumber(e.Number)
 		if old == nil {
 			return nil, fmt.Errorf("version %d is not kept", e.Number)
 		}
@@ -161,14 +161,14 @@
 	if v := g.Newest(); v != nil {
 		before = v.Rules
 	}
-	if err := version.Say(g.Guards.Broken(before, g.Floor, r, e.Forced)); err != nil {
+	if err := configversion.ViolationsError(g.Guards.Violations(before, g.Floor, r, e.ForcedGuards)); err != nil {
 		return nil, err
 	}
 	if before != nil && string(before.Canonical()) == string(r.Canonical()) {
-		return nil, fmt.Errorf("nothing differs from version %d", g.Number())
+		return nil, fmt.Errorf("nothing differs from version %d", g.NewestNumber())
 	}
-	v := version.New(g.Newest(), g.Lineage, r, e.Forced, e.Note)
-	if _, err := version.Decode(v.Encode()); err != nil {
+	v := configversion.New(g.Newest(), g.Lineage, r, e.ForcedGuards, e.Note)
+	if _, err := configversion.Decode(v.Encode()); err != nil {
 		return nil, err
 	}
 	return v, nil
@@ -190,7 +190,7 @@
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	for _, v := range into.Versions {
-		if _, err := version.Decode(v.Encode()); err != nil {
+		if _, err := configversion.Decode(v.Encode()); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
 		}
 	}
--- a/internal/agree/router.go
+++ b/internal/lease/router.go
@@ -1,4 +1,4 @@
-package agree
+package lease
 
 import (
 	"errors"
@@ -6,55 +6,55 @@
 	"strings"
 	"time"
 
-	"bankledge/internal/draw"
+	"bankledge/internal/configversion"
+	"bankledge/internal/detrand"
 	"bankledge/internal/rules"
-	"bankledge/internal/version"
 )
 
 // Renewal is what a router sends for a term.
 type Renewal struct {
-	Name        string `json:"name"`
-	Incarnation string `json:"incarnation"` // drawn at the router's start: two processes under one name have two terms
-	Seq         uint64 `json:"seq"`
-	Lineage     string `json:"lineage"` // that the router follows, "" as long as it knows none
-	Known       uint64 `json:"known"`   // newest version that it has taken, 0: none
-	Hash        string `json:"hash"`    // of that version
-	Spans       string `json:"spans"`   // Spans.Key
-	Term        int64  `json:"term"`    // left of the one it has, milliseconds, 0: none
-	Word        string `json:"word"`    // what it last had to say, such as why it turned a version down
+	Name            string `json:"name"`
+	Incarnation     string `json:"incarnation"` // drawn at the router's start: two processes under one name have two terms
+	Seq             uint64 `json:"seq"`
+	Lineage         string `json:"lineage"` // that the router follows, "" as long as it knows none
+	KnownVersion    uint64 `json:"known"`   // newest version that it has taken, 0: none
+	KnownHash       string `json:"hash"`    // of that version
+	DurationsKey    string `json:"spans"`   // Spans.Key
+	RemainingMillis int64  `json:"term"`    // left of the one it has, milliseconds, 0: none
+	LastMessage     string `json:"word"`    // what it last had to say, such as why it turned a version down
 }
 
 // Reply is the group's answer to a renewal.
 type Reply struct {
-	Seq     uint64 `json:"seq"`
-	Granted bool   `json:"granted"` // the term runs, from when the renewal was sent
-	Lineage string `json:"lineage"`
-	Newest  uint64 `json:"newest"`
-	Settled uint64 `json:"settled"`
-	Refused string `json:"refused"` // why not, "" where the router only has to catch up
-	Leader  string `json:"leader"`  // address of the process to ask, where it is another
+	Seq           uint64 `json:"seq"`
+	Granted       bool   `json:"granted"` // the term runs, from when the renewal was sent
+	Lineage       string `json:"lineage"`
+	Newest        uint64 `json:"newest"`
+	Activated     uint64 `json:"settled"`
+	RejectReason  string `json:"refused"` // why not, "" where the router only has to catch up
+	LeaderAddress string `json:"leader"`  // address of the process to ask, where it is another
 }
 
 // Setup is what a router is told at its start.
-type Setup struct {
-	Spans       Spans
-	Name        string
-	Incarnation string
-	Lineage     string       // the only one that it follows; "": the first that it hears of
-	Own         *rules.Rules // of its own settings
-	Guards      version.Guards
-	Addresses   int // of the group's processes
-	Seed        uint64
+type ClientSettings struct {
+	Durations    Durations
+	Name         string
+	Incarnation  string
+	Lineage      string       // the only one that it follows; "": the first that it hears of
+	LocalRules   *rules.Rules // of its own settings
+	Guards       configversion.Guards
+	AddressCount int // of the group's processes
+	Seed         uint64
 }
 
 // Router is one router's side.
-type Router struct {
-	Setup
+type Client struct {
+	ClientSettings
 	lineage   string
-	settled   *version.Version // in force, as far as this router knows
-	pending   *version.Version // the newest one, while it is not settled
-	settledAt uint64           // the newest number heard to be settled
-	until     time.Duration    // of the term; 0: none
+	settled   *configversion.Version // in force, as far as this router knows
+	pending   *configversion.Version // the newest one, while it is not settled
+	settledAt uint64                 // the newest number heard to be settled
+	until     time.Duration          // of the term; 0: none
 	word      string
 
 	seq      uint64
@@ -63,10 +63,10 @@
 	due      time.Duration       // of the next renewal
 	at       int                 // address
 	failures int                 // to renew, in a row
-	chance   draw.Source
-	acting   Ground        // what the last Use said, to say it once
-	lost     int           // streams in a row
-	follow   time.Duration // when the stream is to connect anew, 0: it stands
+	chance   detrand.Source
+	acting   ActiveConfiguration // what the last Use said, to say it once
+	lost     int                 // streams in a row
+	follow   time.Duration       // when the stream is to connect anew, 0: it stands
 }
 
 // sending is a renewal and when it was sent: its term is counted from there, however late the answer comes.
@@ -78,117 +78,117 @@
 const remembered = 8
 
 // NewRouter returns a router's side that has heard of nothing: it acts on its own settings.
-func NewRouter(s Setup) *Router {
-	return &Router{Setup: s, lineage: s.Lineage, chance: draw.Source{Seed: s.Seed}, follow: 1}
+func NewClient(s ClientSettings) *Client {
+	return &Client{ClientSettings: s, lineage: s.Lineage, chance: detrand.Source{Seed: s.Seed}, follow: 1}
 }
 
 // RouterEvent is something that happened to a router.
-type RouterEvent interface{ routerEvent() }
+type ClientEvent interface{ routerEvent() }
 
 // The router's events.
 type (
 	// Look is the look at the clock that comes before each batch of decisions, and at least once a Renew.
-	Look struct{}
+	ClientTick struct{}
 	// Told is the answer to a renewal.
-	Told struct{ Reply Reply }
+	ReplyReceived struct{ Reply Reply }
 	// Unanswered tells that a renewal brought no answer.
-	Unanswered struct{ Seq uint64 }
+	RenewalFailed struct{ Seq uint64 }
 	// Came is a version from the stream, with the number of the newest one that was in force when it was sent.
-	Came struct {
-		Version *version.Version
-		Settled uint64
+	VersionReceived struct {
+		Version   *configversion.Version
+		Activated uint64
 	}
 	// Lost tells that the stream has ended.
-	Lost struct{}
+	StreamLost struct{}
 	// Settled is news from the stream: all versions up to this are in force.
-	Settled struct {
+	VersionActivated struct {
 		Lineage string
 		Number  uint64
 	}
 	// Unfit is something on the stream that is no version.
-	Unfit struct{ Err error }
+	InvalidVersionReceived struct{ Err error }
 )
 
-func (Look) routerEvent()       {}
-func (Told) routerEvent()       {}
-func (Unanswered) routerEvent() {}
-func (Came) routerEvent()       {}
-func (Settled) routerEvent()    {}
-func (Lost) routerEvent()       {}
-func (Unfit) routerEvent()      {}
+func (ClientTick) routerEvent()             {}
+func (ReplyReceived) routerEvent()          {}
+func (RenewalFailed) routerEvent()          {}
+func (VersionReceived) routerEvent()        {}
+func (VersionActivated) routerEvent()       {}
+func (StreamLost) routerEvent()             {}
+func (InvalidVersionReceived) routerEvent() {}
 
 // RouterAction is something that a router has to do.
-type RouterAction interface{ routerAction() }
+type ClientAction interface{ routerAction() }
 
 // The router's actions.
 type (
 	// Ask sends a renewal to an address of the group.
-	Ask struct {
-		Renewal Renewal
-		Address int
+	SendRenewal struct {
+		Renewal      Renewal
+		AddressIndex int
 	}
 	// Use has the router act on these rules from the next decision on.
-	Use struct {
-		Rules *rules.Rules
-		On    Ground
+	ApplyRules struct {
+		Rules         *rules.Rules
+		Configuration ActiveConfiguration
 	}
 	// Refollow has the stream connect anew, at this address, from the version after this one.
-	Refollow struct {
-		Address int
-		After   uint64
+	ReopenStream struct {
+		AddressIndex int
+		AfterVersion uint64
 	}
 	// Say is a line for the operators.
-	Say struct{ Text string }
+	LogMessage struct{ Text string }
 )
 
-func (Ask) routerAction()      {}
-func (Use) routerAction()      {}
-func (Refollow) routerAction() {}
-func (Say) routerAction()      {}
+func (SendRenewal) routerAction()  {}
+func (ApplyRules) routerAction()   {}
+func (ReopenStream) routerAction() {}
+func (LogMessage) routerAction()   {}
 
 // Ground tells what a router acts on.
-type Ground struct {
-	Term    bool   // a term runs; else the cautious side of all that is known
-	Settled uint64 // version that is in force, 0: none is known
-	Pending uint64 // newer one that is known and not settled, 0: none
+type ActiveConfiguration struct {
+	Leased    bool   // a term runs; else the cautious side of all that is known
+	Activated uint64 // version that is in force, 0: none is known
+	Pending   uint64 // newer one that is known and not settled, 0: none
 }
 
 // String says it for a log.
-func (g Ground) String() string {
+func (g ActiveConfiguration) String() string {
 	var text string
 	switch {
-	case g.Settled == 0 && g.Pending == 0:
+	case g.Activated == 0 && g.Pending == 0:
 		return "own settings"
-	case g.Pending > 0 && g.Settled > 0:
-		text = fmt.Sprintf("versions %d and %d, cautious side", g.Settled, g.Pending)
+	case g.Pending > 0 && g.Activated > 0:
+		text = fmt.Sprintf("versions %d and %d, cautious side", g.Activated, g.Pending)
 	case g.Pending > 0:
 		text = fmt.Sprintf("version %d and own settings, cautious side", g.Pending)
 	default:
-		text = fmt.Sprintf("version %d", g.Settled)
+		text = fmt.Sprintf("version %d", g.Activated)
 	}
-	if !g.Term {
+	if !g.Leased {
 		text += ", no term: with own settings, cautious side"
 	}
 	return text
 }
 
 // Step takes what happened now and returns what to do, in order.
-func (r *Router) Step(now time.Duration, event RouterEvent) (do []RouterAction) {
+func (r *Client) Step(now time.Duration, event ClientEvent) (do []ClientAction) {
 	switch ev := event.(type) {
-	case Told:
+	case ReplyReceived:
 		do = r.told(now, ev.Reply)
-	case Unanswered:
+	case RenewalFailed:
 		if r.out && ev.Seq == r.seq {
 			r.failed(now)
 		}
-	case Came:
-		do = r.came(now, ev.Version, ev.Settled)
-	case Settled:
+	case VersionReceived:
+		do = r.came(now, ev.Version, ev.Activated)
+	case VersionActivated:
 		r.settle(ev.Lineage, ev.Number)
-	case Lost:
+	case StreamLost:
 		r.lost++
 		r.follow = now + r.pause(r.lost)
-	case Unfit:
+	case InvalidVersionReceived:
 		do = r.say("not taken: " + ev.Err.Error())
 	}
 	if r.until > 0 && now >= r.until { // looked at before anything is decided: who was stopped acts on nothing old
@@ -198,12 +198,12 @@
 	if use, changed := r.use(); changed {
 		do = append(do, use)
 	}
-	if r.out && now >= r.asked()+r.Spans.Answer {
+	if r.out && now >= r.asked()+r.Durations.ReplyTimeout {
 		r.failed(now)
 	}
 	if r.follow > 0 && now >= r.follow {
 		r.follow = 0
-		do = append(do, Refollow{Address: (r.at + r.lost) % max(1, r.Addresses), After: r.number()})
+		do = append(do, ReopenStream{AddressIndex: (r.at + r.lost) % max(1, r.AddressCount), AfterVersion: r.number()})
 	}
 	if !r.out && now >= r.due {
 		do = append(do, r.ask(now))
@@ -212,36 +212,36 @@
 }
 
 // ask sends for a term. It counts from here, before anything is written.
-func (r *Router) ask(now time.Duration) RouterAction {
+func (r *Client) ask(now time.Duration) ClientAction {
 	r.seq++
 	r.out, r.sent[r.seq%remembered] = true, sending{r.seq, now}
-	r.due = now + time.Duration(float64(r.Spans.Renew)*(0.8+0.4*r.chance.Float())) // not all at once
-	renewal := Renewal{Name: r.Name, Incarnation: r.Incarnation, Seq: r.seq, Lineage: r.lineage, Word: r.word, Spans: r.Spans.Key(), Term: max(0, r.until-now).Milliseconds()}
+	r.due = now + time.Duration(float64(r.Durations.RenewInterval)*(0.8+0.4*r.chance.Float64())) // not all at once
+	renewal := Renewal{Name: r.Name, Incarnation: r.Incarnation, Seq: r.seq, Lineage: r.lineage, LastMessage: r.word, DurationsKey: r.Durations.CompatibilityKey(), RemainingMillis: max(0, r.until-now).Milliseconds()}
 	if newest := r.newest(); newest != nil {
-		renewal.Known, renewal.Hash = newest.Number, newest.Hash
+		renewal.KnownVersion, renewal.KnownHash = newest.Number, newest.Hash
 	}
-	return Ask{Renewal: renewal, Address: r.at}
+	return SendRenewal{Renewal: renewal, AddressIndex: r.at}
 }
 
-func (r *Router) asked() time.Duration { return r.sent[r.seq%remembered].at }
+func (r *Client) asked() time.Duration { return r.sent[r.seq%remembered].at }
 
 // pause is how long to wait after so many failures: each address once, soon, then in the usual rhythm, all at times of their own.
 // A group that comes back is not overrun.
-func (r *Router) pause(failures int) time.Duration {
-	span := r.Spans.Renew / time.Duration(4>>min(failures/max(1, r.Addresses), 2))
-	return time.Duration(float64(span) * (0.5 + r.chance.Float()))
+func (r *Client) pause(failures int) time.Duration {
+	span := r.Durations.RenewInterval / time.Duration(4>>min(failures/max(1, r.AddressCount), 2))
+	return time.Duration(float64(span) * (0.5 + r.chance.Float64()))
 }
 
 // failed goes on at the next address.
-func (r *Router) failed(now time.Duration) {
+func (r *Client) failed(now time.Duration) {
 	r.out = false
-	r.at = (r.at + 1) % max(1, r.Addresses)
+	r.at = (r.at + 1) % max(1, r.AddressCount)
 	r.due = now + r.pause(r.failures)
 	r.failures++
 }
 
 // told takes an answer. Its term is counted from when its renewal was sent, one that is not remembered counts for nothing.
-func (r *Router) told(now time.Duration, p Reply) (do []RouterAction) {
+func (r *Client) told(now time.Duration, p Reply) (do []ClientAction) {
 	of := &r.sent[p.Seq%remembered]
 	if p.Seq == 0 || of.seq != p.Seq {
 		return nil
@@ -251,9 +251,9 @@
 	if p.Seq == r.seq {
 		r.sent[p.Seq%remembered].at, r.out = asked, false
 	}
-	if p.Leader != "" || p.Refused != "" {
-		if p.Refused != "" {
-			do = r.say("no term: " + p.Refused)
+	if p.LeaderAddress != "" || p.RejectReason != "" {
+		if p.RejectReason != "" {
+			do = r.say("no term: " + p.RejectReason)
 		}
 		r.failed(now)
 		return do
@@ -262,23 +262,23 @@
 	newest := r.newest()
 	switch {
 	case p.Granted && newest != nil && p.Newest == newest.Number && p.Lineage == r.lineage:
-		r.until = max(r.until, asked+r.Spans.Held())
+		r.until = max(r.until, asked+r.Durations.ClientLease())
 		r.word = ""
 	case p.Newest > r.number() && r.follow == 0: // the stream has not brought it: perhaps it is dead, or its process is behind
-		r.follow = now + r.Spans.Renew/4
+		r.follow = now + r.Durations.RenewInterval/4
 	}
-	r.settle(p.Lineage, p.Settled)
+	r.settle(p.Lineage, p.Activated)
 	return do
 }
 
-func (r *Router) newest() *version.Version {
+func (r *Client) newest() *configversion.Version {
 	if r.pending != nil {
 		return r.pending
 	}
 	return r.settled
 }
 
-func (r *Router) number() uint64 {
+func (r *Client) number() uint64 {
 	if v := r.newest(); v != nil {
 		return v.Number
 	}
@@ -286,11 +286,11 @@
 }
 
 // came takes a version, or turns it down with a reason: then no term is granted any more, and this router says why.
-func (r *Router) came(now time.Duration, v *version.Version, settled uint64) []RouterAction {
+func (r *Client) came(now time.Duration, v *configversion.Version, settled uint64) []ClientAction {
 	r.lost = 0
 	if err := r.fit(v, settled); err != nil {
 		if errors.Is(err, errBetween) && r.follow == 0 {
-			r.follow = now + r.Spans.Renew/4
+			r.follow = now + r.Durations.RenewInterval/4
 		}
 		return r.say(err.Error())
 	}
@@ -310,7 +310,7 @@
 var errBetween = errors.New("the one before it, which is still in force beside it, is missing")
 
 // fit tells why a version is not taken.
-func (r *Router) fit(v *version.Version, settled uint64) error {
+func (r *Client) fit(v *configversion.Version, settled uint64) error {
 	newest := r.newest()
 	if r.lineage != "" && v.Lineage != r.lineage {
 		return fmt.Errorf("version %d turned down: it is of lineage %s, this router follows %s", v.Number, v.Lineage, r.lineage)
@@ -326,7 +326,7 @@
 	case v.Number > newest.Number+1 && v.Number > settled: // the cautious side would lack the one before
 		return fmt.Errorf("version %d: %w", v.Number, errBetween)
 	}
-	if err := v.Follows(newest); err != nil {
+	if err := v.CheckFollows(newest); err != nil {
 		return fmt.Errorf("version %d turned down: %w", v.Number, err)
 	}
 	if v.Number == newest.Number {
@@ -335,15 +335,15 @@
 	return r.guarded(newest.Rules, v)
 }
 
-func (r *Router) guarded(before *rules.Rules, v *version.Version) error {
-	if err := version.Say(r.Guards.Broken(before, nil, v.Rules, v.Forced)); err != nil {
+func (r *Client) guarded(before *rules.Rules, v *configversion.Version) error {
+	if err := configversion.ViolationsError(r.Guards.Violations(before, nil, v.Rules, v.ForcedGuards)); err != nil {
 		return fmt.Errorf("version %d turned down: %w", v.Number, err)
 	}
 	return nil
 }
 
 // settle takes news of what is in force.
-func (r *Router) settle(lineage string, number uint64) {
+func (r *Client) settle(lineage string, number uint64) {
 	if lineage == "" || lineage != r.lineage {
 		return
 	}
@@ -354,24 +354,24 @@
 }
 
 // use is what this router acts on, where that has changed.
-func (r *Router) use() (Use, bool) {
-	ground := Ground{Term: r.until > 0 && r.newest() != nil}
+func (r *Client) use() (ApplyRules, bool) {
+	ground := ActiveConfiguration{Leased: r.until > 0 && r.newest() != nil}
 	var acts *rules.Rules
 	add := func(with *rules.Rules) {
 		if acts == nil {
 			acts = with
 		} else if with != nil {
-			acts = rules.Meet(acts, with)
+			acts = rules.Intersect(acts, with)
 		}
 	}
 	if r.settled != nil {
-		ground.Settled = r.settled.Number
+		ground.Activated = r.settled.Number
 	}
 	if r.pending != nil {
 		ground.Pending = r.pending.Number
 	}
 	if ground == r.acting { // own settings, as at the start, are none
-		return Use{}, false
+		return ApplyRules{}, false
 	}
 	r.acting = ground
 	if r.settled != nil {
@@ -380,27 +380,27 @@
 	if r.pending != nil {
 		add(r.pending.Rules)
 	}
-	if !ground.Term || r.settled == nil { // before the first version all act on their own settings
-		add(r.Own)
+	if !ground.Leased || r.settled == nil { // before the first version all act on their own settings
+		add(r.LocalRules)
 	}
-	return Use{Rules: acts, On: ground}, true
+	return ApplyRules{Rules: acts, Configuration: ground}, true
 }
 
 // say notes a word, which goes to the group with the next renewal, and tells the operators.
-func (r *Router) say(text string) []RouterAction {
+func (r *Client) say(text string) []ClientAction {
 	text = strings.ToValidUTF8(text, "?")
 	if text = text[:min(len(text), mostWords)]; text == r.word {
 		return nil
 	}
 	r.word = text
-	return []RouterAction{Say{text}}
+	return []ClientAction{LogMessage{text}}
 }
 
 // Wake is when the router has to be stepped at the latest.
-func (r *Router) Wake() time.Duration {
+func (r *Client) NextDeadline() time.Duration {
 	at := r.due
 	if r.out {
-		at = r.asked() + r.Spans.Answer
+		at = r.asked() + r.Durations.ReplyTimeout
 	}
 	if r.follow > 0 {
 		at = min(at, r.follow)
@@ -412,4 +412,4 @@
 }
 
 // Until is the end of the term, 0: there is none. An act that was decided before and comes after it is not carried out.
-func (r *Router) Until() time.Duration { return r.until }
+func (r *Client) LeaseExpiry() time.Duration { return r.until }
--- a/internal/gateway/admit.go
+++ b/internal/proxy/admit.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 
 	"bankledge/decision"
-	"bankledge/internal/front"
-	"bankledge/internal/guard"
+	"bankledge/internal/downstream"
+	"bankledge/internal/invariant"
 	"bankledge/internal/sqltext"
 )
 
@@ -35,7 +35,7 @@
 )
 
 // admit makes the record of a statement, or tells why there is none.
-func (g *Gateway) admit(c client, f front.Fields, text []byte, taken time.Time) (*statement, decision.StatementArrived, string) {
+func (g *Router) admit(c client, f downstream.Fields, text []byte, taken time.Time) (*statement, decision.StatementArrived, string) {
 	var arrived decision.StatementArrived
 	id := f[fieldID]
 	if len(id) != idDigits || strings.Trim(id, "0123456789abcdefABCDEF") != "" {
@@ -49,7 +49,7 @@
 	if err != nil || !(left > 0) || left > float64(mostTime.Milliseconds()) {
 		return nil, arrived, "field d: not a time in milliseconds"
 	}
-	group := decision.MemberGroup(f[fieldGroup])
+	group := decision.Tenant(f[fieldGroup])
 	if len(g.groups) > 0 && !g.groups[group] {
 		return nil, arrived, "field t: unknown member group"
 	}
@@ -66,24 +66,24 @@
 	if !utf8.Valid(text) || bytes.IndexByte(text, 0) >= 0 || len(bytes.TrimSpace(text)) == 0 {
 		return nil, arrived, "the statement is not a text"
 	}
-	if !c.HoldText(len(text)) {
+	if !c.ReserveText(len(text)) {
 		return nil, arrived, noMemory
 	}
 	budget := time.Duration(left * float64(time.Millisecond))
 	reader := g.readers.Get().(*sqltext.Analyser)
 	built := reader.Analyse(text)
 	g.readers.Put(reader)
-	arrived = decision.StatementArrived{Statement: decision.StatementID(id), Workload: workload, Group: group,
-		TimeBudget: budget, Estimate: time.Duration(work * float64(time.Millisecond)), NeedMB: mem,
-		Tables: decision.TableGroup(built.Group()), Resent: f[fieldResent] == "1",
-		Write: g.cfg.Opening.Workloads[workload].Load}
-	return &statement{id: arrived.Statement, rules: guard.NewRequest(arrived.Statement, &g.enforced[workload], g.cfg.Opening.Limits), client: c, workload: f[fieldWorkload],
+	arrived = decision.StatementArrived{Statement: decision.StatementID(id), Workload: workload, Tenant: group,
+		TimeBudget: budget, EstimatedWork: time.Duration(work * float64(time.Millisecond)), EstimatedMemoryMB: mem,
+		TableGroup: decision.TableGroup(built.PrimaryGroup()), ClientRetry: f[fieldResent] == "1",
+		Writes: g.cfg.Module.Workloads[workload].BulkLoad}
+	return &statement{id: arrived.Statement, rules: invariant.NewRequest(arrived.Statement, &g.enforced[workload], g.cfg.Module.Limits), client: c, workload: f[fieldWorkload],
 		text:  append([]byte(nil), text...),
 		built: &built, taken: taken, ends: taken.Add(budget)}, arrived, ""
 }
 
 // guess reads an estimate, which must be above 0 and within reason; absent: 0.
-func guess(f front.Fields, name string, most float64) (float64, bool) {
+func guess(f downstream.Fields, name string, most float64) (float64, bool) {
 	text, stands := f[name]
 	if !stands {
 		return 0, true
--- a/internal/gateway/book.go
+++ b/internal/proxy/book.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"context"
@@ -8,21 +8,21 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/back"
 	"bankledge/internal/classify"
-	"bankledge/internal/front"
-	"bankledge/internal/guard"
+	"bankledge/internal/downstream"
+	"bankledge/internal/invariant"
 	"bankledge/internal/sqltext"
+	"bankledge/internal/upstream"
 )
 
 // Book: the records of statements, given back in one place, and the figures of what happened.
 
 // client is what the gateway needs of a client's connection. No call blocks.
 type client interface {
-	Answer(stream uint32, code front.Code, body []byte) (stalled bool)
-	Release(stream uint32)
-	HoldText(n int) (fits bool)
-	GiveText(n int)
+	Answer(stream uint32, code downstream.Code, body []byte) (stalled bool)
+	CloseStream(stream uint32)
+	ReserveText(n int) (fits bool)
+	ReleaseText(n int)
 }
 
 // statement is the record of one statement. The route goroutine owns it once it is admitted.
@@ -33,15 +33,15 @@
 	client   client
 	stream   uint32
 	taken    time.Time
-	ends     time.Time      // the client gives up
-	rules    *guard.Request // what the rules need to know of it
-	over     bool           // answered, or nobody waits
-	out      int            // executions without an end
-	execs    []*back.Execution
-	outcomes []decision.Outcome // of those that have ended, in the order in which they did
-	built    *sqltext.Statement // how its text is built, until the route has looked at it
-	sight    classify.Sight     // what ends of its executions teach about
-	missing  float64            // MB that an engine told to be missing, the most
+	ends     time.Time          // the client gives up
+	rules    *invariant.Request // what the rules need to know of it
+	over     bool               // answered, or nobody waits
+	out      int                // executions without an end
+	execs    []*upstream.Attempt
+	outcomes []decision.Outcome   // of those that have ended, in the order in which they did
+	built    *sqltext.Statement   // how its text is built, until the route has looked at it
+	sight    classify.Observation // what ends of its executions teach about
+	missing  float64              // MB that an engine told to be missing, the most
 }
 
 // close notes that a statement is over. What has not been sent yet will not be, before its client can know
@@ -50,7 +50,7 @@
 	s.over = true
 	r.leave(s)
 	for _, x := range s.execs {
-		x.Revoke()
+		x.CancelUnsent()
 	}
 	r.gateway.figures.open.Add(-1)
 	if s.out == 0 {
@@ -59,15 +59,15 @@
 }
 
 // executionEnded notes the end of an execution.
-func (r *route) executionEnded(s *statement, ev decision.ExecutionEnded) {
+func (r *route) executionEnded(s *statement, ev decision.AttemptEnded) {
 	s.out--
 	s.outcomes = append(s.outcomes, ev.Outcome)
-	s.rules.Ended(ev.Execution, neverRan(ev.Outcome))
+	s.rules.EndAttempt(ev.Attempt, neverRan(ev.Outcome))
 	r.learn(s, ev)
 	r.gateway.figures.ended(ev.Outcome)
-	r.gateway.log.Debug("execution ended", zap.String("statement", string(s.id)), zap.Int("execution", int(ev.Execution)),
+	r.gateway.log.Debug("execution ended", zap.String("statement", string(s.id)), zap.Int("execution", int(ev.Attempt)),
 		zap.String("engine", string(ev.Engine)), zap.String("workload", s.workload), zap.Stringer("outcome", ev.Outcome),
-		zap.Duration("took", ev.Took), zap.Any("report", ev.Report))
+		zap.Duration("took", ev.Elapsed), zap.Any("report", ev.Report))
 	if s.over && s.out == 0 {
 		r.giveBack(s)
 	}
@@ -75,7 +75,7 @@
 
 // neverRan tells outcomes after which it is known that the execution did not run.
 func neverRan(o decision.Outcome) bool {
-	return o == decision.Full || o == decision.NotConnected || o == decision.NeverSent
+	return o == decision.Overloaded || o == decision.ConnectFailed || o == decision.NotSent
 }
 
 // giveBack drops a record: the statement is over and none of its executions is out.
@@ -83,7 +83,7 @@
 	if r.open[s.id] == s {
 		delete(r.open, s.id)
 	}
-	s.client.GiveText(len(s.text))
+	s.client.ReleaseText(len(s.text))
 }
 
 // usedIDs remembers the latest ids of statements that were answered: an engine may hold their results still, and
@@ -119,12 +119,12 @@
 type figures struct {
 	taken, unfit, left, executions, probes atomic.Int64
 	completed, rejected, aborted           atomic.Int64
-	outcomes                               [decision.NeverSent + 1]atomic.Int64
+	outcomes                               [decision.NotSent + 1]atomic.Int64
 	open                                   atomic.Int64 // statements that are owed an answer
 	delays, delaySum, delayMost            atomic.Int64 // from an event to the actions it led to
 }
 
-func (f *figures) answered(code front.Code) {
+func (f *figures) answered(code downstream.Code) {
 	switch code {
 	case completed:
 		f.completed.Add(1)
@@ -144,7 +144,7 @@
 }
 
 // report writes the figures to the log now and then, and at the end.
-func (g *Gateway) report(ctx context.Context) error {
+func (g *Router) report(ctx context.Context) error {
 	tick := time.NewTicker(reportsEvery)
 	defer tick.Stop()
 	for {
@@ -160,12 +160,12 @@
 			outcomes[i] = f.outcomes[i].Load()
 		}
 		n := max(1, f.delays.Swap(0))
-		slow, out, texts := g.front.Slow()
+		slow, out, texts := g.front.FlowControlStats()
 		g.log.Info("figures", zap.Int64("taken", f.taken.Load()), zap.Int64("open", f.open.Load()),
 			zap.Int64("completed", f.completed.Load()), zap.Int64("rejected", f.rejected.Load()),
 			zap.Int64("aborted", f.aborted.Load()), zap.Int64("left", f.left.Load()), zap.Int64("unfit", f.unfit.Load()),
 			zap.Int64("executions", f.executions.Load()), zap.Int64s("outcomes", outcomes), zap.Int64("probes", f.probes.Load()),
-			zap.Int64("rules_violated", g.violations.Total()), zap.Int64("wall_clock_steps", g.wallClock.steps.Load()), zap.Int64("evicted_clients", g.front.Evicted()), zap.Int("engine_connections", g.back.Descriptors()), zap.Any("dials", g.back.Dials()), zap.Int64("text_bytes", texts), zap.Int64("answer_bytes", out), zap.Any("slow_clients", slow),
+			zap.Int64("rules_violated", g.violations.Total()), zap.Int64("wall_clock_steps", g.wallClock.steps.Load()), zap.Int64("evicted_clients", g.front.Evicted()), zap.Int("engine_connections", g.back.ConnectionsInUse()), zap.Any("dials", g.back.TakeConnectionStats()), zap.Int64("text_bytes", texts), zap.Int64("answer_bytes", out), zap.Any("slow_clients", slow),
 			zap.Duration("delay_mean", time.Duration(f.delaySum.Swap(0)/n)),
 			zap.Duration("delay_most", time.Duration(f.delayMost.Swap(0))))
 		g.reportLooks()
