--- a/internal/gateway/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"bufio"
@@ -17,15 +17,15 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
+	"bankledge/internal/fakes"
 	"bankledge/internal/settings"
-	"bankledge/internal/standin"
 )
 
 const patience = 15 * time.Second // for what must happen
 
 // running is a router in this process; its figures can be waited for.
 type running struct {
-	*Gateway
+	*Router
 	address string
 }
 
@@ -34,7 +34,7 @@
 	require.NoError(t, os.WriteFile(path, config, 0o600))
 	cfg, err := settings.Load(path)
 	require.NoError(t, err)
-	r := &running{Gateway: New(cfg, zap.NewNop())}
+	r := &running{Router: New(cfg, zap.NewNop())}
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- r.Run(stop, nil, nil) }()
@@ -58,7 +58,7 @@
 	t.Cleanup(func() { c.Close() })
 	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
 	fields := map[string]string{"c": workload, "i": fmt.Sprintf("%016s", id), "d": "9000", "t": "x", "h": "5", "heap_mb": "8"}
-	_, err = c.Write(standin.Frame(7, 1, standin.Payload(fields, "select a from sales_1.b where id = "+id)))
+	_, err = c.Write(fakes.Frame(7, 1, fakes.Payload(fields, "select a from sales_1.b where id = "+id)))
 	require.NoError(t, err)
 	return c
 }
@@ -67,29 +67,29 @@
 // comes after it is. Its place, its text and its account are given back.
 func TestWhoseClientLeftIsNotSentOn(t *testing.T) {
 	leaves := map[string]func(net.Conn){
-		"a frame":  func(c net.Conn) { c.Write(standin.Frame(9, 1, "")) },
+		"a frame":  func(c net.Conn) { c.Write(fakes.Frame(9, 1, "")) },
 		"its end":  func(c net.Conn) { c.Close() },
 		"half end": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 		"a reset":  func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	}
-	places := map[string]func(t *testing.T, clients int) (r *running, wait func(), open func() *standin.Engine){
-		"held, since no engine is ready": func(t *testing.T, clients int) (*running, func(), func() *standin.Engine) {
-			e, f := standin.NewEngine("e", map[string][]standin.Step{"POST": {standin.Done("fine\n")}}), standin.NewControl()
+	places := map[string]func(t *testing.T, clients int) (r *running, wait func(), open func() *fakes.Engine){
+		"held, since no engine is ready": func(t *testing.T, clients int) (*running, func(), func() *fakes.Engine) {
+			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.Done("fine\n")}}), fakes.NewControl()
 			t.Cleanup(func() { f.Close(); e.Close() })
-			r := run(t, standin.Config(f.Server.Listener.Addr().String(), standin.Settings, 64, 256, at(e, "leaving")))
+			r := run(t, fakes.Config(f.Server.Listener.Addr().String(), fakes.Settings, 64, 256, at(e, "leaving")))
 			return r, func() { r.await(t, "all are held", func() bool { return r.figures.open.Load() == int64(clients) }) },
-				func() *standin.Engine { f.Events <- change(2, at(e, "active")); return e }
+				func() *fakes.Engine { f.Events <- change(2, at(e, "active")); return e }
 		},
-		"its connection is coming up": func(t *testing.T, clients int) (*running, func(), func() *standin.Engine) {
-			listener, accept, err := standin.NotUp()
+		"its connection is coming up": func(t *testing.T, clients int) (*running, func(), func() *fakes.Engine) {
+			listener, accept, err := fakes.NotUp()
 			require.NoError(t, err)
-			e, f := standin.NewEngine("e", map[string][]standin.Step{"POST": {standin.Done("fine\n")}}), standin.NewControl()
+			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.Done("fine\n")}}), fakes.NewControl()
 			t.Cleanup(func() { f.Close(); e.Close(); listener.Close() })
-			slow := strings.Replace(standin.Settings, `"connectTimeout":250000`, `"connectTimeout":20000000`, 1)
-			r := run(t, standin.Config(f.Server.Listener.Addr().String(), slow, 64, 256, standin.Member("slow", listener.Addr().String(), "active")))
+			slow := strings.Replace(fakes.Settings, `"connectTimeout":250000`, `"connectTimeout":20000000`, 1)
+			r := run(t, fakes.Config(f.Server.Listener.Addr().String(), slow, 64, 256, fakes.Member("slow", listener.Addr().String(), "active")))
 			return r, func() {
 					r.await(t, "all are on their way", func() bool { return r.figures.executions.Load() >= min(int64(clients), 8) })
-				}, func() *standin.Engine {
+				}, func() *fakes.Engine {
 					accept()
 					go func() { // what comes up there now, if anything, is an engine's
 						for {
@@ -106,18 +106,18 @@
 						}
 					}()
 					<-f.Asked
-					f.Events <- change(2, standin.Member("slow", listener.Addr().String(), "leaving"), at(e, "active"))
+					f.Events <- change(2, fakes.Member("slow", listener.Addr().String(), "leaving"), at(e, "active"))
 					f.Events <- "" // asked on from there: it was taken, before what is sent now
 					require.Equal(t, "2", <-f.Asked)
 					return e
 				}
 		},
-		"held again, after an execution that failed": func(t *testing.T, clients int) (*running, func(), func() *standin.Engine) {
+		"held again, after an execution that failed": func(t *testing.T, clients int) (*running, func(), func() *fakes.Engine) {
 			fail := make(chan struct{})
-			bad := standin.NewEngine("bad", map[string][]standin.Step{"POST": {standin.Says(202, "")}, "GET 0": {standin.After(fail, standin.Says(500, ""))}})
-			e, f := standin.NewEngine("e", map[string][]standin.Step{"POST": {standin.Done("fine\n")}}), standin.NewControl()
+			bad := fakes.NewEngine("bad", map[string][]fakes.Step{"POST": {fakes.Says(202, "")}, "GET 0": {fakes.After(fail, fakes.Says(500, ""))}})
+			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.Done("fine\n")}}), fakes.NewControl()
 			t.Cleanup(func() { f.Close(); e.Close(); bad.Close() })
-			r := run(t, standin.Config(f.Server.Listener.Addr().String(), standin.Settings, 64, 256, at(bad, "active")))
+			r := run(t, fakes.Config(f.Server.Listener.Addr().String(), fakes.Settings, 64, 256, at(bad, "active")))
 			return r, func() {
 				r.await(t, "some are out", func() bool { return bad.Count("POST") >= min(clients, 4) })
 				f.Events <- change(2, at(bad, "leaving"))
@@ -126,7 +126,7 @@
 				require.Equal(t, "2", <-f.Asked)
 				close(fail)
 				r.await(t, "they failed", func() bool { return r.figures.outcomes[decision.Errored].Load() >= int64(min(clients, 4)) })
-			}, func() *standin.Engine { f.Events <- change(3, at(e, "active")); return e }
+			}, func() *fakes.Engine { f.Events <- change(3, at(e, "active")); return e }
 		},
 	}
 	for place, prepare := range places {
@@ -157,7 +157,7 @@
 					assert.Equal(t, 1, e.Count("POST"), "nothing else was sent")
 					c.Close()
 					r.await(t, "all is given back", func() bool {
-						_, out, texts := r.front.Slow()
+						_, out, texts := r.front.FlowControlStats()
 						return r.figures.open.Load() == 0 && out == 0 && texts == 0
 					})
 				})
@@ -169,27 +169,27 @@
 // A deduplicated statement that may have run goes to another engine only while its first execution is remembered: where the connection
 // there comes up later than that, nothing is sent, and its client hears so when the time is over.
 func TestARepeatIsNotSentAfterItsWindow(t *testing.T) {
-	listener, accept, err := standin.NotUp()
+	listener, accept, err := fakes.NotUp()
 	require.NoError(t, err)
 	defer listener.Close()
 	fail := make(chan struct{})
-	first := standin.NewEngine("first", map[string][]standin.Step{"POST": {standin.Says(202, "")}, "GET 0": {standin.After(fail, standin.Says(500, ""))}})
-	f := standin.NewControl()
+	first := fakes.NewEngine("first", map[string][]fakes.Step{"POST": {fakes.Says(202, "")}, "GET 0": {fakes.After(fail, fakes.Says(500, ""))}})
+	f := fakes.NewControl()
 	t.Cleanup(func() { f.Close(); first.Close() })
 	settings := strings.NewReplacer(`"connectTimeout":250000`, `"connectTimeout":20000000`,
-		`"name":"lookup","idempotency":"idempotent"`, `"name":"lookup","idempotency":"deduplicated","group":"all","window":700000`).Replace(standin.Settings)
+		`"name":"lookup","idempotency":"idempotent"`, `"name":"lookup","idempotency":"deduplicated","group":"all","window":700000`).Replace(fakes.Settings)
 	require.Contains(t, settings, "700000")
-	r := run(t, standin.Config(f.Server.Listener.Addr().String(), settings, 64, 256, at(first, "active")))
+	r := run(t, fakes.Config(f.Server.Listener.Addr().String(), settings, 64, 256, at(first, "active")))
 	c := r.sends(t, "lookup", "1")
 	r.await(t, "it is out", func() bool { return first.Count("POST") == 1 })
-	f.Events <- change(2, at(first, "leaving"), standin.Member("slow", listener.Addr().String(), "active"))
+	f.Events <- change(2, at(first, "leaving"), fakes.Member("slow", listener.Addr().String(), "active"))
 	<-f.Asked
 	f.Events <- "" // asked on from there: it was taken
 	require.Equal(t, "2", <-f.Asked)
 	close(fail)
 	r.await(t, "it goes again", func() bool { return r.figures.executions.Load() == 2 })
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(patience/3))) // well before its client gives up
-	kind, _, code, _, err := standin.ReadFrame(bufio.NewReader(c))
+	kind, _, code, _, err := fakes.ReadFrame(bufio.NewReader(c))
 	require.NoError(t, err)
 	assert.Equal(t, []byte{8, 50}, []byte{kind, code}, "who drops its repeats may be asked again")
 	accept()
@@ -205,12 +205,12 @@
 		}
 	}()
 	r.await(t, "all has ended", func() bool {
-		return r.figures.outcomes[decision.NeverSent].Load() == 1 && r.figures.open.Load() == 0
+		return r.figures.outcomes[decision.NotSent].Load() == 1 && r.figures.open.Load() == 0
 	})
 }
 
-func at(e *standin.Engine, phase string) string {
-	return standin.Member(e.ID, e.Server.Listener.Addr().String(), phase)
+func at(e *fakes.Engine, phase string) string {
+	return fakes.Member(e.ID, e.Server.Listener.Addr().String(), phase)
 }
 
 func change(n int, members ...string) string {
--- a/internal/gateway/gateway.go
+++ b/internal/proxy/gateway.go
@@ -1,6 +1,6 @@
 // Package gateway carries statements through their stages: take in, admit, route, send, relay, book. It joins
 // the clients' side and the engines' side, which know nothing of each other, around the decision module.
-package gateway
+package proxy
 
 import (
 	"cmp"
@@ -21,14 +21,14 @@
 	"golang.org/x/sync/errgroup"
 
 	"bankledge/decision"
-	"bankledge/internal/account"
-	"bankledge/internal/back"
 	"bankledge/internal/classify"
-	"bankledge/internal/feed"
-	"bankledge/internal/front"
-	"bankledge/internal/guard"
+	"bankledge/internal/discovery"
+	"bankledge/internal/downstream"
+	"bankledge/internal/flowcontrol"
+	"bankledge/internal/invariant"
 	"bankledge/internal/settings"
 	"bankledge/internal/sqltext"
+	"bankledge/internal/upstream"
 	"bankledge/policy"
 )
 
@@ -58,25 +58,25 @@
 )
 
 // Gateway is a router.
-type Gateway struct {
+type Router struct {
 	cfg     *settings.Config
 	log     *zap.Logger
 	origin  time.Time // of the module's clock; it holds a monotonic reading
 	engines int       // descriptors for connections to them
-	front   *front.Front
-	back    *back.Back
+	front   *downstream.Server
+	back    *upstream.Client
 	route   *route
-	follow  *feed.Feed
+	follow  *discovery.Client
 	serving chan net.Addr // the address, once clients can connect
 
 	workloads map[string]decision.WorkloadID
-	groups    map[decision.MemberGroup]bool
+	groups    map[decision.Tenant]bool
 
 	mostMemory float64     // of any kind of machine, in MB
 	reached    atomic.Bool // engines were seen to be in reach
 	stopping   atomic.Bool // SIGTERM has come
 	figures    figures
-	violations *guard.Violations
+	violations *invariant.Recorder
 	enforced   []decision.Workload // what the guard holds statements to; the route goroutine changes it
 	pulse      pulse
 	wallClock  wallClock
@@ -85,15 +85,15 @@
 }
 
 // New prepares a router; nothing runs yet.
-func New(cfg *settings.Config, log *zap.Logger) *Gateway {
-	o := cfg.Opening
+func New(cfg *settings.Config, log *zap.Logger) *Router {
+	o := cfg.Module
 	engines := cfg.Limits.Sockets - cfg.Limits.Sockets/clientShare - ownSockets
-	o.Identity.Tick = max(o.Identity.Tick, wakeTime)
-	o.Limits.MaxOut = int(outShare * float64(engines))
-	o.Limits.SendLag = o.Sockets.ConnectTimeout + wakeTime
-	g := &Gateway{cfg: cfg, log: log, engines: engines, serving: make(chan net.Addr, 1), origin: time.Now().Add(-clockBefore),
-		workloads: map[string]decision.WorkloadID{}, groups: map[decision.MemberGroup]bool{}}
-	g.violations = guard.NewViolations(log)
+	o.Identity.ClockGranularity = max(o.Identity.ClockGranularity, wakeTime)
+	o.Limits.MaxInFlightAttempts = int(outShare * float64(engines))
+	o.Limits.MaxSendDelay = o.Connections.ConnectTimeout + wakeTime
+	g := &Router{cfg: cfg, log: log, engines: engines, serving: make(chan net.Addr, 1), origin: time.Now().Add(-clockBefore),
+		workloads: map[string]decision.WorkloadID{}, groups: map[decision.Tenant]bool{}}
+	g.violations = invariant.NewRecorder(log)
 	g.readers.New = func() any { return new(sqltext.Analyser) }
 	for _, machine := range o.Engines.Machines {
 		g.mostMemory = max(g.mostMemory, machine.MemoryMB)
@@ -102,36 +102,36 @@
 	for i, w := range o.Workloads {
 		g.workloads[w.Name] = decision.WorkloadID(i)
 	}
-	for _, s := range o.Shares.Groups {
-		g.groups[s.Group] = true
+	for _, s := range o.Quotas.Tenants {
+		g.groups[s.Tenant] = true
 	}
-	g.front = front.New(g, cfg.Limits.Sockets/clientShare, cfg.Limits.MemoryMB<<20/frameShare,
-		account.Derive(cfg.Limits.MemoryMB, cfg.Limits.Sockets/clientShare), log)
+	g.front = downstream.New(g, cfg.Limits.Sockets/clientShare, cfg.Limits.MemoryMB<<20/frameShare,
+		flowcontrol.DeriveLimits(cfg.Limits.MemoryMB, cfg.Limits.Sockets/clientShare), log)
 	g.front.Violations = g.violations
 	g.enforced = slices.Clone(o.Workloads)
-	g.route = &route{gateway: g, places: map[decision.EngineID]guard.Place{}, inbox: make(chan input, inboxSize), done: make(chan struct{}), open: map[decision.StatementID]*statement{},
+	g.route = &route{gateway: g, places: map[decision.EngineID]invariant.Location{}, inbox: make(chan input, inboxSize), done: make(chan struct{}), open: map[decision.StatementID]*statement{},
 		from: map[client]map[uint32]*statement{}, used: usedIDs{half: idsPerMB * int(cfg.Limits.MemoryMB) / 2},
-		looks: classify.New(o.Workloads, cfg.Limits.MemoryMB<<20/shapeShare), module: policy.New(o.Identity, o.Workloads, o.Engines, o.Shares, o.Limits, o.Rules, o.Reports)}
+		looks: classify.New(o.Workloads, cfg.Limits.MemoryMB<<20/shapeShare), module: policy.New(o.Identity, o.Workloads, o.Engines, o.Quotas, o.Limits, o.Rules, o.LoadReports)}
 	return g
 }
 
 // Run serves until stop ends, and then until what was taken is answered. At each sign to reload it takes over
 // the configuration that load reads.
-func (g *Gateway) Run(stop context.Context, reload <-chan os.Signal, load func() (*settings.Config, error)) error {
+func (g *Router) Run(stop context.Context, reload <-chan os.Signal, load func() (*settings.Config, error)) error {
 	runtime.GOMAXPROCS(max(1, int(g.cfg.Limits.Cores+0.5)))
 	debug.SetGCPercent(heapGrowth)
 	debug.SetMemoryLimit(int64(heapShare * float64(g.cfg.Limits.MemoryMB<<20)))
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	sockets := g.cfg.Opening.Sockets
-	g.back = back.New(ctx, g, g.engines, sockets.IdleClose, sockets.ConnectTimeout, g.log)
-	g.back.Hear = g.hearList
+	sockets := g.cfg.Module.Connections
+	g.back = upstream.New(ctx, g, g.engines, sockets.IdleTimeout, sockets.ConnectTimeout, g.log)
+	g.back.AwaitDiscovery = g.hearList
 	g.back.Violations = g.violations
-	listener, err := net.Listen("tcp", g.cfg.Listen)
+	listener, err := net.Listen("tcp", g.cfg.ListenAddress)
 	if err != nil {
 		return err
 	}
-	follow := feed.New(g.cfg.Feed, g.origin, g.changed, g.log)
+	follow := discovery.New(g.cfg.DiscoveryAddress, g.origin, g.changed, g.log)
 	g.follow = follow
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return g.route.run(ctx) })
@@ -141,10 +141,10 @@
 		listener.Close()
 		return errors.Join(err, group.Wait())
 	}
-	follow.Last = g.cfg.LastID
-	group.Go(func() error { return g.back.Tend(ctx) })
+	follow.LastEventID = g.cfg.LastEventID
+	group.Go(func() error { return g.back.Run(ctx) })
 	group.Go(func() error { return g.front.Serve(ctx, listener) })
-	group.Go(func() error { return follow.Follow(ctx) })
+	group.Go(func() error { return follow.Watch(ctx) })
 	group.Go(func() error { return g.awaitReload(ctx, reload, load, follow) })
 	group.Go(func() error { return g.reach(ctx) })
 	group.Go(func() error { return g.report(ctx) })
@@ -159,7 +159,7 @@
 		defer listener.Close()
 		return g.awaitStop(ctx, stop, listener)
 	})
-	g.log.Info("settings", zap.Any("opening", g.cfg.Opening), zap.Any("limits", g.cfg.Limits))
+	g.log.Info("settings", zap.Any("opening", g.cfg.Module), zap.Any("limits", g.cfg.Limits))
 	g.log.Info("serving", zap.String("name", g.cfg.Name), zap.Stringer("listen", listener.Addr()),
 		zap.Int("engines", len(known)))
 	g.serving <- listener.Addr()
@@ -169,62 +169,62 @@
 }
 
 // Serving tells the address once clients can connect.
-func (g *Gateway) Serving() <-chan net.Addr { return g.serving }
+func (g *Router) Serving() <-chan net.Addr { return g.serving }
 
 // knownChanges hands the changes of the configuration to the module.
-func (g *Gateway) knownChanges() (engines []decision.EngineID, err error) {
-	last, err := g.follow.Known(g.cfg.Known, func(c feed.Change) {
+func (g *Router) knownChanges() (engines []decision.EngineID, err error) {
+	last, err := g.follow.ApplyKnownEvents(g.cfg.KnownEvents, func(c discovery.WatchEvent) {
 		g.list(c, decision.ListPersisted)
-		for _, m := range c.Members {
+		for _, m := range c.Endpoints {
 			engines = append(engines, m.Engine)
 		}
 	})
-	g.cfg.LastID = max(g.cfg.LastID, last)
+	g.cfg.LastEventID = max(g.cfg.LastEventID, last)
 	return engines, err
 }
 
 // changed takes a change from the control feed.
-func (g *Gateway) changed(c feed.Change) {
-	g.log.Info("engine list changed", zap.Int64("number", c.Number), zap.Any("members", c.Members))
+func (g *Router) changed(c discovery.WatchEvent) {
+	g.log.Info("engine list changed", zap.Int64("number", c.Number), zap.Any("members", c.Endpoints))
 	g.list(c, decision.ListComplete)
 }
 
-func (g *Gateway) list(c feed.Change, whole decision.ListKind) {
-	ev := decision.EngineList{Kind: decision.ListPartial, Version: c.Version}
+func (g *Router) list(c discovery.WatchEvent, whole decision.ListKind) {
+	ev := decision.EndpointList{Kind: decision.ListPartial, Version: c.Revision}
 	if c.Complete {
 		ev.Kind = whole
 	}
 	listed := map[decision.EngineID]bool{}
 	var addresses []string
-	for _, m := range c.Members {
-		listed[m.Engine] = m.State != decision.Gone
-		ev.Entries, addresses = append(ev.Entries, m.Entry), append(addresses, m.Address)
+	for _, m := range c.Endpoints {
+		listed[m.Engine] = m.State != decision.Removed
+		ev.Endpoints, addresses = append(ev.Endpoints, m.Endpoint), append(addresses, m.Address)
 	}
-	for _, m := range c.Members { // before the module hears of them: it may send at once
+	for _, m := range c.Endpoints { // before the module hears of them: it may send at once
 		if listed[m.Engine] {
-			g.back.Know(m.Engine, m.Address, m.State == decision.Ready)
+			g.back.UpdateEngine(m.Engine, m.Address, m.State == decision.Ready)
 		}
 	}
 	g.route.post(input{event: ev, address: addresses})
-	for _, m := range c.Members { // after it: what is not sent for this comes back to a module that knows why
+	for _, m := range c.Endpoints { // after it: what is not sent for this comes back to a module that knows why
 		switch {
 		case !listed[m.Engine]:
-			g.back.Forget(m.Engine)
+			g.back.RemoveEngine(m.Engine)
 		case m.State != decision.Ready:
-			g.back.Drain(m.Engine)
+			g.back.DrainEngine(m.Engine)
 		}
 	}
 	if c.Complete {
-		g.back.Keep(listed)
+		g.back.RetainEngines(listed)
 	}
 }
 
 // reach finds out at the start whether engines can be reached: one is enough.
-func (g *Gateway) reach(ctx context.Context) error {
+func (g *Router) reach(ctx context.Context) error {
 	for !g.reached.Load() && ctx.Err() == nil {
 		engines := g.back.Engines() // those at the start may all be gone by now
 		for i := range engines {    // hundreds of routers that start begin at different ones
-			if e := engines[(i+int(g.cfg.Seed%uint64(len(engines))))%len(engines)]; g.back.Reach(ctx, e) == nil {
+			if e := engines[(i+int(g.cfg.Seed%uint64(len(engines))))%len(engines)]; g.back.Preconnect(ctx, e) == nil {
 				g.reached.Store(true)
 				break // a connection to each would be a handshake storm at every engine, for none of which there is work yet
 			}
@@ -239,8 +239,8 @@
 
 // awaitReload waits for signs to read the configuration again. Only the control feed's address and events that
 // are not known yet are taken over: all else is fixed at the start. One that is unfit changes nothing.
-func (g *Gateway) awaitReload(ctx context.Context, reload <-chan os.Signal, load func() (*settings.Config, error),
-	follow *feed.Feed) error {
+func (g *Router) awaitReload(ctx context.Context, reload <-chan os.Signal, load func() (*settings.Config, error),
+	follow *discovery.Client) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -252,27 +252,27 @@
 			g.log.Error("the new configuration is unfit, the old one stays in force", zap.Error(err))
 			continue
 		}
-		fixed := g.cfg.Differs(cfg)
-		g.log.Info("configuration read again", zap.String("feed", cfg.Feed), zap.Int64("known", cfg.LastID),
+		fixed := g.cfg.RestartRequired(cfg)
+		g.log.Info("configuration read again", zap.String("feed", cfg.DiscoveryAddress), zap.Int64("known", cfg.LastEventID),
 			zap.Strings("changed_but_fixed_until_a_restart", fixed))
-		follow.Move(cfg.Feed, cfg.Known)
+		follow.SetAddress(cfg.DiscoveryAddress, cfg.KnownEvents)
 	}
 }
 
 // awaitStop waits for the sign to stop. Then no client is to send new statements, those that come all the
 // same are answered, and the router ends when all are, or when its time is up.
-func (g *Gateway) awaitStop(ctx, stop context.Context, listener net.Listener) error {
+func (g *Router) awaitStop(ctx, stop context.Context, listener net.Listener) error {
 	select {
 	case <-ctx.Done():
 		return nil
 	case <-stop.Done():
 	}
-	plan := planStop(g.cfg.Opening.Workloads)
+	plan := planStop(g.cfg.Module.Workloads)
 	began := time.Now()
 	g.log.Info("stopping", zap.Duration("within", plan.end))
 	g.stopping.Store(true)
-	g.front.Stop()
-	g.route.post(input{event: decision.Stopping{Within: plan.giveUp}})
+	g.front.StartDraining()
+	g.route.post(input{event: decision.ShutdownStarted{GracePeriod: plan.giveUp}})
 	for looks, closed := 0, false; looks < overLooks; { // one that was held up hears what came meanwhile first
 		select {
 		case <-ctx.Done():
@@ -280,7 +280,7 @@
 		case <-time.After(stopLook):
 		}
 		past := time.Since(began)
-		if closed = closed || past > lateComers && !front.Awaited(listener); closed {
+		if closed = closed || past > lateComers && !downstream.AcceptPending(listener); closed {
 			listener.Close()
 		}
 		if looks++; !plan.over(past, closed && g.idle()) {
@@ -292,8 +292,8 @@
 
 // idle tells whether nothing is open and nothing waits to be accepted, read, written or taken in. What was read and is not open yet
 // shows at the next look: a router that is held up and goes on looks before it has read what came meanwhile.
-func (g *Gateway) idle() bool {
-	return g.front.Unheard() == 0 && g.figures.open.Load() == 0 && g.front.Queued() == 0
+func (g *Router) idle() bool {
+	return g.front.PendingReads() == 0 && g.figures.open.Load() == 0 && g.front.PendingWrites() == 0
 }
 
 // stopPlan is when, after SIGTERM, what is open then is given up, and when the router ends whatever is open.
@@ -316,12 +316,12 @@
 }
 
 // now is the module's clock.
-func (g *Gateway) now() time.Duration { return time.Since(g.origin) }
+func (g *Router) now() time.Duration { return time.Since(g.origin) }
 
 // Check tells what is wrong with a configuration beyond its settings.
-func Check(cfg *settings.Config) error {
-	for i, raw := range cfg.Known {
-		if _, _, err := feed.Parse(raw); err != nil {
+func ValidateConfig(cfg *settings.Config) error {
+	for i, raw := range cfg.KnownEvents {
+		if _, _, err := discovery.ParseEvent(raw); err != nil {
 			return fmt.Errorf("known.events[%d]: %w", i, err)
 		}
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/proxy/gateway_test.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"context"
@@ -12,17 +12,17 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/back"
-	"bankledge/internal/front"
-	"bankledge/internal/guard"
+	"bankledge/internal/downstream"
+	"bankledge/internal/invariant"
 	"bankledge/internal/settings"
+	"bankledge/internal/upstream"
 )
 
 // Every goroutine ends with the router, also with a client connected and a statement open.
 func TestNothingIsLeft(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	cfg := &settings.Config{Listen: "127.0.0.1:0", Feed: "127.0.0.1:9", Limits: settings.Machine{Cores: 1, MemoryMB: 64, Sockets: 128},
-		Opening: &settings.Opening{Workloads: []decision.Workload{{Name: "w", SLO: time.Second, StatementTimeout: 100 * time.Millisecond}}}}
+	cfg := &settings.Config{ListenAddress: "127.0.0.1:0", DiscoveryAddress: "127.0.0.1:9", Limits: settings.ResourceLimits{Cores: 1, MemoryMB: 64, Sockets: 128},
+		Module: &settings.ModuleSettings{Workloads: []decision.Workload{{Name: "w", LatencyObjective: time.Second, StatementTimeout: 100 * time.Millisecond}}}}
 	g := New(cfg, zap.NewNop())
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -39,42 +39,42 @@
 
 type nobody struct{ heard func() }
 
-func (n *nobody) Answer(uint32, front.Code, []byte) bool {
+func (n *nobody) Answer(uint32, downstream.Code, []byte) bool {
 	if n.heard != nil {
 		n.heard()
 	}
 	return false
 }
-func (*nobody) Release(uint32)    {}
-func (*nobody) HoldText(int) bool { return true }
-func (*nobody) GiveText(int)      {}
+func (*nobody) CloseStream(uint32)   {}
+func (*nobody) ReserveText(int) bool { return true }
+func (*nobody) ReleaseText(int)      {}
 
-func newRules(id decision.StatementID) *guard.Request {
-	return guard.NewRequest(id, &decision.Workload{}, decision.Limits{})
+func newRules(id decision.StatementID) *invariant.Request {
+	return invariant.NewRequest(id, &decision.Workload{}, decision.Limits{})
 }
 
 // An execution that still waits for a connection is revoked before the client can know of the answer.
 func TestNothingIsSentAfterTheAnswer(t *testing.T) {
-	cfg := &settings.Config{Limits: settings.Machine{Cores: 1, MemoryMB: 64, Sockets: 128}, Opening: &settings.Opening{}}
+	cfg := &settings.Config{Limits: settings.ResourceLimits{Cores: 1, MemoryMB: 64, Sockets: 128}, Module: &settings.ModuleSettings{}}
 	g := New(cfg, zap.NewNop())
-	g.back = back.New(t.Context(), g, 0, time.Minute, time.Minute, g.log) // with no descriptor to be had
+	g.back = upstream.New(t.Context(), g, 0, time.Minute, time.Minute, g.log) // with no descriptor to be had
 	s := &statement{id: "x", rules: newRules("x"), ends: time.Now().Add(time.Minute)}
 	heard := false
 	s.client = &nobody{func() {
 		heard = true
-		require.False(t, s.execs[0].Revoke(), "it was revoked before")
+		require.False(t, s.execs[0].CancelUnsent(), "it was revoked before")
 	}}
 	g.route.open[s.id] = s
-	g.route.execute(decision.Execute{Statement: "x", Engine: "e"})
-	g.route.answer(s, rejected, nil, decision.ReasonOver)
+	g.route.execute(decision.StartAttempt{Statement: "x", Engine: "e"})
+	g.route.answer(s, rejected, nil, decision.ReasonFinished)
 	require.True(t, heard)
-	ended := (<-g.route.inbox).event.(decision.ExecutionEnded)
-	require.Equal(t, decision.NeverSent, ended.Outcome)
+	ended := (<-g.route.inbox).event.(decision.AttemptEnded)
+	require.Equal(t, decision.NotSent, ended.Outcome)
 }
 
 // A panic in the module loses a batch; whoever it has forgotten is answered when its time is up.
 func TestModuleFails(t *testing.T) {
-	cfg := &settings.Config{Limits: settings.Machine{Cores: 1, MemoryMB: 64, Sockets: 128}, Opening: &settings.Opening{}}
+	cfg := &settings.Config{Limits: settings.ResourceLimits{Cores: 1, MemoryMB: 64, Sockets: 128}, Module: &settings.ModuleSettings{}}
 	g := New(cfg, zap.NewNop()) // a module without workloads
 	s := &statement{id: "x", rules: newRules("x"), client: &nobody{}, taken: time.Now(), ends: time.Now()}
 	g.figures.open.Add(1)
--- a/internal/gateway/look.go
+++ b/internal/proxy/look.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"maps"
@@ -18,31 +18,31 @@
 // look fills in what is known of a statement beyond what its client declares.
 func (r *route) look(s *statement, ev *decision.StatementArrived, now time.Duration) {
 	built := s.built
-	if s.built = nil; built == nil || r.gateway.cfg.AsDeclared {
+	if s.built = nil; built == nil || r.gateway.cfg.ClassificationDisabled {
 		return
 	}
-	if built.Shape != 0 { // what one member group's statements have shown says nothing of another's
-		built.Shape ^= xxhash.Sum64String(string(ev.Group))
+	if built.Fingerprint != 0 { // what one member group's statements have shown says nothing of another's
+		built.Fingerprint ^= xxhash.Sum64String(string(ev.Tenant))
 	}
-	v := r.looks.Look(now, ev.Workload, ev.Estimate, ev.NeedMB, built, &s.sight)
-	if v.As != ev.Workload || v.Work > 0 || v.MemoryMB > 0 || v.Writes || len(v.Others) > 0 {
-		ev.Looks = &decision.Looks{As: v.As, Work: v.Work, NeedMB: v.MemoryMB, Writes: v.Writes, Others: v.Others}
+	v := r.looks.Classify(now, ev.Workload, ev.EstimatedWork, ev.EstimatedMemoryMB, built, &s.sight)
+	if v.Workload != ev.Workload || v.Work > 0 || v.MemoryMB > 0 || v.Writes || len(v.OtherTables) > 0 {
+		ev.Classification = &decision.Classification{Workload: v.Workload, EstimatedWork: v.Work, EstimatedMemoryMB: v.MemoryMB, Writes: v.Writes, OtherTableGroups: v.OtherTables}
 	}
-	if v.As != ev.Workload {
+	if v.Workload != ev.Workload {
 		r.gateway.log.Debug("treated as another workload", zap.String("statement", string(s.id)), zap.String("declared", s.workload),
-			zap.String("as", r.gateway.cfg.Opening.Workloads[v.As].Name), zap.Stringer("reason", v.Reason),
+			zap.String("as", r.gateway.cfg.Module.Workloads[v.Workload].Name), zap.Stringer("reason", v.Reason),
 			zap.Float64("confidence", v.Confidence), zap.Duration("work", v.Work))
 	}
 }
 
 // learn has the end of an execution teach what statements of its shape are like. What never ran teaches nothing, and
 // neither does what ended with an error or broke off.
-func (r *route) learn(s *statement, ev decision.ExecutionEnded) {
+func (r *route) learn(s *statement, ev decision.AttemptEnded) {
 	switch ev.Outcome {
 	case decision.Completed:
-		r.looks.Ended(r.gateway.now(), &s.sight, ev.Took, true, s.missing)
+		r.looks.RecordEnd(r.gateway.now(), &s.sight, ev.Elapsed, true, s.missing)
 	case decision.TimedOut, decision.Cancelled:
-		r.looks.Ended(r.gateway.now(), &s.sight, ev.Took, false, 0)
+		r.looks.RecordEnd(r.gateway.now(), &s.sight, ev.Elapsed, false, 0)
 	}
 }
 
@@ -51,15 +51,15 @@
 	if now.Sub(r.counted) >= reportsEvery/5 {
 		r.counted = now
 		counts := r.looks.Counts()
-		counts.Treated = maps.Clone(counts.Treated)
+		counts.Reclassified = maps.Clone(counts.Reclassified)
 		r.gateway.looks.Store(&counts)
 	}
 }
 
 // reportLooks writes them to the log.
-func (g *Gateway) reportLooks() {
+func (g *Router) reportLooks() {
 	counts := g.looks.Load()
-	if counts == nil || g.cfg.AsDeclared {
+	if counts == nil || g.cfg.ClassificationDisabled {
 		return
 	}
 	reasons, treated := map[string]int64{}, map[string]int64{}
@@ -68,10 +68,10 @@
 			reasons[classify.Reason(reason).String()] = n
 		}
 	}
-	for pair, n := range counts.Treated {
-		treated[g.cfg.Opening.Workloads[pair[0]].Name+" as "+g.cfg.Opening.Workloads[pair[1]].Name] = n
+	for pair, n := range counts.Reclassified {
+		treated[g.cfg.Module.Workloads[pair[0]].Name+" as "+g.cfg.Module.Workloads[pair[1]].Name] = n
 	}
 	g.log.Info("looks", zap.Int64("shapes_known", counts.Hits), zap.Int64("shapes_unknown", counts.Misses),
-		zap.Any("reasons", reasons), zap.Any("treated", treated), zap.Int64("shapes_changed", counts.Changed),
-		zap.Int("budget_bytes", sqltext.Budget))
+		zap.Any("reasons", reasons), zap.Any("treated", treated), zap.Int64("shapes_changed", counts.ChangedFingerprints),
+		zap.Int("budget_bytes", sqltext.MaxAnalysedBytes))
 }
--- a/internal/gateway/looks_test.go
+++ b/internal/proxy/looks_test.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"context"
@@ -17,29 +17,29 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/front"
+	"bankledge/internal/downstream"
+	"bankledge/internal/fakes"
 	"bankledge/internal/settings"
-	"bankledge/internal/standin"
 )
 
 // arm is a router with engines of its own, whose run times follow the true workload.
 type arm struct {
-	gateway *Gateway
-	clients []*standin.Client
-	engines []*standin.Model
+	gateway *Router
+	clients []*fakes.Client
+	engines []*fakes.Model
 	mu      sync.Mutex
 	took    [3][]time.Duration // by true workload, of what completed
-	answers map[front.Code]int
+	answers map[downstream.Code]int
 	lost    int
 }
 
 const faster = 10 // times, than the mix's work
 
 func startArm(t *testing.T, asDeclared bool) *arm {
-	a := &arm{answers: map[front.Code]int{}}
+	a := &arm{answers: map[downstream.Code]int{}}
 	var members []string
 	for i := range 2 {
-		e := standin.NewModel(8, func(_, text string) (time.Duration, int) { // the text tells the true work
+		e := fakes.NewModel(8, func(_, text string) (time.Duration, int) { // the text tells the true work
 			var us int64
 			threads := 1
 			if i := strings.Index(text, "/*w"); i >= 0 {
@@ -49,13 +49,13 @@
 		})
 		t.Cleanup(e.Close)
 		a.engines = append(a.engines, e)
-		members = append(members, standin.Member(fmt.Sprint("e", i), e.Server.Listener.Addr().String(), "active"))
+		members = append(members, fakes.Member(fmt.Sprint("e", i), e.Server.Listener.Addr().String(), "active"))
 	}
-	feed := standin.NewControl()
+	feed := fakes.NewControl()
 	t.Cleanup(feed.Close)
-	cfg, err := settings.ParseConfig(standin.Config(feed.Server.Listener.Addr().String(), standin.Settings, 192, 1024, members...))
+	cfg, err := settings.ParseConfig(fakes.Config(feed.Server.Listener.Addr().String(), fakes.Settings, 192, 1024, members...))
 	require.NoError(t, err)
-	cfg.AsDeclared, cfg.Limits.Cores = asDeclared, 8
+	cfg.ClassificationDisabled, cfg.Limits.Cores = asDeclared, 8
 	a.gateway = New(cfg, zap.NewNop())
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -63,7 +63,7 @@
 	t.Cleanup(func() { cancel(); assert.NoError(t, <-ended) })
 	address := (<-a.gateway.Serving()).String()
 	for range 16 { // 32 statements each
-		c, err := standin.Dial(address)
+		c, err := fakes.Dial(address)
 		require.NoError(t, err)
 		t.Cleanup(c.Close)
 		a.clients = append(a.clients, c)
@@ -72,11 +72,11 @@
 	return a
 }
 
-func (a *arm) ask(n int, item standin.Item, wait *sync.WaitGroup) {
-	w := standin.Workloads()[item.True]
+func (a *arm) ask(n int, item fakes.Item, wait *sync.WaitGroup) {
+	w := fakes.Workloads()[item.True]
 	text := fmt.Sprintf("%s /*w %d %d*/", item.Text, (item.Work / faster).Microseconds(), w.Threads)
-	answer := a.clients[n%len(a.clients)].Send(map[string]string{"c": standin.Workloads()[item.Declared].Name, "i": fmt.Sprintf("%016x", n),
-		"d": strconv.Itoa(int(standin.Workloads()[item.Declared].StatementTimeout.Milliseconds())), "t": "x",
+	answer := a.clients[n%len(a.clients)].Send(map[string]string{"c": fakes.Workloads()[item.Declared].Name, "i": fmt.Sprintf("%016x", n),
+		"d": strconv.Itoa(int(fakes.Workloads()[item.Declared].StatementTimeout.Milliseconds())), "t": "x",
 		"h": strconv.FormatFloat((item.Estimate/faster).Seconds()*1000, 'f', 3, 64), "heap_mb": "50"}, text)
 	wait.Go(func() {
 		got := <-answer
@@ -86,7 +86,7 @@
 			a.lost++
 			return
 		}
-		if a.answers[got.Code]++; got.Code == front.CodeCompleted {
+		if a.answers[got.Code]++; got.Code == downstream.CodeCompleted {
 			a.took[item.True] = append(a.took[item.True], got.Took)
 		}
 	})
@@ -102,7 +102,7 @@
 		length, rate = 60*time.Second, perSec
 	}
 	off, on, plain, honest := startArm(t, true), startArm(t, false), startArm(t, true), startArm(t, false)
-	mix, r := standin.NewMix(3, standin.MixOptions{Shapes: 40, EstimateOff: 1, Lies: true}), rand.New(rand.NewPCG(1, 1))
+	mix, r := fakes.NewMix(3, fakes.MixOptions{Shapes: 40, EstimateOff: 1, Lies: true}), rand.New(rand.NewPCG(1, 1))
 	var wait sync.WaitGroup
 	n, at := 0, time.Duration(0)
 	ticks := time.NewTicker(time.Millisecond)
--- a/internal/gateway/pulse.go
+++ b/internal/proxy/pulse.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"sync/atomic"
@@ -43,11 +43,11 @@
 
 // hearList waits, where the router was held up just now, until what the control feed told meanwhile has come: nothing is decided, and
 // nothing begins, on a list that old. The feed may have read it in the instant of the look, so there is one look more.
-func (g *Gateway) hearList() {
+func (g *Router) hearList() {
 	if now := g.now(); g.pulse.arrived(now) == now {
 		return
 	}
 	for until, over := time.Now().Add(listFirst), false; !over && time.Now().Before(until); time.Sleep(listLook) {
-		over = !g.follow.Behind()
+		over = !g.follow.HasUnreadEvents()
 	}
 }
--- a/internal/gateway/pulse_test.go
+++ b/internal/proxy/pulse_test.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"testing"
--- a/internal/gateway/relay.go
+++ b/internal/proxy/relay.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"time"
@@ -6,16 +6,16 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/front"
+	"bankledge/internal/downstream"
 )
 
 // Relay: each statement's one final answer goes to its client. A result goes whole or not at all: it is held
 // until its last page is in, so an engine that dies between pages leaves nothing half said.
 
 const (
-	rejected  = front.CodeRejected
-	aborted   = front.CodeAborted
-	completed = front.CodeCompleted
+	rejected  = downstream.CodeRejected
+	aborted   = downstream.CodeAborted
+	completed = downstream.CodeCompleted
 )
 
 // relay passes on a result, unless the statement is over already.
@@ -35,18 +35,18 @@
 )
 
 // answer gives the one final answer; a second is not sent. The reason is for the log.
-func (r *route) answer(s *statement, code front.Code, body []byte, why decision.Reason) {
+func (r *route) answer(s *statement, code downstream.Code, body []byte, why decision.Reason) {
 	if s.over {
 		return
 	}
 	if code == rejected {
-		if v := s.rules.Reject(); v != nil {
-			r.gateway.violations.Count(v)
+		if v := s.rules.CheckRejection(); v != nil {
+			r.gateway.violations.Record(v)
 			code, body, why = aborted, nil, reasonRule
 		}
 	}
-	if v := s.rules.Answer(); v != nil {
-		r.gateway.violations.Count(v)
+	if v := s.rules.RecordAnswer(); v != nil {
+		r.gateway.violations.Record(v)
 		return
 	}
 	if r.open[s.id] == s {
@@ -54,7 +54,7 @@
 	}
 	r.close(s)
 	if s.client.Answer(s.stream, code, body) {
-		r.also = append(r.also, decision.ClientReads{Statements: r.openOf(s.client)})
+		r.also = append(r.also, decision.ClientReadStateChanged{Statements: r.openOf(s.client)})
 	}
 	r.gateway.figures.answered(code)
 	r.gateway.log.Debug("statement answered", zap.String("statement", string(s.id)), zap.Uint8("code", uint8(code)), zap.String("why", string(why)),
@@ -63,8 +63,8 @@
 
 // endUnanswered ends a statement for which nobody waits any more.
 func (r *route) endUnanswered(s *statement) {
-	s.rules.Leave()
-	s.client.Release(s.stream)
+	s.rules.RecordCancellation()
+	s.client.CloseStream(s.stream)
 	r.gateway.log.Debug("client left", zap.String("statement", string(s.id)), zap.Int("executions", len(s.execs)), zap.Int("out", s.out))
 	r.gateway.figures.left.Add(1)
 	r.close(s)
--- a/internal/gateway/route.go
+++ b/internal/proxy/route.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/agree"
 	"bankledge/internal/classify"
-	"bankledge/internal/guard"
+	"bankledge/internal/invariant"
+	"bankledge/internal/lease"
 	"bankledge/policy"
 )
 
@@ -23,7 +23,7 @@
 // input is one thing that happened.
 type input struct {
 	event   decision.Event
-	steer   agree.RouterEvent // of the link to the control group
+	steer   lease.ClientEvent // of the link to the control group
 	address []string          // with a list of engines: where each listens
 	stmt    *statement        // with an arrival
 	left    *stmtAt           // a client that waits no longer
@@ -34,14 +34,14 @@
 }
 
 type route struct {
-	gateway *Gateway
+	gateway *Router
 	module  *policy.Module
 	inbox   chan input
 	done    chan struct{}                       // closed when nobody hears the inbox any more
 	open    map[decision.StatementID]*statement // those not given back yet
 	from    map[client]map[uint32]*statement    // of these the ones that are not over, by where they came from
 	used    usedIDs
-	places  map[decision.EngineID]guard.Place // of the listed engines
+	places  map[decision.EngineID]invariant.Location // of the listed engines
 	timers  []decision.SetTimer
 	decided time.Duration    // when the module was last called
 	looked  time.Time        // by the backstop
@@ -89,7 +89,7 @@
 		next = min(next, t.At-r.gateway.now())
 	}
 	if r.steering != nil {
-		next = min(next, r.steering.core.Wake()-r.gateway.now())
+		next = min(next, r.steering.core.NextDeadline()-r.gateway.now())
 	}
 	return max(0, next)
 }
@@ -99,7 +99,7 @@
 	now := r.gateway.now()
 	events := make([]decision.Event, 0, len(batch)+1)
 	if r.steering != nil { // before anything is decided: who was stopped acts on nothing old
-		events = append(events, r.steered(now, agree.Look{})...)
+		events = append(events, r.steered(now, lease.ClientTick{})...)
 	}
 	for _, in := range batch {
 		if in.steer != nil {
@@ -160,16 +160,16 @@
 			return nil
 		}
 		r.endUnanswered(s)
-		return decision.ClientLeft{Statement: s.id}
+		return decision.ClientCancelled{Statement: s.id}
 	}
 	if in.stalled != nil {
-		return decision.ClientReads{Statements: r.openOf(in.stalled.client), Reads: !in.stalled.on}
+		return decision.ClientReadStateChanged{Statements: r.openOf(in.stalled.client), Reading: !in.stalled.on}
 	}
 	if in.release != nil {
 		return r.releaseClient(in.release)
 	}
 	switch ev := in.event.(type) {
-	case decision.EngineList:
+	case decision.EndpointList:
 		r.listPlaces(ev)
 		if r.steering != nil {
 			return r.steering.keep(now, ev, in.address)
@@ -184,11 +184,11 @@
 		r.look(in.stmt, &ev, now)
 		ev.TimeBudget = in.stmt.ends.Sub(r.gateway.origin) - now // less what has passed since it was taken
 		return ev
-	case decision.ExecutionNoted:
-		if s := r.open[ev.Statement]; s != nil && ev.Note == decision.NoteSpills {
+	case decision.AttemptProgress:
+		if s := r.open[ev.Statement]; s != nil && ev.Kind == decision.ProgressSpilling {
 			s.missing = max(s.missing, ev.Value)
 		}
-	case decision.ExecutionEnded:
+	case decision.AttemptEnded:
 		s := r.open[ev.Statement]
 		if s == nil {
 			return nil
@@ -196,7 +196,7 @@
 		if ev.Outcome == decision.Completed {
 			r.relay(s, in.result)
 		}
-		ev.Over = s.over
+		ev.Finished = s.over
 		r.executionEnded(s, ev)
 		return ev
 	}
@@ -234,7 +234,7 @@
 	for _, id := range ids {
 		r.answer(r.open[id], aborted, []byte(in.why), reasonReleased)
 	}
-	return decision.ClientReads{Statements: ids, Gone: true}
+	return decision.ClientReadStateChanged{Statements: ids, Disconnected: true}
 }
 
 // backstop aborts what the module has left without an answer past its time, which only a fault of the
@@ -250,7 +250,7 @@
 		if !s.over && now.After(s.ends) {
 			r.gateway.log.Error("a statement was left without an answer", zap.String("statement", string(s.id)))
 			r.answer(s, aborted, nil, reasonUnanswered)
-			r.handle([]input{{event: decision.ClientLeft{Statement: s.id}}})
+			r.handle([]input{{event: decision.ClientCancelled{Statement: s.id}}})
 		}
 	}
 }
--- a/internal/gateway/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"bufio"
@@ -13,9 +13,9 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
+	"bankledge/internal/fakes"
 	"bankledge/internal/settings"
 	"bankledge/internal/sqltext"
-	"bankledge/internal/standin"
 )
 
 // deployment is a router's settings as a customer has them.
@@ -63,7 +63,7 @@
 // bench is one deployment's router, engine and client, which play the script.
 type bench struct {
 	d      deployment
-	e      *standin.Engine
+	e      *fakes.Engine
 	conn   net.Conn
 	r      *bufio.Reader
 	stream uint32
@@ -71,10 +71,10 @@
 }
 
 func play(t *testing.T, d deployment) *bench {
-	e, f := standin.NewEngine("e", nil), standin.NewControl()
+	e, f := fakes.NewEngine("e", nil), fakes.NewControl()
 	t.Cleanup(func() { f.Close(); e.Close() })
 	member := fmt.Sprintf(`{"id":"e","host_port":%q,"locality":%q,"flavor":%q,"phase":"active","size":8}`, e.Server.Listener.Addr(), d.zone, d.kind)
-	router := run(t, standin.Config(f.Server.Listener.Addr().String(), d.settings(), d.memory, d.sockets, member))
+	router := run(t, fakes.Config(f.Server.Listener.Addr().String(), d.settings(), d.memory, d.sockets, member))
 	conn, err := net.Dial("tcp", router.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
@@ -83,14 +83,14 @@
 }
 
 // ask sends one statement and notes its answer and how often it was sent on.
-func (b *bench) ask(t *testing.T, workload, group string, script ...standin.Step) {
+func (b *bench) ask(t *testing.T, workload, group string, script ...fakes.Step) {
 	b.stream++
-	b.e.Script(map[string][]standin.Step{"POST": script})
+	b.e.Script(map[string][]fakes.Step{"POST": script})
 	before := b.e.Count("POST")
 	fields := map[string]string{"c": workload, "i": fmt.Sprintf("%016x", b.stream), "d": "3000", "t": group, "h": "5", "heap_mb": "8"}
-	_, err := b.conn.Write(standin.Frame(7, b.stream, standin.Payload(fields, fmt.Sprintf("select a from sales_%d.b where id = 1", b.stream))))
+	_, err := b.conn.Write(fakes.Frame(7, b.stream, fakes.Payload(fields, fmt.Sprintf("select a from sales_%d.b where id = 1", b.stream))))
 	require.NoError(t, err)
-	_, stream, code, body, err := standin.ReadFrame(b.r)
+	_, stream, code, body, err := fakes.ReadFrame(b.r)
 	require.NoError(t, err)
 	b.said = append(b.said, fmt.Sprintf("%s of %s: %d %q on %d, sent on %d times", workload, group, code, body, stream, b.e.Count("POST")-before))
 }
@@ -100,8 +100,8 @@
 	for i := range 9 {
 		steps = append(steps, func(t *testing.T, b *bench, other deployment) {
 			w, g := b.d.workloads[i%len(b.d.workloads)], b.d.groups[i%len(b.d.groups)]
-			b.ask(t, w.name, g, standin.Done(fmt.Sprint("row ", i, "\n")))
-			b.ask(t, w.name, g, standin.Says(500, ""), standin.Done("again\n"))
+			b.ask(t, w.name, g, fakes.Done(fmt.Sprint("row ", i, "\n")))
+			b.ask(t, w.name, g, fakes.Says(500, ""), fakes.Done("again\n"))
 			want := `20 "again\n" on %d, sent on 2 times`
 			if w.effect != "idempotent" {
 				want = `51 "" on %d, sent on 1 times`
@@ -141,12 +141,12 @@
 
 // How one member group's statements run says nothing of another's.
 func TestShapesAreAGroupsOwn(t *testing.T) {
-	opening := &settings.Opening{Workloads: []decision.Workload{{Name: "w", SLO: time.Second}}}
-	g := New(&settings.Config{Limits: settings.Machine{Cores: 1, MemoryMB: 64, Sockets: 128}, Opening: opening}, zap.NewNop())
-	shape := func(group decision.MemberGroup) uint64 {
+	opening := &settings.ModuleSettings{Workloads: []decision.Workload{{Name: "w", LatencyObjective: time.Second}}}
+	g := New(&settings.Config{Limits: settings.ResourceLimits{Cores: 1, MemoryMB: 64, Sockets: 128}, Module: opening}, zap.NewNop())
+	shape := func(group decision.Tenant) uint64 {
 		built := new(sqltext.Analyser).Analyse([]byte("select a from sales_1.b where id = 1"))
-		g.route.look(&statement{built: &built}, &decision.StatementArrived{Group: group}, 0)
-		return built.Shape
+		g.route.look(&statement{built: &built}, &decision.StatementArrived{Tenant: group}, 0)
+		return built.Fingerprint
 	}
 	assert.Equal(t, shape("one"), shape("one"))
 	assert.NotEqual(t, shape("one"), shape("other"))
@@ -154,11 +154,11 @@
 
 // The engines of the configuration are all gone: what the feed tells of instead makes the router ready.
 func TestReadyByEnginesThatCameLater(t *testing.T) {
-	e, f := standin.NewEngine("e", nil), standin.NewControl()
+	e, f := fakes.NewEngine("e", nil), fakes.NewControl()
 	t.Cleanup(func() { f.Close(); e.Close() })
-	r := run(t, standin.Config(f.Server.Listener.Addr().String(), standin.Settings, 64, 256, standin.Member("gone", "127.0.0.1:1", "active")))
-	f.Events <- change(2, standin.Member("gone", "", "left"), at(e, "active"))
-	c, err := standin.Dial(r.address)
+	r := run(t, fakes.Config(f.Server.Listener.Addr().String(), fakes.Settings, 64, 256, fakes.Member("gone", "127.0.0.1:1", "active")))
+	f.Events <- change(2, fakes.Member("gone", "", "left"), at(e, "active"))
+	c, err := fakes.Dial(r.address)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.AwaitReady(patience))
--- a/internal/gateway/transcript_test.go
+++ b/internal/proxy/transcript_test.go
@@ -1,4 +1,4 @@
-package gateway_test
+package proxy_test
 
 import (
 	"bufio"
@@ -24,9 +24,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"bankledge/internal/gateway"
+	"bankledge/internal/fakes"
+	"bankledge/internal/proxy"
 	"bankledge/internal/settings"
-	"bankledge/internal/standin"
 )
 
 var update = flag.Bool("update", false, "write the transcripts anew instead of comparing with them")
@@ -218,12 +218,12 @@
 
 func startRouter(t *testing.T, feed string, settingsText string, members ...string) *routerUnderTest {
 	t.Helper()
-	cfg, err := settings.ParseConfig(standin.Config(feed, settingsText, 64, 256, members...))
+	cfg, err := settings.ParseConfig(fakes.Config(feed, settingsText, 64, 256, members...))
 	require.NoError(t, err)
 	r := &routerUnderTest{ended: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	g := gateway.New(cfg, zap.NewNop())
+	g := proxy.New(cfg, zap.NewNop())
 	go func() {
 		defer close(r.ended)
 		r.err = g.Run(ctx, nil, nil)
@@ -293,7 +293,7 @@
 	t.Helper()
 	for began := time.Now(); time.Since(began) < patience; time.Sleep(time.Millisecond) {
 		c := connect(t, r)
-		c.send(standin.Frame(frameReadyAsked, 0, "\x00"))
+		c.send(fakes.Frame(frameReadyAsked, 0, "\x00"))
 		if payload := c.receive(); payload[0] == 20 {
 			return c
 		}
@@ -320,7 +320,7 @@
 			fields[at] = change
 		}
 	}
-	return standin.Frame(frameStatement, stream, encode(fields, fmt.Sprintf("select a from sales_1.b where id = %d", stream)))
+	return fakes.Frame(frameStatement, stream, encode(fields, fmt.Sprintf("select a from sales_1.b where id = %d", stream)))
 }
 
 func encode(fields []field, text string) string {
@@ -371,13 +371,13 @@
 	}
 	fields := []field{{"c", "lookup"}, {"i", "00000000000000aa"}, {"d", "9000"}, {"t", "acme"}}
 	for _, text := range []string{"", " \n", "\xff", "a\x00b"} {
-		add(func(stream uint32) []byte { return standin.Frame(frameStatement, stream, encode(fields, text)) })
+		add(func(stream uint32) []byte { return fakes.Frame(frameStatement, stream, encode(fields, text)) })
 	}
 	for _, payload := range []string{"", "\x01", "\x01\x01c\x00\x09x", "\x02\x01c\x00\x01x\x01c\x00\x01y"} {
-		add(func(stream uint32) []byte { return standin.Frame(frameStatement, stream, payload) })
+		add(func(stream uint32) []byte { return fakes.Frame(frameStatement, stream, payload) })
 	}
 	for _, kind := range []byte{0, 2, 3, 8, 77} {
-		add(func(stream uint32) []byte { return standin.Frame(kind, stream, "x") })
+		add(func(stream uint32) []byte { return fakes.Frame(kind, stream, "x") })
 	}
 	return append(frames, statement(0, "lookup"), statement(1, "lookup")) // streams that are not new
 }
@@ -390,7 +390,7 @@
 		c.exchange(statement(1, "lookup"))
 		c.exchange(statement(2, "load", field{"h", "-"}, field{"heap_mb", "-"}))
 		c.exchange(statement(3, "lookup", field{"r", "1"}))
-		c.exchange(standin.Frame(frameReadyAsked, 0, "\x00"))
+		c.exchange(fakes.Frame(frameReadyAsked, 0, "\x00"))
 		return []fmt.Stringer{c, engine}
 	},
 	"served in pages after a wait": func(t *testing.T) []fmt.Stringer {
@@ -425,7 +425,7 @@
 		c.exchange(statement(100, "lookup"))
 		c.exchange(statement(101, "lookup", field{"i", fmt.Sprintf("%016x", 0xabc0+100)})) // an id that was answered
 		c.exchange(statement(100, "lookup"))                                               // a stream used again
-		c.exchange(standin.Frame(frameReadyAsked, 7, "\x00"))
+		c.exchange(fakes.Frame(frameReadyAsked, 7, "\x00"))
 		return []fmt.Stringer{c, engine}
 	},
 	"framing lost": func(t *testing.T) []fmt.Stringer {
@@ -443,7 +443,7 @@
 		c, _ := startWithEngine(t, engine)
 		c.send(statement(1, "load"))
 		engine.await(t, "GET")
-		c.send(standin.Frame(frameLeft, 1, ""))
+		c.send(fakes.Frame(frameLeft, 1, ""))
 		engine.await(t, "DELETE")
 		c.exchange(statement(2, "lookup"))
 		return []fmt.Stringer{c, engine}
@@ -459,10 +459,10 @@
 		engine := newEnginePeer(t, map[string][]string{"POST": {complete}})
 		feed, events := newFeedPeer(t)
 		c := connect(t, startRouter(t, feed.address(), recordedSettings))
-		c.exchange(standin.Frame(frameReadyAsked, 0, "\x00"))
+		c.exchange(fakes.Frame(frameReadyAsked, 0, "\x00"))
 		c.exchange(statement(1, "lookup", field{"d", "300"})) // nothing ran: rejected
 		c.send(statement(2, "lookup"))
-		events <- fmt.Sprintf("id: 2\ndata: {\"n\":2,\"members\":{\"members\":[%s]}}\n\n", standin.Member("e", engine.address(), "active"))
+		events <- fmt.Sprintf("id: 2\ndata: {\"n\":2,\"members\":{\"members\":[%s]}}\n\n", fakes.Member("e", engine.address(), "active"))
 		c.receive()
 		return []fmt.Stringer{c, feed, engine}
 	},
@@ -475,7 +475,7 @@
 		c.receive()
 		late := connect(t, r)
 		late.receive()
-		late.exchange(standin.Frame(frameReadyAsked, 0, "\x00"))
+		late.exchange(fakes.Frame(frameReadyAsked, 0, "\x00"))
 		late.exchange(statement(1, "odd"))
 		late.exchange(statement(2, "lookup"))
 		c.receive() // its time is up
@@ -490,7 +490,7 @@
 func startWithEngine(t *testing.T, engine *httpPeer) (*clientPeer, *routerUnderTest) {
 	t.Helper()
 	feed, _ := newFeedPeer(t)
-	r := startRouter(t, feed.address(), recordedSettings, standin.Member("e", engine.address(), "active"))
+	r := startRouter(t, feed.address(), recordedSettings, fakes.Member("e", engine.address(), "active"))
 	return awaitReady(t, r), r
 }
 
--- a/internal/gateway/wallclock.go
+++ b/internal/proxy/wallclock.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"sync/atomic"
@@ -30,7 +30,7 @@
 }
 
 // watchWallClock logs a step of the wall clock.
-func (g *Gateway) watchWallClock() {
+func (g *Router) watchWallClock() {
 	if by, stepped := g.wallClock.look(g.origin, time.Now()); stepped {
 		g.log.Warn("the wall clock has stepped", zap.Duration("by", by), zap.Duration("uptime", g.now()-clockBefore))
 	}
--- a/internal/buffer/buffer.go
+++ b/internal/readbuffer/buffer.go
@@ -1,6 +1,6 @@
 // Package buffer is a connection's one read buffer: it grows as it needs, is compacted in place, and
 // comes back down after something large.
-package buffer
+package readbuffer
 
 import (
 	"errors"
@@ -26,10 +26,10 @@
 func New(most int) *Buffer { return &Buffer{most: most} }
 
 // Next is what was read and not yet taken; it is good until the next Fill.
-func (b *Buffer) Next() []byte { return b.data[b.start:b.end] }
+func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
 // Take drops the first n bytes of Next.
-func (b *Buffer) Take(n int) {
+func (b *Buffer) Discard(n int) {
 	if b.start += n; b.start == b.end {
 		if b.start, b.end = 0, 0; len(b.data) > keep {
 			b.data = nil
--- a/internal/buffer/buffer_test.go
+++ b/internal/readbuffer/buffer_test.go
@@ -1,4 +1,4 @@
-package buffer
+package readbuffer
 
 import (
 	"bytes"
@@ -27,9 +27,9 @@
 			b := New(c.most)
 			var got []byte
 			for len(got) < len(want) {
-				if n := min(c.take, len(want)-len(got)); len(b.Next()) >= n {
-					got = append(got, b.Next()[:n]...)
-					b.Take(n)
+				if n := min(c.take, len(want)-len(got)); len(b.Bytes()) >= n {
+					got = append(got, b.Bytes()[:n]...)
+					b.Discard(n)
 					continue
 				}
 				if _, err := b.Fill(in); err != nil {
--- a/internal/seat/stored_data_test.go
+++ b/internal/replica/stored_data_test.go
@@ -1,4 +1,4 @@
-package seat
+package replica
 
 import (
 	"crypto/sha256"
@@ -16,11 +16,11 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"bankledge/internal/agree"
+	"bankledge/internal/configversion"
 	"bankledge/internal/consensus"
 	"bankledge/internal/consensus/store"
+	"bankledge/internal/lease"
 	"bankledge/internal/rules"
-	"bankledge/internal/version"
 )
 
 // The folders in testdata were left by the program bankledge-control of commit 05e118f: "single" by a process alone that was
@@ -35,9 +35,9 @@
 	initial  map[uint64]Member
 	now      time.Duration
 	stores   map[uint64]*store.Store
-	seats    map[uint64]*Seat
+	seats    map[uint64]*Replica
 	inFlight []*pb.Message
-	outcomes []agree.Outcome
+	outcomes []lease.Outcome
 }
 
 func copyFolders(t *testing.T, ids []uint64, names ...string) map[uint64]string {
@@ -53,16 +53,16 @@
 
 func (g *storedGroup) open() {
 	g.t.Helper()
-	g.stores, g.seats = map[uint64]*store.Store{}, map[uint64]*Seat{}
+	g.stores, g.seats = map[uint64]*store.Store{}, map[uint64]*Replica{}
 	for id := uint64(1); id <= uint64(len(g.folders)); id++ {
 		disk, err := store.Open(g.folders[id], id)
 		require.NoError(g.t, err)
 		kept, err := disk.Load()
 		require.NoError(g.t, err)
 		g.stores[id] = disk
-		seat, do, err := New(Settings{Spans: agree.Defaults(), Guards: version.Guards{MostGone: 0.5}, Founded: g.initial, Lineage: "unused", Compact: 20,
-			Node: consensus.Settings{ID: id, Heartbeat: 20 * time.Millisecond, Election: 150 * time.Millisecond, Seed: id,
-				Log: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}}, kept, g.now)
+		seat, do, err := New(Settings{LeaseDurations: lease.DefaultDurations(), Guards: configversion.Guards{MaxRemovedShare: 0.5}, InitialMembers: g.initial, Lineage: "unused", CompactionInterval: 20,
+			Consensus: consensus.Settings{ID: id, HeartbeatInterval: 20 * time.Millisecond, ElectionTimeout: 150 * time.Millisecond, Seed: id,
+				Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}}, kept, g.now)
 		require.NoError(g.t, err)
 		g.seats[id] = seat
 		g.carryOut(id, do)
@@ -81,12 +81,12 @@
 	g.t.Helper()
 	for _, action := range do {
 		switch a := action.(type) {
-		case Save:
-			require.NoError(g.t, g.stores[id].Save(a.Change))
-		case Send:
+		case Persist:
+			require.NoError(g.t, g.stores[id].Save(a.State))
+		case SendMessage:
 			g.inFlight = append(g.inFlight, a.Message)
-		case Group:
-			if told, is := a.Action.(agree.Tell); is {
+		case LeaseResponse:
+			if told, is := a.Action.(lease.SendOutcome); is {
 				g.outcomes = append(g.outcomes, told.Outcome)
 			}
 		}
@@ -106,13 +106,13 @@
 			message := g.inFlight[0]
 			g.inFlight = g.inFlight[1:]
 			if g.seats[message.GetTo()] != nil {
-				g.step(message.GetTo(), Received{Message: message})
+				g.step(message.GetTo(), MessageReceived{Message: message})
 			}
 		}
 		g.now += 5 * time.Millisecond
 		require.Less(g.t, g.now, deadline, "the group does not get there")
 		for id := uint64(1); id <= uint64(len(g.seats)); id++ {
-			if g.now >= g.seats[id].Wake(g.now) || g.seats[id].Leads() {
+			if g.now >= g.seats[id].NextDeadline(g.now) || g.seats[id].IsLeader() {
 				g.step(id, Tick{})
 			}
 		}
@@ -121,7 +121,7 @@
 
 func (g *storedGroup) leader() uint64 {
 	for id, seat := range g.seats {
-		if seat.Leads() {
+		if seat.IsLeader() {
 			return id
 		}
 	}
@@ -131,7 +131,7 @@
 // allApplied tells whether each process has a version in force.
 func (g *storedGroup) allApplied(number uint64) bool {
 	for _, seat := range g.seats {
-		if seat.Register().Settled < number {
+		if seat.Register().Activated < number {
 			return false
 		}
 	}
@@ -140,14 +140,14 @@
 
 func (g *storedGroup) propose(further float64) uint64 {
 	g.t.Helper()
-	r := &rules.Rules{Routers: 2, ColdMultiple: 3, FurtherFree: further}
+	r := &rules.Rules{Routers: 2, SlowStartMultiple: 3, RetryBudgetFree: further}
 	r.Engines = map[string]rules.Engine{}
 	for i, name := range []string{"a", "b", "c"} {
 		r.Engines[name] = rules.Engine{Phase: rules.Active, Address: fmt.Sprint("h:", i+1)}
 	}
-	require.NoError(g.t, r.Check())
+	require.NoError(g.t, r.Validate())
 	g.outcomes = nil
-	g.step(g.leader(), Router{Event: agree.Wanted{Call: 1, Entry: agree.Entry{Kind: agree.Propose, ID: fmt.Sprint("id", further), Rules: r.Canonical()}}})
+	g.step(g.leader(), LeaseRequest{Event: lease.ProposalReceived{CallID: 1, Entry: lease.Entry{Kind: lease.EntryPropose, ID: fmt.Sprint("id", further), Rules: r.Canonical()}}})
 	g.runUntil(func() bool { return len(g.outcomes) > 0 })
 	require.Empty(g.t, g.outcomes[0].Error)
 	g.runUntil(func() bool { return g.allApplied(g.outcomes[0].Number) })
@@ -158,7 +158,7 @@
 func (g *storedGroup) served(id uint64) (versions, members string) {
 	g.t.Helper()
 	register := g.seats[id].Register()
-	raw, err := json.Marshal(map[string]any{"lineage": register.Lineage, "settled": register.Settled, "versions": register.Versions})
+	raw, err := json.Marshal(map[string]any{"lineage": register.Lineage, "settled": register.Activated, "versions": register.Versions})
 	require.NoError(g.t, err)
 	versions = string(raw)
 	raw, err = json.Marshal(g.seats[id].Members())
@@ -242,7 +242,7 @@
 				fmt.Fprintln(sum, entry.GetIndex(), entry.GetTerm(), entry.GetType(), string(entry.GetData()))
 			}
 			state := fmt.Sprintf("term %d, vote %d, commit %d; snapshot %d of term %d, voters %v, learners %v; %d entries from %d to %d; sum %.6x",
-				kept.Hard.GetTerm(), kept.Hard.GetVote(), kept.Hard.GetCommit(), metadata.GetIndex(), metadata.GetTerm(), metadata.GetConfState().GetVoters(), metadata.GetConfState().GetLearners(),
+				kept.HardState.GetTerm(), kept.HardState.GetVote(), kept.HardState.GetCommit(), metadata.GetIndex(), metadata.GetTerm(), metadata.GetConfState().GetVoters(), metadata.GetConfState().GetLearners(),
 				len(kept.Entries), kept.Entries[0].GetIndex(), kept.Entries[len(kept.Entries)-1].GetIndex(), sum.Sum(nil))
 			assert.Equal(t, c.state, state)
 		})
--- a/internal/harm/watch/watch.go
+++ b/internal/retrybudget/observer/watch.go
@@ -1,6 +1,6 @@
 // Package watch sums the extra work of all routers and holds it against the bounds that each keeps alone: for auditors, simulations
 // and tests. Routers cannot see it.
-package watch
+package observer
 
 import (
 	"fmt"
@@ -9,44 +9,44 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"bankledge/internal/harm"
-	"bankledge/internal/span"
+	"bankledge/internal/retrybudget"
+	"bankledge/internal/slidingwindow"
 )
 
 // Watch sums what all routers together did.
-type Watch struct {
-	bounds           harm.Bounds
-	Free             [harm.Kinds]float64 // what all routers may do beside, in any span
-	Doubt            float64             // chance with which a window may pass its mean by so much and is still within
-	taken, completed span.Sum
-	extra            [harm.Kinds]span.Sum
-	said             [harm.Kinds]time.Duration
+type Observer struct {
+	bounds           retrybudget.Bounds
+	Allowance        [retrybudget.NumWorkKinds]float64 // what all routers may do beside, in any span
+	TailProbability  float64                           // chance with which a window may pass its mean by so much and is still within
+	taken, completed slidingwindow.Sum
+	extra            [retrybudget.NumWorkKinds]slidingwindow.Sum
+	said             [retrybudget.NumWorkKinds]time.Duration
 }
 
 // New starts one.
-func New(b harm.Bounds) *Watch { return &Watch{bounds: b, Doubt: 1e-6} }
+func New(b retrybudget.Bounds) *Observer { return &Observer{bounds: b, TailProbability: 1e-6} }
 
 // Taken notes a statement that a router took in.
-func (w *Watch) Taken(now time.Duration) { w.taken.Add(now, 1) }
+func (w *Observer) RecordAdmitted(now time.Duration) { w.taken.Add(now, 1) }
 
 // Completed notes a statement that completed.
-func (w *Watch) Completed(now time.Duration) { w.completed.Add(now, 1) }
+func (w *Observer) RecordCompleted(now time.Duration) { w.completed.Add(now, 1) }
 
 // Extra notes a unit of extra work.
-func (w *Watch) Extra(now time.Duration, k harm.Kind) { w.extra[k].Add(now, 1) }
+func (w *Observer) RecordExtraWork(now time.Duration, k retrybudget.WorkKind) { w.extra[k].Add(now, 1) }
 
 // Over tells which kinds pass their bound in the span that ends now, each at most once a span.
-func (w *Watch) Over(now time.Duration) (lines []string) {
-	for k := range harm.Kinds {
-		b, since := w.bounds.Of[k], now-w.bounds.Span
-		if b == (harm.Bound{}) {
+func (w *Observer) Violations(now time.Duration) (lines []string) {
+	for k := range retrybudget.NumWorkKinds {
+		b, since := w.bounds.ByKind[k], now-w.bounds.Window
+		if b == (retrybudget.Bound{}) {
 			continue
 		}
-		n := w.extra[k].Over(since)
-		most := Most(b, w.taken.Over(since-w.bounds.Span), w.completed.Over(since-w.bounds.Span), w.Doubt) + w.Free[k]
-		if n > most && (w.said[k] == 0 || now >= w.said[k]+w.bounds.Span) {
+		n := w.extra[k].Since(since)
+		most := MaxUnits(b, w.taken.Since(since-w.bounds.Window), w.completed.Since(since-w.bounds.Window), w.TailProbability) + w.Allowance[k]
+		if n > most && (w.said[k] == 0 || now >= w.said[k]+w.bounds.Window) {
 			w.said[k] = now
-			lines = append(lines, fmt.Sprintf("%.0f %v in %v where %.0f are borne", n, k, w.bounds.Span, most))
+			lines = append(lines, fmt.Sprintf("%.0f %v in %v where %.0f are borne", n, k, w.bounds.Window, most))
 		}
 	}
 	return lines
@@ -54,10 +54,10 @@
 
 // Most is how many units all routers may cause in a span, where so many statements were taken in and completed in it and the span
 // before; more have been drawn only with a chance of doubt.
-func Most(b harm.Bound, taken, completed, doubt float64) float64 {
-	sure := math.Floor(b.OfTaken)*taken + math.Floor(b.OfCompleted)*completed
+func MaxUnits(b retrybudget.Bound, taken, completed, doubt float64) float64 {
+	sure := math.Floor(b.PerAdmitted)*taken + math.Floor(b.PerCompleted)*completed
 	mean, variance := 0.0, 0.0
-	for _, d := range []struct{ share, n float64 }{{b.OfTaken, taken}, {b.OfCompleted, completed}} {
+	for _, d := range []struct{ share, n float64 }{{b.PerAdmitted, taken}, {b.PerCompleted, completed}} {
 		_, p := math.Modf(d.share)
 		mean, variance = mean+p*d.n, variance+p*(1-p)*d.n
 	}
--- a/internal/harm/watch/watch_test.go
+++ b/internal/retrybudget/observer/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package observer
 
 import (
 	"math/rand/v2"
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"bankledge/internal/draw"
-	"bankledge/internal/harm"
+	"bankledge/internal/detrand"
+	"bankledge/internal/retrybudget"
 )
 
 // fleet plays routers that cause all the extra work that their ledgers let them, and counts windows past the bound.
@@ -18,12 +18,12 @@
 func fleet(seed uint64, restart, greedy bool) (windows, over int) {
 	const routers, step, end = 300, 50 * time.Millisecond, 14 * time.Second
 	r := rand.New(rand.NewPCG(seed, 5))
-	bounds := harm.Bounds{Span: 2 * time.Second, Of: [harm.Kinds]harm.Bound{harm.Further: {OfCompleted: 0.1, OfTaken: 0.02}, harm.Probe: {OfTaken: 0.3}}}
+	bounds := retrybudget.Bounds{Window: 2 * time.Second, ByKind: [retrybudget.NumWorkKinds]retrybudget.Bound{retrybudget.AdditionalAttempt: {PerCompleted: 0.1, PerAdmitted: 0.02}, retrybudget.HealthCheck: {PerAdmitted: 0.3}}}
 	w := New(bounds)
-	w.Doubt = 1e-3
-	ledgers := make([]*harm.Ledger, routers)
+	w.TailProbability = 1e-3
+	ledgers := make([]*retrybudget.Budget, routers)
 	start := func(i int) {
-		ledgers[i] = &harm.Ledger{Bounds: bounds, Chance: draw.Source{Seed: r.Uint64()}}
+		ledgers[i] = &retrybudget.Budget{Bounds: bounds, Random: detrand.Source{Seed: r.Uint64()}}
 	}
 	for i := range ledgers {
 		start(i)
@@ -39,22 +39,22 @@
 				l = ledgers[i]
 			}
 			if r.Float64() < rate*step.Seconds() {
-				w.Taken(now)
-				l.Taken(now)
+				w.RecordAdmitted(now)
+				l.RecordAdmitted(now)
 				if full := now > 8*time.Second && now < 10*time.Second; !full { // nothing completes for two seconds
-					w.Completed(now)
-					l.Completed(now)
+					w.RecordCompleted(now)
+					l.RecordCompleted(now)
 				}
 			}
-			for _, k := range []harm.Kind{harm.Further, harm.Probe} {
-				for l.Spend(now, k) || greedy && r.IntN(20) == 0 {
-					w.Extra(now, k)
+			for _, k := range []retrybudget.WorkKind{retrybudget.AdditionalAttempt, retrybudget.HealthCheck} {
+				for l.TrySpend(now, k) || greedy && r.IntN(20) == 0 {
+					w.RecordExtraWork(now, k)
 				}
 			}
 		}
-		if now%bounds.Span == 0 {
+		if now%bounds.Window == 0 {
 			windows += 2
-			over += len(w.Over(now))
+			over += len(w.Violations(now))
 		}
 	}
 	return windows, over
@@ -82,9 +82,9 @@
 }
 
 func TestMost(t *testing.T) {
-	assert.Equal(t, 0.0, Most(harm.Bound{}, 100, 100, 1e-3))
-	assert.Equal(t, 200.0, Most(harm.Bound{OfTaken: 2}, 100, 0, 1e-3), "whole shares are certain")
-	most := Most(harm.Bound{OfCompleted: 0.1}, 0, 100, 1e-3)
+	assert.Equal(t, 0.0, MaxUnits(retrybudget.Bound{}, 100, 100, 1e-3))
+	assert.Equal(t, 200.0, MaxUnits(retrybudget.Bound{PerAdmitted: 2}, 100, 0, 1e-3), "whole shares are certain")
+	most := MaxUnits(retrybudget.Bound{PerCompleted: 0.1}, 0, 100, 1e-3)
 	assert.Equal(t, 20.0, most, "a binomial of 100 and 0.1 passes 20 once in 1,235 times")
-	assert.Greater(t, Most(harm.Bound{OfTaken: 0.001}, 5e9, 0, 1e-3), 5e6)
+	assert.Greater(t, MaxUnits(retrybudget.Bound{PerAdmitted: 0.001}, 5e9, 0, 1e-3), 5e6)
 }
--- a/internal/rules/recording_test.go
+++ b/internal/rules/recording_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, f := range Fields() {
-		fmt.Fprintf(&out, "field %s | %s | %s\n", f.Name, f.Words, f.Harm)
+		fmt.Fprintf(&out, "field %s | %s | %s\n", f.Name, f.Description, f.Consequence)
 	}
 	compareWithFile(t, "testdata/documents.golden", out.Bytes())
 }
@@ -47,10 +47,10 @@
 	for range 2000 {
 		next := generated(t, random)
 		for _, pair := range [][2]*Rules{{before, next}, {next, before}} {
-			for _, f := range Offends(pair[0], pair[1]) {
+			for _, f := range Conflicts(pair[0], pair[1]) {
 				fmt.Fprintf(hash, "%s ", f.Name)
 			}
-			fmt.Fprintf(hash, "\n%s\n", Meet(pair[0], pair[1]).Canonical())
+			fmt.Fprintf(hash, "\n%s\n", Intersect(pair[0], pair[1]).Canonical())
 		}
 		before = next
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -21,26 +21,26 @@
 	part := rapid.MapOfN(name, rapid.SampledFrom([]float64{0, 0.05, 0.1}), 0, 2)
 	var r Rules
 	r.Routers = rapid.IntRange(1, 6).Draw(t, "routers")
-	if r.Parts = part.Draw(t, "parts"); len(r.Parts) > 0 {
+	if r.FleetQuotas = part.Draw(t, "parts"); len(r.FleetQuotas) > 0 {
 		r.Routers += 4
 	}
-	r.Importance, r.Shares = amounts.Draw(t, "importance"), amounts.Draw(t, "shares")
-	for i, f := range []*float64{&r.OverImportance, &r.FurtherShare, &r.FurtherFree, &r.Probes, &r.ColdShare, &r.ColdMultiple} {
+	r.PriorityWeights, r.TenantQuotas = amounts.Draw(t, "importance"), amounts.Draw(t, "shares")
+	for i, f := range []*float64{&r.OverQuotaFactor, &r.RetryBudgetShare, &r.RetryBudgetFree, &r.HealthChecksPerStatement, &r.SlowStartShare, &r.SlowStartMultiple} {
 		*f = amount.Draw(t, fmt.Sprint("amount", i))
 	}
-	for i, f := range []*int64{&r.FurtherWindow, &r.WarmAfter, &r.DrainGrace, &r.KeyRest} {
+	for i, f := range []*int64{&r.RetryBudgetWindowMillis, &r.WarmAfterMillis, &r.DrainGraceMillis, &r.KeyQuietPeriodMillis} {
 		*f = span.Draw(t, fmt.Sprint("span", i))
 	}
-	r.MayTurnAway = list.Draw(t, "may")
-	r.KeptOff, r.Kinds = rapid.MapOfN(name, list, 0, 3).Draw(t, "off"), rapid.MapOfN(name, list, 0, 3).Draw(t, "kinds")
+	r.SheddableWorkloads = list.Draw(t, "may")
+	r.PlacementExclusions, r.AllowedMachineTypes = rapid.MapOfN(name, list, 0, 3).Draw(t, "off"), rapid.MapOfN(name, list, 0, 3).Draw(t, "kinds")
 	if rapid.Bool().Draw(t, "list") {
 		r.Engines = map[string]Engine{}
 		for _, n := range list.Draw(t, "engines") {
-			r.Engines[n] = Engine{Phase: rapid.SampledFrom([]string{Active, Leaving, Left}).Draw(t, "phase"), Cold: rapid.Bool().Draw(t, "cold"),
+			r.Engines[n] = Engine{Phase: rapid.SampledFrom([]string{Active, Draining, Removed}).Draw(t, "phase"), WarmingUp: rapid.Bool().Draw(t, "cold"),
 				Address: rapid.SampledFrom([]string{n + ":1", n + ":2"}).Draw(t, "address"), Kind: rapid.SampledFrom([]string{"k", "l"}).Draw(t, "kind")}
 		}
 	}
-	if err := r.Check(); err != nil {
+	if err := r.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	return &r
@@ -55,29 +55,29 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawn.Draw(t, "a"), drawn.Draw(t, "b"), drawn.Draw(t, "c")
-		m := Meet(a, b)
-		if err := m.Check(); err != nil {
+		m := Intersect(a, b)
+		if err := m.Validate(); err != nil {
 			t.Fatalf("the meet is not fit: %v", err)
 		}
-		same(t, "idempotent", Meet(a, a), a)
-		same(t, "commutative", m, Meet(b, a))
-		same(t, "associative", Meet(m, c), Meet(a, Meet(b, c)))
+		same(t, "idempotent", Intersect(a, a), a)
+		same(t, "commutative", m, Intersect(b, a))
+		same(t, "associative", Intersect(m, c), Intersect(a, Intersect(b, c)))
 		for _, side := range []*Rules{a, b} {
-			if off := Offends(m, side); len(off) > 0 {
+			if off := Conflicts(m, side); len(off) > 0 {
 				t.Fatalf("the meet offends a side in %s", off[0].Name)
 			}
 		}
-		if len(Offends(a, a)) > 0 {
+		if len(Conflicts(a, a)) > 0 {
 			t.Fatal("offends itself")
 		}
-		if len(Offends(c, a)) == 0 && len(Offends(c, b)) == 0 && len(Offends(c, m)) > 0 {
-			t.Fatalf("what both permit, the meet forbids: %s", Offends(c, m)[0].Name)
+		if len(Conflicts(c, a)) == 0 && len(Conflicts(c, b)) == 0 && len(Conflicts(c, m)) > 0 {
+			t.Fatalf("what both permit, the meet forbids: %s", Conflicts(c, m)[0].Name)
 		}
-		if len(Offends(a, b)) == 0 && len(Offends(b, c)) == 0 && len(Offends(a, c)) > 0 {
-			t.Fatalf("not transitive: %s", Offends(a, c)[0].Name)
+		if len(Conflicts(a, b)) == 0 && len(Conflicts(b, c)) == 0 && len(Conflicts(a, c)) > 0 {
+			t.Fatalf("not transitive: %s", Conflicts(a, c)[0].Name)
 		}
-		if len(Offends(a, b)) == 0 && len(Offends(b, a)) == 0 {
-			same(t, "what offends neither way is the same", Meet(a, b), a)
+		if len(Conflicts(a, b)) == 0 && len(Conflicts(b, a)) == 0 {
+			same(t, "what offends neither way is the same", Intersect(a, b), a)
 		}
 		again, err := Parse(a.Canonical())
 		if err != nil {
@@ -90,43 +90,43 @@
 // Each field of the type has a predicate, words, a harm and a cautious side: changed alone, it offends one way and the meet takes a side.
 func TestEveryFieldHasItsPredicate(t *testing.T) {
 	base := func() *Rules {
-		r := &Rules{Routers: 4, Parts: map[string]float64{"a": 0.1}, Importance: map[string]float64{"w": 1}, Shares: map[string]float64{"g": 5},
-			OverImportance: 0.1, FurtherShare: 0.1, FurtherFree: 3, FurtherWindow: 10, Probes: 1, ColdShare: 0.3, ColdMultiple: 4, WarmAfter: 15000, DrainGrace: 1000,
-			KeyRest: 5, MayTurnAway: []string{"w"}, KeptOff: map[string][]string{"1": {"e"}}, Kinds: map[string][]string{"w": {"k"}},
+		r := &Rules{Routers: 4, FleetQuotas: map[string]float64{"a": 0.1}, PriorityWeights: map[string]float64{"w": 1}, TenantQuotas: map[string]float64{"g": 5},
+			OverQuotaFactor: 0.1, RetryBudgetShare: 0.1, RetryBudgetFree: 3, RetryBudgetWindowMillis: 10, HealthChecksPerStatement: 1, SlowStartShare: 0.3, SlowStartMultiple: 4, WarmAfterMillis: 15000, DrainGraceMillis: 1000,
+			KeyQuietPeriodMillis: 5, SheddableWorkloads: []string{"w"}, PlacementExclusions: map[string][]string{"1": {"e"}}, AllowedMachineTypes: map[string][]string{"w": {"k"}},
 			Engines: map[string]Engine{"e": {Phase: Active, Address: "e:1", Kind: "k"}}}
-		require.NoError(t, r.Check())
+		require.NoError(t, r.Validate())
 		return r
 	}
 	changes := map[string][]func(*Rules){
-		"routers": {func(r *Rules) { r.Routers = 5 }}, "parts": {func(r *Rules) { r.Parts["a"] = 0.2 }},
-		"importance": {func(r *Rules) { r.Importance["w"] = 2 }, func(r *Rules) { delete(r.Importance, "w") }},
-		"shares":     {func(r *Rules) { r.Shares["g"] = 6 }}, "over_importance": {func(r *Rules) { r.OverImportance = 0.2 }},
-		"further_share": {func(r *Rules) { r.FurtherShare = 1 }}, "further_free": {func(r *Rules) { r.FurtherFree = 4 }},
-		"further_window": {func(r *Rules) { r.FurtherWindow = 0 }}, "probes": {func(r *Rules) { r.Probes = 2 }},
-		"cold_share": {func(r *Rules) { r.ColdShare = 0.4 }}, "cold_multiple": {func(r *Rules) { r.ColdMultiple = 5 }},
-		"warm_after": {func(r *Rules) { r.WarmAfter = 1 }}, "drain_grace": {func(r *Rules) { r.DrainGrace = 1 }},
-		"key_rest": {func(r *Rules) { r.KeyRest = 6 }}, "may_turn_away": {func(r *Rules) { r.MayTurnAway = nil }},
-		"kept_off": {func(r *Rules) { r.KeptOff = nil }}, "kinds": {func(r *Rules) { r.Kinds["w"] = []string{"k", "l"} }, func(r *Rules) { r.Kinds = nil }},
+		"routers": {func(r *Rules) { r.Routers = 5 }}, "parts": {func(r *Rules) { r.FleetQuotas["a"] = 0.2 }},
+		"importance": {func(r *Rules) { r.PriorityWeights["w"] = 2 }, func(r *Rules) { delete(r.PriorityWeights, "w") }},
+		"shares":     {func(r *Rules) { r.TenantQuotas["g"] = 6 }}, "over_importance": {func(r *Rules) { r.OverQuotaFactor = 0.2 }},
+		"further_share": {func(r *Rules) { r.RetryBudgetShare = 1 }}, "further_free": {func(r *Rules) { r.RetryBudgetFree = 4 }},
+		"further_window": {func(r *Rules) { r.RetryBudgetWindowMillis = 0 }}, "probes": {func(r *Rules) { r.HealthChecksPerStatement = 2 }},
+		"cold_share": {func(r *Rules) { r.SlowStartShare = 0.4 }}, "cold_multiple": {func(r *Rules) { r.SlowStartMultiple = 5 }},
+		"warm_after": {func(r *Rules) { r.WarmAfterMillis = 1 }}, "drain_grace": {func(r *Rules) { r.DrainGraceMillis = 1 }},
+		"key_rest": {func(r *Rules) { r.KeyQuietPeriodMillis = 6 }}, "may_turn_away": {func(r *Rules) { r.SheddableWorkloads = nil }},
+		"kept_off": {func(r *Rules) { r.PlacementExclusions = nil }}, "kinds": {func(r *Rules) { r.AllowedMachineTypes["w"] = []string{"k", "l"} }, func(r *Rules) { r.AllowedMachineTypes = nil }},
 		"engines": {func(r *Rules) { r.Engines = nil }, func(r *Rules) { delete(r.Engines, "e") },
-			func(r *Rules) { r.Engines["e"] = Engine{Phase: Leaving, Address: "e:1", Kind: "k"} },
-			func(r *Rules) { r.Engines["e"] = Engine{Phase: Active, Address: "e:1", Kind: "k", Cold: true} },
+			func(r *Rules) { r.Engines["e"] = Engine{Phase: Draining, Address: "e:1", Kind: "k"} },
+			func(r *Rules) { r.Engines["e"] = Engine{Phase: Active, Address: "e:1", Kind: "k", WarmingUp: true} },
 			func(r *Rules) { r.Engines["e"] = Engine{Phase: Active, Address: "e:2", Kind: "k"} }},
 	}
 	named := map[string]bool{}
 	for _, f := range Fields() {
-		assert.NotEmpty(t, f.Words, f.Name)
-		assert.NotEmpty(t, f.Harm, f.Name)
+		assert.NotEmpty(t, f.Description, f.Name)
+		assert.NotEmpty(t, f.Consequence, f.Name)
 		assert.False(t, named[f.Name])
 		named[f.Name] = true
 		require.NotEmpty(t, changes[f.Name], "%s: no change is tried", f.Name)
 		for i, change := range changes[f.Name] {
 			a, b := base(), base()
 			change(b)
-			require.NoError(t, b.Check())
-			off := append(Offends(a, b), Offends(b, a)...)
+			require.NoError(t, b.Validate())
+			off := append(Conflicts(a, b), Conflicts(b, a)...)
 			require.NotEmpty(t, off, "%s, change %d: no contradiction is seen", f.Name, i)
-			m := Meet(a, b)
-			assert.Empty(t, append(Offends(m, a), Offends(m, b)...), f.Name)
+			m := Intersect(a, b)
+			assert.Empty(t, append(Conflicts(m, a), Conflicts(m, b)...), f.Name)
 			for _, o := range off {
 				if f.Name != "routers" { // fewer routers have larger parts
 					assert.Equal(t, f.Name, o.Name)
@@ -157,7 +157,7 @@
 	}
 	r, err := Parse([]byte(`{` + good + `, "may_turn_away": ["b", "a", "b"]}`))
 	require.NoError(t, err)
-	assert.Equal(t, []string{"a", "b"}, r.MayTurnAway)
+	assert.Equal(t, []string{"a", "b"}, r.SheddableWorkloads)
 }
 
 func FuzzParse(f *testing.F) {
@@ -171,7 +171,7 @@
 		if err != nil || string(again.Canonical()) != string(r.Canonical()) {
 			t.Fatalf("%s: read again: %v", raw, err)
 		}
-		if len(Offends(r, again)) > 0 {
+		if len(Conflicts(r, again)) > 0 {
 			t.Fatal("offends itself")
 		}
 	})
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -12,26 +12,26 @@
 
 // Config is a router's configuration, checked.
 type Config struct {
-	Name    string
-	Listen  string
-	Seed    uint64
-	Limits  Machine
-	Feed    string
-	Known   []json.RawMessage // the control feed's events up to now
-	LastID  int64             // number of the last of them
-	Opening *Opening
+	Name             string
+	ListenAddress    string
+	Seed             uint64
+	Limits           ResourceLimits
+	DiscoveryAddress string
+	KnownEvents      []json.RawMessage // the control feed's events up to now
+	LastEventID      int64             // number of the last of them
+	Module           *ModuleSettings
 
-	AsDeclared bool // statements are taken as what their clients declare; from the command line
+	ClassificationDisabled bool // statements are taken as what their clients declare; from the command line
 
 	settings any // as they stand in the file
 }
 
 // Differs names the fields that are read only at the start and differ in another configuration.
-func (c *Config) Differs(other *Config) (fields []string) {
+func (c *Config) RestartRequired(other *Config) (fields []string) {
 	for _, f := range []struct {
 		name      string
 		ours, now any
-	}{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen}, {"limits", c.Limits, other.Limits},
+	}{{"name", c.Name, other.Name}, {"listen", c.ListenAddress, other.ListenAddress}, {"limits", c.Limits, other.Limits},
 		{"settings", c.settings, other.settings}} {
 		if !reflect.DeepEqual(f.ours, f.now) {
 			fields = append(fields, f.name)
@@ -41,7 +41,7 @@
 }
 
 // Machine is what the platform gives the router.
-type Machine struct {
+type ResourceLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
@@ -65,11 +65,11 @@
 // ParseConfig reads a configuration; an error names the field.
 func ParseConfig(raw []byte) (*Config, error) {
 	var in struct {
-		Name   string  `json:"name"`
-		Listen string  `json:"listen"`
-		Seed   string  `json:"seed"`
-		Limits Machine `json:"limits"`
-		Feed   string  `json:"feed"`
+		Name   string         `json:"name"`
+		Listen string         `json:"listen"`
+		Seed   string         `json:"seed"`
+		Limits ResourceLimits `json:"limits"`
+		Feed   string         `json:"feed"`
 		Known  struct {
 			N      int64             `json:"n"`
 			Events []json.RawMessage `json:"events"`
@@ -79,14 +79,14 @@
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c := &Config{Name: in.Name, Listen: in.Listen, Limits: in.Limits, Feed: in.Feed, Known: in.Known.Events,
-		LastID: in.Known.N}
+	c := &Config{Name: in.Name, ListenAddress: in.Listen, Limits: in.Limits, DiscoveryAddress: in.Feed, KnownEvents: in.Known.Events,
+		LastEventID: in.Known.N}
 	var err error
 	if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is not a number in hex", in.Seed)
 	}
 	for _, f := range []struct{ name, value string }{{"listen", in.Listen}, {"feed", in.Feed}} {
-		if err := CheckAddress(f.value); err != nil {
+		if err := ValidateAddress(f.value); err != nil {
 			return nil, fmt.Errorf("%s: %w", f.name, err)
 		}
 	}
@@ -102,20 +102,20 @@
 	case len(in.Settings) == 0:
 		return nil, errors.New("settings: missing")
 	}
-	if c.Opening, err = Open(c.Seed, in.Settings); err != nil {
+	if c.Module, err = ParseModuleSettings(c.Seed, in.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if err := json.Unmarshal(in.Settings, &c.settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if len(c.Opening.Workloads) == 0 {
+	if len(c.Module.Workloads) == 0 {
 		return nil, errors.New("settings: classes: none")
 	}
 	return c, nil
 }
 
 // CheckAddress tells whether text is an address and a port.
-func CheckAddress(text string) error {
+func ValidateAddress(text string) error {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
 		return fmt.Errorf("%q is not an address with a port", text)
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -38,8 +38,8 @@
 			}
 			require.NoError(t, err)
 			assert.Equal(t, uint64(0x8c1f30d27a5be964), got.Seed)
-			assert.Equal(t, int64(3), got.LastID)
-			assert.Equal(t, 250*time.Millisecond, got.Opening.Sockets.ConnectTimeout)
+			assert.Equal(t, int64(3), got.LastEventID)
+			assert.Equal(t, 250*time.Millisecond, got.Module.Connections.ConnectTimeout)
 		})
 	}
 	_, err := Load("nowhere")
--- a/internal/settings/recorded_test.go
+++ b/internal/settings/recorded_test.go
@@ -19,10 +19,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"bankledge/internal/control"
+	"bankledge/internal/controlclient"
+	"bankledge/internal/controlserver"
 	"bankledge/internal/rules"
 	"bankledge/internal/settings"
-	"bankledge/internal/steer"
 )
 
 var update = flag.Bool("update", false, "write the recordings in testdata anew")
@@ -43,19 +43,19 @@
 	}},
 	{"control", "control.jsonnet", func(path string) (any, error) {
 		if strings.HasSuffix(path, ".jsonnet") {
-			var f steer.File
-			return &f, control.Evaluate(path, &f)
+			var f controlclient.Config
+			return &f, controlserver.EvaluateJsonnet(path, &f)
 		}
-		f, err := steer.Load(path)
+		f, err := controlclient.LoadConfig(path)
 		if err != nil {
 			return nil, err
 		}
-		return []any{f, values(reflect.ValueOf(f.Spans())), values(reflect.ValueOf(f.Guards()))}, nil
+		return []any{f, values(reflect.ValueOf(f.LeaseDurations())), values(reflect.ValueOf(f.Guards()))}, nil
 	}},
-	{"group", "group.jsonnet", func(path string) (any, error) { return control.Load(path) }},
+	{"group", "group.jsonnet", func(path string) (any, error) { return controlserver.LoadSettings(path) }},
 	{"rules", "rules.jsonnet", func(path string) (any, error) {
 		var raw json.RawMessage
-		if err := control.Evaluate(path, &raw); err != nil {
+		if err := controlserver.EvaluateJsonnet(path, &raw); err != nil {
 			return nil, err
 		}
 		r, err := rules.Parse(raw)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,21 +11,21 @@
 )
 
 // Opening is all that an instance is handed at its start, part by part.
-type Opening struct {
-	Identity  decision.Identity
-	Workloads []decision.Workload
-	Engines   decision.Engines
-	Shares    decision.Shares
-	Limits    decision.Limits
-	Rules     decision.Rules
-	Reports   decision.Reports
-	Sockets   Sockets
+type ModuleSettings struct {
+	Identity    decision.Identity
+	Workloads   []decision.Workload
+	Engines     decision.EngineTraits
+	Quotas      decision.Quotas
+	Limits      decision.Limits
+	Rules       decision.Rules
+	LoadReports decision.LoadReportSettings
+	Connections ConnectionSettings
 }
 
 // Sockets is what only a router on sockets needs.
-type Sockets struct {
+type ConnectionSettings struct {
 	ConnectTimeout time.Duration // a connection that is not up by then counts as refused
-	IdleClose      time.Duration // engines close idle connections after this
+	IdleTimeout    time.Duration // engines close idle connections after this
 }
 
 // info is the settings object; keys that it does not name are skipped.
@@ -43,18 +43,18 @@
 		IdleClose      micro `json:"idleClose"`
 	} `json:"bounds"`
 	Classes []struct {
-		Name         string          `json:"name"`
-		Gain         float64         `json:"gain"`
-		LateShare    float64         `json:"lateShare"`
-		Objective    micro           `json:"objective"`
-		AimStretch   float64         `json:"aimStretch"`
-		Deadline     micro           `json:"deadline"`
-		Idempotency  string          `json:"idempotency"`
-		Group        string          `json:"group"`
-		Window       micro           `json:"window"`
-		Sequential   bool            `json:"sequential"`
-		AreasAllowed []decision.Zone `json:"areasAllowed"`
-		AllowedOn    []decision.Kind `json:"allowedOn"`
+		Name         string                 `json:"name"`
+		Gain         float64                `json:"gain"`
+		LateShare    float64                `json:"lateShare"`
+		Objective    micro                  `json:"objective"`
+		AimStretch   float64                `json:"aimStretch"`
+		Deadline     micro                  `json:"deadline"`
+		Idempotency  string                 `json:"idempotency"`
+		Group        string                 `json:"group"`
+		Window       micro                  `json:"window"`
+		Sequential   bool                   `json:"sequential"`
+		AreasAllowed []decision.Zone        `json:"areasAllowed"`
+		AllowedOn    []decision.MachineType `json:"allowedOn"`
 	} `json:"classes"`
 	Discovery string `json:"discovery"`
 	Extra     struct {
@@ -85,11 +85,11 @@
 		Fall           micro   `json:"fall"`
 		KeyRest        micro   `json:"keyRest"`
 	} `json:"guarantees"`
-	MachineTypes []decision.Kind `json:"machineTypes"`
-	Me           int             `json:"me"`
+	MachineTypes []decision.MachineType `json:"machineTypes"`
+	Me           int                    `json:"me"`
 	Orgs         []struct {
-		Name      decision.MemberGroup `json:"name"`
-		QuotaPerS float64              `json:"quotaPerS"`
+		Name      decision.Tenant `json:"name"`
+		QuotaPerS float64         `json:"quotaPerS"`
 	} `json:"orgs"`
 	OverShareWorth float64       `json:"overShareWorth"`
 	ReplicasOfMe   int           `json:"replicasOfMe"`
@@ -98,31 +98,31 @@
 }
 
 var (
-	effects = map[string]decision.Effect{"idempotent": decision.Idempotent,
+	effects = map[string]decision.Idempotency{"idempotent": decision.Idempotent,
 		"deduplicated": decision.Deduplicated, "at_most_once": decision.NonIdempotent}
-	scopes = map[string]decision.Scope{"": decision.ScopeAll, "all": decision.ScopeAll,
+	scopes = map[string]decision.DedupScope{"": decision.ScopeAll, "all": decision.ScopeAll,
 		"zone": decision.ScopeZone, "cell": decision.ScopeCell}
-	shortages = map[string]decision.Shortage{"": decision.ShortageUnknown, "wait": decision.ShortageWait,
-		"shrink": decision.ShortageShrink, "page": decision.ShortagePage}
-	paths = map[string]decision.ReportPath{"": decision.ReportsOff, "off": decision.ReportsOff,
-		"inline": decision.ReportsInAnswers, "on_probe": decision.ReportsByProbe}
+	shortages = map[string]decision.OvercommitPolicy{"": decision.OvercommitUnknown, "wait": decision.OvercommitWait,
+		"shrink": decision.OvercommitShrink, "page": decision.OvercommitPage}
+	paths = map[string]decision.LoadReportSource{"": decision.LoadReportsOff, "off": decision.LoadReportsOff,
+		"inline": decision.LoadReportsInResponses, "on_probe": decision.LoadReportsByHealthCheck}
 	// Fields maps the words for a load report's fields.
-	Fields = map[string]decision.Field{"concurrent": decision.FieldInFlight, "depth": decision.FieldQueue,
+	ReportFieldWords = map[string]decision.LoadReportField{"concurrent": decision.FieldInFlight, "depth": decision.FieldQueueDepth,
 		"load_share": decision.FieldUtilisation, "mean_ms": decision.FieldLatencyMS,
-		"tps": decision.FieldPerSec, "err_ps": decision.FieldErrorsPerSec,
+		"tps": decision.FieldThroughput, "err_ps": decision.FieldErrorRate,
 		"x0": decision.FieldMemory, "x1": decision.FieldDisks}
 	// Gauges maps the words for the same in an engine's answers; a router's settings may use either.
-	Gauges = map[string]decision.Field{"inflight": decision.FieldInFlight, "queue": decision.FieldQueue,
-		"util": decision.FieldUtilisation, "latency_ms": decision.FieldLatencyMS, "qps": decision.FieldPerSec,
-		"eps": decision.FieldErrorsPerSec, "x0": decision.FieldMemory, "x1": decision.FieldDisks,
-		"concurrent": decision.FieldInFlight, "depth": decision.FieldQueue,
+	ResponseFieldWords = map[string]decision.LoadReportField{"inflight": decision.FieldInFlight, "queue": decision.FieldQueueDepth,
+		"util": decision.FieldUtilisation, "latency_ms": decision.FieldLatencyMS, "qps": decision.FieldThroughput,
+		"eps": decision.FieldErrorRate, "x0": decision.FieldMemory, "x1": decision.FieldDisks,
+		"concurrent": decision.FieldInFlight, "depth": decision.FieldQueueDepth,
 		"load_share": decision.FieldUtilisation, "mean_ms": decision.FieldLatencyMS,
-		"tps": decision.FieldPerSec, "err_ps": decision.FieldErrorsPerSec}
+		"tps": decision.FieldThroughput, "err_ps": decision.FieldErrorRate}
 	discoveries = map[string]bool{"": false, "pushed": false, "on_request": true}
 )
 
 // Word looks up one of the wire's words.
-func Word[T any](what, w string, words map[string]T) (T, error) {
+func LookUpWord[T any](what, w string, words map[string]T) (T, error) {
 	v, ok := words[w]
 	if !ok {
 		return v, fmt.Errorf("%s: unknown word %q", what, w)
@@ -138,65 +138,65 @@
 }
 
 // Open turns the wire's settings into the module's.
-func Open(seed uint64, raw json.RawMessage) (*Opening, error) {
+func ParseModuleSettings(seed uint64, raw json.RawMessage) (*ModuleSettings, error) {
 	var in info
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return nil, fmt.Errorf("info: %w", err)
 	}
-	o := &Opening{
+	o := &ModuleSettings{
 		Identity: decision.Identity{Seed: seed, Router: decision.RouterID(in.Me),
-			Routers: max(1, in.ReplicasOfMe), Zone: in.Zone, Tick: in.Tick.span()},
-		Engines: decision.Engines{Machines: map[decision.Kind]decision.Machine{}, Grants: in.Extra.Grants,
-			Priorities: in.Extra.Priorities, GrantCap: in.Extra.GrantCap,
-			ProgressEvery: in.Extra.TellsEvery.span()},
-		Shares: decision.Shares{OverImportance: in.OverShareWorth},
-		Limits: decision.Limits{MayCancel: in.Bounds.MayCancel, MayProbe: in.Bounds.MayProbe,
-			SecondCopies: in.Bounds.SecondCopies, MaxExecutions: in.Bounds.MaxAttempts,
-			MaxOpen: in.Bounds.MaxOpen, ListAskedEvery: in.Guarantees.AskEvery.span()},
-		Rules: decision.Rules{DrainGrace: in.Guarantees.DrainGrace.span(), ColdShare: in.Guarantees.ColdShare,
-			WarmAfter: in.Guarantees.WarmAfter.span(), ColdMultiple: in.Guarantees.OverloadFactor,
-			ColdWindow: in.Guarantees.Fall.span(), KeyRest: in.Guarantees.KeyRest.span(),
-			FurtherWindow: in.Guarantees.RatioSpan.span(), FurtherFree: in.Guarantees.BudgetFree,
-			FurtherShare: in.Guarantees.BudgetShare},
-		Sockets: Sockets{ConnectTimeout: in.Bounds.ConnectTimeout.span(), IdleClose: in.Bounds.IdleClose.span()},
+			Routers: max(1, in.ReplicasOfMe), Zone: in.Zone, ClockGranularity: in.Tick.span()},
+		Engines: decision.EngineTraits{Machines: map[decision.MachineType]decision.MachineSpec{}, MemoryGrants: in.Extra.Grants,
+			Priorities: in.Extra.Priorities, MaxGrantShare: in.Extra.GrantCap,
+			ProgressInterval: in.Extra.TellsEvery.span()},
+		Quotas: decision.Quotas{OverQuotaFactor: in.OverShareWorth},
+		Limits: decision.Limits{Cancellation: in.Bounds.MayCancel, HealthChecks: in.Bounds.MayProbe,
+			Hedging: in.Bounds.SecondCopies, MaxAttempts: in.Bounds.MaxAttempts,
+			MaxOpenStatements: in.Bounds.MaxOpen, EndpointPollInterval: in.Guarantees.AskEvery.span()},
+		Rules: decision.Rules{DrainGrace: in.Guarantees.DrainGrace.span(), SlowStartShare: in.Guarantees.ColdShare,
+			SlowStartDuration: in.Guarantees.WarmAfter.span(), SlowStartMultiple: in.Guarantees.OverloadFactor,
+			SlowStartWindow: in.Guarantees.Fall.span(), KeyQuietPeriod: in.Guarantees.KeyRest.span(),
+			RetryBudgetWindow: in.Guarantees.RatioSpan.span(), RetryBudgetFree: in.Guarantees.BudgetFree,
+			RetryBudgetShare: in.Guarantees.BudgetShare},
+		Connections: ConnectionSettings{ConnectTimeout: in.Bounds.ConnectTimeout.span(), IdleTimeout: in.Bounds.IdleClose.span()},
 	}
 	var err error
-	if o.Limits.ListOnRequest, err = Word("discovery", in.Discovery, discoveries); err != nil {
+	if o.Limits.PollEndpoints, err = LookUpWord("discovery", in.Discovery, discoveries); err != nil {
 		return nil, err
 	}
-	if o.Engines.OnShortage, err = Word("onShortage", in.Extra.OnShortage, shortages); err != nil {
+	if o.Engines.OnOvercommit, err = LookUpWord("onShortage", in.Extra.OnShortage, shortages); err != nil {
 		return nil, err
 	}
-	if o.Reports.Path, err = Word("feedback.via", in.Feedback.Via, paths); err != nil {
+	if o.LoadReports.Source, err = LookUpWord("feedback.via", in.Feedback.Via, paths); err != nil {
 		return nil, err
 	}
 	for _, f := range in.Feedback.Fields {
-		field, err := Word("feedback.fields", f, Fields)
+		field, err := LookUpWord("feedback.fields", f, ReportFieldWords)
 		if err != nil {
 			return nil, err
 		}
-		o.Reports.Fields = append(o.Reports.Fields, field)
+		o.LoadReports.Fields = append(o.LoadReports.Fields, field)
 	}
 	if in.Bounds.RetryAfter {
-		o.Limits.MaxRetryAdvice = in.Bounds.MaxRetryAfter.span()
+		o.Limits.MaxRetryAfter = in.Bounds.MaxRetryAfter.span()
 	}
 	for i, k := range in.MachineTypes {
-		o.Engines.Machines[k] = decision.Machine{Cores: at(in.Extra.CPUOfKind, i, 0),
+		o.Engines.Machines[k] = decision.MachineSpec{Cores: at(in.Extra.CPUOfKind, i, 0),
 			MemoryMB: at(in.Extra.RAMOfKindMb, i, 0)}
 	}
 	for _, g := range in.Orgs {
-		o.Shares.Groups = append(o.Shares.Groups, decision.Share{Group: g.Name, PerSec: g.QuotaPerS})
+		o.Quotas.Tenants = append(o.Quotas.Tenants, decision.Quota{Tenant: g.Name, RatePerSecond: g.QuotaPerS})
 	}
 	for i, c := range in.Classes {
-		w := decision.Workload{Name: c.Name, Importance: c.Gain, LateShare: c.LateShare,
-			SLO: c.Objective.span(), SLOStretch: c.AimStretch, StatementTimeout: c.Deadline.span(),
-			DedupWindow: c.Window.span(), InOrder: c.Sequential, Zones: c.AreasAllowed, Kinds: c.AllowedOn,
-			Threads: at(in.Extra.ThreadsByClass, i, 0), Load: at(in.Extra.WritesTables, i, false),
-			WaitsForLoads: at(in.Extra.WaitsForLoads, i, false)}
-		if w.Effect, err = Word("classes[].idempotency", c.Idempotency, effects); err != nil {
+		w := decision.Workload{Name: c.Name, PriorityWeight: c.Gain, LateFactor: c.LateShare,
+			LatencyObjective: c.Objective.span(), ObjectiveStretch: c.AimStretch, StatementTimeout: c.Deadline.span(),
+			DedupWindow: c.Window.span(), OrderedByKey: c.Sequential, AllowedZones: c.AreasAllowed, AllowedMachineTypes: c.AllowedOn,
+			Threads: at(in.Extra.ThreadsByClass, i, 0), BulkLoad: at(in.Extra.WritesTables, i, false),
+			WaitsForBulkLoads: at(in.Extra.WaitsForLoads, i, false)}
+		if w.Idempotency, err = LookUpWord("classes[].idempotency", c.Idempotency, effects); err != nil {
 			return nil, err
 		}
-		if w.DedupScope, err = Word("classes[].group", c.Group, scopes); err != nil {
+		if w.DedupScope, err = LookUpWord("classes[].group", c.Group, scopes); err != nil {
 			return nil, err
 		}
 		o.Workloads = append(o.Workloads, w)
--- a/internal/trial/audit.go
+++ b/internal/simulation/audit.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"fmt"
@@ -6,31 +6,31 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"bankledge/internal/agree"
+	"bankledge/internal/configversion"
+	"bankledge/internal/lease"
 	"bankledge/internal/rules"
-	"bankledge/internal/version"
 )
 
 // Finding is a rule that was broken.
-type Finding struct {
+type Violation struct {
 	Auditor string
 	At      time.Duration
-	Text    string
+	Detail  string
 }
 
 // Result is what came of a play.
 type Result struct {
-	Seed      uint64
-	Findings  []Finding
-	Digest    uint64        // of the history
-	Versions  uint64        // that were written
-	InForce   uint64        // of them, settled at the end
-	Worst     time.Duration // that two routers acted on contradicting rules
-	Over      int           // pairs of versions for which that was longer than T
-	Pairs     int           // that contradicted each other at all
-	Terms     float64       // share of the routers that had a term, at the looks after the first two seconds
-	Late      time.Duration // from the first quiet moment until all act on the newest version; 0: at once
-	Converged bool          // all act on the newest version at the end
+	Seed                 uint64
+	Violations           []Violation
+	Digest               uint64        // of the history
+	Versions             uint64        // that were written
+	Activated            uint64        // of them, settled at the end
+	LongestContradiction time.Duration // that two routers acted on contradicting rules
+	OverBound            int           // pairs of versions for which that was longer than T
+	Contradictions       int           // that contradicted each other at all
+	LeaseShare           float64       // share of the routers that had a term, at the looks after the first two seconds
+	ConvergenceDelay     time.Duration // from the first quiet moment until all act on the newest version; 0: at once
+	Converged            bool          // all act on the newest version at the end
 }
 
 // actKey names what a router acts on: the versions, and whether a term runs. Own settings stand for none.
@@ -41,8 +41,8 @@
 }
 
 type audit struct {
-	findings  []Finding
-	versions  map[uint64]*version.Version
+	findings  []Violation
+	versions  map[uint64]*configversion.Version
 	newest    uint64
 	written   time.Duration            // the last one, first told of
 	first     map[uint64]time.Duration // when a router first heard of a version
@@ -53,7 +53,7 @@
 	seen      map[pair]bool
 	looks     int
 	terms     float64
-	accepts   map[string]agree.Outcome
+	accepts   map[string]lease.Outcome
 	began2    map[string]time.Duration
 	ops       []porcupine.Operation
 	asks      map[askKey]time.Duration
@@ -73,28 +73,28 @@
 
 // Bound is T here, where a batch takes no time and nothing is paused between the look at the clock and the act: a term, and what
 // the auditor's looks, which are so far apart, may add.
-func Bound(s agree.Spans) time.Duration { return s.Term + 2*lookEvery }
+func ContradictionBound(s lease.Durations) time.Duration { return s.LeaseDuration + 2*lookEvery }
 
 func (a *audit) init() {
-	a.versions, a.first, a.offends = map[uint64]*version.Version{}, map[uint64]time.Duration{}, map[[3]uint64]string{}
-	a.began, a.seen, a.accepts, a.began2, a.asks = map[pair]time.Duration{}, map[pair]bool{}, map[string]agree.Outcome{}, map[string]time.Duration{}, map[askKey]time.Duration{}
+	a.versions, a.first, a.offends = map[uint64]*configversion.Version{}, map[uint64]time.Duration{}, map[[3]uint64]string{}
+	a.began, a.seen, a.accepts, a.began2, a.asks = map[pair]time.Duration{}, map[pair]bool{}, map[string]lease.Outcome{}, map[string]time.Duration{}, map[askKey]time.Duration{}
 }
 
 func (a *audit) find(auditor string, at time.Duration, format string, args ...any) {
 	if len(a.findings) < 20 {
-		a.findings = append(a.findings, Finding{auditor, at, fmt.Sprintf(format, args...)})
+		a.findings = append(a.findings, Violation{auditor, at, fmt.Sprintf(format, args...)})
 	}
 }
 
 // published sees each version that leaves the group: one number, one version.
-func (a *audit) published(w *world, v *version.Version) {
+func (a *audit) published(w *world, v *configversion.Version) {
 	old := a.versions[v.Number]
 	if old != nil && old.Hash != v.Hash {
 		a.find("versions", w.now, "two versions %d", v.Number)
 	}
 	if old == nil {
 		a.versions[v.Number], a.newest, a.written = v, max(a.newest, v.Number), w.now
-		if before := a.versions[v.Number-1]; before != nil && v.Before != before.Hash {
+		if before := a.versions[v.Number-1]; before != nil && v.PreviousHash != before.Hash {
 			a.find("versions", w.now, "version %d does not follow on %d", v.Number, v.Number-1)
 		}
 	}
@@ -121,9 +121,9 @@
 			with[r.key] = r.acting
 			acting = append(acting, r.key)
 		}
-		if r.ground.Term {
+		if r.ground.Leased {
 			terms++
-			if n := max(r.ground.Settled, r.ground.Pending); len(grounds) == 0 || !has(grounds, n) {
+			if n := max(r.ground.Activated, r.ground.Pending); len(grounds) == 0 || !has(grounds, n) {
 				grounds = append(grounds, n)
 			}
 		}
@@ -145,7 +145,7 @@
 			a.seen[p] = true
 			p.by = 0 // it goes on as long as somebody acts on the same, whichever versions that contradicts
 			now[p] = true
-			if key.settled >= n && !w.Push { // what loosens waits for the last term on what came before: this never is
+			if key.settled >= n && !w.PlainPush { // what loosens waits for the last term on what came before: this never is
 				a.find("loosened", w.now, "a router acts on %+v while another has a term on version %d: %s", key, n, a.offence(key, with[key], n))
 			}
 			if _, goes := a.began[p]; !goes {
@@ -155,9 +155,9 @@
 			since := max(a.began[p]-lookEvery, 0)
 			long := w.now - since
 			a.worst = max(a.worst, long)
-			if bound := Bound(w.Spans); long > bound && long-lookEvery <= bound {
+			if bound := ContradictionBound(w.LeaseDurations); long > bound && long-lookEvery <= bound {
 				a.over++
-				if !w.Push {
+				if !w.PlainPush {
 					a.find("contradiction", w.now, "for over %v a router acts on %+v while another goes by version %d: %s", bound, key, n, a.offence(key, with[key], n))
 				}
 			}
@@ -191,8 +191,8 @@
 		return text
 	}
 	text := ""
-	if list := rules.Offends(acting, v.Rules); len(list) > 0 {
-		text = list[0].Name + ": " + list[0].Words
+	if list := rules.Conflicts(acting, v.Rules); len(list) > 0 {
+		text = list[0].Name + ": " + list[0].Description
 	}
 	a.offends[memo] = text
 	return text
@@ -205,7 +205,7 @@
 }
 
 // accepted notes what was acknowledged: it must not be lost, and no two get one number.
-func (a *audit) accepted(w *world, o agree.Outcome) {
+func (a *audit) accepted(w *world, o lease.Outcome) {
 	if old, twice := a.accepts[o.ID]; twice && old.Number != o.Number {
 		a.find("acknowledged", w.now, "proposal %s got %d and %d", o.ID, old.Number, o.Number)
 	}
@@ -215,14 +215,14 @@
 	a.accepts[o.ID] = o
 }
 
-func (a *audit) asked(w *world, r *router, ask agree.Renewal) {
+func (a *audit) asked(w *world, r *router, ask lease.Renewal) {
 	a.asks[askKey{ask.Incarnation, ask.Seq}] = w.now
 }
 
 // read notes what a renewal's answer says is newest: it is a read of the state, and has to be linearizable.
-func (a *audit) read(w *world, r *router, p agree.Reply) {
+func (a *audit) read(w *world, r *router, p lease.Reply) {
 	key := askKey{fmt.Sprintf("%d.%d", r.id, r.life), p.Seq}
-	if call, known := a.asks[key]; known && p.Refused == "" && p.Leader == "" {
+	if call, known := a.asks[key]; known && p.RejectReason == "" && p.LeaderAddress == "" {
 		delete(a.asks, key)
 		if len(a.ops) < 6000 && w.chance.IntN(4) == 0 {
 			a.ops = append(a.ops, porcupine.Operation{ClientId: len(a.ops), Input: uint64(0), Output: p.Newest, Call: int64(call), Return: int64(w.now)})
@@ -245,17 +245,17 @@
 
 // result ends the audit.
 func (a *audit) result(w *world) Result {
-	r := Result{Seed: w.Seed, Worst: a.worst, Over: a.over, Pairs: len(a.seen), Versions: uint64(len(a.versions))}
+	r := Result{Seed: w.Seed, LongestContradiction: a.worst, OverBound: a.over, Contradictions: len(a.seen), Versions: uint64(len(a.versions))}
 	if a.looks > 0 {
-		r.Terms = a.terms / float64(a.looks)
+		r.LeaseShare = a.terms / float64(a.looks)
 	}
 	for _, p := range w.procs {
 		if !p.up {
 			continue
 		}
 		reg := p.seat.Register()
-		r.InForce = max(r.InForce, reg.Settled)
-		r.Versions = max(r.Versions, reg.Number())
+		r.Activated = max(r.Activated, reg.Activated)
+		r.Versions = max(r.Versions, reg.NewestNumber())
 		for _, v := range reg.Versions {
 			a.published(w, v)
 		}
@@ -263,7 +263,7 @@
 	for id, o := range a.accepts { // nothing acknowledged is lost
 		kept := false
 		for _, p := range w.procs {
-			if p.up && p.seat.Register().Number() >= o.Number {
+			if p.up && p.seat.Register().NewestNumber() >= o.Number {
 				kept = true
 			}
 		}
@@ -278,22 +278,22 @@
 	}
 	for n := uint64(1); n <= r.Versions; n++ {
 		if !named[n] {
-			a.ops = append(a.ops, porcupine.Operation{ClientId: len(a.ops), Input: n, Output: n, Call: 0, Return: int64(w.Span) + 1})
+			a.ops = append(a.ops, porcupine.Operation{ClientId: len(a.ops), Input: n, Output: n, Call: 0, Return: int64(w.SimulatedTime) + 1})
 		}
 	}
-	if !w.Push && porcupine.CheckOperationsTimeout(register, a.ops, 20*time.Second) == porcupine.Illegal {
+	if !w.PlainPush && porcupine.CheckOperationsTimeout(register, a.ops, 20*time.Second) == porcupine.Illegal {
 		a.find("linearizable", w.now, "no order of %d reads and writes explains what was seen", len(a.ops))
 	}
 	r.Converged = a.converged < w.now-lookEvery || a.written >= w.now-2*time.Second
 	if quiet := w.quiet(); a.converged > quiet {
-		r.Late = a.converged - quiet
+		r.ConvergenceDelay = a.converged - quiet
 	}
 	if sum, ok := w.digest.(interface{ Sum64() uint64 }); ok {
 		r.Digest = sum.Sum64()
 	}
-	if !r.Converged && !w.Push && a.written < w.now-2*time.Second { // else what waited is still being written
-		a.find("quiet", w.now, "all has been whole for %v, and not all act on version %d", w.Span-w.quiet(), a.newest)
+	if !r.Converged && !w.PlainPush && a.written < w.now-2*time.Second { // else what waited is still being written
+		a.find("quiet", w.now, "all has been whole for %v, and not all act on version %d", w.SimulatedTime-w.quiet(), a.newest)
 	}
-	r.Findings = a.findings
+	r.Violations = a.findings
 	return r
 }
--- a/internal/trial/history_test.go
+++ b/internal/simulation/history_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"bytes"
@@ -26,13 +26,13 @@
 			t.Parallel()
 			o := options(seed)
 			var trace bytes.Buffer
-			r := Play(o, &trace)
+			r := Run(o, &trace)
 			sum := fnv.New64a()
 			sum.Write(spoken.ReplaceAll(trace.Bytes(), nil))
-			fmt.Fprintln(sum, len(r.Findings), r.Versions, r.InForce, int64(r.Worst), r.Over, r.Pairs, r.Terms, int64(r.Late), r.Converged)
-			o.Push = true
-			r = Play(o, nil)
-			fmt.Fprintln(sum, r.Versions, r.InForce, int64(r.Worst), r.Over, r.Pairs, r.Terms, int64(r.Late), r.Converged)
+			fmt.Fprintln(sum, len(r.Violations), r.Versions, r.Activated, int64(r.LongestContradiction), r.OverBound, r.Contradictions, r.LeaseShare, int64(r.ConvergenceDelay), r.Converged)
+			o.PlainPush = true
+			r = Run(o, nil)
+			fmt.Fprintln(sum, r.Versions, r.Activated, int64(r.LongestContradiction), r.OverBound, r.Contradictions, r.LeaseShare, int64(r.ConvergenceDelay), r.Converged)
 			assert.Equal(t, histories[seed], fmt.Sprintf("%016x", sum.Sum64()))
 		})
 	}
--- a/internal/trial/plan.go
+++ b/internal/simulation/plan.go
@@ -1,22 +1,22 @@
-package trial
+package simulation
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"bankledge/internal/agree"
+	"bankledge/internal/lease"
+	"bankledge/internal/replica"
 	"bankledge/internal/rules"
-	"bankledge/internal/seat"
 )
 
 // quiet is when nothing fails any more and nobody proposes anything new.
-func (w *world) quiet() time.Duration { return w.Span * 6 / 10 }
+func (w *world) quiet() time.Duration { return w.SimulatedTime * 6 / 10 }
 
 // operators propose versions: what tightens, what loosens, what does both; one at a time or each 20 ms.
 func (w *world) operators() {
 	r := ownRules(w.Routers)
-	r.ColdMultiple, r.ColdShare, r.Probes, r.FurtherShare, r.WarmAfter, r.KeyRest, r.FurtherWindow = 2, 0.2, 1, 0.2, 20000, 5000, 5000
+	r.SlowStartMultiple, r.SlowStartShare, r.HealthChecksPerStatement, r.RetryBudgetShare, r.WarmAfterMillis, r.KeyQuietPeriodMillis, r.RetryBudgetWindowMillis = 2, 0.2, 1, 0.2, 20000, 5000, 5000
 	r.Engines = map[string]rules.Engine{}
 	for i := range 8 {
 		r.Engines[fmt.Sprint("e", i)] = rules.Engine{Phase: rules.Active, Address: fmt.Sprint("e:", i), Kind: "k"}
@@ -31,7 +31,7 @@
 		w.change(r)
 		raw := r.Canonical()
 		next++
-		w.propose(fmt.Sprint("p", next), agree.Entry{Kind: agree.Propose, Rules: json.RawMessage(raw), Forced: []string{"share-of-engines", "floor", "all-engines", "nothing-in-between"}}, w.now, 0)
+		w.propose(fmt.Sprint("p", next), lease.Entry{Kind: lease.EntryPropose, Rules: json.RawMessage(raw), ForcedGuards: []string{"share-of-engines", "floor", "all-engines", "nothing-in-between"}}, w.now, 0)
 		w.after(w.uniform(every/2, 2*every), propose)
 	}
 	w.at(600*time.Millisecond, propose)
@@ -47,13 +47,13 @@
 		}
 		switch w.chance.IntN(6) {
 		case 0:
-			r.ColdMultiple = min(20, max(1.1, r.ColdMultiple*scale))
+			r.SlowStartMultiple = min(20, max(1.1, r.SlowStartMultiple*scale))
 		case 1:
-			r.FurtherShare = min(5, max(0.11, r.FurtherShare*scale))
+			r.RetryBudgetShare = min(5, max(0.11, r.RetryBudgetShare*scale))
 		case 2:
-			r.Probes = min(50, max(0.6, r.Probes*scale))
+			r.HealthChecksPerStatement = min(50, max(0.6, r.HealthChecksPerStatement*scale))
 		case 3:
-			r.WarmAfter = min(29000, max(1000, int64(float64(r.WarmAfter)*scale)))
+			r.WarmAfterMillis = min(29000, max(1000, int64(float64(r.WarmAfterMillis)*scale)))
 		default:
 			id := fmt.Sprint("e", w.chance.IntN(8))
 			e, there := r.Engines[id]
@@ -62,24 +62,24 @@
 				w.seq++
 				r.Engines[id] = rules.Engine{Phase: rules.Active, Address: fmt.Sprintf("e:%d", w.seq), Kind: "k"}
 			case e.Phase == rules.Active:
-				e.Phase = rules.Leaving
+				e.Phase = rules.Draining
 				r.Engines[id] = e
 			default:
 				delete(r.Engines, id)
 			}
 		}
 	}
-	if err := r.Check(); err != nil {
+	if err := r.Validate(); err != nil {
 		panic(err)
 	}
 }
 
 // propose hands a proposal to some process, and again to another one as long as there is no outcome.
-func (w *world) propose(id string, e agree.Entry, began time.Duration, try int) {
+func (w *world) propose(id string, e lease.Entry, began time.Duration, try int) {
 	e.ID = id
 	p := w.procs[w.chance.IntN(w.Processes)]
 	for _, q := range w.procs { // an operator asks who leads
-		if q.up && !q.stopped && q.seat.Leads() {
+		if q.up && !q.stopped && q.seat.IsLeader() {
 			p = q
 		}
 	}
@@ -94,15 +94,15 @@
 	w.after(1500*time.Millisecond, again)
 	p.handle(p.life, func() {
 		p.call++
-		p.calls[p.call] = call{told: func(o agree.Outcome) {
+		p.calls[p.call] = call{told: func(o lease.Outcome) {
 			if o.Number > 0 {
 				answered = true
 				w.audit.accepted(w, o)
-			} else if o.Error != agree.ErrNotLeading.Error() {
+			} else if o.Error != lease.ErrNotLeader.Error() {
 				answered = true
 			}
 		}}
-		p.step(seat.Router{Event: agree.Wanted{Call: p.call, Entry: e}})
+		p.step(replica.LeaseRequest{Event: lease.ProposalReceived{CallID: p.call, Entry: e}})
 	})
 }
 
@@ -151,7 +151,7 @@
 		case 4: // the leader
 			w.at(at, func() {
 				for _, p := range w.procs {
-					if p.up && p.seat.Leads() && !p.stopped {
+					if p.up && p.seat.IsLeader() && !p.stopped {
 						p.stop()
 						w.note("stop leader %d", p.id)
 						w.after(long, func() { p.wake(); w.note("wake %d", p.id) })
--- a/internal/trial/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"os"
@@ -10,7 +10,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-func options(seed uint64) Options { return Draw(seed, 6) }
+func options(seed uint64) Options { return OptionsForSeed(seed, 6) }
 
 // seeds is how many schedules are played; TRIALS in the environment plays more.
 func seeds(usual int) uint64 {
@@ -32,39 +32,39 @@
 	for seed := range n {
 		group.Go(func() error {
 			o := options(seed)
-			results[seed][0] = Play(o, nil)
-			o.Push = true
-			results[seed][1] = Play(o, nil)
+			results[seed][0] = Run(o, nil)
+			o.PlainPush = true
+			results[seed][1] = Run(o, nil)
 			return nil
 		})
 	}
 	group.Wait()
 	for seed, r := range results {
-		for _, f := range r[0].Findings {
-			t.Errorf("seed %d: %s at %v: %s", seed, f.Auditor, f.At, f.Text)
+		for _, f := range r[0].Violations {
+			t.Errorf("seed %d: %s at %v: %s", seed, f.Auditor, f.At, f.Detail)
 		}
-		sum.Worst, sum.Pairs, sum.Versions, sum.Terms = max(sum.Worst, r[0].Worst), sum.Pairs+r[0].Pairs, sum.Versions+r[0].Versions, sum.Terms+r[0].Terms/float64(n)
+		sum.LongestContradiction, sum.Contradictions, sum.Versions, sum.LeaseShare = max(sum.LongestContradiction, r[0].LongestContradiction), sum.Contradictions+r[0].Contradictions, sum.Versions+r[0].Versions, sum.LeaseShare+r[0].LeaseShare/float64(n)
 		if r[0].Converged {
 			converged++
 		}
-		push.Worst, push.Pairs, push.Over = max(push.Worst, r[1].Worst), push.Pairs+r[1].Pairs, push.Over+r[1].Over
-		if r[1].Over > 0 {
+		push.LongestContradiction, push.Contradictions, push.OverBound = max(push.LongestContradiction, r[1].LongestContradiction), push.Contradictions+r[1].Contradictions, push.OverBound+r[1].OverBound
+		if r[1].OverBound > 0 {
 			slow++
 		}
 	}
-	T := Bound(options(0).Spans)
+	T := ContradictionBound(options(0).LeaseDurations)
 	t.Logf("%d schedules: worst contradiction %v of T %v, %d pairs, %d versions, terms %.3f, %d converged; plain push: worst %v, over T in %d schedules (%d of %d pairs)",
-		n, sum.Worst, T, sum.Pairs, sum.Versions, sum.Terms, converged, push.Worst, slow, push.Over, push.Pairs)
-	assert.LessOrEqual(t, sum.Worst, T)
-	assert.Greater(t, sum.Pairs, int(n), "there were contradictions to bound")
-	assert.Greater(t, push.Worst, T, "the baseline exceeds T: the auditor can fail")
+		n, sum.LongestContradiction, T, sum.Contradictions, sum.Versions, sum.LeaseShare, converged, push.LongestContradiction, slow, push.OverBound, push.Contradictions)
+	assert.LessOrEqual(t, sum.LongestContradiction, T)
+	assert.Greater(t, sum.Contradictions, int(n), "there were contradictions to bound")
+	assert.Greater(t, push.LongestContradiction, T, "the baseline exceeds T: the auditor can fail")
 	assert.Equal(t, int(n), converged)
 }
 
 // A seed gives the same history twice.
 func TestDeterministic(t *testing.T) {
 	for seed := range uint64(12) {
-		one, other := Play(options(seed), nil), Play(options(seed), nil)
+		one, other := Run(options(seed), nil), Run(options(seed), nil)
 		assert.Equal(t, one, other)
 	}
 }
--- a/internal/trial/world.go
+++ b/internal/simulation/world.go
@@ -1,6 +1,6 @@
 // Package trial plays the very state machines of the control service and of the routers (seat, agree) under a simulated clock, with
 // faults between them drawn from a seed, and audits what came of it. A seed gives the same history each time.
-package trial
+package simulation
 
 import (
 	"container/heap"
@@ -16,22 +16,22 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"bankledge/internal/agree"
+	"bankledge/internal/configversion"
 	"bankledge/internal/consensus"
+	"bankledge/internal/lease"
+	"bankledge/internal/replica"
 	"bankledge/internal/rules"
-	"bankledge/internal/seat"
-	"bankledge/internal/version"
 )
 
 // Options of a play.
 type Options struct {
-	Seed      uint64
-	Routers   int
-	Processes int
-	Span      time.Duration
-	Spans     agree.Spans
-	Push      bool // the baseline: routers act on what they hear, with no terms and no cautious side
-	Calm      bool // no faults
+	Seed           uint64
+	Routers        int
+	Processes      int
+	SimulatedTime  time.Duration
+	LeaseDurations lease.Durations
+	PlainPush      bool // the baseline: routers act on what they hear, with no terms and no cautious side
+	NoFaults       bool // no faults
 }
 
 // world is one play.
@@ -106,7 +106,7 @@
 			return
 		}
 		do()
-		if !w.Calm && w.chance.IntN(200) == 0 {
+		if !w.NoFaults && w.chance.IntN(200) == 0 {
 			w.after(w.uniform(0, 300*time.Millisecond), do)
 		}
 	})
@@ -137,7 +137,7 @@
 }
 
 func (w *world) clock() clock {
-	d := w.Spans.Drift
+	d := w.LeaseDurations.MaxClockDrift
 	return clock{rate: 1 + d*float64(w.chance.IntN(3)-1), offset: w.uniform(0, time.Hour)}
 }
 
@@ -193,8 +193,8 @@
 // process is one of the group.
 type process struct {
 	host
-	seat    *seat.Seat
-	disk    consensus.State
+	seat    *replica.Replica
+	disk    consensus.PersistentState
 	crash   int // saves until the process is killed: 0: none is planned
 	calls   map[uint64]call
 	call    uint64
@@ -204,7 +204,7 @@
 type call struct {
 	router *router
 	life   int
-	told   func(agree.Outcome)
+	told   func(lease.Outcome)
 }
 
 type stream struct {
@@ -215,13 +215,13 @@
 	begun  bool
 }
 
-func (p *process) settings() seat.Settings {
-	founded := map[uint64]seat.Member{}
+func (p *process) settings() replica.Settings {
+	founded := map[uint64]replica.Member{}
 	for i := range p.w.Processes {
-		founded[uint64(i+1)] = seat.Member{Peer: fmt.Sprint(i), Client: fmt.Sprint(i), Votes: true}
+		founded[uint64(i+1)] = replica.Member{Peer: fmt.Sprint(i), Client: fmt.Sprint(i), Voter: true}
 	}
-	return seat.Settings{Spans: p.w.Spans, Founded: founded, Lineage: "lineage", Compact: 40, Guards: version.Guards{MostGone: 1},
-		Node: consensus.Settings{ID: uint64(p.id + 1), Heartbeat: 50 * time.Millisecond, Election: 300 * time.Millisecond, Seed: p.w.Seed*64 + uint64(p.id*8+p.life), Log: silent}}
+	return replica.Settings{LeaseDurations: p.w.LeaseDurations, InitialMembers: founded, Lineage: "lineage", CompactionInterval: 40, Guards: configversion.Guards{MaxRemovedShare: 1},
+		Consensus: consensus.Settings{ID: uint64(p.id + 1), HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 300 * time.Millisecond, Seed: p.w.Seed*64 + uint64(p.id*8+p.life), Logger: silent}}
 }
 
 var silent = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
@@ -229,7 +229,7 @@
 func (p *process) start() {
 	p.life++
 	p.up, p.calls, p.streams = true, map[uint64]call{}, map[int]*stream{}
-	s, do, err := seat.New(p.settings(), copied(p.disk), p.own())
+	s, do, err := replica.New(p.settings(), copied(p.disk), p.own())
 	if err != nil {
 		p.w.audit.find("start", p.w.now, "process %d: %v", p.id, err)
 		p.up = false
@@ -244,24 +244,24 @@
 
 func (p *process) rearm() {
 	if p.up && p.seat != nil {
-		p.arm(p.seat.Wake(p.own()), func() { p.step(seat.Tick{}) })
+		p.arm(p.seat.NextDeadline(p.own()), func() { p.step(replica.Tick{}) })
 	}
 }
 
-func (p *process) step(ev seat.Event) {
+func (p *process) step(ev replica.Event) {
 	p.carryOut(p.seat.Step(p.own(), ev))
 	p.rearm()
 }
 
 // carryOut does what the seat asks for, in order; a crash may come after any save.
-func (p *process) carryOut(list []seat.Action) {
+func (p *process) carryOut(list []replica.Action) {
 	for _, a := range list {
 		if !p.up {
 			return
 		}
 		switch a := a.(type) {
-		case seat.Save:
-			p.save(a.Change)
+		case replica.Persist:
+			p.save(a.State)
 			if p.crash > 0 {
 				if p.crash--; p.crash == 0 {
 					p.w.note("crash %d", p.id)
@@ -270,28 +270,28 @@
 					return
 				}
 			}
-		case seat.Send:
+		case replica.SendMessage:
 			m, life := proto.Clone(a.Message).(*pb.Message), p.life
 			to := p.w.procs[m.GetTo()-1]
 			p.w.send(p.id, to.id, func() {
 				_ = life
-				to.handle(to.life, func() { to.step(seat.Received{Message: m}) })
+				to.handle(to.life, func() { to.step(replica.MessageReceived{Message: m}) })
 			})
-		case seat.Group:
+		case replica.LeaseResponse:
 			p.answer(a.Action)
-		case seat.Publish:
+		case replica.PublishState:
 			p.publish()
-		case seat.Moved:
-			p.w.note("process %d leads %t, leader %d, term %d", p.id, a.Role.Leads, a.Role.Leader, a.Role.Term)
+		case replica.RoleChanged:
+			p.w.note("process %d leads %t, leader %d, term %d", p.id, a.Role.IsLeader, a.Role.Leader, a.Role.Term)
 		}
 	}
 }
 
 // save is a disk that keeps what was synced.
-func (p *process) save(c consensus.State) {
+func (p *process) save(c consensus.PersistentState) {
 	d := &p.disk
-	if c.Hard != nil {
-		d.Hard = c.Hard
+	if c.HardState != nil {
+		d.HardState = c.HardState
 	}
 	if c.Snapshot != nil {
 		at := c.Snapshot.GetMetadata().GetIndex()
@@ -305,26 +305,26 @@
 	}
 }
 
-func copied(s consensus.State) consensus.State {
-	c := consensus.State{Hard: s.Hard, Snapshot: s.Snapshot, Entries: slices.Clone(s.Entries)}
+func copied(s consensus.PersistentState) consensus.PersistentState {
+	c := consensus.PersistentState{HardState: s.HardState, Snapshot: s.Snapshot, Entries: slices.Clone(s.Entries)}
 	return c
 }
 
-func (p *process) answer(a agree.GroupAction) {
+func (p *process) answer(a lease.CoordinatorAction) {
 	switch a := a.(type) {
-	case agree.Answer:
-		c := p.calls[a.Call]
-		delete(p.calls, a.Call)
+	case lease.SendReply:
+		c := p.calls[a.CallID]
+		delete(p.calls, a.CallID)
 		if c.router != nil {
 			reply := a.Reply
 			p.w.audit.read(p.w, c.router, reply)
 			p.w.send(p.id, c.router.id, func() {
-				c.router.handle(c.life, func() { c.router.step(agree.Told{Reply: reply}) })
+				c.router.handle(c.life, func() { c.router.step(lease.ReplyReceived{Reply: reply}) })
 			})
 		}
-	case agree.Tell:
-		c := p.calls[a.Call]
-		delete(p.calls, a.Call)
+	case lease.SendOutcome:
+		c := p.calls[a.CallID]
+		delete(p.calls, a.CallID)
 		if c.told != nil {
 			c.told(a.Outcome)
 		}
@@ -350,22 +350,22 @@
 
 func (p *process) push(s *stream) {
 	reg := p.seat.Register()
-	for _, v := range reg.After(s.sent) {
-		raw, settled := v.Encode(), reg.Settled
+	for _, v := range reg.UpdatesAfter(s.sent) {
+		raw, settled := v.Encode(), reg.Activated
 		s.sent = v.Number
 		p.w.audit.published(p.w, v)
-		if !p.w.Calm && p.w.now < p.w.quiet() && p.w.chance.IntN(40) == 0 { // one is lost: the next one comes behind a gap
+		if !p.w.NoFaults && p.w.now < p.w.quiet() && p.w.chance.IntN(40) == 0 { // one is lost: the next one comes behind a gap
 			continue
 		}
 		p.w.send(p.id, s.router.id, func() {
 			s.router.handle(s.life, func() { s.router.came(raw, settled) })
 		})
 	}
-	if s.told < reg.Settled {
-		n := reg.Settled
+	if s.told < reg.Activated {
+		n := reg.Activated
 		s.told = n
 		p.w.send(p.id, s.router.id, func() {
-			s.router.handle(s.life, func() { s.router.step(agree.Settled{Lineage: reg.Lineage, Number: n}) })
+			s.router.handle(s.life, func() { s.router.step(lease.VersionActivated{Lineage: reg.Lineage, Number: n}) })
 		})
 	}
 }
@@ -373,19 +373,19 @@
 // router is one router's side.
 type router struct {
 	host
-	core   *agree.Router
+	core   *lease.Client
 	acting *rules.Rules
-	ground agree.Ground
+	ground lease.ActiveConfiguration
 	key    actKey
-	known  *version.Version // newest that it has
-	at     *process         // that it follows
+	known  *configversion.Version // newest that it has
+	at     *process               // that it follows
 }
 
 func (r *router) own() time.Duration { return r.clock.of(r.w.now) }
 
 func ownRules(routers int) *rules.Rules {
-	r := &rules.Rules{Routers: routers, ColdMultiple: 1, ColdShare: 0.1, Probes: 0.5, FurtherShare: 0.1, WarmAfter: 30000, KeyRest: 10000, FurtherWindow: 10000}
-	if err := r.Check(); err != nil {
+	r := &rules.Rules{Routers: routers, SlowStartMultiple: 1, SlowStartShare: 0.1, HealthChecksPerStatement: 0.5, RetryBudgetShare: 0.1, WarmAfterMillis: 30000, KeyQuietPeriodMillis: 10000, RetryBudgetWindowMillis: 10000}
+	if err := r.Validate(); err != nil {
 		panic(err)
 	}
 	return r
@@ -395,61 +395,61 @@
 	r.life++
 	r.up = true
 	// Two routers share each name, as by mistake.
-	r.core = agree.NewRouter(agree.Setup{Spans: r.w.Spans, Name: fmt.Sprint("r", (r.id-routerBase)/2), Incarnation: fmt.Sprintf("%d.%d", r.id, r.life),
-		Own: ownRules(r.w.Routers), Guards: version.Guards{MostGone: 1}, Addresses: r.w.Processes, Seed: r.w.Seed*4096 + uint64(r.id*8+r.life)})
-	r.acting, r.ground, r.known, r.at = ownRules(r.w.Routers), agree.Ground{}, nil, nil
+	r.core = lease.NewClient(lease.ClientSettings{Durations: r.w.LeaseDurations, Name: fmt.Sprint("r", (r.id-routerBase)/2), Incarnation: fmt.Sprintf("%d.%d", r.id, r.life),
+		LocalRules: ownRules(r.w.Routers), Guards: configversion.Guards{MaxRemovedShare: 1}, AddressCount: r.w.Processes, Seed: r.w.Seed*4096 + uint64(r.id*8+r.life)})
+	r.acting, r.ground, r.known, r.at = ownRules(r.w.Routers), lease.ActiveConfiguration{}, nil, nil
 	r.key = actKey{life: -1}
-	r.step(agree.Look{})
+	r.step(lease.ClientTick{})
 }
 
 func (r *router) came(raw []byte, settled uint64) {
-	v, err := version.Decode(raw)
+	v, err := configversion.Decode(raw)
 	if err != nil {
-		r.step(agree.Unfit{Err: err})
+		r.step(lease.InvalidVersionReceived{Err: err})
 		return
 	}
-	if r.w.Push { // the baseline acts on it at once
+	if r.w.PlainPush { // the baseline acts on it at once
 		if r.known == nil || v.Number > r.known.Number {
 			r.known, r.acting = v, v.Rules
-			r.ground, r.key = agree.Ground{Term: true, Settled: v.Number}, actKey{settled: v.Number, term: true}
+			r.ground, r.key = lease.ActiveConfiguration{Leased: true, Activated: v.Number}, actKey{settled: v.Number, term: true}
 			r.w.audit.heard(r.w, v.Number)
 		}
 		return
 	}
-	r.step(agree.Came{Version: v, Settled: settled})
+	r.step(lease.VersionReceived{Version: v, Activated: settled})
 }
 
-func (r *router) step(ev agree.RouterEvent) {
-	if r.w.Push {
-		if _, lost := ev.(agree.Lost); lost || r.at == nil {
+func (r *router) step(ev lease.ClientEvent) {
+	if r.w.PlainPush {
+		if _, lost := ev.(lease.StreamLost); lost || r.at == nil {
 			r.follow(r.w.chance.IntN(r.w.Processes), 0)
 		}
 		return
 	}
 	for _, a := range r.core.Step(r.own(), ev) {
 		switch a := a.(type) {
-		case agree.Ask:
-			p, renewal, life := r.w.procs[a.Address], a.Renewal, r.life
+		case lease.SendRenewal:
+			p, renewal, life := r.w.procs[a.AddressIndex], a.Renewal, r.life
 			r.w.audit.asked(r.w, r, renewal)
 			r.w.send(r.id, p.id, func() {
 				p.handle(p.life, func() {
 					p.call++
 					p.calls[p.call] = call{router: r, life: life}
-					p.step(seat.Router{Event: agree.Heard{Call: p.call, Renewal: renewal}})
+					p.step(replica.LeaseRequest{Event: lease.RenewalReceived{CallID: p.call, Renewal: renewal}})
 				})
 			})
-		case agree.Use:
-			r.acting, r.ground = a.Rules, a.On
-			r.key = actKey{settled: a.On.Settled, pending: a.On.Pending, term: a.On.Term}
-			r.w.audit.heard(r.w, max(a.On.Settled, a.On.Pending))
-			r.w.note("router %d acts on settled %d, pending %d, term %t", r.id, a.On.Settled, a.On.Pending, a.On.Term)
-		case agree.Refollow:
-			r.follow(a.Address, a.After)
-		case agree.Say:
+		case lease.ApplyRules:
+			r.acting, r.ground = a.Rules, a.Configuration
+			r.key = actKey{settled: a.Configuration.Activated, pending: a.Configuration.Pending, term: a.Configuration.Leased}
+			r.w.audit.heard(r.w, max(a.Configuration.Activated, a.Configuration.Pending))
+			r.w.note("router %d acts on settled %d, pending %d, term %t", r.id, a.Configuration.Activated, a.Configuration.Pending, a.Configuration.Leased)
+		case lease.ReopenStream:
+			r.follow(a.AddressIndex, a.AfterVersion)
+		case lease.LogMessage:
 			r.w.note("router %d: %s", r.id, a.Text)
 		}
 	}
-	r.arm(r.core.Wake(), func() { r.step(agree.Look{}) })
+	r.arm(r.core.NextDeadline(), func() { r.step(lease.ClientTick{}) })
 }
 
 // follow has the router follow the versions at a process: a connection that the process pushes on until either ends.
@@ -459,7 +459,7 @@
 		delete(r.at.streams, r.id)
 	}
 	r.at = p
-	lost := func() { r.handle(life, func() { r.step(agree.Lost{}) }) }
+	lost := func() { r.handle(life, func() { r.step(lease.StreamLost{}) }) }
 	if !p.up || r.w.cut[[2]int{r.id, p.id}] {
 		r.w.after(300*time.Millisecond, lost)
 		return
@@ -489,7 +489,7 @@
 		}
 		if silent >= 4 || !p.up || p.life != serving {
 			delete(p.streams, r.id)
-			r.handle(life, func() { r.step(agree.Lost{}) })
+			r.handle(life, func() { r.step(lease.StreamLost{}) })
 			return
 		}
 		w.after(look, again)
@@ -498,14 +498,14 @@
 }
 
 // Draw makes the options of a seed's play: a group of one, three or five, spans with clocks that drift by 5 %.
-func Draw(seed uint64, routers int) Options {
-	spans := agree.Defaults()
-	spans.Drift = 0.05
-	return Options{Seed: seed, Routers: routers, Processes: []int{1, 3, 5}[seed%3], Span: 16 * time.Second, Spans: spans}
+func OptionsForSeed(seed uint64, routers int) Options {
+	spans := lease.DefaultDurations()
+	spans.MaxClockDrift = 0.05
+	return Options{Seed: seed, Routers: routers, Processes: []int{1, 3, 5}[seed%3], SimulatedTime: 16 * time.Second, LeaseDurations: spans}
 }
 
 // Play plays one.
-func Play(o Options, trace io.Writer) Result {
+func Run(o Options, trace io.Writer) Result {
 	w := &world{Options: o, chance: rand.New(rand.NewPCG(o.Seed, 29)), cut: map[[2]int]bool{}, held: map[[2]int][]func(){}, trace: trace, digest: fnv.New64a()}
 	w.audit.init()
 	for i := range o.Processes {
@@ -521,13 +521,13 @@
 		w.at(w.uniform(0, 500*time.Millisecond), r.start)
 	}
 	w.operators()
-	if !o.Calm {
+	if !o.NoFaults {
 		w.faults()
 	}
 	w.at(lookEvery, w.look)
 	for len(w.queue) > 0 {
 		e := heap.Pop(&w.queue).(event)
-		if e.at > o.Span {
+		if e.at > o.SimulatedTime {
 			break
 		}
 		w.now = e.at
@@ -541,9 +541,9 @@
 // look is each router's look at the clock before a batch, and what it does then, seen by the auditor.
 func (w *world) look() {
 	for _, r := range w.routes {
-		if r.up && !r.stopped && !w.Push {
-			if now := r.own(); r.core.Until() > 0 && now >= r.core.Until() {
-				r.step(agree.Look{})
+		if r.up && !r.stopped && !w.PlainPush {
+			if now := r.own(); r.core.LeaseExpiry() > 0 && now >= r.core.LeaseExpiry() {
+				r.step(lease.ClientTick{})
 			}
 		}
 	}
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -10,7 +10,7 @@
 )
 
 // Answer is what one instance does in a reply.
-type Answer struct {
+type InstanceActions struct {
 	Instance int
 	Actions  []decision.Action
 }
@@ -18,7 +18,7 @@
 type object map[string]any
 
 // Reply encodes the line that answers a batch.
-func Reply(answers []Answer) ([]byte, error) {
+func EncodeReply(answers []InstanceActions) ([]byte, error) {
 	type group struct {
 		I   int      `json:"i"`
 		Out []object `json:"out"`
@@ -48,27 +48,27 @@
 
 func message(action decision.Action) (object, error) {
 	switch a := action.(type) {
-	case decision.Execute:
+	case decision.StartAttempt:
 		return object{"Attempt": object{"corr": a.Statement, "engine": a.Engine, "tryFor": micros(a.Timeout)}}, nil
-	case decision.Cancel:
-		return object{"Retract": object{"corr": a.Statement, "seqNo": a.Execution}}, nil
+	case decision.CancelAttempt:
+		return object{"Retract": object{"corr": a.Statement, "seqNo": a.Attempt}}, nil
 	case decision.Reject:
-		return object{"PushBack": object{"corr": a.Statement, "comeBack": micros(a.RetryIn)}}, nil
+		return object{"PushBack": object{"corr": a.Statement, "comeBack": micros(a.RetryAfter)}}, nil
 	case decision.Abort:
 		return object{"EndFailed": object{"corr": a.Statement}}, nil
-	case decision.SetTerms:
-		return object{"Terms": object{"corr": a.Statement, "allotMb": a.GrantMB, "rank": a.Priority}}, nil
-	case decision.Probe:
+	case decision.SetResources:
+		return object{"Terms": object{"corr": a.Statement, "allotMb": a.MemoryGrantMB, "rank": a.Priority}}, nil
+	case decision.HealthCheck:
 		return object{"Ping": object{"engine": a.Engine}}, nil
-	case decision.CloseIdle:
+	case decision.CloseIdleConnections:
 		return object{"CloseIdle": object{"engine": a.Engine}}, nil
 	case decision.SetTimer:
 		return object{"SetTimer": object{"cookie": a.Token, "moment": micros(a.At)}}, nil
-	case decision.FollowList:
-		return object{"Tail": object{"active": a.On}}, nil
-	case decision.FetchList:
+	case decision.WatchEndpoints:
+		return object{"Tail": object{"active": a.Enabled}}, nil
+	case decision.FetchEndpoints:
 		return object{"Resolve": object{}}, nil
-	case decision.TellPeers:
+	case decision.SendToPeers:
 		var dest any = int(a.To)
 		if a.All {
 			dest = "all"
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -17,38 +17,38 @@
 
 // Input is one event for one instance: an opening, a stop, or what the module itself takes.
 type Input struct {
-	Open  *settings.Opening
-	Stop  bool
-	Event decision.Event
+	Settings *settings.ModuleSettings
+	Stop     bool
+	Event    decision.Event
 }
 
 // Group is what one instance gets in a batch.
-type Group struct {
+type InstanceInputs struct {
 	Instance int
 	Inputs   []Input
 }
 
 // Batch is one line of the wire.
 type Batch struct {
-	Now    time.Duration
-	Groups []Group
+	Now       time.Duration
+	Instances []InstanceInputs
 }
 
 // Decoder reads batches. It keeps what the wire shares between instances: the numbered lists,
 // and each instance's names, which are stated at its opening.
 type Decoder struct {
-	lists map[int][]decision.Entry
+	lists map[int][]decision.Endpoint
 	names map[int]*names
 }
 
 type names struct {
 	workloads map[string]decision.WorkloadID
-	fields    []decision.Field
+	fields    []decision.LoadReportField
 }
 
 // NewDecoder returns a decoder that knows no list and no instance.
 func NewDecoder() *Decoder {
-	return &Decoder{lists: map[int][]decision.Entry{}, names: map[int]*names{}}
+	return &Decoder{lists: map[int][]decision.Endpoint{}, names: map[int]*names{}}
 }
 
 // maxListNumber is the highest number of a shared list.
@@ -68,7 +68,7 @@
 }
 
 // Batch decodes one line.
-func (d *Decoder) Batch(line []byte) (*Batch, error) {
+func (d *Decoder) DecodeBatch(line []byte) (*Batch, error) {
 	var in struct {
 		Moment *micro `json:"moment"`
 		Groups []struct {
@@ -87,7 +87,7 @@
 		if g.I == nil {
 			return nil, errors.New("group: i is missing")
 		}
-		group := Group{Instance: *g.I}
+		group := InstanceInputs{Instance: *g.I}
 		for _, message := range g.Input {
 			if len(message) != 1 {
 				return nil, fmt.Errorf("instance %d: a message has %d names, not one", *g.I, len(message))
@@ -102,17 +102,17 @@
 				}
 			}
 		}
-		b.Groups = append(b.Groups, group)
+		b.Instances = append(b.Instances, group)
 	}
 	return b, nil
 }
 
 var (
 	outcomes = map[string]decision.Outcome{"completed": decision.Completed, "errored": decision.Errored,
-		"saturated": decision.Full, "overdue": decision.TimedOut, "refused_conn": decision.NotConnected,
-		"severed": decision.Reset, "recalled": decision.Cancelled, "superseded": decision.NeverSent}
+		"saturated": decision.Overloaded, "overdue": decision.TimedOut, "refused_conn": decision.ConnectFailed,
+		"severed": decision.ConnectionReset, "recalled": decision.Cancelled, "superseded": decision.NotSent}
 	states = map[string]decision.EngineState{"Ready": decision.Ready, "Terminating": decision.Draining,
-		"Gone": decision.Gone}
+		"Gone": decision.Removed}
 	listKinds = map[string]decision.ListKind{"Partial": decision.ListPartial,
 		"Complete": decision.ListComplete, "Persisted": decision.ListPersisted, "Error": decision.ListFailed}
 )
@@ -137,16 +137,16 @@
 			}
 			seed = uint64(signed)
 		}
-		o, err := settings.Open(seed, m.Info)
+		o, err := settings.ParseModuleSettings(seed, m.Info)
 		if err != nil {
 			return nil, err
 		}
-		known := &names{workloads: map[string]decision.WorkloadID{}, fields: o.Reports.Fields}
+		known := &names{workloads: map[string]decision.WorkloadID{}, fields: o.LoadReports.Fields}
 		for i, w := range o.Workloads {
 			known.workloads[w.Name] = decision.WorkloadID(i)
 		}
 		d.names[instance] = known
-		return &Input{Open: o}, nil
+		return &Input{Settings: o}, nil
 	}
 	known := d.names[instance]
 	if known == nil {
@@ -167,13 +167,13 @@
 	var m struct {
 		Ref  *int `json:"ref"`
 		Rows []struct {
-			Engine    decision.EngineID `json:"engine"`
-			Locality  decision.Zone     `json:"locality"`
-			SKU       decision.Kind     `json:"sku"`
-			Cluster   decision.Cell     `json:"cluster"`
-			Status    string            `json:"status"`
-			Share     float64           `json:"share"`
-			StartedAt micro             `json:"startedAt"`
+			Engine    decision.EngineID    `json:"engine"`
+			Locality  decision.Zone        `json:"locality"`
+			SKU       decision.MachineType `json:"sku"`
+			Cluster   decision.Cell        `json:"cluster"`
+			Status    string               `json:"status"`
+			Share     float64              `json:"share"`
+			StartedAt micro                `json:"startedAt"`
 		} `json:"rows"`
 	}
 	if err := strict(raw, &m); err != nil {
@@ -182,16 +182,16 @@
 	if m.Ref == nil || *m.Ref < 0 || *m.Ref > maxListNumber {
 		return errors.New("ref is missing or out of range")
 	}
-	entries := make([]decision.Entry, 0, len(m.Rows))
+	entries := make([]decision.Endpoint, 0, len(m.Rows))
 	for _, r := range m.Rows {
-		state, err := settings.Word("status", r.Status, states)
+		state, err := settings.LookUpWord("status", r.Status, states)
 		if err != nil {
 			return err
 		}
 		if r.Engine == "" {
 			return errors.New("a row names no engine")
 		}
-		entries = append(entries, decision.Entry{Engine: r.Engine, Zone: r.Locality, Kind: r.SKU,
+		entries = append(entries, decision.Endpoint{Engine: r.Engine, Zone: r.Locality, MachineType: r.SKU,
 			Cell: r.Cluster, State: state, Weight: r.Share, StartedAt: r.StartedAt.span()})
 	}
 	d.lists[*m.Ref] = entries
@@ -209,18 +209,18 @@
 		if err := strict(raw, &m); err != nil {
 			return nil, err
 		}
-		kind, err := settings.Word("scope", m.Scope, listKinds)
+		kind, err := settings.LookUpWord("scope", m.Scope, listKinds)
 		if err != nil {
 			return nil, err
 		}
 		if kind == decision.ListFailed {
-			return decision.EngineList{Kind: kind, Version: m.Gen}, nil
+			return decision.EndpointList{Kind: kind, Version: m.Gen}, nil
 		}
 		entries, ok := d.lists[m.Ref]
 		if !ok {
 			return nil, fmt.Errorf("list %d was never sent", m.Ref)
 		}
-		return decision.EngineList{Kind: kind, Version: m.Gen, Entries: entries}, nil
+		return decision.EndpointList{Kind: kind, Version: m.Gen, Endpoints: entries}, nil
 	case "JobIn":
 		return known.arrival(raw)
 	case "HeadReceived":
@@ -228,8 +228,8 @@
 		if err := strict(raw, &m); err != nil {
 			return nil, err
 		}
-		return decision.AnswerStarted{Statement: m.Corr, Execution: m.SeqNo, Engine: m.Engine,
-			Took: m.Took.span()}, m.check()
+		return decision.ResponseStarted{Statement: m.Corr, Attempt: m.SeqNo, Engine: m.Engine,
+			Elapsed: m.Took.span()}, m.check()
 	case "Interim":
 		var m struct {
 			execution
@@ -239,8 +239,8 @@
 		if err := strict(raw, &m); err != nil {
 			return nil, err
 		}
-		return decision.ExecutionNoted{Statement: m.Corr, Execution: m.SeqNo, Engine: m.Engine,
-			Note: decision.Note(m.Topic), Value: m.Value}, m.check()
+		return decision.AttemptProgress{Statement: m.Corr, Attempt: m.SeqNo, Engine: m.Engine,
+			Kind: decision.ProgressKind(m.Topic), Value: m.Value}, m.check()
 	case "ClosedAttempt":
 		var m struct {
 			execution
@@ -252,7 +252,7 @@
 		if err := strict(raw, &m); err != nil {
 			return nil, err
 		}
-		outcome, err := settings.Word("ending", m.Ending, outcomes)
+		outcome, err := settings.LookUpWord("ending", m.Ending, outcomes)
 		if err != nil {
 			return nil, err
 		}
@@ -260,14 +260,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return decision.ExecutionEnded{Statement: m.Corr, Execution: m.SeqNo, Engine: m.Engine,
-			Outcome: outcome, Took: m.Took.span(), Over: m.NoMore, Cost: m.Note, Report: report}, m.check()
+		return decision.AttemptEnded{Statement: m.Corr, Attempt: m.SeqNo, Engine: m.Engine,
+			Outcome: outcome, Elapsed: m.Took.span(), Finished: m.NoMore, Cost: m.Note, Report: report}, m.check()
 	case "Hangup":
 		var m execution
 		if err := strict(raw, &m); err != nil {
 			return nil, err
 		}
-		return decision.ClientLeft{Statement: m.Corr}, m.check()
+		return decision.ClientCancelled{Statement: m.Corr}, m.check()
 	case "Timer":
 		var m struct {
 			Cookie string `json:"cookie"`
@@ -286,7 +286,7 @@
 		if err := strict(raw, &m); err != nil {
 			return nil, err
 		}
-		outcome, err := settings.Word("ending", m.Ending, outcomes)
+		outcome, err := settings.LookUpWord("ending", m.Ending, outcomes)
 		if err != nil {
 			return nil, err
 		}
@@ -294,7 +294,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return decision.ProbeEnded{Engine: m.Engine, Outcome: outcome, Took: m.Took.span(),
+		return decision.HealthCheckEnded{Engine: m.Engine, Outcome: outcome, Elapsed: m.Took.span(),
 			Report: report}, nil
 	case "Peer":
 		var m struct {
@@ -308,7 +308,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("payload: %w", err)
 		}
-		return decision.PeerTold{From: decision.RouterID(m.By), Data: data}, nil
+		return decision.PeerMessage{From: decision.RouterID(m.By), Data: data}, nil
 	}
 	return nil, errors.New("unknown event")
 }
@@ -316,7 +316,7 @@
 // execution is what the wire says to name an execution.
 type execution struct {
 	Corr   decision.StatementID `json:"corr"`
-	SeqNo  decision.ExecutionID `json:"seqNo"`
+	SeqNo  decision.AttemptID   `json:"seqNo"`
 	Engine decision.EngineID    `json:"engine"`
 	Took   micro                `json:"took"`
 }
@@ -347,15 +347,15 @@
 	if m.Corr == "" || m.TimeBudget == nil {
 		return nil, errors.New("corr or timeBudget is missing")
 	}
-	wlm, err := settings.Word("kind", m.Kind, n.workloads)
+	wlm, err := settings.LookUpWord("kind", m.Kind, n.workloads)
 	if err != nil {
 		return nil, err
 	}
-	var group decision.MemberGroup
+	var group decision.Tenant
 	switch g := m.ClientGroup.(type) {
 	case nil:
 	case string:
-		group = decision.MemberGroup(g)
+		group = decision.Tenant(g)
 	case float64:
 		if g != 0 {
 			return nil, errors.New("clientGroup is a number other than 0")
@@ -363,19 +363,19 @@
 	default:
 		return nil, errors.New("clientGroup is no name")
 	}
-	return decision.StatementArrived{Statement: m.Corr, Workload: wlm, Group: group, Key: m.Table,
-		TimeBudget: m.TimeBudget.span(), Estimate: m.Estimate.span(), NeedMB: m.WantMb,
-		Tables: decision.TableGroup(m.SourceSet), Resent: m.Resent, Write: m.Update}, nil
+	return decision.StatementArrived{Statement: m.Corr, Workload: wlm, Tenant: group, Key: m.Table,
+		TimeBudget: m.TimeBudget.span(), EstimatedWork: m.Estimate.span(), EstimatedMemoryMB: m.WantMb,
+		TableGroup: decision.TableGroup(m.SourceSet), ClientRetry: m.Resent, Writes: m.Update}, nil
 }
 
-func (n *names) report(row []*float64) (*decision.Report, error) {
+func (n *names) report(row []*float64) (*decision.LoadReport, error) {
 	if row == nil {
 		return nil, nil
 	}
 	if len(row) > len(n.fields) {
 		return nil, fmt.Errorf("a report of %d values where %d fields are named", len(row), len(n.fields))
 	}
-	r := &decision.Report{}
+	r := &decision.LoadReport{}
 	for i, v := range row {
 		if v != nil {
 			r.Value[n.fields[i]], r.Known[n.fields[i]] = *v, true
--- a/internal/span/span.go
+++ b/internal/slidingwindow/span.go
@@ -1,5 +1,5 @@
 // Package span sums amounts over a sliding span of time.
-package span
+package slidingwindow
 
 import "time"
 
@@ -17,7 +17,7 @@
 }
 
 // Over drops what was added before from, and returns the sum of the rest.
-func (s *Sum) Over(from time.Duration) float64 {
+func (s *Sum) Since(from time.Duration) float64 {
 	for len(s.entries) > 0 && s.entries[0].at < from {
 		s.entries = s.entries[1:]
 	}
--- a/internal/sqltext/grammar.go
+++ b/internal/sqltext/grammar.go
@@ -215,7 +215,7 @@
 // schemaSeen looks at the name before a dot: the first one with a group counts.
 func (a *Analyser) schemaSeen() {
 	if g := number(a.normal[a.nameAt:a.nameEnd]); g != NoGroup && !a.first {
-		a.first, a.s.First = true, g
+		a.first, a.s.FirstSchemaGroup = true, g
 	}
 }
 
--- a/internal/sqltext/sqltext.go
+++ b/internal/sqltext/sqltext.go
@@ -13,7 +13,7 @@
 
 // Budget is how many bytes of a text are read; what is longer is Cut. At the 100 MB a second that the slowest texts
 // are read with, that is 160 µs.
-const Budget = 16 << 10
+const MaxAnalysedBytes = 16 << 10
 
 // NoGroup is the table group of a statement that names none.
 const NoGroup = -1
@@ -39,12 +39,12 @@
 func (k Kind) String() string { return kindNames[k] }
 
 // MostGroups is how many table groups of a statement are told apart, read and written each.
-const MostGroups = 8
+const MaxTableGroups = 8
 
 // Groups is a small set of table groups, in the order in which they were met.
 type Groups struct {
 	n  int32
-	at [MostGroups]int64
+	at [MaxTableGroups]int64
 }
 
 // Slice is the set's groups; it lives as long as the set.
@@ -56,7 +56,7 @@
 			return
 		}
 	}
-	if g.n < MostGroups {
+	if g.n < MaxTableGroups {
 		g.at[g.n] = group
 		g.n++
 	}
@@ -64,13 +64,13 @@
 
 // Statement is what a text looks like. Counts are over the whole text.
 type Statement struct {
-	Kind   Kind
-	Writes bool // something that outlives the session, as far as can be seen
-	Cut    bool // longer than Budget: the rest was not read, and Shape is 0
-	Open   bool // ends inside a string, a quoted name or a comment
+	Kind         Kind
+	Writes       bool // something that outlives the session, as far as can be seen
+	Truncated    bool // longer than Budget: the rest was not read, and Shape is 0
+	Unterminated bool // ends inside a string, a quoted name or a comment
 
-	Read, Written Groups
-	First         int64 // group of the first schema with one, before any dot or not, as the protocol has it
+	Read, Written    Groups
+	FirstSchemaGroup int64 // group of the first schema with one, before any dot or not, as the protocol has it
 
 	ForUpdate, Grouped, Windowed, Ordered, Distinct, Limited bool
 
@@ -89,11 +89,11 @@
 	InItems    int32
 	Rows       int32 // of VALUES
 
-	Shape uint64 // xxhash of the normal text; 0: unknown
+	Fingerprint uint64 // xxhash of the normal text; 0: unknown
 }
 
 // Holds is the table group that the statement writes, which a load holds while it runs; NoGroup: none that is known.
-func (s *Statement) Holds() int64 {
+func (s *Statement) LockedGroup() int64 {
 	if s.Written.n > 0 {
 		return s.Written.at[0]
 	}
@@ -101,7 +101,7 @@
 }
 
 // Group is the statement's table group: the one written, else the first one read, else that of the first schema.
-func (s *Statement) Group() int64 {
+func (s *Statement) PrimaryGroup() int64 {
 	switch {
 	case s.Written.n > 0:
 		return s.Written.at[0]
@@ -110,7 +110,7 @@
 	case s.Tables > 0: // what looked like a schema with a group was none
 		return NoGroup
 	}
-	return s.First
+	return s.FirstSchemaGroup
 }
 
 // mostLevels is how deep brackets are told apart; deeper ones are only counted.
@@ -209,26 +209,26 @@
 
 // Normal is the text last read, with ? for literals, lists of them and further rows left out, names in small letters
 // and one blank between tokens. It lives until the next text is read.
-func (a *Analyser) Normal() []byte { return a.normal }
+func (a *Analyser) NormalizedText() []byte { return a.normal }
 
 // Analyse reads a text.
 func (a *Analyser) Analyse(text []byte) Statement {
-	normal, cut := a.normal[:0], len(text) > Budget
+	normal, cut := a.normal[:0], len(text) > MaxAnalysedBytes
 	if cut {
-		text = text[:Budget]
+		text = text[:MaxAnalysedBytes]
 	}
 	if most := 2*len(text) + 16; cap(normal) < most { // a blank or a mark for each byte at most
 		normal = make([]byte, 0, most+most/2)
 	}
 	a.parse, a.normal, a.levels[0] = parse{}, normal, level{}
-	a.s.First, a.s.Cut = NoGroup, cut
+	a.s.FirstSchemaGroup, a.s.Truncated = NoGroup, cut
 	a.read(text)
 	a.endStatement()
 	for n := len(a.normal); n > 0 && (a.normal[n-1] == ' ' || a.normal[n-1] == ';'); n-- {
 		a.normal = a.normal[:n-1]
 	}
-	if !a.s.Cut && len(a.normal) > 0 {
-		a.s.Shape = max(1, xxhash.Sum64(a.normal))
+	if !a.s.Truncated && len(a.normal) > 0 {
+		a.s.Fingerprint = max(1, xxhash.Sum64(a.normal))
 	}
 	return a.s
 }
@@ -315,7 +315,7 @@
 			i = a.readBracket(text, i)
 		case classDollar:
 			if past := dollar(text, i); past > 0 {
-				a.s.Open = a.s.Open || past > len(text)
+				a.s.Unterminated = a.s.Unterminated || past > len(text)
 				i = min(past, len(text))
 				a.literal()
 			} else if i+1 < len(text) && isDigit(text[i+1]) { // a parameter: a name as far as schemas go
@@ -445,7 +445,7 @@
 	for {
 		n := bytes.IndexByte(text[i:], '\'')
 		if n < 0 {
-			a.s.Open = true
+			a.s.Unterminated = true
 			i = len(text)
 			break
 		}
@@ -470,7 +470,7 @@
 	for {
 		n := bytes.IndexByte(text[i:], quote)
 		if n < 0 {
-			a.s.Open = true
+			a.s.Unterminated = true
 			return len(text) + 1
 		}
 		if i += n + 1; i < len(text) && text[i] == quote {
@@ -487,7 +487,7 @@
 	from := i + 1
 	n := bytes.IndexByte(text[from:], ']')
 	if n < 0 {
-		a.s.Open = true
+		a.s.Unterminated = true
 		n = len(text) - from
 	}
 	if i = min(from+n+1, len(text)); subscript && !(a.last == tokWord) {
@@ -548,7 +548,7 @@
 			i++
 		}
 	}
-	a.s.Open = true
+	a.s.Unterminated = true
 	return i
 }
 
--- a/internal/sqltext/sqltext_test.go
+++ b/internal/sqltext/sqltext_test.go
@@ -42,8 +42,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.want, scanGroup(c.text), "the baseline")
 			got := new(Analyser).Analyse([]byte(c.text))
-			assert.Equal(t, c.want, got.First)
-			assert.Equal(t, c.want, got.Group())
+			assert.Equal(t, c.want, got.FirstSchemaGroup)
+			assert.Equal(t, c.want, got.PrimaryGroup())
 		})
 	}
 }
@@ -138,17 +138,17 @@
 		WHERE b.day BETWEEN '2026-01-01' AND '2026-02-01' AND 5 = c.n AND c.price >= 10 AND c.key = $1 AND c.v = -5 AND c.u <> N'x'
 		AND c.t IN (1, 2, 3) AND c.name = E'it\'s' GROUP BY w.m HAVING count(*) > 3 UNION ALL SELECT 1, 2, 3, 4 ORDER BY 1`))
 	assert.Equal(t, Statement{Kind: Select, Grouped: true, Windowed: true, Ordered: true, Distinct: true, Limited: true, Limit: 25,
-		First: 1, Read: Groups{n: 1, at: [MostGroups]int64{1}}, Statements: 1, Tables: 5, Joins: 3, SetOps: 1, CTEs: 1, Subselects: 3, Depth: 2,
-		Aggregates: 5, KeyEqual: 5, Ranges: 3, InLists: 1, InItems: 3, Shape: got.Shape}, got)
-	assert.NotZero(t, got.Shape)
+		FirstSchemaGroup: 1, Read: Groups{n: 1, at: [MaxTableGroups]int64{1}}, Statements: 1, Tables: 5, Joins: 3, SetOps: 1, CTEs: 1, Subselects: 3, Depth: 2,
+		Aggregates: 5, KeyEqual: 5, Ranges: 3, InLists: 1, InItems: 3, Fingerprint: got.Fingerprint}, got)
+	assert.NotZero(t, got.Fingerprint)
 }
 
 func TestShapes(t *testing.T) {
 	shape := func(text string) string {
 		a := new(Analyser)
 		got := a.Analyse([]byte(text))
-		assert.NotZero(t, got.Shape)
-		return string(a.Normal())
+		assert.NotZero(t, got.Fingerprint)
+		return string(a.NormalizedText())
 	}
 	for want, same := range map[string][]string{
 		"select a from b where c = ? and d in ( ? )": {"SELECT a FROM b WHERE c = 'x''y' AND d IN (1, 2,3)", "select a\nfrom b -- x\nwhere c=$1 and d in(?);",
@@ -165,7 +165,7 @@
 	}
 	assert.NotEqual(t, shape("select a from b where c = 1"), shape("select a from b where c > 1"))
 	assert.NotEqual(t, shape("select a from b"), shape("select a from c"))
-	assert.Zero(t, new(Analyser).Analyse([]byte("select '"+strings.Repeat("x", Budget))).Shape, "cut texts have no shape")
+	assert.Zero(t, new(Analyser).Analyse([]byte("select '"+strings.Repeat("x", MaxAnalysedBytes))).Fingerprint, "cut texts have no shape")
 }
 
 // Texts made to be hard: in linear time, nothing grows beyond the budget, and what was seen before the end stands.
@@ -183,7 +183,7 @@
 		{"an open name", `select * from sales_3.a join "sales_4.b`, false, true, 3},
 		{"an open bracket of a name", `select * from sales_3.a join [sales_4.b`, false, true, 3},
 		{"an open dollar string", `select * from sales_3.a where x = $q$abc`, false, true, 3},
-		{"half a letter at the cut", "select * from sales_3.a where x = '" + strings.Repeat("é", Budget), true, true, 3},
+		{"half a letter at the cut", "select * from sales_3.a where x = '" + strings.Repeat("é", MaxAnalysedBytes), true, true, 3},
 		{"not UTF-8", "select * from sales_3.a where \xff\xfe = '\xc3", false, true, 3},
 		{"one long name", "select " + strings.Repeat("x", 1<<18), true, false, NoGroup},
 		{"groups without end", "select * from " + strings.Repeat("sales_3.a, sales_4.b, ", 500), false, false, 3},
@@ -191,12 +191,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			a := new(Analyser)
 			got := a.Analyse([]byte(c.text))
-			assert.Equal(t, []any{c.cut, c.open, c.group}, []any{got.Cut, got.Open, got.Group()})
-			assert.LessOrEqual(t, cap(a.normal), 4*Budget)
+			assert.Equal(t, []any{c.cut, c.open, c.group}, []any{got.Truncated, got.Unterminated, got.PrimaryGroup()})
+			assert.LessOrEqual(t, cap(a.normal), 4*MaxAnalysedBytes)
 		})
 	}
 	for _, piece := range []string{"/*", "$a", "'", "[", "a.", `"`, "--", "E'\\", "$a$", "in(1,", "values(", "*/"} {
-		text := []byte(strings.Repeat(piece, Budget/len(piece)))
+		text := []byte(strings.Repeat(piece, MaxAnalysedBytes/len(piece)))
 		took := time.Hour
 		for range 3 {
 			a, began := new(Analyser), time.Now()
@@ -215,18 +215,18 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		a := new(Analyser)
 		got := a.Analyse([]byte(text))
-		if got.First < NoGroup || got.Group() < NoGroup || !got.Cut && len(text) > Budget {
+		if got.FirstSchemaGroup < NoGroup || got.PrimaryGroup() < NoGroup || !got.Truncated && len(text) > MaxAnalysedBytes {
 			t.Fatalf("%+v", got)
 		}
-		if len(a.normal) > 3*Budget {
+		if len(a.normal) > 3*MaxAnalysedBytes {
 			t.Fatalf("normal text of %d bytes", len(a.normal))
 		}
 		if again := a.Analyse([]byte(text)); again != got {
 			t.Fatalf("read again: %+v, then %+v", got, again)
 		}
-		if !strings.ContainsAny(text, "$@#:[?") && len(text) <= Budget { // there the baseline reads marks and brackets otherwise
-			if want := scanGroup(text); got.First != want {
-				t.Fatalf("first group %d, the baseline's %d", got.First, want)
+		if !strings.ContainsAny(text, "$@#:[?") && len(text) <= MaxAnalysedBytes { // there the baseline reads marks and brackets otherwise
+			if want := scanGroup(text); got.FirstSchemaGroup != want {
+				t.Fatalf("first group %d, the baseline's %d", got.FirstSchemaGroup, want)
 			}
 		}
 	})
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -18,8 +18,8 @@
 
 // Handler hears what a stream brings.
 type Handler struct {
-	Event   func(Event) error // an error ends the reading
-	Comment func()            // nil: comments are passed over
+	OnEvent   func(Event) error // an error ends the reading
+	OnComment func()            // nil: comments are passed over
 }
 
 // Read hands out a stream until it ends (io.EOF), breaks, brings an event of over most bytes, or the handler returns an error.
@@ -38,7 +38,7 @@
 		if line == "" {
 			if len(data) > 0 {
 				e.Data = strings.Join(data, "\n")
-				if err := handler.Event(e); err != nil {
+				if err := handler.OnEvent(e); err != nil {
 					return err
 				}
 			}
@@ -58,8 +58,8 @@
 		case "event":
 			e.Name = value
 		case "":
-			if handler.Comment != nil {
-				handler.Comment()
+			if handler.OnComment != nil {
+				handler.OnComment()
 			}
 		}
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"bankledge/decision"
-	"bankledge/internal/draw"
-	"bankledge/internal/span"
+	"bankledge/internal/detrand"
+	"bankledge/internal/slidingwindow"
 )
 
 // Workload is a workload's settings and what was learned of it.
@@ -29,18 +29,18 @@
 
 // Allowance is the SLO time with its stretch, for a statement of this expected run.
 func (w *Workload) Allowance(run time.Duration) time.Duration {
-	return w.SLO + time.Duration(w.SLOStretch*float64(run))
+	return w.LatencyObjective + time.Duration(w.ObjectiveStretch*float64(run))
 }
 
 // Change has workloads and member groups take rules that take force now, for statements that come from now on. What was learned and
 // what a share holds stays.
-func Change(workloads []*Workload, shares map[decision.MemberGroup]*Share, ev *decision.RulesChanged, room float64) {
+func Change(workloads []*Workload, shares map[decision.Tenant]*Share, ev *decision.RulesChanged, room float64) {
 	for i, w := range workloads {
-		w.Importance, w.Kinds, w.Protected = ev.Importance[i], ev.Kinds[i], ev.Protected[i]
+		w.PriorityWeight, w.AllowedMachineTypes, w.Protected = ev.PriorityWeights[i], ev.AllowedMachineTypes[i], ev.Protected[i]
 	}
-	for _, g := range ev.Shares {
-		if s := shares[g.Group]; s != nil {
-			s.become(g.PerSec/ev.Routers, room)
+	for _, g := range ev.Quotas {
+		if s := shares[g.Tenant]; s != nil {
+			s.become(g.RatePerSecond/ev.EffectiveRouters, room)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 func (f *Fleet) MeanWindow(e *Engine, workload int, otherwise float64) float64 {
 	sum, n := 0.0, 0.0
 	for _, o := range f.All {
-		if o != e && o.Listed && o.State == decision.Ready && o.Kind == e.Kind {
+		if o != e && o.Listed && o.State == decision.Ready && o.MachineType == e.MachineType {
 			sum, n = sum+o.Windows[workload].Size, n+1
 		}
 	}
@@ -189,7 +189,7 @@
 }
 
 // Release ends an execution, which may be known never to have run; nil where the engine holds no such one.
-func (f *Fleet) Release(on decision.EngineID, id decision.StatementID, n decision.ExecutionID, neverRan bool) *Execution {
+func (f *Fleet) Release(on decision.EngineID, id decision.StatementID, n decision.AttemptID, neverRan bool) *Execution {
 	if e := f.byID[on]; e != nil {
 		return e.release(id, n, neverRan)
 	}
@@ -209,7 +209,7 @@
 	if !ok && len(f.All) > 0 {
 		rank := map[*Engine]uint64{}
 		for _, e := range f.All {
-			rank[e] = draw.Rank(string(e.Engine), uint64(tables))
+			rank[e] = detrand.Hash(string(e.Engine), uint64(tables))
 		}
 		ranked = slices.SortedFunc(slices.Values(f.All), func(a, b *Engine) int {
 			return cmp.Compare(rank[b], rank[a])
@@ -242,7 +242,7 @@
 
 // Engine is what is known of one engine.
 type Engine struct {
-	decision.Entry
+	decision.Endpoint
 	Listed             bool
 	Unlisted           time.Duration // since when it is not listed and holds nothing
 	Cores, MemoryMB    float64
@@ -263,7 +263,7 @@
 	Turn               int     // statements that this router has taken, before which it is passed over
 	Probing            bool
 	ProbedAt, Reported time.Duration                         // last probe, last report
-	ColdSent           span.Sum                              // work
+	ColdSent           slidingwindow.Sum                     // work
 	Share              float64                               // while it is cold: of all statements, that may go there
 	LoadedUntil        map[decision.TableGroup]time.Duration // another router's load holds the group
 }
@@ -278,12 +278,12 @@
 }
 
 // Hear takes the fields of a load report that are known.
-func (e *Engine) Hear(r *decision.Report, now time.Duration) {
+func (e *Engine) Hear(r *decision.LoadReport, now time.Duration) {
 	if r.Known[decision.FieldUtilisation] {
 		e.Util, e.UtilKnown = r.Value[decision.FieldUtilisation], true
 	}
-	if r.Known[decision.FieldQueue] {
-		e.Queue = r.Value[decision.FieldQueue]
+	if r.Known[decision.FieldQueueDepth] {
+		e.Queue = r.Value[decision.FieldQueueDepth]
 	}
 	if r.Known[decision.FieldInFlight] {
 		e.Others, e.Counted = max(0, r.Value[decision.FieldInFlight]-float64(len(e.Execs))), now
@@ -306,7 +306,7 @@
 			return true
 		}
 	}
-	return slices.ContainsFunc(e.Execs, func(x *Execution) bool { return x.Stmt.As.Load && s.Names(x.Stmt.Tables) })
+	return slices.ContainsFunc(e.Execs, func(x *Execution) bool { return x.Stmt.As.BulkLoad && s.Names(x.Stmt.Tables) })
 }
 
 // IsWarm tells whether the table group is among those sent there lately.
@@ -322,7 +322,7 @@
 
 // Holds starts a statement's next execution on the engine.
 func (e *Engine) Holds(s *Statement, now time.Duration, memoryMB float64) {
-	x := &Execution{Stmt: s, Engine: e, N: decision.ExecutionID(len(s.Execs)), Sent: now, MemoryMB: memoryMB}
+	x := &Execution{Stmt: s, Engine: e, N: decision.AttemptID(len(s.Execs)), Sent: now, MemoryMB: memoryMB}
 	if len(e.Execs) == 0 {
 		e.LastNews = now
 	}
@@ -335,7 +335,7 @@
 	e.Windows[w.ID].InFlight++
 }
 
-func (e *Engine) release(id decision.StatementID, n decision.ExecutionID, neverRan bool) *Execution {
+func (e *Engine) release(id decision.StatementID, n decision.AttemptID, neverRan bool) *Execution {
 	i := slices.IndexFunc(e.Execs, func(x *Execution) bool { return x.Stmt.ID == id && x.N == n })
 	if i < 0 {
 		return nil
@@ -354,9 +354,9 @@
 // Statement is one statement that this router took.
 type Statement struct {
 	ID             decision.StatementID
-	Workload       *Workload       // as declared: its rules, its SLO time
-	As             *Workload       // what it is held to be: what it takes and counts for
-	Effect         decision.Effect // as declared, or stricter
+	Workload       *Workload            // as declared: its rules, its SLO time
+	As             *Workload            // what it is held to be: what it takes and counts for
+	Effect         decision.Idempotency // as declared, or stricter
 	Key            decision.Key
 	Tables         decision.TableGroup
 	Others         []decision.TableGroup // that it names beside Tables
@@ -375,7 +375,7 @@
 	Open           int        // executions without an outcome
 	Home           *Execution // the first that may have run
 	Avoid          *Engine    // where it went wrong last
-	Terms          decision.SetTerms
+	Terms          decision.SetResources
 }
 
 // LatestStart is the latest time at which its execution still meets the SLO time, at its workload's pace.
@@ -414,7 +414,7 @@
 type Execution struct {
 	Stmt                                *Statement
 	Engine                              *Engine
-	N                                   decision.ExecutionID
+	N                                   decision.AttemptID
 	Sent                                time.Duration
 	MemoryMB                            float64
 	Ended, NeverRan, Cancelled, Spilled bool
--- a/internal/due/due.go
+++ b/internal/timerqueue/due.go
@@ -1,5 +1,5 @@
 // Package due keeps things to be done at later times in one ordered structure.
-package due
+package timerqueue
 
 import (
 	"container/heap"
@@ -29,26 +29,26 @@
 }
 
 // Times holds what is due, earliest first, and what was added first among equals.
-type Times struct {
+type Queue struct {
 	heap items
 	seq  int
 }
 
 // At adds something to be done at a time.
-func (t *Times) At(at time.Duration, do func()) {
+func (t *Queue) Schedule(at time.Duration, do func()) {
 	t.seq++
 	heap.Push(&t.heap, item{at, t.seq, do})
 }
 
 // Run does all that is due by now.
-func (t *Times) Run(now time.Duration) {
+func (t *Queue) RunDue(now time.Duration) {
 	for len(t.heap) > 0 && t.heap[0].at <= now {
 		heap.Pop(&t.heap).(item).do()
 	}
 }
 
 // Next is the earliest due time, or otherwise if nothing is due before it.
-func (t *Times) Next(otherwise time.Duration) time.Duration {
+func (t *Queue) Next(otherwise time.Duration) time.Duration {
 	if len(t.heap) > 0 && t.heap[0].at < otherwise {
 		return t.heap[0].at
 	}
--- a/internal/back/back.go
+++ b/internal/upstream/back.go
@@ -1,6 +1,6 @@
 // Package back speaks with engines: HTTP/1.1 over pooled connections, executions with their polls and
 // pages, and probes. It decides nothing: what it finds out goes to its listener.
-package back
+package upstream
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/guard"
+	"bankledge/internal/invariant"
 )
 
 const (
@@ -32,13 +32,13 @@
 
 // Listener hears what engines say. Its calls may wait, but not for a socket.
 type Listener interface {
-	Noted(decision.ExecutionNoted)
-	Ended(ended decision.ExecutionEnded, result []byte)
-	Probed(decision.ProbeEnded)
+	AttemptProgressed(decision.AttemptProgress)
+	AttemptEnded(ended decision.AttemptEnded, result []byte)
+	HealthCheckEnded(decision.HealthCheckEnded)
 }
 
 // Back owns the connections to engines and the executions that are out.
-type Back struct {
+type Client struct {
 	listener Listener
 	log      *zap.Logger
 	pool     *pool
@@ -46,53 +46,53 @@
 	origin   time.Time       // of its clock, with a monotonic reading
 	running  sync.WaitGroup
 
-	Violations *guard.Violations // counts ends without a proof
+	Violations *invariant.Recorder // counts ends without a proof
 
-	Hear func() // called before an execution begins: waits for what was told of engines and is not known here yet; nil: nobody has to
+	AwaitDiscovery func() // called before an execution begins: waits for what was told of engines and is not known here yet; nil: nobody has to
 }
 
 // New returns a back that uses at most so many descriptors. All that it starts ends with ctx.
 func New(ctx context.Context, listener Listener, descriptors int, idleClose, connectIn time.Duration,
-	log *zap.Logger) *Back {
-	return &Back{listener: listener, log: log, ctx: ctx, origin: time.Now(), Violations: guard.NewViolations(log),
+	log *zap.Logger) *Client {
+	return &Client{listener: listener, log: log, ctx: ctx, origin: time.Now(), Violations: invariant.NewRecorder(log),
 		pool: newPool(descriptors, time.Duration(idleShare*float64(idleClose)), connectIn)}
 }
 
 // Tend keeps the pool until ctx ends, and waits for what is out.
-func (b *Back) Tend(ctx context.Context) error {
+func (b *Client) Run(ctx context.Context) error {
 	b.pool.tend(ctx)
 	b.running.Wait()
 	return nil
 }
 
 // Know tells where an engine listens, and whether it is ready for new executions.
-func (b *Back) Know(engine decision.EngineID, address string, ready bool) {
+func (b *Client) UpdateEngine(engine decision.EngineID, address string, ready bool) {
 	b.pool.know(engine, address, ready)
 }
 
 // Drain keeps what waits for a connection to an engine from being sent there; what is out goes on.
-func (b *Back) Drain(engine decision.EngineID) { b.pool.drain(engine) }
+func (b *Client) DrainEngine(engine decision.EngineID) { b.pool.drain(engine) }
 
 // Engines are those that are listed, in order.
-func (b *Back) Engines() []decision.EngineID { return b.pool.engines() }
+func (b *Client) Engines() []decision.EngineID { return b.pool.engines() }
 
 // Forget drops what is kept of an engine that is gone.
-func (b *Back) Forget(engine decision.EngineID) { b.pool.forget(engine) }
+func (b *Client) RemoveEngine(engine decision.EngineID) { b.pool.forget(engine) }
 
 // Keep forgets all engines but these.
-func (b *Back) Keep(listed map[decision.EngineID]bool) { b.pool.keep(listed) }
+func (b *Client) RetainEngines(listed map[decision.EngineID]bool) { b.pool.keep(listed) }
 
 // CloseIdle closes the idle connections to an engine.
-func (b *Back) CloseIdle(engine decision.EngineID) { b.pool.closeIdle(engine) }
+func (b *Client) CloseIdleConnections(engine decision.EngineID) { b.pool.closeIdle(engine) }
 
 // Descriptors is how many are in use.
-func (b *Back) Descriptors() int { return b.pool.held() }
+func (b *Client) ConnectionsInUse() int { return b.pool.held() }
 
 // Dials tells of the connections made since the last call.
-func (b *Back) Dials() Dials { return b.pool.counted() }
+func (b *Client) TakeConnectionStats() ConnectionStats { return b.pool.counted() }
 
 // Reach makes a connection to an engine and keeps it for later use.
-func (b *Back) Reach(ctx context.Context, engine decision.EngineID) error {
+func (b *Client) Preconnect(ctx context.Context, engine decision.EngineID) error {
 	c, err := b.pool.get(ctx, engine, b.pool.of(engine), true)
 	if err == nil {
 		b.pool.put(c)
@@ -101,20 +101,20 @@
 }
 
 // Probe asks an engine for a sign of life and its load report; the listener hears of the end.
-func (b *Back) Probe(engine decision.EngineID) {
+func (b *Client) CheckHealth(engine decision.EngineID) {
 	b.running.Go(func() {
 		sent := time.Now()
-		ended := decision.ProbeEnded{Engine: engine}
+		ended := decision.HealthCheckEnded{Engine: engine}
 		ended.Outcome, ended.Report = b.probe(engine, sent.Add(b.pool.connectIn))
-		ended.Took = time.Since(sent)
-		b.listener.Probed(ended)
+		ended.Elapsed = time.Since(sent)
+		b.listener.HealthCheckEnded(ended)
 	})
 }
 
-func (b *Back) probe(engine decision.EngineID, until time.Time) (decision.Outcome, *decision.Report) {
+func (b *Client) probe(engine decision.EngineID, until time.Time) (decision.Outcome, *decision.LoadReport) {
 	c, err := b.pool.get(b.ctx, engine, b.pool.of(engine), false)
 	if err != nil {
-		return decision.NotConnected, nil
+		return decision.ConnectFailed, nil
 	}
 	head, _, _, err := c.do(until, message("GET", "/busy", c.address, nil))
 	switch {
@@ -123,33 +123,33 @@
 		return decision.TimedOut, nil
 	case err != nil:
 		b.pool.abort(c)
-		return decision.Reset, nil
+		return decision.ConnectionReset, nil
 	case head.Close || c.look() != quiet:
 		b.pool.drop(c)
 	default:
 		b.pool.put(c)
 	}
 	if head.Status != 200 {
-		return decision.Errored, parseReport(head.Get(fieldReport))
+		return decision.Errored, parseReport(head.Field(fieldReport))
 	}
-	return decision.Completed, parseReport(head.Get(fieldReport))
+	return decision.Completed, parseReport(head.Field(fieldReport))
 }
 
 // Order is what an execution needs to be told.
-type Order struct {
-	Statement decision.StatementID
-	Execution decision.ExecutionID
-	Engine    decision.EngineID
-	Workload  string
-	Text      []byte
-	Until     time.Time // the router waits no longer
-	Before    time.Time // when it has to begin by; zero: at any time until then
+type AttemptRequest struct {
+	Statement   decision.StatementID
+	Attempt     decision.AttemptID
+	Engine      decision.EngineID
+	Workload    string
+	Text        []byte
+	Deadline    time.Time // the router waits no longer
+	StartBefore time.Time // when it has to begin by; zero: at any time until then
 }
 
 // Execute starts an execution; the listener hears its notes and its one end.
-func (b *Back) Execute(order Order) *Execution {
-	ctx, cancel := context.WithDeadline(b.ctx, order.Until)
-	x := &Execution{back: b, Order: order, path: "/x/" + string(order.Statement), address: b.pool.of(order.Engine), sent: time.Now(),
+func (b *Client) StartAttempt(order AttemptRequest) *Attempt {
+	ctx, cancel := context.WithDeadline(b.ctx, order.Deadline)
+	x := &Attempt{back: b, AttemptRequest: order, path: "/x/" + string(order.Statement), address: b.pool.of(order.Engine), sent: time.Now(),
 		ctx: ctx, cancel: cancel, heard: make(chan struct{}), over: make(chan struct{})}
 	b.pool.hold(order.Engine)
 	b.running.Go(func() {
--- a/internal/back/calloff.go
+++ b/internal/upstream/calloff.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"context"
@@ -8,25 +8,25 @@
 )
 
 // Proof is how it is known that an execution is out no longer, so that its statement may go elsewhere.
-type Proof int
+type EndProof int
 
 // The proofs.
 const (
-	ProofNotSent    Proof = iota // its start never came whole to the engine
-	ProofEngineSaid              // the engine told its end
-	ProofCalledOff               // the engine confirmed that it gave it up
-	ProofUnasked                 // nobody has asked for it for so long that the engine has dropped it
-	ProofNone                    // the router ends: nothing is sent any more
+	ProofNotSent          EndProof = iota // its start never came whole to the engine
+	ProofReportedByEngine                 // the engine told its end
+	ProofCancelConfirmed                  // the engine confirmed that it gave it up
+	ProofExpiredAtEngine                  // nobody has asked for it for so long that the engine has dropped it
+	ProofShutdown                         // the router ends: nothing is sent any more
 )
 
 var proofNames = [...]string{"not sent", "the engine told its end", "the engine gave it up", "not asked for, so dropped", "none: the router ends"}
 
 // String is the proof's name in logs.
-func (p Proof) String() string { return proofNames[p] }
+func (p EndProof) String() string { return proofNames[p] }
 
 // dropped is when the engine has dropped the execution at the latest, if it is not asked for it again. A call without an answer may have
 // come to it until its connection was reset.
-func (x *Execution) dropped() time.Time {
+func (x *Attempt) dropped() time.Time {
 	answered := x.asked.time(x.back.origin).Add(pollHeld + forgets + forgetOff)
 	unanswered := x.aborted.time(x.back.origin).Add(pollHeld + forgets + resetOff)
 	if x.aborted.isSet() && unanswered.After(answered) {
@@ -39,29 +39,29 @@
 // gave it up, after it had answered its start (a start that is still on its way would begin it anew); its end was
 // read; or the engine must have dropped what it was not asked for. That nobody listens there proves nothing: an
 // engine on its way out takes no new connections and runs on. It hears of it on one that it has taken, such as the poll's.
-func (x *Execution) callOff() Proof {
+func (x *Attempt) callOff() EndProof {
 	for {
 		if proof, proven := x.callOffUntil(x.dropped()); proven {
 			return proof
 		}
 		if x.back.ctx.Err() != nil {
-			return ProofNone
+			return ProofShutdown
 		}
 		if !time.Now().Before(x.dropped()) { // a poll beside this may have gone out since, which prolongs it
-			return ProofUnasked
+			return ProofExpiredAtEngine
 		}
 	}
 }
 
 // callOffUntil tries to have the engine give it up until a time.
-func (x *Execution) callOffUntil(until time.Time) (proof Proof, proven bool) {
+func (x *Attempt) callOffUntil(until time.Time) (proof EndProof, proven bool) {
 	ctx, cancel := context.WithDeadline(x.back.ctx, until)
 	defer cancel()
 	for ctx.Err() == nil {
 		answered := isClosed(x.heard)
 		confirmed := x.delete(ctx)
 		if confirmed && answered {
-			return ProofCalledOff, true
+			return ProofCancelConfirmed, true
 		}
 		retry, heard := time.After(askAgain), (chan struct{})(nil)
 		if confirmed { // again, behind the answer to the start
@@ -71,7 +71,7 @@
 		case <-retry:
 		case <-heard:
 		case <-x.over:
-			return ProofEngineSaid, true
+			return ProofReportedByEngine, true
 		case <-ctx.Done():
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 // delete tells the engine that the execution is given up, and whether it has answered so.
-func (x *Execution) delete(ctx context.Context) bool {
+func (x *Attempt) delete(ctx context.Context) bool {
 	c, err := x.back.pool.get(ctx, x.Engine, x.address, false)
 	if err != nil {
 		return false
--- a/internal/back/calls.go
+++ b/internal/upstream/calls.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 // answer is an engine's answer to one call.
 type answer struct {
-	http1.Head
+	http1.Header
 	body []byte
 	more bool // more has come than belongs to it
 }
@@ -23,8 +23,8 @@
 // doubtful tells whether an answer without an end may be an earlier one's second, which came late: no news sooner than an engine holds such an
 // answer, or the same note once more. Then what was asked for is still to come on that connection, and would be taken for the answer to the
 // next call there, whosever that is.
-func (x *Execution) doubtful(said answer) bool {
-	note, before := said.Get(fieldNote)+" "+said.Get(fieldValue), x.noted
+func (x *Attempt) doubtful(said answer) bool {
+	note, before := said.Field(fieldNote)+" "+said.Field(fieldValue), x.noted
 	x.noted = note
 	return (note == " " || note == before) && x.unaskedFor() < pollHeld/4
 }
@@ -35,10 +35,10 @@
 }
 
 // ask makes one call on the connection that the execution holds, and waits so long for its answer.
-func (x *Execution) ask(within time.Duration, call []byte) (said answer, whole bool, err error) {
+func (x *Attempt) ask(within time.Duration, call []byte) (said answer, whole bool, err error) {
 	now := time.Now()
 	x.asked.set(x.back.origin, now)
-	said.Head, said.body, whole, err = x.conn.do(now.Add(within), call)
+	said.Header, said.body, whole, err = x.conn.do(now.Add(within), call)
 	if err != nil {
 		x.abort()
 		return said, whole, err
@@ -46,7 +46,7 @@
 	x.conn.starting.Store(false)
 	found := x.conn.look()
 	said.more = found == noisy
-	if found != quiet || said.Close || neverRan(said.Head) { // a late second copy of that would be believed of another execution
+	if found != quiet || said.Close || neverRan(said.Header) { // a late second copy of that would be believed of another execution
 		x.release(false)
 	}
 	return said, whole, nil
@@ -56,7 +56,7 @@
 func isNews(a answer) bool {
 	switch a.Status {
 	case 200:
-		return read(a.Head).outcome == decision.Completed && wholeRows(a.body)
+		return read(a.Header).outcome == decision.Completed && wholeRows(a.body)
 	case 202, 500, 503, 504:
 		return true
 	}
@@ -79,7 +79,7 @@
 }
 
 // release gives the connection back: the one place where an execution does.
-func (x *Execution) release(usable bool) {
+func (x *Attempt) release(usable bool) {
 	switch {
 	case x.conn == nil:
 	case usable:
@@ -91,7 +91,7 @@
 }
 
 // abort resets the connection, on which a call has no answer: what of it is still on its way must not come to the engine later.
-func (x *Execution) abort() {
+func (x *Attempt) abort() {
 	x.back.pool.abort(x.conn)
 	x.aborted.set(x.back.origin, time.Now())
 	x.conn = nil
@@ -99,7 +99,7 @@
 
 // fetch asks for news or a page until there is an answer of use: on another connection when one breaks, hangs
 // or brings what cannot be used.
-func (x *Execution) fetch(what string, within time.Duration, awaited func(answer) bool) (answer, error) {
+func (x *Attempt) fetch(what string, within time.Duration, awaited func(answer) bool) (answer, error) {
 	var before *answer
 	for tries, fresh := 0, false; ; tries++ {
 		if tries > 1 {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (x *Execution) pause() {
+func (x *Attempt) pause() {
 	select {
 	case <-time.After(askAgain):
 	case <-x.ctx.Done():
@@ -155,11 +155,11 @@
 }
 
 // collect fetches all further pages and puts the rows together, unchanged and in order.
-func (x *Execution) collect(result []byte, pages int) ([]byte, error) {
+func (x *Attempt) collect(result []byte, pages int) ([]byte, error) {
 	for page := 1; page < pages && len(result) <= mostResult; page++ {
 		number := strconv.Itoa(page)
 		said, err := x.fetch("/"+number, pollSlack, func(a answer) bool {
-			return a.Status == 200 && a.Get(fieldPage) == number && wholeRows(a.body) || a.Status == 500
+			return a.Status == 200 && a.Field(fieldPage) == number && wholeRows(a.body) || a.Status == 500
 		})
 		if err != nil {
 			return nil, err
--- a/internal/back/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/lab"
-	"bankledge/internal/standin"
+	"bankledge/internal/fakes"
+	"bankledge/internal/faultlab"
 )
 
 const patience = 10 * time.Second // for what must happen
@@ -64,13 +64,13 @@
 // An engine is told to take nothing new, is gone, or its address has passed to another, while an execution waits for a descriptor or
 // its connection is coming up: nothing of it is sent, and it is told as never sent.
 func TestNothingIsSentToAnEngineThatDrainsMeanwhile(t *testing.T) {
-	told := map[string]func(b *Back, address string){
-		"drains":               func(b *Back, _ string) { b.Drain("e") },
-		"is gone":              func(b *Back, _ string) { b.Forget("e") },
-		"is off a whole list":  func(b *Back, _ string) { b.Keep(map[decision.EngineID]bool{}) },
-		"another's address":    func(b *Back, address string) { b.Know("other", address, true) },
-		"gone and back":        func(b *Back, _ string) { b.Forget("e"); b.Know("e", "127.0.0.1:1", true) },
-		"drains and was known": func(b *Back, address string) { b.Drain("e"); b.Know("e", address, false) },
+	told := map[string]func(b *Client, address string){
+		"drains":               func(b *Client, _ string) { b.DrainEngine("e") },
+		"is gone":              func(b *Client, _ string) { b.RemoveEngine("e") },
+		"is off a whole list":  func(b *Client, _ string) { b.RetainEngines(map[decision.EngineID]bool{}) },
+		"another's address":    func(b *Client, address string) { b.UpdateEngine("other", address, true) },
+		"gone and back":        func(b *Client, _ string) { b.RemoveEngine("e"); b.UpdateEngine("e", "127.0.0.1:1", true) },
+		"drains and was known": func(b *Client, address string) { b.DrainEngine("e"); b.UpdateEngine("e", address, false) },
 	}
 	for name, tell := range told {
 		t.Run("waits for a descriptor, "+name, func(t *testing.T) {
@@ -78,28 +78,28 @@
 			require.NoError(t, err)
 			heard, ended := calls(t, listener), make(ends, 1)
 			b := New(t.Context(), ended, 1, time.Minute, patience, zap.NewNop())
-			b.Know("e", listener.Addr().String(), true)
+			b.UpdateEngine("e", listener.Addr().String(), true)
 			require.NoError(t, b.pool.slot(t.Context()))
-			b.Execute(Order{Statement: "s", Engine: "e", Until: time.Now().Add(time.Minute)})
+			b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)})
 			require.Eventually(t, func() bool { b.pool.mu.Lock(); defer b.pool.mu.Unlock(); return b.pool.waiting == 1 }, patience, time.Millisecond)
 			tell(b, listener.Addr().String())
 			<-b.pool.slots
-			assert.Equal(t, decision.NeverSent, await(t, ended).Outcome)
+			assert.Equal(t, decision.NotSent, await(t, ended).Outcome)
 			assert.Empty(t, heard)
 		})
 		t.Run("its connection is coming up, "+name, func(t *testing.T) {
 			t.Parallel()
-			listener, accept, err := standin.NotUp()
+			listener, accept, err := fakes.NotUp()
 			require.NoError(t, err)
 			ended := make(ends, 1)
 			b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
-			b.Know("e", listener.Addr().String(), true)
-			b.Execute(Order{Statement: "s", Engine: "e", Until: time.Now().Add(time.Minute)})
-			require.Eventually(t, func() bool { return b.Descriptors() == 1 }, patience, time.Millisecond)
+			b.UpdateEngine("e", listener.Addr().String(), true)
+			b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)})
+			require.Eventually(t, func() bool { return b.ConnectionsInUse() == 1 }, patience, time.Millisecond)
 			tell(b, listener.Addr().String())
 			accept()
 			heard := calls(t, listener)
-			assert.Equal(t, decision.NeverSent, await(t, ended).Outcome)
+			assert.Equal(t, decision.NotSent, await(t, ended).Outcome)
 			assert.Empty(t, heard)
 		})
 	}
@@ -111,18 +111,18 @@
 	require.NoError(t, err)
 	heard := calls(t, listener)
 	b := New(t.Context(), make(ends, 1), 4, time.Minute, patience, zap.NewNop())
-	b.Know("e", listener.Addr().String(), true)
-	b.Drain("e")
+	b.UpdateEngine("e", listener.Addr().String(), true)
+	b.DrainEngine("e")
 	assert.False(t, b.pool.mayBegin("e", listener.Addr().String()))
-	b.Know("e", listener.Addr().String(), true)
-	b.Execute(Order{Statement: "s", Engine: "e", Until: time.Now().Add(time.Minute)})
+	b.UpdateEngine("e", listener.Addr().String(), true)
+	b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)})
 	assert.Equal(t, "POST", await(t, heard))
 	for i := range 1000 { // nothing is kept of what drained and is gone
 		id := decision.EngineID(strconv.Itoa(i))
-		b.Drain(id)
-		b.Know(id, "127.0.0.1:"+strconv.Itoa(1000+i), true)
-		b.Drain(id)
-		b.Forget(id)
+		b.DrainEngine(id)
+		b.UpdateEngine(id, "127.0.0.1:"+strconv.Itoa(1000+i), true)
+		b.DrainEngine(id)
+		b.RemoveEngine(id)
 	}
 	assert.Empty(t, b.pool.drains)
 }
@@ -134,16 +134,16 @@
 	require.NoError(t, err)
 	heard, ended := calls(t, listener), make(ends, 1)
 	b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
-	b.Know("e", listener.Addr().String(), true)
+	b.UpdateEngine("e", listener.Addr().String(), true)
 	ctx, cancel := context.WithCancel(t.Context())
-	x := &Execution{back: b, Order: Order{Statement: "s", Engine: "e", Until: time.Now().Add(time.Minute)}, path: "/x/s", address: b.pool.of("e"),
+	x := &Attempt{back: b, AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)}, path: "/x/s", address: b.pool.of("e"),
 		sent: time.Now(), ctx: ctx, cancel: cancel, heard: make(chan struct{}), over: make(chan struct{})}
 	b.pool.hold("e")
 	x.conn, err = b.pool.get(ctx, "e", x.address, false)
 	require.NoError(t, err)
 	require.True(t, x.begin())
 	context.AfterFunc(ctx, x.lapsed)
-	x.GiveUp() // here
+	x.Cancel() // here
 	assert.Equal(t, "DELE", await(t, heard), "it may be on its way already")
 	assert.Empty(t, ended)
 	_, whole, err := x.ask(patience, message("POST", "/x", x.address, nil, "Content-Length", "0"))
@@ -163,9 +163,9 @@
 	defer listener.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	b := New(ctx, make(ends, 1), 4, time.Minute, patience, zap.NewNop())
-	b.Know("e", listener.Addr().String(), true)
+	b.UpdateEngine("e", listener.Addr().String(), true)
 	tended := make(chan error, 1)
-	go func() { tended <- b.Tend(ctx) }()
+	go func() { tended <- b.Run(ctx) }()
 	c, err := b.pool.get(ctx, "e", b.pool.of("e"), false)
 	require.NoError(t, err)
 	b.running.Go(func() {
@@ -179,37 +179,37 @@
 	require.NoError(t, err)
 	cancel()
 	require.NoError(t, await(t, tended))
-	assert.Zero(t, b.Descriptors())
+	assert.Zero(t, b.ConnectionsInUse())
 	_, err = b.pool.get(t.Context(), "e", b.pool.of("e"), true) // nothing comes up after it
 	require.Error(t, err)
-	assert.Zero(t, b.Descriptors())
+	assert.Zero(t, b.ConnectionsInUse())
 }
 
 // An execution that repeats what may have run has to begin while that is remembered: one that has waited for longer, for a descriptor or
 // for its connection, or that comes to begin just then, is never sent.
 func TestNothingIsSentTooLate(t *testing.T) {
 	const soon = 20 * time.Millisecond
-	run := func(t *testing.T, wait func(b *Back), listener net.Listener) ends {
+	run := func(t *testing.T, wait func(b *Client), listener net.Listener) ends {
 		ended := make(ends, 1)
 		b := New(t.Context(), ended, 1, time.Minute, patience, zap.NewNop())
-		b.Know("e", listener.Addr().String(), true)
+		b.UpdateEngine("e", listener.Addr().String(), true)
 		wait(b)
-		b.Execute(Order{Statement: "s", Engine: "e", Until: time.Now().Add(time.Minute), Before: time.Now().Add(soon)})
+		b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute), StartBefore: time.Now().Add(soon)})
 		return ended
 	}
 	t.Run("waits for a descriptor", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		heard := calls(t, listener)
-		ended := run(t, func(b *Back) { require.NoError(t, b.pool.slot(t.Context())) }, listener)
-		assert.Equal(t, decision.NeverSent, await(t, ended).Outcome)
+		ended := run(t, func(b *Client) { require.NoError(t, b.pool.slot(t.Context())) }, listener)
+		assert.Equal(t, decision.NotSent, await(t, ended).Outcome)
 		assert.Empty(t, heard)
 	})
 	t.Run("its connection is coming up", func(t *testing.T) {
-		listener, accept, err := standin.NotUp()
+		listener, accept, err := fakes.NotUp()
 		require.NoError(t, err)
-		ended := run(t, func(*Back) {}, listener)
-		assert.Equal(t, decision.NeverSent, await(t, ended).Outcome, "which says nothing of its engine")
+		ended := run(t, func(*Client) {}, listener)
+		assert.Equal(t, decision.NotSent, await(t, ended).Outcome, "which says nothing of its engine")
 		accept()
 		assert.Empty(t, calls(t, listener))
 	})
@@ -218,12 +218,12 @@
 		require.NoError(t, err)
 		heard, ended := calls(t, listener), make(ends, 1)
 		b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
-		b.Know("e", listener.Addr().String(), true)
-		x := &Execution{back: b, ctx: t.Context(), address: b.pool.of("e"), Order: Order{Statement: "s", Engine: "e", Until: time.Now().Add(time.Minute), Before: time.Now()}}
+		b.UpdateEngine("e", listener.Addr().String(), true)
+		x := &Attempt{back: b, ctx: t.Context(), address: b.pool.of("e"), AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute), StartBefore: time.Now()}}
 		assert.False(t, x.begin())
-		x.Before = time.Now().Add(time.Minute)
+		x.StartBefore = time.Now().Add(time.Minute)
 		assert.True(t, x.begin())
-		b.Execute(Order{Statement: "s", Engine: "e", Until: time.Now().Add(time.Minute), Before: time.Now().Add(time.Minute)})
+		b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute), StartBefore: time.Now().Add(time.Minute)})
 		assert.Equal(t, "POST", await(t, heard))
 	})
 }
@@ -235,8 +235,8 @@
 	require.NoError(t, err)
 	heard := calls(t, listener)
 	b := New(t.Context(), make(ends, 1), 4, time.Minute, patience, zap.NewNop())
-	b.Know("e", listener.Addr().String(), true)
-	x := &Execution{back: b, Order: Order{Statement: "s", Engine: "e", Until: time.Now().Add(time.Minute)}, path: "/x/s", address: b.pool.of("e"),
+	b.UpdateEngine("e", listener.Addr().String(), true)
+	x := &Attempt{back: b, AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)}, path: "/x/s", address: b.pool.of("e"),
 		sent: time.Now(), ctx: t.Context(), heard: make(chan struct{}), over: make(chan struct{})}
 	x.conn, err = b.pool.get(t.Context(), "e", x.address, false)
 	require.NoError(t, err)
@@ -250,12 +250,12 @@
 	poll()                                          // its connection has been accepted
 	x.asked.set(b.origin, time.Now().Add(-forgets)) // soon it would be held to be dropped
 	listener.Close()                                // nothing is confirmed
-	proof := make(chan Proof, 1)
+	proof := make(chan EndProof, 1)
 	go func() { proof <- x.callOff() }()
-	require.Eventually(t, func() bool { b.pool.mu.Lock(); defer b.pool.mu.Unlock(); return b.pool.dials.NotUp > 0 }, patience, time.Millisecond) // it has begun
+	require.Eventually(t, func() bool { b.pool.mu.Lock(); defer b.pool.mu.Unlock(); return b.pool.dials.Failed > 0 }, patience, time.Millisecond) // it has begun
 	poll()
 	asked := time.Now()
-	assert.Equal(t, ProofUnasked, await(t, proof))
+	assert.Equal(t, ProofExpiredAtEngine, await(t, proof))
 	assert.GreaterOrEqual(t, time.Since(asked), forgets, "the engine still ran it")
 	x.release(true)
 }
@@ -265,19 +265,19 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	heard := calls(t, listener)
-	link, err := lab.NewLink(listener.Addr().String())
+	link, err := faultlab.NewLink(listener.Addr().String())
 	require.NoError(t, err)
 	defer link.Close()
-	link.Set(lab.Way{Cut: true}, lab.Way{Cut: true})
+	link.Set(faultlab.Way{Cut: true}, faultlab.Way{Cut: true})
 	ctx, end := context.WithCancel(t.Context())
 	b := New(ctx, make(ends, 1), 4, time.Minute, patience, zap.NewNop())
-	b.Know("e", link.Address(), true)
-	b.Execute(Order{Statement: "s", Engine: "e", Text: []byte("update"), Until: time.Now().Add(time.Minute)})
+	b.UpdateEngine("e", link.Address(), true)
+	b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Text: []byte("update"), Deadline: time.Now().Add(time.Minute)})
 	require.Eventually(t, func() bool { return link.Held() > 0 }, patience, time.Millisecond)
 	end()
-	require.NoError(t, b.Tend(ctx))
+	require.NoError(t, b.Run(ctx))
 	require.Eventually(t, func() bool { return link.Resets() > 0 }, patience, time.Millisecond)
-	link.Set(lab.Way{}, lab.Way{})
+	link.Set(faultlab.Way{}, faultlab.Way{})
 	require.Eventually(t, func() bool { return link.Held() == 0 }, patience, time.Millisecond)
 	assert.Never(t, func() bool { return len(heard) > 0 }, 200*time.Millisecond, time.Millisecond)
 }
