--- a/internal/back/execution.go
+++ b/internal/upstream/execution.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/guard"
+	"bankledge/internal/invariant"
 )
 
 // Execution is one statement on one engine: started once, then polled until its end, then its pages. It
 // holds one connection while it is out.
-type Execution struct {
-	back *Back
-	Order
+type Attempt struct {
+	back *Client
+	AttemptRequest
 	path    string
 	address string // of the engine, when it was sent
 	sent    time.Time
@@ -46,7 +46,7 @@
 
 // Revoke keeps an execution from being started, if it has not been; nothing of it goes out after this call.
 // It tells whether it did.
-func (x *Execution) Revoke() bool {
+func (x *Attempt) CancelUnsent() bool {
 	if !x.stage.CompareAndSwap(waiting, revoked) {
 		return false
 	}
@@ -58,9 +58,9 @@
 // nothing new. From
 // here on the engine may run it: when it was last asked for it is known before anyone can find it started, since
 // whoever calls it off counts from there.
-func (x *Execution) begin() bool {
-	if x.back.Hear != nil {
-		x.back.Hear()
+func (x *Attempt) begin() bool {
+	if x.back.AwaitDiscovery != nil {
+		x.back.AwaitDiscovery()
 	}
 	x.asked.set(x.back.origin, time.Now())
 	return x.back.pool.mayBegin(x.Engine, x.address) && !x.tooLate() && x.stage.CompareAndSwap(waiting, started) &&
@@ -68,22 +68,22 @@
 }
 
 // unaskedFor is how long ago the engine was last asked for it.
-func (x *Execution) unaskedFor() time.Duration { return time.Since(x.asked.time(x.back.origin)) }
+func (x *Attempt) unaskedFor() time.Duration { return time.Since(x.asked.time(x.back.origin)) }
 
 // tooLate tells whether it must not begin any more.
-func (x *Execution) tooLate() bool { return !x.Before.IsZero() && !time.Now().Before(x.Before) }
+func (x *Attempt) tooLate() bool { return !x.StartBefore.IsZero() && !time.Now().Before(x.StartBefore) }
 
 // GiveUp waits for an execution no longer. Its end is told when it is out no longer, which takes a call to
 // the engine, unless another end comes first.
-func (x *Execution) GiveUp() {
-	if !x.Revoke() {
+func (x *Attempt) Cancel() {
+	if !x.CancelUnsent() {
 		x.cancel()
 	}
 }
 
 // lapsed makes sure that an execution that was given up, or whose time is up, is out no longer, and tells so.
 // It goes beside the poll that is under way, whose connection is kept for later use.
-func (x *Execution) lapsed() {
+func (x *Attempt) lapsed() {
 	if x.stage.Load() != started || x.back.ctx.Err() != nil {
 		return
 	}
@@ -97,43 +97,43 @@
 }
 
 // end tells the listener how the execution ended, once.
-func (x *Execution) end(end ending) {
+func (x *Attempt) end(end ending) {
 	x.ended.Do(func() {
 		if v := x.unproven(end.proof); v != nil {
-			x.back.Violations.Count(v)
+			x.back.Violations.Record(v)
 			end.proof = x.callOff()
 		}
 		x.logEnd(end)
 		x.back.pool.letGo(x.Engine)
-		x.back.listener.Ended(decision.ExecutionEnded{Statement: x.Statement, Execution: x.Order.Execution,
-			Engine: x.Engine, Outcome: end.outcome, Took: time.Since(x.sent), Report: end.report}, end.result)
+		x.back.listener.AttemptEnded(decision.AttemptEnded{Statement: x.Statement, Attempt: x.AttemptRequest.Attempt,
+			Engine: x.Engine, Outcome: end.outcome, Elapsed: time.Since(x.sent), Report: end.report}, end.result)
 	})
 }
 
 // unproven tells why a proof does not hold, whoever came to it; nil: it does.
-func (x *Execution) unproven(proof Proof) *guard.Violation {
+func (x *Attempt) unproven(proof EndProof) *invariant.Violation {
 	why := ""
 	switch {
 	case proof == ProofNotSent && x.written.Load():
 		why = "its start was written"
-	case proof == ProofUnasked && x.unaskedFor() < forgets:
+	case proof == ProofExpiredAtEngine && x.unaskedFor() < forgets:
 		why = "its engine was asked for it " + x.unaskedFor().String() + " ago"
-	case proof == ProofNone && x.back.ctx.Err() == nil:
+	case proof == ProofShutdown && x.back.ctx.Err() == nil:
 		why = "the router does not end"
 	default:
 		return nil
 	}
-	return &guard.Violation{Rule: guard.ProvenEnd, Statement: x.Statement, Detail: "execution " + strconv.Itoa(int(x.Order.Execution)) + ": " + why}
+	return &invariant.Violation{Rule: invariant.ProvenAttemptEnd, Statement: x.Statement, Detail: "execution " + strconv.Itoa(int(x.AttemptRequest.Attempt)) + ": " + why}
 }
 
 // logEnd says how the execution ended and by what proof. One that no word of the engine proves is rare, and logged also where the
 // usual ones are not.
-func (x *Execution) logEnd(end ending) {
+func (x *Attempt) logEnd(end ending) {
 	level := zap.DebugLevel
-	if end.proof == ProofUnasked {
+	if end.proof == ProofExpiredAtEngine {
 		level = zap.InfoLevel
 	}
-	x.back.log.Log(level, "execution is out no longer", zap.String("statement", string(x.Statement)), zap.Int("execution", int(x.Order.Execution)),
+	x.back.log.Log(level, "execution is out no longer", zap.String("statement", string(x.Statement)), zap.Int("execution", int(x.AttemptRequest.Attempt)),
 		zap.String("engine", string(x.Engine)), zap.Stringer("outcome", end.outcome), zap.Stringer("proof", end.proof),
 		zap.Duration("after", time.Since(x.sent)), zap.Duration("unasked_for", x.unaskedFor()))
 }
@@ -148,13 +148,13 @@
 // ending is how an execution ended, and how it is known that it is out no longer. A result is whole or there is none.
 type ending struct {
 	outcome decision.Outcome
-	proof   Proof
-	report  *decision.Report
+	proof   EndProof
+	report  *decision.LoadReport
 	result  []byte
 }
 
 // run brings an execution to its ending. That of one that lapses while it is out is not known here: lapsed tells it.
-func (x *Execution) run() (end ending, known bool) {
+func (x *Attempt) run() (end ending, known bool) {
 	defer func() {
 		if p := recover(); p != nil { // ends this execution alone
 			x.back.log.Error("an execution broke down", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
@@ -171,7 +171,7 @@
 	if sent {
 		end, known = x.follow(said, err)
 	} else {
-		end, known = ending{outcome: decision.NeverSent, proof: ProofNotSent}, true
+		end, known = ending{outcome: decision.NotSent, proof: ProofNotSent}, true
 	}
 	x.release(true)
 	return end, known
@@ -179,10 +179,10 @@
 
 // connect gets a connection for the start, no longer than it may still begin. Without one it never ran: the outcome tells whether that
 // says something of the engine.
-func (x *Execution) connect() (outcome decision.Outcome, connected bool) {
+func (x *Attempt) connect() (outcome decision.Outcome, connected bool) {
 	wait := x.ctx
-	if !x.Before.IsZero() {
-		by, done := context.WithDeadline(x.ctx, x.Before)
+	if !x.StartBefore.IsZero() {
+		by, done := context.WithDeadline(x.ctx, x.StartBefore)
 		defer done()
 		wait = by
 	}
@@ -191,19 +191,19 @@
 		x.conn = c
 		return 0, true
 	}
-	x.back.log.Debug("no connection for an execution", zap.String("statement", string(x.Statement)), zap.Int("execution", int(x.Order.Execution)),
+	x.back.log.Debug("no connection for an execution", zap.String("statement", string(x.Statement)), zap.Int("execution", int(x.AttemptRequest.Attempt)),
 		zap.String("engine", string(x.Engine)), zap.Error(err))
-	if wait.Err() != nil || x.tooLate() || !time.Now().Before(x.Until) || errors.Is(err, errNoSlot) || errors.Is(err, errNoEngine) ||
+	if wait.Err() != nil || x.tooLate() || !time.Now().Before(x.Deadline) || errors.Is(err, errNoSlot) || errors.Is(err, errNoEngine) ||
 		errors.Is(err, syscall.ECONNRESET) {
-		return decision.NeverSent, false
+		return decision.NotSent, false
 	}
-	return decision.NotConnected, false // refused, or not up in time
+	return decision.ConnectFailed, false // refused, or not up in time
 }
 
 // start sends the statement, once, and reads the answer. sent is false where it cannot have come whole to the engine, so that it cannot
 // run; a connection that breaks then says nothing of the engine.
-func (x *Execution) start() (said answer, err error, sent bool) {
-	left := time.Until(x.Until)
+func (x *Attempt) start() (said answer, err error, sent bool) {
+	left := time.Until(x.Deadline)
 	if left < time.Millisecond || !x.begin() {
 		return said, nil, false
 	}
@@ -225,14 +225,14 @@
 
 // follow asks for news until the end. What was started is never started again here: the engine keeps a good end and its pages, so
 // what broke or was spoilt on its way is asked for again.
-func (x *Execution) follow(said answer, err error) (end ending, known bool) {
+func (x *Attempt) follow(said answer, err error) (end ending, known bool) {
 	for {
 		if err != nil && isOver(err) {
 			return x.endedBy(err)
 		}
 		if err != nil {
 			x.back.log.Debug("an answer was of no use", zap.String("statement", string(x.Statement)), zap.Error(err))
-		} else if heard := read(said.Head); heard.over {
+		} else if heard := read(said.Header); heard.over {
 			if heard.outcome == decision.Completed {
 				said.body, err = x.collect(said.body, heard.pages)
 			}
@@ -244,8 +244,8 @@
 			x.release(false)
 			x.pause()
 		} else if heard.note != nil {
-			heard.note.Statement, heard.note.Execution, heard.note.Engine = x.Statement, x.Order.Execution, x.Engine
-			x.back.listener.Noted(*heard.note)
+			heard.note.Statement, heard.note.Attempt, heard.note.Engine = x.Statement, x.AttemptRequest.Attempt, x.Engine
+			x.back.listener.AttemptProgressed(*heard.note)
 		}
 		if said, err = x.fetch("/0", pollHeld+pollSlack, isNews); err == nil && said.Status != 500 && !isClosed(x.heard) {
 			close(x.heard)
@@ -254,8 +254,8 @@
 }
 
 // endedAs is the ending that the engine has told.
-func (x *Execution) endedAs(heard reading, said answer) (end ending, known bool) {
-	end = ending{outcome: heard.outcome, proof: ProofEngineSaid, report: heard.report, result: said.body}
+func (x *Attempt) endedAs(heard reading, said answer) (end ending, known bool) {
+	end = ending{outcome: heard.outcome, proof: ProofReportedByEngine, report: heard.report, result: said.body}
 	if heard.outcome != decision.Errored {
 		return end, true
 	}
@@ -273,14 +273,14 @@
 }
 
 // endedBy is the ending of an execution of which nothing more is to be had.
-func (x *Execution) endedBy(err error) (end ending, known bool) {
+func (x *Attempt) endedBy(err error) (end ending, known bool) {
 	switch {
 	case errors.Is(err, errLapsed):
 		return ending{}, false
 	case errors.Is(err, errForgotten):
-		return ending{outcome: decision.Reset, proof: ProofUnasked}, true
+		return ending{outcome: decision.ConnectionReset, proof: ProofExpiredAtEngine}, true
 	case errors.Is(err, errNoEngine): // another engine has the address
-		return ending{outcome: decision.Reset, proof: x.callOff()}, true
+		return ending{outcome: decision.ConnectionReset, proof: x.callOff()}, true
 	}
 	return ending{outcome: decision.Errored, proof: x.callOff()}, true // it may have run, and runs no longer
 }
--- a/internal/back/execution_test.go
+++ b/internal/upstream/execution_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"bankledge/decision"
 )
 
-type ends chan decision.ExecutionEnded
+type ends chan decision.AttemptEnded
 
-func (e ends) Noted(decision.ExecutionNoted)                 {}
-func (e ends) Ended(ended decision.ExecutionEnded, _ []byte) { e <- ended }
-func (e ends) Probed(decision.ProbeEnded)                    {}
+func (e ends) AttemptProgressed(decision.AttemptProgress)         {}
+func (e ends) AttemptEnded(ended decision.AttemptEnded, _ []byte) { e <- ended }
+func (e ends) HealthCheckEnded(decision.HealthCheckEnded)         {}
 
 // Whenever an execution is given up or its time is up, before, while and after it is started, it has one end,
 // and one that was never started never reached the engine.
@@ -35,17 +35,17 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	heard := make(ends, 1000)
 	b := New(ctx, heard, 20, time.Minute, time.Second, zap.NewNop())
-	b.Know("e", engine.Listener.Addr().String(), true)
+	b.UpdateEngine("e", engine.Listener.Addr().String(), true)
 	const n = 300
 	for i := range n {
-		order := Order{Statement: decision.StatementID(strconv.Itoa(i)), Engine: "e", Until: time.Now().Add(time.Minute)}
+		order := AttemptRequest{Statement: decision.StatementID(strconv.Itoa(i)), Engine: "e", Deadline: time.Now().Add(time.Minute)}
 		lapse := time.Duration(i) * 10 * time.Microsecond
 		if i%2 == 0 {
-			order.Until = time.Now().Add(lapse + time.Millisecond)
+			order.Deadline = time.Now().Add(lapse + time.Millisecond)
 		}
-		x := b.Execute(order)
+		x := b.StartAttempt(order)
 		if i%2 == 1 {
-			time.AfterFunc(lapse, x.GiveUp)
+			time.AfterFunc(lapse, x.Cancel)
 		}
 	}
 	seen := map[decision.StatementID]decision.Outcome{}
@@ -54,27 +54,27 @@
 		case ended := <-heard:
 			_, twice := seen[ended.Statement]
 			require.False(t, twice)
-			require.Contains(t, []decision.Outcome{decision.NeverSent, decision.Cancelled, decision.TimedOut}, ended.Outcome)
+			require.Contains(t, []decision.Outcome{decision.NotSent, decision.Cancelled, decision.TimedOut}, ended.Outcome)
 			seen[ended.Statement] = ended.Outcome
 		case <-time.After(20 * time.Second):
 			t.Fatalf("only %d of %d have ended", len(seen), n)
 		}
 	}
 	// Lapsed after a connection was had and before it was started: nobody else would tell of its end.
-	require.NoError(t, b.Reach(ctx, "e"))
+	require.NoError(t, b.Preconnect(ctx, "e"))
 	over, lapse := context.WithCancel(ctx)
 	lapse()
-	x := &Execution{back: b, ctx: over, Order: Order{Statement: "late", Engine: "e", Until: time.Now().Add(time.Minute)}}
+	x := &Attempt{back: b, ctx: over, AttemptRequest: AttemptRequest{Statement: "late", Engine: "e", Deadline: time.Now().Add(time.Minute)}}
 	end, known := x.run()
 	assert.True(t, known)
-	assert.Equal(t, ending{outcome: decision.NeverSent, proof: ProofNotSent}, end)
+	assert.Equal(t, ending{outcome: decision.NotSent, proof: ProofNotSent}, end)
 	seen["late"] = end.outcome
 
 	cancel()
-	require.NoError(t, b.Tend(ctx))
-	assert.Zero(t, b.Descriptors(), "all given back")
+	require.NoError(t, b.Run(ctx))
+	assert.Zero(t, b.ConnectionsInUse(), "all given back")
 	for len(started) > 0 {
-		assert.NotEqual(t, decision.NeverSent, seen[decision.StatementID(<-started)])
+		assert.NotEqual(t, decision.NotSent, seen[decision.StatementID(<-started)])
 	}
 }
 
@@ -95,34 +95,34 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	b := New(ctx, heard, 20, time.Minute, time.Second, zap.NewNop())
 	address := at.Listener.Addr().String()
-	b.Know("old", address, true)
-	require.NoError(t, b.Reach(ctx, "old"))
+	b.UpdateEngine("old", address, true)
+	require.NoError(t, b.Preconnect(ctx, "old"))
 	require.Len(t, b.pool.idle["old"], 1)
-	b.Execute(Order{Statement: "1", Engine: "old", Until: time.Now().Add(time.Minute)})
+	b.StartAttempt(AttemptRequest{Statement: "1", Engine: "old", Deadline: time.Now().Add(time.Minute)})
 	require.Equal(t, "POST", <-calls)
-	b.Know("new", address, true) // before it was said that the old one is gone
+	b.UpdateEngine("new", address, true) // before it was said that the old one is gone
 	b.pool.mu.Lock()
 	assert.Empty(t, b.pool.idle["old"])
 	b.pool.mu.Unlock()
 	ended := <-heard // what was out there is not asked of the new one
-	assert.Equal(t, decision.Reset, ended.Outcome)
+	assert.Equal(t, decision.ConnectionReset, ended.Outcome)
 	_, err := b.pool.get(ctx, "old", address, false)
 	require.ErrorIs(t, err, errNoEngine)
-	b.Forget("old")
+	b.RemoveEngine("old")
 	assert.Equal(t, address, b.pool.of("new"), "it is the new one's")
 	for i := range 1000 {
 		id := decision.EngineID(strconv.Itoa(i))
-		b.Know(id, "127.0.0.1:"+strconv.Itoa(1000+i), true)
+		b.UpdateEngine(id, "127.0.0.1:"+strconv.Itoa(1000+i), true)
 		if i%2 == 0 {
-			b.Forget(id)
+			b.RemoveEngine(id)
 		}
 	}
-	b.Keep(map[decision.EngineID]bool{"new": true})
+	b.RetainEngines(map[decision.EngineID]bool{"new": true})
 	assert.Len(t, b.pool.address, 1)
 	assert.Len(t, b.pool.owner, 1)
 	cancel()
-	require.NoError(t, b.Tend(ctx))
+	require.NoError(t, b.Run(ctx))
 	assert.Empty(t, b.pool.idle)
 	assert.Less(t, len(calls), 50, "an engine that has no news at once is not asked without a pause")
-	assert.Zero(t, b.Descriptors())
+	assert.Zero(t, b.ConnectionsInUse())
 }
--- a/internal/back/instant.go
+++ b/internal/upstream/instant.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"sync/atomic"
--- a/internal/back/late_test.go
+++ b/internal/upstream/late_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bufio"
@@ -18,9 +18,9 @@
 
 type results chan string
 
-func (r results) Noted(decision.ExecutionNoted) {}
-func (r results) Probed(decision.ProbeEnded)    {}
-func (r results) Ended(ended decision.ExecutionEnded, result []byte) {
+func (r results) AttemptProgressed(decision.AttemptProgress) {}
+func (r results) HealthCheckEnded(decision.HealthCheckEnded) {}
+func (r results) AttemptEnded(ended decision.AttemptEnded, result []byte) {
 	r <- string(ended.Statement) + " " + string(result)
 }
 
@@ -74,9 +74,9 @@
 			}()
 			ended := make(results, 2)
 			b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
-			b.Know("e", listener.Addr().String(), true)
+			b.UpdateEngine("e", listener.Addr().String(), true)
 			for _, id := range []decision.StatementID{"A", "B"} {
-				b.Execute(Order{Statement: id, Engine: "e", Text: []byte("select"), Until: time.Now().Add(time.Minute)})
+				b.StartAttempt(AttemptRequest{Statement: id, Engine: "e", Text: []byte("select"), Deadline: time.Now().Add(time.Minute)})
 				assert.Equal(t, string(id)+" of-"+string(id)+"\n\n", await(t, ended))
 				require.Eventually(t, func() bool { // a connection that was given back has rested
 					b.pool.mu.Lock()
@@ -122,14 +122,14 @@
 	}()
 	ended := make(ends, 2)
 	b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
-	b.Know("e", listener.Addr().String(), true)
-	b.Execute(Order{Statement: "A", Engine: "e", Text: []byte("select"), Until: time.Now().Add(time.Minute)})
-	assert.Equal(t, decision.Full, await(t, ended).Outcome)
+	b.UpdateEngine("e", listener.Addr().String(), true)
+	b.StartAttempt(AttemptRequest{Statement: "A", Engine: "e", Text: []byte("select"), Deadline: time.Now().Add(time.Minute)})
+	assert.Equal(t, decision.Overloaded, await(t, ended).Outcome)
 	require.Eventually(t, func() bool { // a connection that was given back has rested
 		b.pool.mu.Lock()
 		defer b.pool.mu.Unlock()
 		return len(b.pool.idle["e"]) == 0 || time.Since(b.pool.idle["e"][0].idle) > 2*restTime
 	}, patience, time.Millisecond)
-	b.Execute(Order{Statement: "B", Engine: "e", Text: []byte("update"), Until: time.Now().Add(time.Minute)})
+	b.StartAttempt(AttemptRequest{Statement: "B", Engine: "e", Text: []byte("update"), Deadline: time.Now().Add(time.Minute)})
 	assert.Equal(t, decision.Completed, await(t, ended).Outcome)
 }
--- a/internal/back/outcome.go
+++ b/internal/upstream/outcome.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"math"
@@ -28,12 +28,12 @@
 	over    bool             // the execution has ended
 	outcome decision.Outcome // with over
 	pages   int              // with a good end, how many there are
-	note    *decision.ExecutionNoted
-	report  *decision.Report
+	note    *decision.AttemptProgress
+	report  *decision.LoadReport
 }
 
-var notes = map[string]decision.Note{"done": decision.NoteProgress, "spills": decision.NoteSpills,
-	"waits": decision.NoteWaits}
+var notes = map[string]decision.ProgressKind{"done": decision.ProgressShareDone, "spills": decision.ProgressSpilling,
+	"waits": decision.ProgressWaiting}
 
 // outcomeOf is the one table from answers to outcomes. Only where an answer says so did nothing run.
 func outcomeOf(status int, neverRan bool) (outcome decision.Outcome, over bool) {
@@ -43,48 +43,48 @@
 	case status == 200:
 		return decision.Completed, true
 	case status == 503 && neverRan:
-		return decision.Full, true
+		return decision.Overloaded, true
 	case status == 504 && neverRan:
-		return decision.NeverSent, true
+		return decision.NotSent, true
 	}
 	return decision.Errored, true // 500, and all that the protocol does not know: it may have run
 }
 
 // neverRan tells whether an answer says that nothing ran.
-func neverRan(head http1.Head) bool { return head.Get(fieldNeverRan) == "1" }
+func neverRan(head http1.Header) bool { return head.Field(fieldNeverRan) == "1" }
 
 // read reads an answer; odd or absent fields are passed over, but for the number of pages.
-func read(head http1.Head) reading {
+func read(head http1.Header) reading {
 	var r reading
-	r.report = parseReport(head.Get(fieldReport))
+	r.report = parseReport(head.Field(fieldReport))
 	r.outcome, r.over = outcomeOf(head.Status, neverRan(head))
 	if r.over && r.outcome == decision.Completed {
-		n, err := strconv.Atoi(head.Get(fieldPages))
+		n, err := strconv.Atoi(head.Field(fieldPages))
 		if err != nil || n < 1 || n > mostPages {
 			r.outcome = decision.Errored // a result of unknown length is none
 		}
 		r.pages = n
 	}
-	if note, ok := notes[head.Get(fieldNote)]; ok && !r.over {
-		if value, ok := number(head.Get(fieldValue)); ok {
-			r.note = &decision.ExecutionNoted{Note: note, Value: value}
+	if note, ok := notes[head.Field(fieldNote)]; ok && !r.over {
+		if value, ok := number(head.Field(fieldValue)); ok {
+			r.note = &decision.AttemptProgress{Kind: note, Value: value}
 		}
 	}
 	return r
 }
 
 // parseReport reads name:value pairs with semicolons between them; nil if there is nothing to be had.
-func parseReport(text string) *decision.Report {
-	var r *decision.Report
+func parseReport(text string) *decision.LoadReport {
+	var r *decision.LoadReport
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
-		field, known := settings.Gauges[strings.TrimSpace(name)]
+		field, known := settings.ResponseFieldWords[strings.TrimSpace(name)]
 		v, ok := number(strings.TrimSpace(value))
 		if !known || !ok {
 			continue
 		}
 		if r == nil {
-			r = &decision.Report{}
+			r = &decision.LoadReport{}
 		}
 		r.Value[field], r.Known[field] = v, true
 	}
--- a/internal/back/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bytes"
@@ -31,12 +31,12 @@
 }
 
 // do writes one call and reads its answer. whole tells whether the call may have come whole to the engine.
-func (c *conn) do(until time.Time, call []byte) (head http1.Head, body []byte, whole bool, err error) {
+func (c *conn) do(until time.Time, call []byte) (head http1.Header, body []byte, whole bool, err error) {
 	c.raw.SetDeadline(until)
 	if n, err := c.raw.Write(call); err != nil {
 		return head, nil, n == len(call), err
 	}
-	head, body, err = c.reader.Answer(mostBody)
+	head, body, err = c.reader.ReadResponse(mostBody)
 	return head, body, true, err
 }
 
@@ -103,30 +103,30 @@
 	drains  map[decision.EngineID]bool    // of those listed: nothing new is sent there
 	made    map[*conn]struct{}            // all there are
 	waiting int                           // for a slot
-	dials   Dials
+	dials   ConnectionStats
 	closed  bool
 }
 
 // Dials counts connections made since the last look, and why others were dropped.
-type Dials struct {
-	Made    int           `json:"Made"` // the keys of a log line
-	NotUp   int           `json:"NotUp"`
-	Stale   int           `json:"Stale"`
-	Crowded int           `json:"Crowded"`
-	Noisy   int           `json:"Noisy"`
-	Longest time.Duration `json:"Longest"` // that one took to come up
+type ConnectionStats struct {
+	Dialled        int           `json:"Made"` // the keys of a log line
+	Failed         int           `json:"NotUp"`
+	Stale          int           `json:"Stale"`
+	Surplus        int           `json:"Crowded"`
+	UnexpectedData int           `json:"Noisy"`
+	SlowestDial    time.Duration `json:"Longest"` // that one took to come up
 }
 
 // counted looks at the counts and begins anew.
-func (p *pool) counted() Dials {
+func (p *pool) counted() ConnectionStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := p.dials
-	p.dials = Dials{}
+	p.dials = ConnectionStats{}
 	return d
 }
 
-func (p *pool) count(f func(*Dials)) {
+func (p *pool) count(f func(*ConnectionStats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.dials)
@@ -265,9 +265,9 @@
 		if state == quiet && c.address == address && time.Since(c.idle) < p.idleMost {
 			return c, nil
 		}
-		p.count(func(d *Dials) {
+		p.count(func(d *ConnectionStats) {
 			if d.Stale++; state == noisy {
-				d.Noisy++
+				d.UnexpectedData++
 			}
 		})
 		p.drop(c)
@@ -277,10 +277,10 @@
 	}
 	began := time.Now()
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-	p.count(func(d *Dials) {
-		d.Longest = max(d.Longest, time.Since(began))
-		if d.Made++; err != nil {
-			d.NotUp++
+	p.count(func(d *ConnectionStats) {
+		d.SlowestDial = max(d.SlowestDial, time.Since(began))
+		if d.Dialled++; err != nil {
+			d.Failed++
 		}
 	})
 	if err != nil {
@@ -363,7 +363,7 @@
 		p.idle[c.engine] = append(p.idle[c.engine], c)
 	}
 	if !keep {
-		p.dials.Crowded++
+		p.dials.Surplus++
 	}
 	p.mu.Unlock()
 	if !keep {
--- a/internal/back/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"net/http"
@@ -38,7 +38,7 @@
 	other, err := p.get(t.Context(), "e", p.of("e"), false)
 	require.NoError(t, err)
 	assert.NotSame(t, first, other)
-	assert.Equal(t, Dials{Made: 2, Stale: 1}, Dials{Made: p.dials.Made, Stale: p.dials.Stale})
+	assert.Equal(t, ConnectionStats{Dialled: 2, Stale: 1}, ConnectionStats{Dialled: p.dials.Dialled, Stale: p.dials.Stale})
 	p.drop(other)
 	assert.Zero(t, p.held())
 }
--- a/internal/back/proof_test.go
+++ b/internal/upstream/proof_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"bankledge/decision"
-	"bankledge/internal/guard"
-	"bankledge/internal/lab"
+	"bankledge/internal/faultlab"
+	"bankledge/internal/invariant"
 )
 
 // lingering is an engine that goes on running what it has, whatever becomes of its listener and its connections.
@@ -150,36 +150,36 @@
 func TestWhatHasEndedRunsNoLonger(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer  func(*lingering, string, int) string
-		then    func(t *testing.T, e *lingering, b *Back, x *Execution)
+		then    func(t *testing.T, e *lingering, b *Client, x *Attempt)
 		outcome decision.Outcome
 	}{
-		"given up at an engine that listens no more": {held, func(t *testing.T, e *lingering, _ *Back, x *Execution) {
+		"given up at an engine that listens no more": {held, func(t *testing.T, e *lingering, _ *Client, x *Attempt) {
 			e.leaves(t)
-			x.GiveUp()
+			x.Cancel()
 		}, decision.Cancelled},
-		"given up at an engine that listens no more and has left the list": {held, func(t *testing.T, e *lingering, b *Back, x *Execution) {
+		"given up at an engine that listens no more and has left the list": {held, func(t *testing.T, e *lingering, b *Client, x *Attempt) {
 			e.leaves(t)
-			b.Forget("e")
-			x.GiveUp()
+			b.RemoveEngine("e")
+			x.Cancel()
 		}, decision.Cancelled},
-		"connections break at an engine that listens no more": {held, func(t *testing.T, e *lingering, _ *Back, _ *Execution) {
+		"connections break at an engine that listens no more": {held, func(t *testing.T, e *lingering, _ *Client, _ *Attempt) {
 			e.leaves(t)
 			e.breakAll()
-		}, decision.Reset},
-		"the address is another's, the connections are gone": {held, func(t *testing.T, e *lingering, b *Back, _ *Execution) {
+		}, decision.ConnectionReset},
+		"the address is another's, the connections are gone": {held, func(t *testing.T, e *lingering, b *Client, _ *Attempt) {
 			e.await(t, "GET")
-			b.Know("other", e.listener.Addr().String(), true)
+			b.UpdateEngine("other", e.listener.Addr().String(), true)
 			e.breakAll()
-		}, decision.Reset},
+		}, decision.ConnectionReset},
 		"the start comes behind its own end": {func(e *lingering, call string, n int) string {
 			if call == "POST" {
 				close(e.read)
 				<-e.told // it comes to run what it was told of only when it was told to give that up
 			}
 			return held(e, call, n)
-		}, func(_ *testing.T, e *lingering, _ *Back, x *Execution) {
+		}, func(_ *testing.T, e *lingering, _ *Client, x *Attempt) {
 			<-e.read
-			x.GiveUp()
+			x.Cancel()
 		}, decision.Cancelled},
 		"an end that the protocol does not have": {func(e *lingering, call string, n int) string {
 			if call == "GET" {
@@ -192,9 +192,9 @@
 				return "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 			}
 			return held(e, call, n)
-		}, func(t *testing.T, e *lingering, _ *Back, x *Execution) {
+		}, func(t *testing.T, e *lingering, _ *Client, x *Attempt) {
 			e.await(t, "GET")
-			x.GiveUp()
+			x.Cancel()
 		}, decision.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -203,8 +203,8 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(ends, 10)
 			b := New(ctx, ended, 20, time.Minute, time.Second, zap.NewNop())
-			b.Know("e", e.listener.Addr().String(), true)
-			x := b.Execute(Order{Statement: "1", Engine: "e", Text: []byte("select"), Until: time.Now().Add(time.Minute)})
+			b.UpdateEngine("e", e.listener.Addr().String(), true)
+			x := b.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: time.Now().Add(time.Minute)})
 			if c.then != nil {
 				c.then(t, e, b, x)
 			}
@@ -217,8 +217,8 @@
 				t.Fatal("no end was told")
 			}
 			cancel()
-			require.NoError(t, b.Tend(ctx))
-			assert.Zero(t, b.Descriptors(), "all given back")
+			require.NoError(t, b.Run(ctx))
+			assert.Zero(t, b.ConnectionsInUse(), "all given back")
 			assert.Empty(t, ended, "one end")
 		})
 	}
@@ -227,21 +227,21 @@
 // An end whose proof does not hold is counted and not told before there is one that does, whoever came to it.
 func TestAnEndWithoutAProofIsNotTold(t *testing.T) {
 	for name, c := range map[string]struct {
-		proof     Proof
+		proof     EndProof
 		counts    int64
 		calledOff bool // first
 	}{
-		"it is said to be dropped, and was asked for just now": {ProofUnasked, 1, true},
+		"it is said to be dropped, and was asked for just now": {ProofExpiredAtEngine, 1, true},
 		"it is said not to be sent, and was":                   {ProofNotSent, 1, true},
-		"the router is said to end, and does not":              {ProofNone, 1, true},
-		"the engine has told its end":                          {ProofEngineSaid, 0, false},
+		"the router is said to end, and does not":              {ProofShutdown, 1, true},
+		"the engine has told its end":                          {ProofReportedByEngine, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := linger(t, held)
 			ended := make(ends, 1)
 			b := New(t.Context(), ended, 4, time.Minute, time.Second, zap.NewNop())
-			b.Know("e", e.listener.Addr().String(), true)
-			x := &Execution{back: b, Order: Order{Statement: "1", Engine: "e"}, path: "/x/1", address: b.pool.of("e"), ctx: t.Context(),
+			b.UpdateEngine("e", e.listener.Addr().String(), true)
+			x := &Attempt{back: b, AttemptRequest: AttemptRequest{Statement: "1", Engine: "e"}, path: "/x/1", address: b.pool.of("e"), ctx: t.Context(),
 				heard: make(chan struct{}), over: make(chan struct{})}
 			close(x.heard)
 			x.written.Store(true)
@@ -249,7 +249,7 @@
 			b.pool.hold("e")
 			x.end(ending{outcome: decision.Cancelled, proof: c.proof})
 			assert.Equal(t, decision.Cancelled, await(t, ended).Outcome)
-			assert.Equal(t, c.counts, b.Violations.Of(guard.ProvenEnd))
+			assert.Equal(t, c.counts, b.Violations.Recorded(invariant.ProvenAttemptEnd))
 			select {
 			case <-e.told:
 				assert.True(t, c.calledOff)
@@ -275,22 +275,22 @@
 		}
 		return noNews
 	})
-	link, err := lab.NewLink(e.listener.Addr().String())
+	link, err := faultlab.NewLink(e.listener.Addr().String())
 	require.NoError(t, err)
 	defer link.Close()
 	ended := make(ends, 1)
 	b := New(t.Context(), ended, 4, time.Minute, time.Second, zap.NewNop())
-	b.Know("e", link.Address(), true)
-	x := b.Execute(Order{Statement: "1", Engine: "e", Text: []byte("select"), Until: time.Now().Add(time.Minute)})
+	b.UpdateEngine("e", link.Address(), true)
+	x := b.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: time.Now().Add(time.Minute)})
 	await(t, started)
-	link.Set(lab.Way{Delay: late}, lab.Way{})
+	link.Set(faultlab.Way{Delay: late}, faultlab.Way{})
 	close(polls)
 	e.await(t, "POST")
 	polled := func() bool { return link.Dialled() == 2 && link.Held() > 0 } // the start's answer came sooner than one may, so the poll has a connection of its own
 	require.Eventually(t, polled, patience, time.Millisecond)
-	link.Set(lab.Way{Delay: late}, lab.Way{Cut: true})
+	link.Set(faultlab.Way{Delay: late}, faultlab.Way{Cut: true})
 	require.NoError(t, link.Refuse(true))
-	x.GiveUp()
+	x.Cancel()
 	e.await(t, "GET")
 	assert.Equal(t, decision.Cancelled, await(t, ended).Outcome)
 	assert.False(t, e.isOut(), "the engine still runs it")
--- a/internal/back/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bufio"
@@ -47,29 +47,29 @@
 }
 
 var outcomeLabels = map[decision.Outcome]string{decision.Completed: "completed", decision.Errored: "errored", decision.TimedOut: "timed out",
-	decision.Reset: "reset", decision.NotConnected: "not connected", decision.NeverSent: "never sent", decision.Full: "full", decision.Cancelled: "cancelled"}
+	decision.ConnectionReset: "reset", decision.ConnectFailed: "not connected", decision.NotSent: "never sent", decision.Overloaded: "full", decision.Cancelled: "cancelled"}
 
-func (r *transcript) Noted(noted decision.ExecutionNoted) {
-	r.add("  noted: statement=%s number=%d engine=%s kind=%d value=%v", noted.Statement, noted.Execution, noted.Engine, noted.Note, noted.Value)
+func (r *transcript) AttemptProgressed(noted decision.AttemptProgress) {
+	r.add("  noted: statement=%s number=%d engine=%s kind=%d value=%v", noted.Statement, noted.Attempt, noted.Engine, noted.Kind, noted.Value)
 }
 
-func (r *transcript) Ended(ended decision.ExecutionEnded, result []byte) {
-	r.add("  ended: statement=%s number=%d engine=%s %s, load report:%s, result %q", ended.Statement, ended.Execution, ended.Engine,
+func (r *transcript) AttemptEnded(ended decision.AttemptEnded, result []byte) {
+	r.add("  ended: statement=%s number=%d engine=%s %s, load report:%s, result %q", ended.Statement, ended.Attempt, ended.Engine,
 		outcomeLabels[ended.Outcome], loadReportText(ended.Report), abbreviate(string(result)))
 	close(r.finished)
 }
 
-func (r *transcript) Probed(ended decision.ProbeEnded) {
+func (r *transcript) HealthCheckEnded(ended decision.HealthCheckEnded) {
 	r.add("  health check ended: engine=%s %s, load report:%s", ended.Engine, outcomeLabels[ended.Outcome], loadReportText(ended.Report))
 	close(r.finished)
 }
 
-func loadReportText(report *decision.Report) string {
+func loadReportText(report *decision.LoadReport) string {
 	if report == nil {
 		return " none"
 	}
 	text := ""
-	for field := range decision.NumFields {
+	for field := range decision.NumLoadReportFields {
 		if report.Known[field] {
 			text += fmt.Sprintf(" %d=%v", field, report.Value[field])
 		}
@@ -279,17 +279,17 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	engines := New(ctx, recorded, 8, time.Minute, time.Second, zap.NewNop())
-	engines.Know("engine-1", listener.Addr().String(), true)
+	engines.UpdateEngine("engine-1", listener.Addr().String(), true)
 	if c.healthCheck {
-		engines.Probe("engine-1")
+		engines.CheckHealth("engine-1")
 	} else {
 		timeLeft := c.timeLeft
 		if timeLeft == 0 {
 			timeLeft = time.Minute
 		}
-		attempt := engines.Execute(Order{Statement: "statement-1", Execution: 2, Engine: "engine-1", Workload: "lookup", Text: []byte("select 'ä'\n"),
-			Until: time.Now().Add(timeLeft)})
-		cancelled <- attempt.GiveUp
+		attempt := engines.StartAttempt(AttemptRequest{Statement: "statement-1", Attempt: 2, Engine: "engine-1", Workload: "lookup", Text: []byte("select 'ä'\n"),
+			Deadline: time.Now().Add(timeLeft)})
+		cancelled <- attempt.Cancel
 	}
 	select {
 	case <-recorded.finished:
@@ -298,8 +298,8 @@
 	}
 	text := recorded.text()
 	stop()
-	require.NoError(t, engines.Tend(ctx))
-	assert.Zero(t, engines.Descriptors(), "all are given back")
+	require.NoError(t, engines.Run(ctx))
+	assert.Zero(t, engines.ConnectionsInUse(), "all are given back")
 	return text
 }
 
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -12,9 +12,9 @@
 func fleetBed(t *testing.T) func() *bed {
 	return func() *bed {
 		b := newBed(t)
-		b.me.Routers, b.rules.ColdMultiple, b.traits.ProgressEvery = 0, 4, 300*ms
-		b.wlms[0].SLO, b.wlms[0].StatementTimeout, b.wlms[0].WaitsForLoads = 500*ms, 2500*ms, false
-		b.wlms[1] = decision.Workload{Name: "report", Importance: 7.5, SLO: 3 * time.Second, SLOStretch: 2, LateShare: 0.3,
+		b.me.Routers, b.rules.SlowStartMultiple, b.traits.ProgressInterval = 0, 4, 300*ms
+		b.wlms[0].LatencyObjective, b.wlms[0].StatementTimeout, b.wlms[0].WaitsForBulkLoads = 500*ms, 2500*ms, false
+		b.wlms[1] = decision.Workload{Name: "report", PriorityWeight: 7.5, LatencyObjective: 3 * time.Second, ObjectiveStretch: 2, LateFactor: 0.3,
 			StatementTimeout: 10 * time.Second, Threads: 2}
 		return b
 	}
@@ -35,16 +35,16 @@
 			engines := worldEngines(c.old + c.cold)
 			w := newWorld(fleetBed(t), c.routers, c.rate, engines[:c.old]...)
 			w.run(8 * time.Second)
-			join := decision.EngineList{}
+			join := decision.EndpointList{}
 			for _, e := range engines[c.old:] {
 				e.entry.StartedAt, w.engines[e.entry.Engine] = w.now, e
-				join.Entries = append(join.Entries, e.entry)
+				join.Endpoints = append(join.Endpoints, e.entry)
 			}
 			w.tell(join)
 			w.run(14 * time.Second)
 			rules, used, worst := w.routers[0].rules, 0.0, 0.0
 			for _, e := range engines[c.old:] {
-				most, sum := e.most(rules.ColdWindow, rules.ColdMultiple)
+				most, sum := e.most(rules.SlowStartWindow, rules.SlowStartMultiple)
 				worst, used = max(worst, most), used+sum/14/e.cores/float64(c.cold)
 			}
 			t.Logf("%.2f of what is borne in the worst window, %.2f of their cores on average; %d in time of %d", worst, used, w.inTime, w.asked())
--- a/policy/generated_site_test.go
+++ b/policy/generated_site_test.go
@@ -27,7 +27,7 @@
 // generatedSite drives one module: it draws what happens from a seed, carries out the actions as engines that may
 // fail would, and hands their consequences back as events. Equal actions give an equal stream.
 type generatedSite struct {
-	opening *settings.Opening
+	opening *settings.ModuleSettings
 	random  *rand.Rand
 	record  *actionRecord
 	module  *policy.Module
@@ -54,7 +54,7 @@
 
 type attemptKey struct {
 	statement decision.StatementID
-	attempt   decision.ExecutionID
+	attempt   decision.AttemptID
 }
 
 type generatedAttempt struct {
@@ -78,7 +78,7 @@
 )
 
 type generatedEngine struct {
-	entry   decision.Entry
+	entry   decision.Endpoint
 	cores   float64
 	running int
 	others  float64 // statements of other routers there
@@ -107,7 +107,7 @@
 	return last
 }
 
-func newGeneratedSite(opening *settings.Opening, seed uint64, record *actionRecord) *generatedSite {
+func newGeneratedSite(opening *settings.ModuleSettings, seed uint64, record *actionRecord) *generatedSite {
 	s := &generatedSite{opening: opening, random: rand.New(rand.NewPCG(seed, 17)), record: record, now: clockStart,
 		engines: map[decision.EngineID]*generatedEngine{}, rate: 0.5}
 	for range 7 {
@@ -170,30 +170,30 @@
 
 func (s *generatedSite) carryOut(action decision.Action) {
 	switch a := action.(type) {
-	case decision.Execute:
+	case decision.StartAttempt:
 		s.startAttempt(a)
-	case decision.Cancel:
-		key := attemptKey{a.Statement, a.Execution}
+	case decision.CancelAttempt:
+		key := attemptKey{a.Statement, a.Attempt}
 		s.schedule(s.between(0, 3*ms), func() []decision.Event { return s.end(key, decision.Cancelled) })
 	case decision.Reject:
 		delete(s.open, a.Statement)
 	case decision.Abort:
 		delete(s.open, a.Statement)
-	case decision.Probe:
+	case decision.HealthCheck:
 		s.probe(a.Engine)
 	case decision.SetTimer:
 		s.timer++
 		timer := s.timer
-		s.schedule(max(0, a.At-s.now)+s.between(0, s.opening.Identity.Tick), func() []decision.Event {
+		s.schedule(max(0, a.At-s.now)+s.between(0, s.opening.Identity.ClockGranularity), func() []decision.Event {
 			if timer != s.timer {
 				return nil
 			}
 			return []decision.Event{decision.TimerFired{Token: a.Token}}
 		})
-	case decision.FollowList:
+	case decision.WatchEndpoints:
 		s.schedule(s.between(ms, 50*ms), func() []decision.Event {
 			if s.chance(0.5) {
-				return []decision.Event{decision.EngineList{Kind: decision.ListFailed}}
+				return []decision.Event{decision.EndpointList{Kind: decision.ListFailed}}
 			}
 			return []decision.Event{s.list(decision.ListComplete)}
 		})
@@ -237,25 +237,25 @@
 	declared := s.opening.Workloads[workload]
 	s.statements++
 	event := decision.StatementArrived{
-		Statement:  decision.StatementID(fmt.Sprintf("s%d", s.statements)),
-		Workload:   decision.WorkloadID(workload),
-		TimeBudget: time.Duration(s.factor(0.5, 1) * float64(declared.StatementTimeout)),
-		Tables:     decision.TableGroup(math.Sqrt(s.random.Float64()) * tableGroups),
-		Resent:     s.chance(0.05),
-		Write:      declared.Effect != decision.Idempotent,
+		Statement:   decision.StatementID(fmt.Sprintf("s%d", s.statements)),
+		Workload:    decision.WorkloadID(workload),
+		TimeBudget:  time.Duration(s.factor(0.5, 1) * float64(declared.StatementTimeout)),
+		TableGroup:  decision.TableGroup(math.Sqrt(s.random.Float64()) * tableGroups),
+		ClientRetry: s.chance(0.05),
+		Writes:      declared.Idempotency != decision.Idempotent,
 	}
-	if groups := s.opening.Shares.Groups; len(groups) > 0 {
-		event.Group = groups[s.random.IntN(len(groups))].Group
+	if groups := s.opening.Quotas.Tenants; len(groups) > 0 {
+		event.Tenant = groups[s.random.IntN(len(groups))].Tenant
 	}
-	if declared.InOrder && s.chance(0.8) {
+	if declared.OrderedByKey && s.chance(0.8) {
 		event.Key = decision.Key(fmt.Sprintf("k%d", s.random.IntN(12)))
 	}
 	if s.chance(0.9) {
-		event.Estimate = time.Duration(s.factor(0.02, 1.2) * float64(declared.SLO) * float64(max(1, declared.Threads)))
-		event.NeedMB = s.factor(10, 3000)
+		event.EstimatedWork = time.Duration(s.factor(0.02, 1.2) * float64(declared.LatencyObjective) * float64(max(1, declared.Threads)))
+		event.EstimatedMemoryMB = s.factor(10, 3000)
 	}
 	if s.chance(0.2) {
-		event.Looks = s.classification()
+		event.Classification = s.classification()
 	}
 	s.open[event.Statement] = &generatedStatement{event: event}
 	return []decision.Event{event}
@@ -266,14 +266,14 @@
 	return least * math.Pow(most/least, s.random.Float64())
 }
 
-func (s *generatedSite) classification() *decision.Looks {
-	looks := &decision.Looks{As: decision.WorkloadID(s.random.IntN(len(s.opening.Workloads))), Writes: s.chance(0.1)}
+func (s *generatedSite) classification() *decision.Classification {
+	looks := &decision.Classification{Workload: decision.WorkloadID(s.random.IntN(len(s.opening.Workloads))), Writes: s.chance(0.1)}
 	if s.chance(0.5) {
-		looks.Work = s.between(10*ms, 2*time.Second)
-		looks.NeedMB = s.factor(10, 2000)
+		looks.EstimatedWork = s.between(10*ms, 2*time.Second)
+		looks.EstimatedMemoryMB = s.factor(10, 2000)
 	}
 	if s.chance(0.5) {
-		looks.Others = []decision.TableGroup{decision.TableGroup(s.random.IntN(tableGroups))}
+		looks.OtherTableGroups = []decision.TableGroup{decision.TableGroup(s.random.IntN(tableGroups))}
 	}
 	return looks
 }
@@ -289,34 +289,34 @@
 	switch s.random.IntN(4) {
 	case 0:
 		delete(s.open, id)
-		return []decision.Event{decision.ClientLeft{Statement: id}}
+		return []decision.Event{decision.ClientCancelled{Statement: id}}
 	case 1:
 		delete(s.open, id)
-		return []decision.Event{decision.ClientReads{Statements: []decision.StatementID{id, "unknown"}, Gone: true}}
+		return []decision.Event{decision.ClientReadStateChanged{Statements: []decision.StatementID{id, "unknown"}, Disconnected: true}}
 	default:
 		ids := []decision.StatementID{id}
 		s.schedule(s.between(0, 2*time.Second), func() []decision.Event {
-			return []decision.Event{decision.ClientReads{Statements: ids, Reads: true}}
+			return []decision.Event{decision.ClientReadStateChanged{Statements: ids, Reading: true}}
 		})
-		return []decision.Event{decision.ClientReads{Statements: ids}}
+		return []decision.Event{decision.ClientReadStateChanged{Statements: ids}}
 	}
 }
 
 // ---- Attempts ----
 
-func (s *generatedSite) startAttempt(a decision.Execute) {
+func (s *generatedSite) startAttempt(a decision.StartAttempt) {
 	statement, engine := s.open[a.Statement], s.engines[a.Engine]
-	key := attemptKey{a.Statement, decision.ExecutionID(statement.attempts)}
+	key := attemptKey{a.Statement, decision.AttemptID(statement.attempts)}
 	statement.attempts++
 	workload := s.opening.Workloads[statement.event.Workload]
 	threads := float64(max(1, workload.Threads))
 	s.attempts[key] = &generatedAttempt{engine: engine, threads: threads}
 	engine.running++
-	work := cmp.Or(statement.event.Estimate, workload.SLO/4)
+	work := cmp.Or(statement.event.EstimatedWork, workload.LatencyObjective/4)
 	run := time.Duration(s.factor(0.5, 2) * float64(work) / threads * (1 + float64(engine.running)*threads/engine.cores/2))
 	outcome, after := s.outcome(engine, run)
-	if a.Before > 0 && s.now+after > a.Before && s.chance(0.3) {
-		outcome = decision.NeverSent
+	if a.StartBefore > 0 && s.now+after > a.StartBefore && s.chance(0.3) {
+		outcome = decision.NotSent
 	}
 	s.notes(key, statement, after)
 	if outcome == decision.Completed && s.chance(0.3) {
@@ -324,7 +324,7 @@
 			if s.attempts[key] == nil || s.open[key.statement] == nil {
 				return nil
 			}
-			return []decision.Event{decision.AnswerStarted{Statement: key.statement, Execution: key.attempt, Engine: engine.entry.Engine, Took: after}}
+			return []decision.Event{decision.ResponseStarted{Statement: key.statement, Attempt: key.attempt, Engine: engine.entry.Engine, Elapsed: after}}
 		})
 	}
 	s.schedule(after, func() []decision.Event { return s.end(key, outcome) })
@@ -344,11 +344,11 @@
 	case erring:
 		return decision.Errored, s.between(ms, 5*ms)
 	case refusing:
-		return decision.NotConnected, s.between(ms, 250*ms)
+		return decision.ConnectFailed, s.between(ms, 250*ms)
 	case full:
-		return decision.Full, s.between(ms, 5*ms)
+		return decision.Overloaded, s.between(ms, 5*ms)
 	case resetting:
-		return decision.Reset, s.between(0, run)
+		return decision.ConnectionReset, s.between(0, run)
 	case flaky:
 		if s.chance(0.6) {
 			return decision.Errored, run / 2
@@ -359,18 +359,18 @@
 
 // notes has the engine tell of a running attempt, where engines do.
 func (s *generatedSite) notes(key attemptKey, statement *generatedStatement, run time.Duration) {
-	every := s.opening.Engines.ProgressEvery
+	every := s.opening.Engines.ProgressInterval
 	if every == 0 || s.attempts[key].engine.fault == silent {
 		return
 	}
-	note := func(after time.Duration, kind decision.Note, value float64) {
+	note := func(after time.Duration, kind decision.ProgressKind, value float64) {
 		s.schedule(after, func() []decision.Event {
 			attempt := s.attempts[key]
 			if attempt == nil {
 				return nil
 			}
-			return []decision.Event{decision.ExecutionNoted{Statement: key.statement, Execution: key.attempt,
-				Engine: attempt.engine.entry.Engine, Note: kind, Value: value}}
+			return []decision.Event{decision.AttemptProgress{Statement: key.statement, Attempt: key.attempt,
+				Engine: attempt.engine.entry.Engine, Kind: kind, Value: value}}
 		})
 	}
 	done := s.factor(0.7, 1) // it seldom progresses evenly
@@ -378,13 +378,13 @@
 		done = 0.05
 	}
 	for at := every; at < run; at += every {
-		note(at, decision.NoteProgress, done*float64(at)/float64(run))
+		note(at, decision.ProgressShareDone, done*float64(at)/float64(run))
 	}
 	if s.chance(0.15) {
-		note(s.between(0, run), decision.NoteSpills, s.factor(10, 500))
+		note(s.between(0, run), decision.ProgressSpilling, s.factor(10, 500))
 	}
 	if s.chance(0.05) {
-		note(s.between(0, run), decision.NoteWaits, float64(1+s.random.IntN(2)))
+		note(s.between(0, run), decision.ProgressWaiting, float64(1+s.random.IntN(2)))
 	}
 }
 
@@ -397,14 +397,14 @@
 	delete(s.attempts, key)
 	engine := attempt.engine
 	engine.running--
-	event := decision.ExecutionEnded{Statement: key.statement, Execution: key.attempt, Engine: engine.entry.Engine,
-		Outcome: outcome, Took: s.between(ms, time.Second), Cost: 1}
+	event := decision.AttemptEnded{Statement: key.statement, Attempt: key.attempt, Engine: engine.entry.Engine,
+		Outcome: outcome, Elapsed: s.between(ms, time.Second), Cost: 1}
 	if outcome == decision.Completed && s.open[key.statement] != nil {
-		event.Over = true
+		event.Finished = true
 		delete(s.open, key.statement)
 	}
 	answered := outcome == decision.Completed || outcome == decision.Errored
-	if answered && s.opening.Reports.Path == decision.ReportsInAnswers && s.chance(0.8) {
+	if answered && s.opening.LoadReports.Source == decision.LoadReportsInResponses && s.chance(0.8) {
 		event.Report = s.report(engine)
 	}
 	return []decision.Event{event}
@@ -413,10 +413,10 @@
 func (s *generatedSite) probe(id decision.EngineID) {
 	engine := s.engines[id]
 	s.schedule(s.between(ms, 40*ms), func() []decision.Event {
-		event := decision.ProbeEnded{Engine: id, Outcome: decision.Completed, Took: ms}
+		event := decision.HealthCheckEnded{Engine: id, Outcome: decision.Completed, Elapsed: ms}
 		switch {
 		case engine.fault == refusing:
-			event.Outcome = decision.NotConnected
+			event.Outcome = decision.ConnectFailed
 		case engine.fault == silent || s.chance(0.02):
 			event.Outcome = decision.TimedOut
 		default:
@@ -427,9 +427,9 @@
 }
 
 // report holds the settings' fields; now and then one is missing.
-func (s *generatedSite) report(engine *generatedEngine) *decision.Report {
-	report := &decision.Report{}
-	for _, field := range s.opening.Reports.Fields {
+func (s *generatedSite) report(engine *generatedEngine) *decision.LoadReport {
+	report := &decision.LoadReport{}
+	for _, field := range s.opening.LoadReports.Fields {
 		if s.chance(0.03) {
 			continue
 		}
@@ -438,7 +438,7 @@
 		switch field {
 		case decision.FieldInFlight:
 			report.Value[field] = math.Floor(held * s.factor(0.9, 1.1))
-		case decision.FieldQueue:
+		case decision.FieldQueueDepth:
 			report.Value[field] = math.Floor(max(0, held-engine.cores) / 2)
 		case decision.FieldUtilisation:
 			report.Value[field] = min(1, held/engine.cores*s.factor(0.8, 1.2))
@@ -457,8 +457,8 @@
 	if s.chance(0.3) {
 		zone = "yard"
 	}
-	engine := &generatedEngine{cores: s.opening.Engines.Machines[kind].Cores, others: 2, entry: decision.Entry{
-		Engine: decision.EngineID(fmt.Sprintf("10.0.0.%d:5000", s.engineCount)), Zone: zone, Kind: kind,
+	engine := &generatedEngine{cores: s.opening.Engines.Machines[kind].Cores, others: 2, entry: decision.Endpoint{
+		Engine: decision.EngineID(fmt.Sprintf("10.0.0.%d:5000", s.engineCount)), Zone: zone, MachineType: kind,
 		Cell: decision.Cell(s.engineCount % 2), Weight: 1}}
 	if s.now > clockStart {
 		engine.entry.StartedAt = s.now
@@ -467,11 +467,11 @@
 	return engine
 }
 
-func (s *generatedSite) list(kind decision.ListKind) decision.EngineList {
+func (s *generatedSite) list(kind decision.ListKind) decision.EndpointList {
 	s.listVersion++
-	list := decision.EngineList{Kind: kind, Version: s.listVersion}
+	list := decision.EndpointList{Kind: kind, Version: s.listVersion}
 	for _, id := range slices.Sorted(maps.Keys(s.engines)) {
-		list.Entries = append(list.Entries, s.engines[id].entry)
+		list.Endpoints = append(list.Endpoints, s.engines[id].entry)
 	}
 	return list
 }
@@ -484,7 +484,7 @@
 	case choice < 3 && len(s.engines) > 5:
 		engine.entry.State = decision.Draining
 		s.always(s.between(time.Second, 4*time.Second), func() []decision.Event {
-			engine.entry.State = decision.Gone
+			engine.entry.State = decision.Removed
 			delete(s.engines, engine.entry.Engine)
 			return s.changed(engine)
 		})
@@ -502,7 +502,7 @@
 
 func (s *generatedSite) changed(engine *generatedEngine) []decision.Event {
 	s.listVersion++
-	return []decision.Event{decision.EngineList{Kind: decision.ListPartial, Version: s.listVersion, Entries: []decision.Entry{engine.entry}}}
+	return []decision.Event{decision.EndpointList{Kind: decision.ListPartial, Version: s.listVersion, Endpoints: []decision.Endpoint{engine.entry}}}
 }
 
 func (s *generatedSite) changeFault() []decision.Event {
@@ -527,22 +527,22 @@
 
 func (s *generatedSite) changeRules() []decision.Event {
 	s.always(s.exponential(9*time.Second), s.changeRules)
-	event := decision.RulesChanged{Routers: float64(1 + s.random.IntN(3)), Rules: s.opening.Rules,
-		Shares: slices.Clone(s.opening.Shares.Groups), OverImportance: s.factor(0.05, 1)}
-	for i := range event.Shares {
-		event.Shares[i].PerSec *= s.factor(0.5, 2)
+	event := decision.RulesChanged{EffectiveRouters: float64(1 + s.random.IntN(3)), Rules: s.opening.Rules,
+		Quotas: slices.Clone(s.opening.Quotas.Tenants), OverQuotaFactor: s.factor(0.05, 1)}
+	for i := range event.Quotas {
+		event.Quotas[i].RatePerSecond *= s.factor(0.5, 2)
 	}
 	for _, workload := range s.opening.Workloads {
-		event.Importance = append(event.Importance, workload.Importance*s.factor(0.5, 2))
-		event.Kinds = append(event.Kinds, workload.Kinds)
+		event.PriorityWeights = append(event.PriorityWeights, workload.PriorityWeight*s.factor(0.5, 2))
+		event.AllowedMachineTypes = append(event.AllowedMachineTypes, workload.AllowedMachineTypes)
 		event.Protected = append(event.Protected, s.chance(0.1))
 	}
-	event.Rules.Probes = float64(s.random.IntN(3))
-	event.Rules.ColdMultiple *= s.factor(0.5, 2)
+	event.Rules.HealthChecksPerStatement = float64(s.random.IntN(3))
+	event.Rules.SlowStartMultiple *= s.factor(0.5, 2)
 	if s.chance(0.3) {
-		event.Rules.FurtherWindow, event.Rules.FurtherFree, event.Rules.FurtherShare = 5*time.Second, 5, 0.05
+		event.Rules.RetryBudgetWindow, event.Rules.RetryBudgetFree, event.Rules.RetryBudgetShare = 5*time.Second, 5, 0.05
 	}
-	event.Rules.KeptOff = map[decision.TableGroup][]decision.EngineID{
+	event.Rules.PlacementExclusions = map[decision.TableGroup][]decision.EngineID{
 		decision.TableGroup(s.random.IntN(tableGroups)): {s.anyEngine().entry.Engine}}
 	return []decision.Event{event}
 }
@@ -558,7 +558,7 @@
 		s.restart()
 		return nil
 	})
-	return []decision.Event{decision.Stopping{Within: stopTime * 3 / 4}}
+	return []decision.Event{decision.ShutdownStarted{GracePeriod: stopTime * 3 / 4}}
 }
 
 // restart begins with a new module that knows the endpoint list as last seen.
@@ -570,6 +570,6 @@
 		engine.running = 0
 	}
 	o := s.opening
-	s.module = policy.New(o.Identity, o.Workloads, o.Engines, o.Shares, o.Limits, o.Rules, o.Reports)
+	s.module = policy.New(o.Identity, o.Workloads, o.Engines, o.Quotas, o.Limits, o.Rules, o.LoadReports)
 	s.schedule(0, func() []decision.Event { return []decision.Event{s.list(decision.ListPersisted)} })
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -16,34 +16,34 @@
 	t       *testing.T
 	me      decision.Identity
 	wlms    []decision.Workload
-	traits  decision.Engines
-	shares  decision.Shares
+	traits  decision.EngineTraits
+	shares  decision.Quotas
 	limits  decision.Limits
 	rules   decision.Rules
-	reports decision.Reports
+	reports decision.LoadReportSettings
 	m       *Module
 	out     []decision.Action // of the last call
 }
 
 func newBed(t *testing.T) *bed {
-	read := decision.Workload{Name: "read", Importance: 1, SLO: time.Second, StatementTimeout: 4 * time.Second,
-		Threads: 1, WaitsForLoads: true, DedupWindow: time.Second}
-	write := decision.Workload{Name: "write", Importance: 5, SLO: 3 * time.Second, LateShare: 0.5,
-		StatementTimeout: 20 * time.Second, Threads: 2, Effect: decision.NonIdempotent, Load: true}
-	return &bed{t: t, me: decision.Identity{Seed: 1, Routers: 1, Zone: "z1", Tick: 5 * ms},
+	read := decision.Workload{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second, StatementTimeout: 4 * time.Second,
+		Threads: 1, WaitsForBulkLoads: true, DedupWindow: time.Second}
+	write := decision.Workload{Name: "write", PriorityWeight: 5, LatencyObjective: 3 * time.Second, LateFactor: 0.5,
+		StatementTimeout: 20 * time.Second, Threads: 2, Idempotency: decision.NonIdempotent, BulkLoad: true}
+	return &bed{t: t, me: decision.Identity{Seed: 1, Routers: 1, Zone: "z1", ClockGranularity: 5 * ms},
 		wlms: []decision.Workload{read, write},
-		traits: decision.Engines{Machines: map[decision.Kind]decision.Machine{"k8": {Cores: 8, MemoryMB: 8000},
+		traits: decision.EngineTraits{Machines: map[decision.MachineType]decision.MachineSpec{"k8": {Cores: 8, MemoryMB: 8000},
 			"k4": {Cores: 4, MemoryMB: 4000}}},
-		limits: decision.Limits{MayCancel: true, MaxExecutions: 4, MayProbe: true},
-		rules: decision.Rules{DrainGrace: time.Second, ColdShare: 0.3, WarmAfter: 15 * time.Second,
-			ColdMultiple: 2, ColdWindow: 1500 * ms},
-		reports: decision.Reports{Path: decision.ReportsInAnswers}}
+		limits: decision.Limits{Cancellation: true, MaxAttempts: 4, HealthChecks: true},
+		rules: decision.Rules{DrainGrace: time.Second, SlowStartShare: 0.3, SlowStartDuration: 15 * time.Second,
+			SlowStartMultiple: 2, SlowStartWindow: 1500 * ms},
+		reports: decision.LoadReportSettings{Source: decision.LoadReportsInResponses}}
 }
 
-func ready(ids ...decision.EngineID) decision.EngineList {
-	list := decision.EngineList{Kind: decision.ListComplete}
+func ready(ids ...decision.EngineID) decision.EndpointList {
+	list := decision.EndpointList{Kind: decision.ListComplete}
 	for _, id := range ids {
-		list.Entries = append(list.Entries, decision.Entry{Engine: id, Zone: "z1", Kind: "k8"})
+		list.Endpoints = append(list.Endpoints, decision.Endpoint{Engine: id, Zone: "z1", MachineType: "k8"})
 	}
 	return list
 }
@@ -58,19 +58,19 @@
 }
 
 func read(id decision.StatementID) decision.StatementArrived {
-	return decision.StatementArrived{Statement: id, TimeBudget: 4 * time.Second, Estimate: 100 * ms}
+	return decision.StatementArrived{Statement: id, TimeBudget: 4 * time.Second, EstimatedWork: 100 * ms}
 }
 
 func write(id decision.StatementID) decision.StatementArrived {
-	return decision.StatementArrived{Statement: id, Workload: 1, TimeBudget: 20 * time.Second, Estimate: time.Second}
+	return decision.StatementArrived{Statement: id, Workload: 1, TimeBudget: 20 * time.Second, EstimatedWork: time.Second}
 }
 
-func end(id decision.StatementID, n decision.ExecutionID, e decision.EngineID, o decision.Outcome) decision.ExecutionEnded {
-	return decision.ExecutionEnded{Statement: id, Execution: n, Engine: e, Outcome: o, Over: o == decision.Completed}
+func end(id decision.StatementID, n decision.AttemptID, e decision.EngineID, o decision.Outcome) decision.AttemptEnded {
+	return decision.AttemptEnded{Statement: id, Attempt: n, Engine: e, Outcome: o, Finished: o == decision.Completed}
 }
 
-func note(id decision.StatementID, e decision.EngineID, n decision.Note, v float64) decision.ExecutionNoted {
-	return decision.ExecutionNoted{Statement: id, Engine: e, Note: n, Value: v}
+func note(id decision.StatementID, e decision.EngineID, n decision.ProgressKind, v float64) decision.AttemptProgress {
+	return decision.AttemptProgress{Statement: id, Engine: e, Kind: n, Value: v}
 }
 
 // pick returns the actions of one type from the last call.
@@ -85,7 +85,7 @@
 
 // sentTo returns where the last call sent its one execution, or "" if it sent none.
 func (b *bed) sentTo() decision.EngineID {
-	sent := pick[decision.Execute](b)
+	sent := pick[decision.StartAttempt](b)
 	require.LessOrEqual(b.t, len(sent), 1)
 	if len(sent) == 0 {
 		return ""
--- a/policy/looks_test.go
+++ b/policy/looks_test.go
@@ -11,25 +11,25 @@
 
 // What a statement is held to be moves what it takes, and loosens nothing.
 func TestLooks(t *testing.T) {
-	looking := func(ev decision.StatementArrived, looks decision.Looks) decision.StatementArrived {
-		ev.Looks = &looks
+	looking := func(ev decision.StatementArrived, looks decision.Classification) decision.StatementArrived {
+		ev.Classification = &looks
 		return ev
 	}
 	t.Run("as declared, it changes nothing", func(t *testing.T) {
 		plain := newBed(t).at(0, ready("a", "b")).at(time.Second, read("s")).out
-		same := newBed(t).at(0, ready("a", "b")).at(time.Second, looking(read("s"), decision.Looks{As: 0})).out
+		same := newBed(t).at(0, ready("a", "b")).at(time.Second, looking(read("s"), decision.Classification{Workload: 0})).out
 		assert.Equal(t, plain, same)
 	})
 	t.Run("windows, threads and memory are those of what it is held to be", func(t *testing.T) {
-		b := newBed(t).at(0, ready("a")).at(time.Second, looking(read("s"), decision.Looks{As: 1, Work: 2 * time.Second, NeedMB: 70}))
+		b := newBed(t).at(0, ready("a")).at(time.Second, looking(read("s"), decision.Classification{Workload: 1, EstimatedWork: 2 * time.Second, EstimatedMemoryMB: 70}))
 		e := b.m.fleet.Of("a")
 		assert.Equal(t, []any{0, 1, 2, 70.0 * grantFirst}, []any{e.Windows[0].InFlight, e.Windows[1].InFlight, e.Threads, e.MemOut})
 		b.at(2*time.Second, end("s", 0, "a", decision.Completed))
 		assert.Equal(t, []any{0, 0, 0.0}, []any{e.Windows[1].InFlight, e.Threads, e.MemOut}, "given back")
 	})
 	t.Run("a wrong label wins neither importance nor patience", func(t *testing.T) {
-		b := newBed(t).at(0).at(time.Second, read("light"), looking(read("heavy"), decision.Looks{As: 1, Work: 4 * time.Second}),
-			looking(write("claims"), decision.Looks{As: 0, Work: 100 * ms}))
+		b := newBed(t).at(0).at(time.Second, read("light"), looking(read("heavy"), decision.Classification{Workload: 1, EstimatedWork: 4 * time.Second}),
+			looking(write("claims"), decision.Classification{Workload: 0, EstimatedWork: 100 * ms}))
 		heavy, claims := b.m.stmts["heavy"], b.m.stmts["claims"]
 		assert.Less(t, b.m.value(heavy), b.m.value(b.m.stmts["light"]))
 		assert.Equal(t, b.m.value(b.m.stmts["light"]), b.m.value(claims), "importance is the lower of the two")
@@ -37,17 +37,17 @@
 		assert.Equal(t, decision.NonIdempotent, claims.Effect)
 	})
 	t.Run("what writes under a label that is idempotent runs once", func(t *testing.T) {
-		b := newBed(t).at(0, ready("a", "b")).at(time.Second, looking(read("s"), decision.Looks{As: 0, Writes: true}))
+		b := newBed(t).at(0, ready("a", "b")).at(time.Second, looking(read("s"), decision.Classification{Workload: 0, Writes: true}))
 		on := b.sentTo()
-		b.at(time.Second+100*ms, end("s", 0, on, decision.Reset))
+		b.at(time.Second+100*ms, end("s", 0, on, decision.ConnectionReset))
 		assert.Empty(t, b.sentTo())
 		assert.Empty(t, pick[decision.Reject](b), "a rejection would say that trying again is harmless")
 		assert.Len(t, pick[decision.Abort](b), 1)
 	})
 	t.Run("what looks like a load keeps the effect that it declares, if that is stricter than none", func(t *testing.T) {
 		b := newBed(t)
-		b.wlms[0].Effect = decision.Deduplicated
-		b.at(0).at(time.Second, looking(read("s"), decision.Looks{As: 1}))
+		b.wlms[0].Idempotency = decision.Deduplicated
+		b.at(0).at(time.Second, looking(read("s"), decision.Classification{Workload: 1}))
 		assert.Equal(t, decision.Deduplicated, b.m.stmts["s"].Effect)
 	})
 	t.Run("reads of any group that a load holds keep off", func(t *testing.T) {
@@ -58,10 +58,10 @@
 		}{{"named beside the first", []decision.TableGroup{9}, ""}, {"not named", nil, "a"}} {
 			b := newBed(t).at(0, ready("a"))
 			load := write("load")
-			load.Tables = 9
+			load.TableGroup = 9
 			b.at(time.Second, load)
-			r := looking(read("r"), decision.Looks{As: 0, Others: c.others})
-			r.Tables = 3
+			r := looking(read("r"), decision.Classification{Workload: 0, OtherTableGroups: c.others})
+			r.TableGroup = 3
 			assert.Equal(t, c.sent, b.at(time.Second+10*ms, r).sentTo(), c.name)
 			b.m.fleet.Of("a").Loaded(9, b.m.now, b.m.now+time.Minute) // another router's load, once the own one is over
 			b.at(2*time.Second, end("load", 0, "a", decision.Completed))
@@ -71,32 +71,32 @@
 	})
 	t.Run("a lookup treated as a load holds its group", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a"))
-		ev := looking(read("w"), decision.Looks{As: 1, Writes: true})
-		ev.Tables = 9
+		ev := looking(read("w"), decision.Classification{Workload: 1, Writes: true})
+		ev.TableGroup = 9
 		assert.EqualValues(t, "a", b.at(time.Second, ev).sentTo())
 		r := read("r")
-		r.Tables = 9
+		r.TableGroup = 9
 		assert.Empty(t, b.at(time.Second+10*ms, r).sentTo())
 	})
 	t.Run("what is held of a statement teaches no workload", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a")).at(time.Second, read("s"))
 		before := b.m.workloads[0].Work
-		b.at(2*time.Second, looking(read("s2"), decision.Looks{As: 0, Work: time.Minute}))
+		b.at(2*time.Second, looking(read("s2"), decision.Classification{Workload: 0, EstimatedWork: time.Minute}))
 		assert.Equal(t, before, b.m.workloads[0].Work)
 	})
 }
 
 // Statements whose client takes nothing in are not sent; their time runs on, and an answer that nobody waits for ends them.
 func TestClientReads(t *testing.T) {
-	reads := func(r, gone bool) decision.ClientReads {
-		return decision.ClientReads{Statements: []decision.StatementID{"s", "none"}, Reads: r, Gone: gone}
+	reads := func(r, gone bool) decision.ClientReadStateChanged {
+		return decision.ClientReadStateChanged{Statements: []decision.StatementID{"s", "none"}, Reading: r, Disconnected: gone}
 	}
 	b := newBed(t).at(0).at(time.Second, read("s")).at(time.Second+ms, reads(false, false), ready("a"))
 	assert.Empty(t, b.sentTo())
 	assert.Empty(t, b.m.held, "held apart")
 	assert.Equal(t, decision.EngineID("a"), b.at(1500*ms, reads(true, false)).sentTo())
 	b.at(1501*ms, reads(false, true))
-	assert.Len(t, pick[decision.Cancel](b), 1, "nobody waits any more")
+	assert.Len(t, pick[decision.CancelAttempt](b), 1, "nobody waits any more")
 	assert.Empty(t, b.m.stmts)
 	b = newBed(t).at(0).at(time.Second, read("s")).at(time.Second+ms, reads(false, false), ready("a"))
 	assert.Len(t, pick[decision.Reject](b.at(6*time.Second)), 1, "its time is up, and it never ran")
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -20,11 +20,11 @@
 	"time"
 
 	"bankledge/decision"
-	"bankledge/internal/belief"
-	"bankledge/internal/draw"
-	"bankledge/internal/due"
-	"bankledge/internal/span"
+	"bankledge/internal/detrand"
+	"bankledge/internal/estimate"
+	"bankledge/internal/slidingwindow"
 	"bankledge/internal/state"
+	"bankledge/internal/timerqueue"
 )
 
 // The design's figures (marked 'ours' there) and this module's own. All else derives from settings.
@@ -74,54 +74,54 @@
 	stmts          map[decision.StatementID]*statement // not over yet
 	held           []*statement
 	traffic        state.Traffic // decayed counts of statements, by table group
-	shares         map[decision.MemberGroup]*state.Share
+	shares         map[decision.Tenant]*state.Share
 	overShare      float64 // of the importance, beyond a share
 	rules          decision.Rules
 	routers        float64
-	keys           state.KeyLines // lines of statements that keep their order
-	taken, further span.Sum       // statements, and executions beyond each one's first
-	opened         time.Duration  // when this instance started
-	turns          int            // statements taken
-	cold           belief.Warming // how cold engines' budgets are cut among all routers
-	due            due.Times
+	keys           state.KeyLines           // lines of statements that keep their order
+	taken, further slidingwindow.Sum        // statements, and executions beyond each one's first
+	opened         time.Duration            // when this instance started
+	turns          int                      // statements taken
+	cold           estimate.SlowStartBudget // how cold engines' budgets are cut among all routers
+	due            timerqueue.Queue
 	armed, swept   time.Duration // when the one timer comes, 0: not set; last sweep
-	traits         decision.Engines
+	traits         decision.EngineTraits
 	limits         decision.Limits
 	byProbe        bool // reports come by probe alone
-	chance         draw.Source
+	chance         detrand.Source
 	now            time.Duration
 	actions        []decision.Action
-	cores, mem     float64      // of the engines in use, cold ones at what they can do
-	credit         float64      // seconds for which twice the router's part of the fleet may be used
-	out, outMem    float64      // own executions that were out lately, and their memory
-	lightest       float64      // highest importance for its work of a workload
-	stirred        bool         // what is held may find room that it did not find before
-	tried, execs   int          // held statements that found no room since the last stir; own executions out now
-	crowd          belief.Crowd // what others hold on engines
-	asks, lights   float64      // probes that may still be sent; share of late statements that are light
+	cores, mem     float64           // of the engines in use, cold ones at what they can do
+	credit         float64           // seconds for which twice the router's part of the fleet may be used
+	out, outMem    float64           // own executions that were out lately, and their memory
+	lightest       float64           // highest importance for its work of a workload
+	stirred        bool              // what is held may find room that it did not find before
+	tried, execs   int               // held statements that found no room since the last stir; own executions out now
+	crowd          estimate.PeerLoad // what others hold on engines
+	asks, lights   float64           // probes that may still be sent; share of late statements that are light
 }
 
 // New opens an instance; each argument is one part's settings.
-func New(me decision.Identity, workloads []decision.Workload, traits decision.Engines,
-	shares decision.Shares, limits decision.Limits, rules decision.Rules, reports decision.Reports) *Module {
-	m := &Module{me: me, traits: traits, limits: limits, rules: rules, overShare: shares.OverImportance,
-		routers: float64(max(1, me.Routers)), byProbe: reports.Path == decision.ReportsByProbe && limits.MayProbe,
-		stmts: map[decision.StatementID]*statement{}, shares: map[decision.MemberGroup]*state.Share{},
-		keys: state.KeyLines{}, opened: -1, chance: draw.Source{Seed: me.Seed},
-		crowd: belief.Crowd{Fresh: reportPeriod, Learn: 2 * learnRate},
-		cold: belief.Warming{Rules: rules, Lag: rules.ColdWindow + coldMargin, Usable: capacityShare,
-			Safety: coldSafety, Routers: float64(max(1, me.Routers)), Asked: 1},
+func New(me decision.Identity, workloads []decision.Workload, traits decision.EngineTraits,
+	shares decision.Quotas, limits decision.Limits, rules decision.Rules, reports decision.LoadReportSettings) *Module {
+	m := &Module{me: me, traits: traits, limits: limits, rules: rules, overShare: shares.OverQuotaFactor,
+		routers: float64(max(1, me.Routers)), byProbe: reports.Source == decision.LoadReportsByHealthCheck && limits.HealthChecks,
+		stmts: map[decision.StatementID]*statement{}, shares: map[decision.Tenant]*state.Share{},
+		keys: state.KeyLines{}, opened: -1, chance: detrand.Source{Seed: me.Seed},
+		crowd: estimate.PeerLoad{FreshFor: reportPeriod, LearningRate: 2 * learnRate},
+		cold: estimate.SlowStartBudget{Rules: rules, AgeUncertainty: rules.SlowStartWindow + coldMargin, UsableShare: capacityShare,
+			SafetyShare: coldSafety, Routers: float64(max(1, me.Routers)), MinDemandShare: 1},
 		traffic: state.Traffic{Decay: fanOutDecay, Most: tallyMost}, fleet: state.Fleet{Most: tallyMost}}
 	for i, w := range workloads {
 		w.Threads = max(1, w.Threads)
 		m.workloads = append(m.workloads, &workload{Workload: w, ID: decision.WorkloadID(i), Grant: grantFirst,
-			Pace: 1, Work: w.SLO.Seconds() / 4 * float64(w.Threads)})
+			Pace: 1, Work: w.LatencyObjective.Seconds() / 4 * float64(w.Threads)})
 	}
-	for _, g := range shares.Groups {
-		m.shares[g.Group] = state.NewShare(g.PerSec/m.routers, chanceRoom)
+	for _, g := range shares.Tenants {
+		m.shares[g.Tenant] = state.NewShare(g.RatePerSecond/m.routers, chanceRoom)
 	}
-	if limits.ListOnRequest {
-		m.due.At(0, func() { m.do(decision.FollowList{On: true}) })
+	if limits.PollEndpoints {
+		m.due.Schedule(0, func() { m.do(decision.WatchEndpoints{Enabled: true}) })
 	}
 	return m
 }
@@ -139,44 +139,44 @@
 		case decision.TimerFired:
 			m.armed = 0
 			continue
-		case decision.EngineList:
+		case decision.EndpointList:
 			m.list(ev)
-		case decision.AnswerStarted:
+		case decision.ResponseStarted:
 			if s := m.stmts[ev.Statement]; s != nil {
 				s.Streamed = true
 			}
-		case decision.ExecutionNoted:
+		case decision.AttemptProgress:
 			m.noted(ev)
-		case decision.ExecutionEnded:
+		case decision.AttemptEnded:
 			m.ended(ev)
-		case decision.ClientLeft:
+		case decision.ClientCancelled:
 			if s := m.stmts[ev.Statement]; s != nil {
 				m.finish(s)
 			}
-		case decision.ClientReads: // what nobody takes in is not worth an execution; its time runs on
+		case decision.ClientReadStateChanged: // what nobody takes in is not worth an execution; its time runs on
 			for _, id := range ev.Statements {
-				if s := m.stmts[id]; s != nil && ev.Gone {
+				if s := m.stmts[id]; s != nil && ev.Disconnected {
 					m.finish(s)
 				} else if s != nil {
-					if s.Unread = !ev.Reads; s.Aside && ev.Reads {
+					if s.Unread = !ev.Reading; s.Aside && ev.Reading {
 						m.hold(s)
 					}
 				}
 			}
-		case decision.ProbeEnded:
+		case decision.HealthCheckEnded:
 			m.probed(ev)
 		case decision.RulesChanged:
 			m.change(&ev)
-		case decision.Stopping: // what is open by then can wait no longer for this router
-			m.due.At(now+ev.Within, func() {
+		case decision.ShutdownStarted: // what is open by then can wait no longer for this router
+			m.due.Schedule(now+ev.GracePeriod, func() {
 				for _, id := range slices.Sorted(maps.Keys(m.stmts)) {
-					m.giveUp(m.stmts[id], decision.ReasonStopping)
+					m.giveUp(m.stmts[id], decision.ReasonShutdown)
 				}
 			})
 		}
 		m.stirred = true
 	}
-	m.due.Run(now)
+	m.due.RunDue(now)
 	if now >= m.swept+sweepEvery {
 		m.sweep()
 	}
@@ -190,8 +190,8 @@
 
 // change takes rules that take force now. What was learned and spent stays: budgets keep their clocks.
 func (m *Module) change(ev *decision.RulesChanged) {
-	m.rules, m.routers, m.overShare = ev.Rules, ev.Routers, ev.OverImportance
-	m.cold.Rules, m.cold.Routers = ev.Rules, ev.Routers
+	m.rules, m.routers, m.overShare = ev.Rules, ev.EffectiveRouters, ev.OverQuotaFactor
+	m.cold.Rules, m.cold.Routers = ev.Rules, ev.EffectiveRouters
 	state.Change(m.workloads, m.shares, ev, chanceRoom)
 }
 
@@ -200,20 +200,20 @@
 // ---- The ordinary path: arrive, then (from dispatch) route and send ----
 
 func (m *Module) arrive(ev decision.StatementArrived) {
-	w, sh := m.workloads[ev.Workload], m.shares[ev.Group]       // what is beyond a member group's share waits
-	looks := cmp.Or(ev.Looks, &decision.Looks{As: ev.Workload}) // what it takes; its rules are those declared
-	s := &statement{ID: ev.Statement, Workload: w, As: m.workloads[looks.As], Effect: w.Effect,
-		Tables: ev.Tables, Others: looks.Others, MemoryMB: cmp.Or(looks.NeedMB, ev.NeedMB), Resent: ev.Resent,
-		Importance: min(w.Importance, m.workloads[looks.As].Importance),
+	w, sh := m.workloads[ev.Workload], m.shares[ev.Tenant]                              // what is beyond a member group's share waits
+	looks := cmp.Or(ev.Classification, &decision.Classification{Workload: ev.Workload}) // what it takes; its rules are those declared
+	s := &statement{ID: ev.Statement, Workload: w, As: m.workloads[looks.Workload], Effect: w.Idempotency,
+		Tables: ev.TableGroup, Others: looks.OtherTableGroups, MemoryMB: cmp.Or(looks.EstimatedMemoryMB, ev.EstimatedMemoryMB), Resent: ev.ClientRetry,
+		Importance: min(w.PriorityWeight, m.workloads[looks.Workload].PriorityWeight),
 		Taken:      m.now, End: m.now + ev.TimeBudget, OverShare: sh != nil && sh.PerSec > 0 && !sh.Take(m.now)}
 	if looks.Writes {
 		s.Effect = decision.NonIdempotent
 	}
 	work := s.As.Work
-	if looks.Work > 0 { // what is held of it teaches no workload
-		work = looks.Work.Seconds()
-	} else if ev.Estimate > 0 {
-		work = ev.Estimate.Seconds()
+	if looks.EstimatedWork > 0 { // what is held of it teaches no workload
+		work = looks.EstimatedWork.Seconds()
+	} else if ev.EstimatedWork > 0 {
+		work = ev.EstimatedWork.Seconds()
 		teaches := min(work, ev.TimeBudget.Seconds()*float64(w.Threads)) // a client may claim anything
 		if !w.Known {
 			w.Work, w.Known = teaches, true
@@ -221,24 +221,24 @@
 		w.Work += learnRate * (teaches - w.Work)
 	}
 	s.Run, s.Work = seconds(work/float64(s.As.Threads)), max(work, w.Work, s.As.Work)
-	s.Last = s.End - min(2*max(m.me.Tick, time.Millisecond), ev.TimeBudget/answerShare)
+	s.Last = s.End - min(2*max(m.me.ClockGranularity, time.Millisecond), ev.TimeBudget/answerShare)
 	s.SLODue = m.now + w.Allowance(s.Run)
 	m.stmts[s.ID], m.turns = s, m.turns+1
-	m.cold.See(s.Work, s.As.Work, s.Resent)
+	m.cold.ObserveStatement(s.Work, s.As.Work, s.Resent)
 	if m.lights *= 1 - learnRate; m.isLight(s) {
 		m.lights += learnRate
 	}
 	m.traffic.Count(s.Tables)
-	m.asks = min(m.asks+cmp.Or(m.rules.Probes, askFirst), askMost*askMost) // probes follow the statements
+	m.asks = min(m.asks+cmp.Or(m.rules.HealthChecksPerStatement, askFirst), askMost*askMost) // probes follow the statements
 	m.taken.Add(m.now, 1)
-	m.taken.Over(m.now - m.rules.FurtherWindow) // forgets what is older
-	if w.InOrder && ev.Key != "" {
+	m.taken.Since(m.now - m.rules.RetryBudgetWindow) // forgets what is older
+	if w.OrderedByKey && ev.Key != "" {
 		s.Key = ev.Key
 		m.keys.Join(s)
 	}
-	m.due.At(s.Last, func() { m.giveUp(s, decision.ReasonTimeUp) })
-	if m.held = append(m.held, s); m.limits.MaxOpen > 0 && len(m.stmts) >= m.limits.MaxOpen-1 {
-		m.giveUp(s, decision.ReasonTooManyOpen)
+	m.due.Schedule(s.Last, func() { m.giveUp(s, decision.ReasonDeadline) })
+	if m.held = append(m.held, s); m.limits.MaxOpenStatements > 0 && len(m.stmts) >= m.limits.MaxOpenStatements-1 {
+		m.giveUp(s, decision.ReasonTooManyOpenStatements)
 	}
 }
 
@@ -258,7 +258,7 @@
 	candidates, most := m.candidates(s, ready), askFirst
 	free := func(e *engine) bool { return !m.congested(e, s.As) }
 	if !slices.ContainsFunc(candidates, free) {
-		if candidates, most = ready, askMost; s.As.Load { // one engine stays for its group's reads
+		if candidates, most = ready, askMost; s.As.BulkLoad { // one engine stays for its group's reads
 			candidates = ready[:max(1, len(ready)-1)]
 		}
 	}
@@ -302,7 +302,7 @@
 // candidates takes K engines: warm ones first, then nearer zones, each by rendezvous hash. A load would hold
 // its table group where that is read, and stand behind other loads: it takes half of the hash, backwards.
 func (m *Module) candidates(s *statement, ready []*engine) []*engine {
-	if s.As.Load {
+	if s.As.BulkLoad {
 		slices.Reverse(ready)
 		return ready[:(len(ready)+1)/2]
 	}
@@ -337,7 +337,7 @@
 		waiting := e.Probing && m.now < e.ProbedAt+reportPeriod
 		if ask := !waiting && m.now >= e.Reported+reportPeriod && m.asks >= 1; ask {
 			e.Probing, e.ProbedAt, m.asks, waiting = true, m.now, m.asks-1, true
-			m.do(decision.Probe{Engine: e.Engine})
+			m.do(decision.HealthCheck{Engine: e.Engine})
 		}
 		if waiting {
 			known = nil
@@ -348,10 +348,10 @@
 
 // offset is where this router begins in a row of equals, so that routers share them.
 func (m *Module) offset(s *statement, n int) int {
-	return int(draw.Rank("", uint64(s.Tables), uint64(m.me.Router)) % uint64(n))
+	return int(detrand.Hash("", uint64(s.Tables), uint64(m.me.Router)) % uint64(n))
 }
 
-func (m *Module) othersOn(e *engine) float64 { return m.crowd.Held(m.now, e.Others, e.Counted) }
+func (m *Module) othersOn(e *engine) float64 { return m.crowd.Estimate(m.now, e.Others, e.Counted) }
 
 // congested: full for this router, or reported busy.
 func (m *Module) congested(e *engine, w *workload) bool {
@@ -361,15 +361,15 @@
 }
 
 func (m *Module) send(s *statement, e *engine) {
-	if len(s.Execs) > 0 && m.rules.FurtherWindow > 0 {
+	if len(s.Execs) > 0 && m.rules.RetryBudgetWindow > 0 {
 		m.further.Add(m.now, 1)
 	}
 	if m.isCold(e) {
 		e.ColdSent.Add(m.now, s.Work)
 	}
-	x := decision.Execute{Statement: s.ID, Engine: e.Engine}
+	x := decision.StartAttempt{Statement: s.ID, Engine: e.Engine}
 	if s.Home != nil && s.Effect == decision.Deduplicated { // the host may be slow to send it
-		x.Before = s.Home.Sent + s.Workload.DedupWindow
+		x.StartBefore = s.Home.Sent + s.Workload.DedupWindow
 	}
 	m.execs++
 	e.Holds(s, m.now, m.need(s))
@@ -380,13 +380,13 @@
 
 // ---- Windows ----
 
-func (m *Module) report(e *engine, r *decision.Report) {
+func (m *Module) report(e *engine, r *decision.LoadReport) {
 	if r == nil {
 		return
 	}
 	e.Reported = m.now
 	if e.Hear(r, m.now); r.Known[decision.FieldInFlight] {
-		if m.crowd.Hear(m.now, e.Others); m.jammed(e) {
+		if m.crowd.Observe(m.now, e.Others); m.jammed(e) {
 			m.leave(e, false)
 		}
 	}
@@ -425,15 +425,15 @@
 func (m *Module) allows(s *statement, e *engine) bool {
 	w := s.Workload
 	switch {
-	case s.Done, s.Streamed, m.now >= s.End, s.Open > 0 && !m.limits.SecondCopies:
+	case s.Done, s.Streamed, m.now >= s.End, s.Open > 0 && !m.limits.Hedging:
 	case !e.Listed, e.State != decision.Ready: // drains, stricter than their grace
-	case len(w.Zones) > 0 && !slices.Contains(w.Zones, e.Zone):
-	case len(w.Kinds) > 0 && !slices.Contains(w.Kinds, e.Kind):
+	case len(w.AllowedZones) > 0 && !slices.Contains(w.AllowedZones, e.Zone):
+	case len(w.AllowedMachineTypes) > 0 && !slices.Contains(w.AllowedMachineTypes, e.MachineType):
 	case s.Effect == decision.Deduplicated && s.Home != nil && w.DedupScope != decision.ScopeAll &&
 		!(w.DedupScope == decision.ScopeZone && s.Home.Engine.Zone == e.Zone) &&
 		!(w.DedupScope == decision.ScopeCell && s.Home.Engine.Cell == e.Cell):
 	case !m.mayRepeat(s), !m.inTurn(s), !m.furtherLeft(s), m.isCold(e) && !m.coldLeft(s, e),
-		slices.Contains(m.rules.KeptOff[s.Tables], e.Engine):
+		slices.Contains(m.rules.PlacementExclusions[s.Tables], e.Engine):
 	default:
 		return true
 	}
@@ -443,7 +443,7 @@
 // mayRepeat: no effect twice; what may have run goes again only where that is harmless.
 func (m *Module) mayRepeat(s *statement) bool {
 	w := s.Workload
-	most := cmp.Or(m.limits.MaxExecutions, math.MaxInt)
+	most := cmp.Or(m.limits.MaxAttempts, math.MaxInt)
 	return len(s.Execs) < most && (s.Home == nil || s.Effect == decision.Idempotent ||
 		s.Effect == decision.Deduplicated && m.now < s.Home.Sent+w.DedupWindow)
 }
@@ -457,9 +457,9 @@
 // furtherLeft: a statement taken just a window ago no longer counts, an execution sent then still does. The
 // host may be late by its lag: executions count for longer by it, statements for less.
 func (m *Module) furtherLeft(s *statement) bool {
-	from := m.now - m.rules.FurtherWindow
-	return m.rules.FurtherWindow == 0 || len(s.Execs) == 0 || m.further.Over(from-m.limits.SendLag)+1 <=
-		m.rules.FurtherFree+m.rules.FurtherShare*m.taken.Over(from+m.limits.SendLag+1)
+	from := m.now - m.rules.RetryBudgetWindow
+	return m.rules.RetryBudgetWindow == 0 || len(s.Execs) == 0 || m.further.Since(from-m.limits.MaxSendDelay)+1 <=
+		m.rules.RetryBudgetFree+m.rules.RetryBudgetShare*m.taken.Since(from+m.limits.MaxSendDelay+1)
 }
 
 // inTurn: a key's statements run one at a time, in the order they were taken.
@@ -471,15 +471,15 @@
 // coldLeft keeps all routers' budget: each fresh statement draws whether it may go there, a client's further
 // try may not. A router that has just started has forgotten what it sent, and waits.
 func (m *Module) coldLeft(s *statement, e *engine) bool {
-	part, certain := m.cold.Part(e.Cores, m.now-e.StartedAt)
+	part, certain := m.cold.RouterBudget(e.Cores, m.now-e.StartedAt)
 	fresh := !s.Resent && m.now < s.Taken+coldMargin // else it would come on top of what arrives
-	drawn := fresh && draw.Part(string(e.Engine+" ")+string(s.ID), m.me.Seed) < e.Share
-	return m.now >= m.opened+m.rules.ColdWindow && (certain || drawn) &&
-		e.ColdSent.Over(m.now-m.rules.ColdWindow-coldMargin)+s.Work <= part
+	drawn := fresh && detrand.Fraction(string(e.Engine+" ")+string(s.ID), m.me.Seed) < e.Share
+	return m.now >= m.opened+m.rules.SlowStartWindow && (certain || drawn) &&
+		e.ColdSent.Since(m.now-m.rules.SlowStartWindow-coldMargin)+s.Work <= part
 }
 
 func (m *Module) isCold(e *engine) bool {
-	return e.StartedAt > 0 && m.now < e.StartedAt+m.rules.WarmAfter+coldMargin && m.rules.ColdWindow > 0
+	return e.StartedAt > 0 && m.now < e.StartedAt+m.rules.SlowStartDuration+coldMargin && m.rules.SlowStartWindow > 0
 }
 
 // warmth is the share of its capacity that an engine is held to have.
@@ -487,8 +487,8 @@
 	if !m.isCold(e) {
 		return 1
 	}
-	age := float64(m.now-e.StartedAt) / float64(max(1, m.rules.WarmAfter))
-	return min(1, m.rules.ColdShare+(1-m.rules.ColdShare)*age)
+	age := float64(m.now-e.StartedAt) / float64(max(1, m.rules.SlowStartDuration))
+	return min(1, m.rules.SlowStartShare+(1-m.rules.SlowStartShare)*age)
 }
 
 // ---- 2. The clock: what ends a statement, and the periodic work ----
@@ -499,9 +499,9 @@
 	case s.Done || s.Streamed:
 		return
 	case !m.mayReject(s):
-		m.do(decision.Abort{Statement: s.ID, Why: why})
+		m.do(decision.Abort{Statement: s.ID, Reason: why})
 	default:
-		m.do(decision.Reject{Statement: s.ID, RetryIn: m.limits.MaxRetryAdvice, Why: why})
+		m.do(decision.Reject{Statement: s.ID, RetryAfter: m.limits.MaxRetryAfter, Reason: why})
 	}
 	m.finish(s)
 }
@@ -511,29 +511,29 @@
 	s.Done = true
 	delete(m.stmts, s.ID)
 	for _, x := range s.Execs {
-		m.cancel(x, decision.ReasonOver)
+		m.cancel(x, decision.ReasonFinished)
 	}
 }
 
 func (m *Module) cancel(x *state.Execution, why decision.Reason) {
-	if !x.Ended && !x.Cancelled && m.limits.MayCancel {
+	if !x.Ended && !x.Cancelled && m.limits.Cancellation {
 		x.Cancelled = true
-		m.do(decision.Cancel{Statement: x.Stmt.ID, Execution: x.N, Why: why})
+		m.do(decision.CancelAttempt{Statement: x.Stmt.ID, Attempt: x.N, Reason: why})
 	}
 }
 
 // sweep is the periodic work: silent engines, lost ones, windows without reports, the router's part.
 func (m *Module) sweep() {
 	m.cores, m.mem, m.out, m.outMem = 0, 0, m.out*mixDecay, m.outMem*mixDecay
-	all := 0.0                                          // cores, as if all were warm
-	m.fleet.Forget(m.now, m.rules.WarmAfter+coldMargin) // ids may be new for ever
+	all := 0.0                                                  // cores, as if all were warm
+	m.fleet.Forget(m.now, m.rules.SlowStartDuration+coldMargin) // ids may be new for ever
 	for _, e := range m.fleet.All {
 		if !e.Listed || e.State != decision.Ready {
 			continue
 		}
 		m.watch(e)
 		if all += e.Cores; m.isCold(e) {
-			e.Share = m.cold.Share(e.Cores, m.now-e.StartedAt)
+			e.Share = m.cold.SendProbability(e.Cores, m.now-e.StartedAt)
 		}
 		if m.now >= e.Stepped+3*reportPeriod { // reports are missing: own sights stand in
 			e.UtilKnown, e.Queue = false, 0
@@ -547,9 +547,9 @@
 	}
 	m.lightest = 0
 	for _, w := range m.workloads {
-		m.lightest = max(m.lightest, w.Importance/w.Work)
+		m.lightest = max(m.lightest, w.PriorityWeight/w.Work)
 	}
-	m.cold.Pass(m.now-max(m.swept, m.opened), all)
+	m.cold.Advance(m.now-max(m.swept, m.opened), all)
 	m.credit += (1 - m.partUsed(math.Inf(1), 0, 0)) * (m.now - m.swept).Seconds()
 	m.credit = min(max(m.credit, -partSpan.Seconds()), partSpan.Seconds())
 	m.swept, m.stirred = m.now, true
@@ -558,25 +558,25 @@
 // ---- 3. Engine health ----
 
 // list takes a change of the engine list, or all of it.
-func (m *Module) list(ev decision.EngineList) {
-	if ev.Kind == decision.ListFailed && m.limits.ListOnRequest { // not all routers ask again at once
-		m.due.At(m.now+seconds(1+m.chance.Float()), func() { m.do(decision.FollowList{On: true}) })
+func (m *Module) list(ev decision.EndpointList) {
+	if ev.Kind == decision.ListFailed && m.limits.PollEndpoints { // not all routers ask again at once
+		m.due.Schedule(m.now+seconds(1+m.chance.Float64()), func() { m.do(decision.WatchEndpoints{Enabled: true}) })
 	}
 	if ev.Kind == decision.ListComplete || ev.Kind == decision.ListPersisted {
 		m.fleet.Unlist()
 	}
-	for _, entry := range ev.Entries {
+	for _, entry := range ev.Endpoints {
 		e := m.fleet.Of(entry.Engine)
 		if e == nil {
-			machine := m.traits.Machines[entry.Kind]
-			e = m.fleet.Add(&engine{Entry: entry, Cores: max(1, machine.Cores), MemoryMB: machine.MemoryMB,
+			machine := m.traits.Machines[entry.MachineType]
+			e = m.fleet.Add(&engine{Endpoint: entry, Cores: max(1, machine.Cores), MemoryMB: machine.MemoryMB,
 				Stepped: m.now, LastNews: m.now, Reported: m.now - reportPeriod, Pace: 1,
 				Counted: m.now, LoadedUntil: map[decision.TableGroup]time.Duration{}})
 			e.Windows = m.fleet.FirstWindows(e, m.workloads, windowThreads)
 		} else if entry.StartedAt > e.StartedAt { // started anew: it holds nothing warm
 			e.Restarted(m.fleet.FirstWindows(e, m.workloads, windowThreads), m.now)
 		}
-		e.Entry, e.Listed = entry, entry.State != decision.Gone
+		e.Endpoint, e.Listed = entry, entry.State != decision.Removed
 	}
 	m.sweep()
 }
@@ -621,20 +621,20 @@
 		w, run := x.Stmt.As, float64(x.Stmt.Run)
 		e.Pace = max(e.Pace, float64(m.now-x.Sent)/max(1, lateDoubt*w.Pace*run)) // nothing may end there
 		patience := time.Duration(max(silentSLOs*float64(w.Allowance(x.Stmt.Run)), silentPaces*w.Pace*run))
-		if m.traits.ProgressEvery > 0 {
-			patience = 2 * (m.traits.ProgressEvery + sweepEvery) // for a note to arrive
+		if m.traits.ProgressInterval > 0 {
+			patience = 2 * (m.traits.ProgressInterval + sweepEvery) // for a note to arrive
 		}
 		if m.now > max(e.LastNews, x.Sent)+patience {
 			m.leave(e, false)
-			m.rescue(x, decision.ReasonSilent)
+			m.rescue(x, decision.ReasonNoProgress)
 		}
 	}
 }
 
-func (m *Module) probed(ev decision.ProbeEnded) {
+func (m *Module) probed(ev decision.HealthCheckEnded) {
 	if e := m.fleet.Of(ev.Engine); e != nil {
 		e.Probing = false
-		if m.report(e, ev.Report); ev.Outcome == decision.NotConnected {
+		if m.report(e, ev.Report); ev.Outcome == decision.ConnectFailed {
 			m.leave(e, m.triedAgain(e))
 		} else if ev.Outcome == decision.TimedOut { // too busy to answer a probe: as good as full
 			e.Reported, e.Others, e.Counted = m.now, crowdMost*e.Cores, m.now
@@ -645,33 +645,33 @@
 // ---- 4. Further executions ----
 
 // noted takes news of a running execution: a spill for want of grant, or a bad plan.
-func (m *Module) noted(ev decision.ExecutionNoted) {
+func (m *Module) noted(ev decision.AttemptProgress) {
 	if e := m.fleet.Of(ev.Engine); e != nil {
 		m.back(e)
 	}
 	s := m.stmts[ev.Statement]
-	if s == nil || int(ev.Execution) >= len(s.Execs) || s.Execs[ev.Execution].Ended {
+	if s == nil || int(ev.Attempt) >= len(s.Execs) || s.Execs[ev.Attempt].Ended {
 		return
 	}
-	x := s.Execs[ev.Execution]
-	switch ev.Note {
-	case decision.NoteSpills: // with memory left there, estimates are too low
+	x := s.Execs[ev.Attempt]
+	switch ev.Kind {
+	case decision.ProgressSpilling: // with memory left there, estimates are too low
 		if !x.Spilled && x.Engine.MemOut <= x.Engine.MemoryMB/m.routers {
 			s.As.Grant = min(grantMost, s.As.Grant*(1+grantUp))
 		}
 		x.Spilled = true
-	case decision.NoteWaits: // another router's load holds its tables there: others keep off for a while
-		if ev.Value == decision.WaitsForLoad {
-			x.Engine.Loaded(s.Tables, m.now, m.now+loadKnown*m.traits.ProgressEvery)
-			m.rescue(x, decision.ReasonWaits)
+	case decision.ProgressWaiting: // another router's load holds its tables there: others keep off for a while
+		if ev.Value == decision.WaitingForBulkLoad {
+			x.Engine.Loaded(s.Tables, m.now, m.now+loadKnown*m.traits.ProgressInterval)
+			m.rescue(x, decision.ReasonWaitingForBulkLoad)
 		}
-	case decision.NoteProgress: // at this pace many times the expected run: a bad plan
+	case decision.ProgressShareDone: // at this pace many times the expected run: a bad plan
 		elapsed := (m.now - x.Sent).Seconds()
 		left := elapsed * (1 - ev.Value) / max(ev.Value, 0.002)
 		if run := s.Run.Seconds(); elapsed+left > badPlan*max(run, 0.5) && left > 2*run {
 			m.rescue(x, decision.ReasonSlow)
 		} else if ev.Value > halfDone && m.traits.Priorities && s.Terms.Priority != 3 {
-			s.Terms = decision.SetTerms{Statement: s.ID, GrantMB: s.Terms.GrantMB, Priority: 3}
+			s.Terms = decision.SetResources{Statement: s.ID, MemoryGrantMB: s.Terms.MemoryGrantMB, Priority: 3}
 			m.do(s.Terms) // what is nearly done frees its memory and threads soonest
 		}
 	}
@@ -684,15 +684,15 @@
 		return
 	}
 	x.Engine.Turn = m.turns + len(m.fleet.All) // not again before each engine might have had its turn
-	if m.cancel(x, why); !x.Cancelled && m.limits.SecondCopies && s.Open == 1 && !slices.Contains(m.held, s) {
+	if m.cancel(x, why); !x.Cancelled && m.limits.Hedging && s.Open == 1 && !slices.Contains(m.held, s) {
 		s.Avoid = x.Engine // no cancel here, but a second copy
 		m.hold(s)
 	}
 }
 
-func (m *Module) ended(ev decision.ExecutionEnded) {
-	x := m.fleet.Release(ev.Engine, ev.Statement, ev.Execution, ev.Outcome == decision.Full ||
-		ev.Outcome == decision.NotConnected || ev.Outcome == decision.NeverSent)
+func (m *Module) ended(ev decision.AttemptEnded) {
+	x := m.fleet.Release(ev.Engine, ev.Statement, ev.Attempt, ev.Outcome == decision.Overloaded ||
+		ev.Outcome == decision.ConnectFailed || ev.Outcome == decision.NotSent)
 	if x == nil {
 		return
 	}
@@ -700,11 +700,11 @@
 	s, e, w := x.Stmt, x.Engine, &x.Engine.Windows[x.Stmt.As.ID]
 	if s.Key != "" { // after some outcomes it may still run: the key rests, then the next may go
 		rest := m.now
-		if ev.Outcome == decision.TimedOut || ev.Outcome == decision.Reset || ev.Outcome == decision.Cancelled {
-			rest += m.rules.KeyRest
+		if ev.Outcome == decision.TimedOut || ev.Outcome == decision.ConnectionReset || ev.Outcome == decision.Cancelled {
+			rest += m.rules.KeyQuietPeriod
 		}
 		m.keys.Settle(s, rest)
-		m.due.At(rest, func() { m.stirred = true; m.keys.Forget(s.Key, rest) })
+		m.due.Schedule(rest, func() { m.stirred = true; m.keys.Forget(s.Key, rest) })
 	}
 	switch ev.Outcome {
 	case decision.Errored: // something answers there, which does not prove that it works, nor tell its pace
@@ -727,13 +727,13 @@
 		if !x.Spilled {
 			s.As.Grant = max(1, s.As.Grant*(1-grantDown))
 		}
-	case decision.Full:
+	case decision.Overloaded:
 		m.halve(w)
 		w.Refusals, w.Barred = w.Refusals+1, true
-		m.due.At(m.now+reportPeriod, func() { w.Barred = false })
-	case decision.NotConnected:
+		m.due.Schedule(m.now+reportPeriod, func() { w.Barred = false })
+	case decision.ConnectFailed:
 		m.leave(e, m.triedAgain(e))
-	case decision.Reset: // a crash breaks all that is out; a flaky link only some, and is no reason to leave
+	case decision.ConnectionReset: // a crash breaks all that is out; a flaky link only some, and is no reason to leave
 		if len(e.Execs) == 0 {
 			m.leave(e, false)
 		}
@@ -741,14 +741,14 @@
 	m.report(e, ev.Report)
 	switch {
 	case s.Done:
-	case ev.Over:
+	case ev.Finished:
 		m.finish(s)
 	case s.Open > 0:
 	case m.now < s.Last && m.mayRepeat(s):
 		s.Avoid = e
 		m.hold(s)
 	default:
-		m.giveUp(s, decision.ReasonNoRepeat)
+		m.giveUp(s, decision.ReasonNotRetryable)
 	}
 }
 
@@ -766,7 +766,7 @@
 		(others > 0 && memory > e.MemoryMB || e.MemOut > 0 && e.MemOut+m.need(s) > e.MemoryMB/m.routers) {
 		return false
 	}
-	return !s.As.WaitsForLoads && !s.As.Load || !e.LoadedFor(s, m.now)
+	return !s.As.WaitsForBulkLoads && !s.As.BulkLoad || !e.LoadedFor(s, m.now)
 }
 
 // hasPart: this router's part of the whole fleet's threads and memory is not used up, on average over
@@ -799,13 +799,13 @@
 			return cmp.Compare(m.value(b), m.value(a))
 		})
 	}
-	looked, mostOut := make([]int, len(m.workloads)), cmp.Or(m.limits.MaxOut, math.MaxInt)
+	looked, mostOut := make([]int, len(m.workloads)), cmp.Or(m.limits.MaxInFlightAttempts, math.MaxInt)
 	left := slices.DeleteFunc(m.held[m.tried:], func(s *statement) bool {
 		w := s.As
 		lastStart := s.End - time.Duration(w.Pace*float64(s.Run)) // what starts later works for nobody
 		if s.Open == 0 && !s.Workload.Protected && (m.now > lastStart ||
-			s.Workload.LateShare == 0 && m.now > (s.SLODue+s.LatestStart())/2) {
-			m.giveUp(s, decision.ReasonLate) // no answer in time, or none that still counts
+			s.Workload.LateFactor == 0 && m.now > (s.SLODue+s.LatestStart())/2) {
+			m.giveUp(s, decision.ReasonTooLate) // no answer in time, or none that still counts
 		}
 		if s.Aside = s.Unread && !s.Done; s.Aside { // until its client reads: what is held is looked at often
 			return true
@@ -829,7 +829,7 @@
 
 // need is the memory that a statement is held to need: its estimate, corrected by what spilled.
 func (m *Module) need(s *statement) float64 {
-	if m.traits.OnShortage == decision.ShortagePage {
+	if m.traits.OnOvercommit == decision.OvercommitPage {
 		return s.MemoryMB // what is granted beyond the need is not in use
 	}
 	return s.MemoryMB * s.As.Grant
@@ -837,14 +837,14 @@
 
 // setTerms names the grant and the priority; none gets the lowest: what starves keeps its memory.
 func (m *Module) setTerms(s *statement) {
-	t := decision.SetTerms{Statement: s.ID, Priority: 1}
-	if m.traits.Grants {
-		t.GrantMB = int64(math.Ceil(m.need(s)))
+	t := decision.SetResources{Statement: s.ID, Priority: 1}
+	if m.traits.MemoryGrants {
+		t.MemoryGrantMB = int64(math.Ceil(m.need(s)))
 	}
 	if m.traits.Priorities && m.isLight(s) {
 		t.Priority = 3
 	}
-	if t != s.Terms && (t.GrantMB > 0 || t.Priority != 1) {
+	if t != s.Terms && (t.MemoryGrantMB > 0 || t.Priority != 1) {
 		s.Terms = t
 		m.do(t)
 	}
@@ -856,7 +856,7 @@
 func (m *Module) value(s *statement) float64 {
 	v := s.Importance / max(0.001, s.Run.Seconds()*float64(s.As.Threads))
 	if m.now > s.LatestStart() {
-		v *= s.Workload.LateShare
+		v *= s.Workload.LateFactor
 	}
 	if s.OverShare {
 		v *= m.overShare
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -16,20 +16,20 @@
 )
 
 func TestWindow(t *testing.T) {
-	util := func(v float64) *decision.Report {
-		r := &decision.Report{}
+	util := func(v float64) *decision.LoadReport {
+		r := &decision.LoadReport{}
 		r.Value[decision.FieldUtilisation], r.Known[decision.FieldUtilisation] = v, true
 		return r
 	}
-	queue := func(v float64) *decision.Report {
-		r := &decision.Report{}
-		r.Value[decision.FieldQueue], r.Known[decision.FieldQueue] = v, true
+	queue := func(v float64) *decision.LoadReport {
+		r := &decision.LoadReport{}
+		r.Value[decision.FieldQueueDepth], r.Known[decision.FieldQueueDepth] = v, true
 		return r
 	}
 	for _, c := range []struct {
 		name                  string
 		size, threshold, want float64
-		report                *decision.Report
+		report                *decision.LoadReport
 		late, done            int
 	}{
 		{"doubles below the slow-start threshold", 2, 16, 4, util(0.5), 0, 0},
@@ -40,7 +40,7 @@
 		{"never below one", 1, 16, 1, queue(2), 0, 0},
 		{"own latency stands in for a missing field", 8, 16, 4, queue(0), 3, 4},
 		{"own latency is not asked where utilisation is told", 8, 16, 16, util(0.5), 3, 4},
-		{"an empty report is no congestion", 8, 16, 16, &decision.Report{}, 0, 0},
+		{"an empty report is no congestion", 8, 16, 16, &decision.LoadReport{}, 0, 0},
 		{"no report, no step", 8, 16, 8, nil, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,8 +59,8 @@
 		b.at(time.Second, read("1"), read("2"))
 		for _, id := range []decision.StatementID{"1", "2"} {
 			b.m.fleet.Of("a").Holds(b.m.stmts[id], time.Second, 0)
-			n := decision.ExecutionID(len(b.m.stmts[id].Execs) - 1)
-			b.at(time.Second, end(id, n, "a", decision.Full))
+			n := decision.AttemptID(len(b.m.stmts[id].Execs) - 1)
+			b.at(time.Second, end(id, n, "a", decision.Overloaded))
 		}
 		assert.Equal(t, 4.0, w.Size)
 		assert.True(t, w.Barred)
@@ -129,33 +129,33 @@
 func TestGate(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		effect  decision.Effect
-		scope   decision.Scope
+		effect  decision.Idempotency
+		scope   decision.DedupScope
 		outcome decision.Outcome
 		after   time.Duration
 		want    string // "sent", "reject" or "abort"
 	}{
 		{"idempotent goes again after an error", decision.Idempotent, 0, decision.Errored, 10 * ms, "sent"},
-		{"non-idempotent that may have run is aborted", decision.NonIdempotent, 0, decision.Reset, 10 * ms, "abort"},
+		{"non-idempotent that may have run is aborted", decision.NonIdempotent, 0, decision.ConnectionReset, 10 * ms, "abort"},
 		{"non-idempotent after a time-out is aborted", decision.NonIdempotent, 0, decision.TimedOut, 10 * ms, "abort"},
-		{"non-idempotent that never ran goes again", decision.NonIdempotent, 0, decision.Full, 10 * ms, "sent"},
-		{"deduplicated goes again in time", decision.Deduplicated, decision.ScopeAll, decision.Reset, 10 * ms, "sent"},
-		{"deduplicated after its window is not sent", decision.Deduplicated, decision.ScopeAll, decision.Reset, 2 * time.Second, "reject"},
-		{"deduplicated stays in its cell", decision.Deduplicated, decision.ScopeCell, decision.Reset, 10 * ms, ""},
-		{"deduplicated in a cell is not rejected after", decision.Deduplicated, decision.ScopeCell, decision.Reset, 2 * time.Second, "abort"},
+		{"non-idempotent that never ran goes again", decision.NonIdempotent, 0, decision.Overloaded, 10 * ms, "sent"},
+		{"deduplicated goes again in time", decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 10 * ms, "sent"},
+		{"deduplicated after its window is not sent", decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 2 * time.Second, "reject"},
+		{"deduplicated stays in its cell", decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 10 * ms, ""},
+		{"deduplicated in a cell is not rejected after", decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 2 * time.Second, "abort"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t)
-			b.wlms[0].Effect, b.wlms[0].DedupScope, b.wlms[0].SLO = c.effect, c.scope, 3*time.Second
+			b.wlms[0].Idempotency, b.wlms[0].DedupScope, b.wlms[0].LatencyObjective = c.effect, c.scope, 3*time.Second
 			list := ready("a", "b")
-			list.Entries[0].Cell, list.Entries[1].Cell = 1, 2
+			list.Endpoints[0].Cell, list.Endpoints[1].Cell = 1, 2
 			e := b.at(0, list, read("s")).sentTo()
 			require.NotEmpty(t, e)
 			b.at(c.after, end("s", 0, e, c.outcome))
 			got := ""
 			for _, a := range b.out {
 				switch a.(type) {
-				case decision.Execute:
+				case decision.StartAttempt:
 					got = "sent"
 				case decision.Reject:
 					got = "reject"
@@ -172,23 +172,23 @@
 func TestARepeatHasToBeginWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		effect decision.Effect
+		effect decision.Idempotency
 		first  decision.Outcome
 		want   time.Duration
 	}{
-		{"deduplicated", decision.Deduplicated, decision.Reset, 500*ms + time.Second},
-		{"the first never ran", decision.Deduplicated, decision.Full, 0},
-		{"idempotent", decision.Idempotent, decision.Reset, 0},
+		{"deduplicated", decision.Deduplicated, decision.ConnectionReset, 500*ms + time.Second},
+		{"the first never ran", decision.Deduplicated, decision.Overloaded, 0},
+		{"idempotent", decision.Idempotent, decision.ConnectionReset, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t)
-			b.wlms[0].Effect, b.wlms[0].DedupWindow, b.wlms[0].SLO = c.effect, time.Second, 3*time.Second
-			first := pick[decision.Execute](b.at(500*ms, ready("a", "b"), read("s")))
+			b.wlms[0].Idempotency, b.wlms[0].DedupWindow, b.wlms[0].LatencyObjective = c.effect, time.Second, 3*time.Second
+			first := pick[decision.StartAttempt](b.at(500*ms, ready("a", "b"), read("s")))
 			require.Len(t, first, 1)
-			assert.Zero(t, first[0].Before, "it repeats nothing")
-			again := pick[decision.Execute](b.at(600*ms, end("s", 0, first[0].Engine, c.first)))
+			assert.Zero(t, first[0].StartBefore, "it repeats nothing")
+			again := pick[decision.StartAttempt](b.at(600*ms, end("s", 0, first[0].Engine, c.first)))
 			require.Len(t, again, 1)
-			assert.Equal(t, c.want, again[0].Before)
+			assert.Equal(t, c.want, again[0].StartBefore)
 		})
 	}
 }
@@ -196,16 +196,16 @@
 func TestPlacesThatRulesForbid(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(b *bed, e *decision.Entry)
+		change func(b *bed, e *decision.Endpoint)
 	}{
-		{"draining", func(_ *bed, e *decision.Entry) { e.State = decision.Draining }},
-		{"gone", func(_ *bed, e *decision.Entry) { e.State = decision.Gone }},
-		{"zone not allowed", func(b *bed, e *decision.Entry) { b.wlms[0].Zones = []decision.Zone{"z9"} }},
-		{"kind not allowed", func(b *bed, e *decision.Entry) { b.wlms[0].Kinds = []decision.Kind{"k4"} }},
+		{"draining", func(_ *bed, e *decision.Endpoint) { e.State = decision.Draining }},
+		{"gone", func(_ *bed, e *decision.Endpoint) { e.State = decision.Removed }},
+		{"zone not allowed", func(b *bed, e *decision.Endpoint) { b.wlms[0].AllowedZones = []decision.Zone{"z9"} }},
+		{"kind not allowed", func(b *bed, e *decision.Endpoint) { b.wlms[0].AllowedMachineTypes = []decision.MachineType{"k4"} }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, list := newBed(t), ready("a")
-			c.change(b, &list.Entries[0])
+			c.change(b, &list.Endpoints[0])
 			assert.Empty(t, b.at(0, list, read("s")).sentTo())
 			b.at(4*time.Second-10*ms, decision.TimerFired{})
 			assert.Empty(t, b.sentTo())
@@ -232,17 +232,17 @@
 			for me := range routers {
 				b, list := newBed(t), ready("b", "c", "d", "e", "f", "g", "h", "i", "j")
 				b.me.Router, b.me.Routers, b.me.Seed = decision.RouterID(me), routers, uint64(me)
-				budget = b.rules.ColdMultiple * b.rules.ColdShare * 8 * b.rules.ColdWindow.Seconds()
+				budget = b.rules.SlowStartMultiple * b.rules.SlowStartShare * 8 * b.rules.SlowStartWindow.Seconds()
 				b.at(0, list)
 				cold := ready("a")
-				cold.Kind, cold.Entries[0].StartedAt = decision.ListPartial, 4*time.Second
+				cold.Kind, cold.Endpoints[0].StartedAt = decision.ListPartial, 4*time.Second
 				gap := time.Duration(routers) * 5 * ms
 				for i, now := 0, gap*time.Duration(me)/time.Duration(routers); now < 5500*ms; i, now = i+1, now+gap {
 					if now >= 4*time.Second && b.m.fleet.Of("a") == nil {
 						b.at(now, cold)
 					}
 					b.at(now, read(decision.StatementID(fmt.Sprint(me, " ", i))))
-					for _, x := range pick[decision.Execute](b) {
+					for _, x := range pick[decision.StartAttempt](b) {
 						if x.Engine == "a" {
 							sent++
 						}
@@ -256,27 +256,27 @@
 	}
 	t.Run("a router that has just started does not know what it sent before", func(t *testing.T) {
 		b, list := newBed(t), ready("a")
-		list.Entries[0].StartedAt = time.Second
+		list.Endpoints[0].StartedAt = time.Second
 		assert.Empty(t, b.at(2*time.Second, list, read("s")).sentTo())
-		assert.NotEmpty(t, b.at(2*time.Second+b.rules.ColdWindow, read("later")).sentTo())
+		assert.NotEmpty(t, b.at(2*time.Second+b.rules.SlowStartWindow, read("later")).sentTo())
 	})
 	for _, c := range []struct {
 		name          string
 		first, second decision.Outcome // the second of a trial, after a rest
 		cold          bool
 	}{
-		{"a connection that does not come up may be late", decision.NotConnected, decision.Completed, false},
-		{"nor does a trial's", decision.NotConnected, decision.NotConnected, true},
-		{"what breaks connections is up", decision.Reset, decision.Reset, false},
+		{"a connection that does not come up may be late", decision.ConnectFailed, decision.Completed, false},
+		{"nor does a trial's", decision.ConnectFailed, decision.ConnectFailed, true},
+		{"what breaks connections is up", decision.ConnectionReset, decision.ConnectionReset, false},
 	} {
 		t.Run("only failed connections make an engine cold before the list does: "+c.name, func(t *testing.T) {
 			b := newBed(t).at(0, ready("a"), read("s"), read("beside"))
 			b.at(ms, end("s", 0, "a", c.first), end("beside", 0, "a", c.first)) // at once: that is one sight
-			b.at(ms, decision.ClientLeft{Statement: "s"}, decision.ClientLeft{Statement: "beside"})
+			b.at(ms, decision.ClientCancelled{Statement: "s"}, decision.ClientCancelled{Statement: "beside"})
 			for i, outcome := range []decision.Outcome{c.second, decision.Completed} {
 				now, id := time.Duration(2+8*i)*time.Second, decision.StatementID(fmt.Sprint("trial ", i))
 				require.NotEmpty(t, b.at(now, read(id)).sentTo())
-				b.at(now+ms, end(id, 0, "a", outcome), decision.ClientLeft{Statement: id})
+				b.at(now+ms, end(id, 0, "a", outcome), decision.ClientCancelled{Statement: id})
 			}
 			assert.Equal(t, c.cold, b.m.isCold(b.m.fleet.Of("a")))
 		})
@@ -294,7 +294,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t)
-			b.wlms[1].InOrder, b.rules.KeyRest = true, 500*ms
+			b.wlms[1].OrderedByKey, b.rules.KeyQuietPeriod = true, 500*ms
 			one, two := write("one"), write("two")
 			one.Key, two.Key = "k", "k"
 			e := b.at(0, ready("a", "b"), one, two).sentTo()
@@ -311,7 +311,7 @@
 
 func TestFurtherExecutionsWithinBudget(t *testing.T) {
 	b := newBed(t)
-	b.rules.FurtherWindow, b.rules.FurtherFree, b.rules.FurtherShare = 10*time.Second, 1, 0.25
+	b.rules.RetryBudgetWindow, b.rules.RetryBudgetFree, b.rules.RetryBudgetShare = 10*time.Second, 1, 0.25
 	b.at(0, ready("a", "b", "c"))
 	sent, taken := map[decision.StatementID]int{}, 0
 	further := func() (n int) {
@@ -322,7 +322,7 @@
 	}
 	handle := func(events ...decision.Event) {
 		b.at(time.Duration(taken)*ms, events...)
-		for _, x := range pick[decision.Execute](b) {
+		for _, x := range pick[decision.StartAttempt](b) {
 			sent[x.Statement]++
 		}
 		assert.LessOrEqual(t, float64(further()), 1+0.25*float64(taken))
@@ -341,13 +341,13 @@
 func TestFurtherExecutionsWithinBudgetWhateverTheHostsLag(t *testing.T) {
 	for seed := range uint64(20) {
 		b := newBed(t)
-		b.rules.FurtherWindow, b.rules.FurtherFree, b.rules.FurtherShare = 2*time.Second, 2, 0.2
-		b.limits.SendLag = 300 * ms
+		b.rules.RetryBudgetWindow, b.rules.RetryBudgetFree, b.rules.RetryBudgetShare = 2*time.Second, 2, 0.2
+		b.limits.MaxSendDelay = 300 * ms
 		b.at(0, ready("a", "b", "c"))
 		chance := rand.New(rand.NewPCG(seed, 1))
 		var taken, sent []time.Duration // sent: further ones, when an engine sees them
 		first := map[decision.StatementID]bool{}
-		var due []decision.ExecutionEnded
+		var due []decision.AttemptEnded
 		for i := range 3000 {
 			now := time.Duration(i) * 5 * ms
 			var events []decision.Event
@@ -359,19 +359,19 @@
 			}
 			due = due[:0]
 			b.at(now, events...)
-			for _, x := range pick[decision.Execute](b) {
+			for _, x := range pick[decision.StartAttempt](b) {
 				if first[x.Statement] {
-					sent = append(sent, now+time.Duration(chance.Int64N(int64(b.limits.SendLag))))
+					sent = append(sent, now+time.Duration(chance.Int64N(int64(b.limits.MaxSendDelay))))
 				}
 				first[x.Statement] = true
-				due = append(due, end(x.Statement, decision.ExecutionID(len(b.m.stmts[x.Statement].Execs)-1), x.Engine, decision.Errored))
+				due = append(due, end(x.Statement, decision.AttemptID(len(b.m.stmts[x.Statement].Execs)-1), x.Engine, decision.Errored))
 			}
 		}
 		slices.Sort(sent)
 		require.NotEmpty(t, sent)
 		within := func(list []time.Duration, at time.Duration) (n float64) {
 			for _, x := range list {
-				if x > at-b.rules.FurtherWindow && x <= at {
+				if x > at-b.rules.RetryBudgetWindow && x <= at {
 					n++
 				}
 			}
@@ -403,7 +403,7 @@
 			require.NotEmpty(t, b.sentTo())
 			answers := 0
 			for now := 50 * ms; now < c.budget; now += 5 * ms {
-				b.at(now, decision.ExecutionNoted{Statement: "s", Engine: "a", Note: decision.NoteWaits, Value: 2})
+				b.at(now, decision.AttemptProgress{Statement: "s", Engine: "a", Kind: decision.ProgressWaiting, Value: 2})
 				aborts, rejects := len(pick[decision.Abort](b)), len(pick[decision.Reject](b))
 				answers += aborts + rejects
 				if aborts+rejects > 0 {
@@ -411,7 +411,7 @@
 				}
 			}
 			assert.Equal(t, 1, answers)
-			b.at(c.budget, end("s", 0, "a", decision.TimedOut), decision.ClientLeft{Statement: "s"})
+			b.at(c.budget, end("s", 0, "a", decision.TimedOut), decision.ClientCancelled{Statement: "s"})
 			assert.Empty(t, pick[decision.Abort](b), "over is over")
 		})
 	}
@@ -421,40 +421,40 @@
 func TestFailuresFound(t *testing.T) {
 	t.Run("estimates of memory that run low: grants follow the spills", func(t *testing.T) {
 		b := newBed(t)
-		b.traits.Grants = true
+		b.traits.MemoryGrants = true
 		ev := read("s")
-		ev.NeedMB = 100
+		ev.EstimatedMemoryMB = 100
 		e := b.at(0, ready("a"), ev).sentTo()
-		require.Equal(t, int64(125), pick[decision.SetTerms](b)[0].GrantMB)
-		b.at(ms, note("s", e, decision.NoteSpills, 40))
+		require.Equal(t, int64(125), pick[decision.SetResources](b)[0].MemoryGrantMB)
+		b.at(ms, note("s", e, decision.ProgressSpilling, 40))
 		ev.Statement = "s2"
-		assert.Greater(t, pick[decision.SetTerms](b.at(2*ms, ev))[0].GrantMB, int64(125))
+		assert.Greater(t, pick[decision.SetResources](b.at(2*ms, ev))[0].MemoryGrantMB, int64(125))
 	})
 	t.Run("a bad plan is called off and sent elsewhere", func(t *testing.T) {
 		b := newBed(t)
-		b.traits.ProgressEvery = 500 * ms
-		b.wlms[0].SLO, b.wlms[0].LateShare = 3*time.Second, 0.5
+		b.traits.ProgressInterval = 500 * ms
+		b.wlms[0].LatencyObjective, b.wlms[0].LateFactor = 3*time.Second, 0.5
 		e := b.at(0, ready("a", "b"), read("s")).sentTo()
-		b.at(500*ms, note("s", e, decision.NoteProgress, 0.05))
-		require.Len(t, pick[decision.Cancel](b), 1)
+		b.at(500*ms, note("s", e, decision.ProgressShareDone, 0.05))
+		require.Len(t, pick[decision.CancelAttempt](b), 1)
 		other := b.at(501*ms, end("s", 0, e, decision.Cancelled)).sentTo()
 		assert.NotEmpty(t, other)
 		assert.NotEqual(t, e, other)
 	})
 	t.Run("a silent engine is left and what is stuck there goes elsewhere", func(t *testing.T) {
 		b := newBed(t)
-		b.traits.ProgressEvery = 500 * ms
-		b.wlms[0].SLO = 3 * time.Second
+		b.traits.ProgressInterval = 500 * ms
+		b.wlms[0].LatencyObjective = 3 * time.Second
 		e := b.at(0, ready("a", "b"), read("s")).sentTo()
 		b.at(1200 * ms)
-		require.Len(t, pick[decision.Cancel](b), 1)
+		require.Len(t, pick[decision.CancelAttempt](b), 1)
 		assert.NotEqual(t, e, b.at(1205*ms, end("s", 0, e, decision.Cancelled)).sentTo())
 		assert.NotEqual(t, e, b.at(1210*ms, read("s2")).sentTo())
 	})
 	t.Run("without cancel, what is stuck gets a second copy where copies are allowed", func(t *testing.T) {
 		for _, copies := range []bool{true, false} {
 			b := newBed(t)
-			b.limits.MayCancel, b.limits.SecondCopies, b.wlms[0].SLO = false, copies, 2*time.Second
+			b.limits.Cancellation, b.limits.Hedging, b.wlms[0].LatencyObjective = false, copies, 2*time.Second
 			e := b.at(0, ready("a", "b"), read("s")).sentTo()
 			other := b.at(1900 * ms).sentTo()
 			assert.Equal(t, copies, other != "")
@@ -464,12 +464,12 @@
 	})
 	t.Run("a probe's answer does not bring a silent engine back, an execution's does", func(t *testing.T) {
 		b := newBed(t)
-		b.wlms[0].SLO = time.Second
+		b.wlms[0].LatencyObjective = time.Second
 		e := b.at(0, ready("a"), read("s")).sentTo()
 		b.at(2 * time.Second)
 		require.True(t, b.m.fleet.Of(e).Left)
 		b.at(2*time.Second+ms, end("s", 0, e, decision.Cancelled))
-		b.at(2*time.Second+2*ms, decision.ProbeEnded{Engine: e, Outcome: decision.Completed})
+		b.at(2*time.Second+2*ms, decision.HealthCheckEnded{Engine: e, Outcome: decision.Completed})
 		assert.True(t, b.m.fleet.Of(e).Left)
 		assert.NotEmpty(t, b.at(4*time.Second, read("trial")).sentTo(), "one trial")
 		assert.Empty(t, b.at(4*time.Second+ms, read("more")).sentTo(), "and no more")
@@ -494,14 +494,14 @@
 	})
 	t.Run("a note of waiting for another router's load keeps its table group off that engine", func(t *testing.T) {
 		b := newBed(t)
-		b.traits.ProgressEvery = 500 * ms
-		b.wlms[0].SLO = 3 * time.Second
+		b.traits.ProgressInterval = 500 * ms
+		b.wlms[0].LatencyObjective = 3 * time.Second
 		e := b.at(0, ready("a", "b"), read("s")).sentTo()
-		b.at(500*ms, note("s", e, decision.NoteWaits, decision.WaitsForLoad))
-		require.Len(t, pick[decision.Cancel](b), 1)
+		b.at(500*ms, note("s", e, decision.ProgressWaiting, decision.WaitingForBulkLoad))
+		require.Len(t, pick[decision.CancelAttempt](b), 1)
 		assert.NotEqual(t, e, b.at(501*ms, read("s2")).sentTo(), "the group it waits for")
 		other := read("s3")
-		other.Tables = 9
+		other.TableGroup = 9
 		b.m.fleet.Of("a").Touch(9, warmGroups)
 		b.m.fleet.Of("b").Touch(9, warmGroups)
 		b.at(502*ms, end("s", 0, e, decision.Cancelled))
@@ -510,69 +510,69 @@
 	t.Run("late work is never starved at the lowest priority", func(t *testing.T) {
 		b := newBed(t)
 		b.traits.Priorities = true
-		b.wlms[0].LateShare = 0.5
+		b.wlms[0].LateFactor = 0.5
 		b.at(0, read("s"))
 		b.at(1500*ms, ready("a"))
 		require.NotEmpty(t, b.sentTo())
-		for _, terms := range pick[decision.SetTerms](b) {
+		for _, terms := range pick[decision.SetResources](b) {
 			assert.Positive(t, terms.Priority)
 		}
 	})
 	t.Run("beyond a share waits behind what is within it", func(t *testing.T) {
 		b := newBed(t)
-		b.shares = decision.Shares{Groups: []decision.Share{{Group: "g", PerSec: 1}}}
+		b.shares = decision.Quotas{Tenants: []decision.Quota{{Tenant: "g", RatePerSecond: 1}}}
 		for i, id := range []decision.StatementID{"1", "2", "3", "4", "5", "out"} { // five are room for chance
 			ev := read(id)
-			ev.Group = "g"
+			ev.Tenant = "g"
 			b.at(time.Duration(i), ev)
 		}
 		b.at(6, read("other"))
 		b.at(7, ready("a"))
-		sent := pick[decision.Execute](b)
+		sent := pick[decision.StartAttempt](b)
 		require.Len(t, sent, 7)
 		assert.EqualValues(t, "out", sent[6].Statement)
 	})
 	t.Run("a reset beside work that is alive is no reason to leave", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a"), read("s"), read("s2"))
-		b.at(ms, end("s", 0, "a", decision.Reset))
+		b.at(ms, end("s", 0, "a", decision.ConnectionReset))
 		assert.False(t, b.m.fleet.Of("a").Left)
-		b.at(2*ms, end("s", 1, "a", decision.Reset), end("s2", 0, "a", decision.Reset))
+		b.at(2*ms, end("s", 1, "a", decision.ConnectionReset), end("s2", 0, "a", decision.ConnectionReset))
 		assert.True(t, b.m.fleet.Of("a").Left)
 	})
 	t.Run("an engine crowded by others or by what time-outs left takes nothing", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a"))
-		crowd := &decision.Report{}
+		crowd := &decision.LoadReport{}
 		crowd.Value[decision.FieldInFlight], crowd.Known[decision.FieldInFlight] = 8*crowdMost, true
-		b.at(ms, decision.ProbeEnded{Engine: "a", Outcome: decision.Completed, Report: crowd})
+		b.at(ms, decision.HealthCheckEnded{Engine: "a", Outcome: decision.Completed, Report: crowd})
 		assert.Empty(t, b.at(2*ms, read("s")).sentTo())
 		assert.Empty(t, b.at(900*ms, read("s2")).sentTo(), "silence is no sign of room")
 		assert.NotEmpty(t, b.at(3*time.Second, read("s3")).sentTo(), "an old report no longer counts")
 	})
 	t.Run("the list is asked for where it comes on request, and again after a failure", func(t *testing.T) {
 		b := newBed(t)
-		b.limits.ListOnRequest = true
-		assert.Len(t, pick[decision.FollowList](b.at(0)), 1)
-		b.at(time.Second, decision.EngineList{Kind: decision.ListFailed})
-		assert.Empty(t, pick[decision.FollowList](b))
-		assert.Len(t, pick[decision.FollowList](b.at(3*time.Second)), 1)
+		b.limits.PollEndpoints = true
+		assert.Len(t, pick[decision.WatchEndpoints](b.at(0)), 1)
+		b.at(time.Second, decision.EndpointList{Kind: decision.ListFailed})
+		assert.Empty(t, pick[decision.WatchEndpoints](b))
+		assert.Len(t, pick[decision.WatchEndpoints](b.at(3*time.Second)), 1)
 	})
 	t.Run("what is over or unknown is ignored", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a"))
-		b.at(1, end("x", 0, "a", decision.Completed), end("x", 0, "zz", decision.Full), note("x", "a", 1, 0.5),
-			decision.ClientLeft{Statement: "x"}, decision.ProbeEnded{Engine: "zz"}, decision.TimerFired{Token: "?"})
+		b.at(1, end("x", 0, "a", decision.Completed), end("x", 0, "zz", decision.Overloaded), note("x", "a", 1, 0.5),
+			decision.ClientCancelled{Statement: "x"}, decision.HealthCheckEnded{Engine: "zz"}, decision.TimerFired{Token: "?"})
 		assert.Empty(t, pick[decision.Reject](b))
 	})
 }
 
 // TestManyRouters: failures found on the grown deployments.
 func TestManyRouters(t *testing.T) {
-	holds := func(inFlight float64) *decision.Report {
-		r := &decision.Report{}
+	holds := func(inFlight float64) *decision.LoadReport {
+		r := &decision.LoadReport{}
 		r.Value[decision.FieldInFlight], r.Known[decision.FieldInFlight] = inFlight, true
 		return r
 	}
 	heavy := write("s")
-	heavy.Estimate = 4 * time.Second
+	heavy.EstimatedWork = 4 * time.Second
 	t.Run("equal scores do not fall to the same engine at every router", func(t *testing.T) {
 		chosen := map[decision.EngineID]bool{}
 		for me := range 40 {
@@ -582,7 +582,7 @@
 				b.at(time.Duration(i)*100*ms, ready("a", "b", "c", "d"), read(decision.StatementID(fmt.Sprint(i))))
 				b.m.fleet.Of("a").Warm, b.m.fleet.Of("b").Warm = nil, nil
 			}
-			for _, sent := range pick[decision.Execute](b) {
+			for _, sent := range pick[decision.StartAttempt](b) {
 				chosen[sent.Engine] = true
 			}
 		}
@@ -602,20 +602,20 @@
 			b := newBed(t)
 			b.me.Routers = 100
 			b.at(0, ready("a")).at(time.Second).m.lights = 0.8
-			b.at(time.Second, decision.ProbeEnded{Engine: "a", Outcome: decision.Completed, Report: holds(c.inFlight)})
+			b.at(time.Second, decision.HealthCheckEnded{Engine: "a", Outcome: decision.Completed, Report: holds(c.inFlight)})
 			assert.Equal(t, c.want, b.at(time.Second+ms, c.ev).sentTo() != "")
 		})
 	}
 	t.Run("where reports come by probe, the statement waits for its candidates' reports", func(t *testing.T) {
 		b := newBed(t)
-		b.reports.Path = decision.ReportsByProbe
+		b.reports.Source = decision.LoadReportsByHealthCheck
 		b.at(0, ready("a", "b", "c", "d"))
-		assert.Empty(t, pick[decision.Probe](b), "none on a clock")
-		asked := pick[decision.Probe](b.at(ms, read("s")))
+		assert.Empty(t, pick[decision.HealthCheck](b), "none on a clock")
+		asked := pick[decision.HealthCheck](b.at(ms, read("s")))
 		require.NotEmpty(t, asked)
 		assert.LessOrEqual(t, len(asked), askFirst, "two a statement at most")
 		assert.Empty(t, b.sentTo())
-		b.at(2*ms, decision.ProbeEnded{Engine: asked[0].Engine, Outcome: decision.Completed, Report: holds(0)})
+		b.at(2*ms, decision.HealthCheckEnded{Engine: asked[0].Engine, Outcome: decision.Completed, Report: holds(0)})
 		assert.Equal(t, asked[0].Engine, b.sentTo())
 	})
 	t.Run("a router's part of the fleet is kept on average, and lighter work is not held up", func(t *testing.T) {
@@ -625,7 +625,7 @@
 		first := write("first")
 		require.NotEmpty(t, b.at(1001*ms, first).sentTo(), "from what was saved up")
 		second := write("second")
-		second.Tables = 9
+		second.TableGroup = 9
 		b.m.credit = 0
 		assert.Empty(t, b.at(1002*ms, second).sentTo())
 		assert.NotEmpty(t, b.at(1003*ms, read("light")).sentTo())
@@ -633,20 +633,20 @@
 	t.Run("what cannot end before its client gives up is rejected at once", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a"))
 		endless := read("s")
-		endless.Estimate = 5 * time.Second
+		endless.EstimatedWork = 5 * time.Second
 		b.at(ms, endless)
 		assert.Empty(t, b.sentTo())
 		assert.Len(t, pick[decision.Reject](b), 1)
 	})
 	t.Run("what is half done gets the highest priority, where priorities are heeded", func(t *testing.T) {
 		b := newBed(t)
-		b.traits.Priorities, b.traits.ProgressEvery = true, 500*ms
+		b.traits.Priorities, b.traits.ProgressInterval = true, 500*ms
 		b.at(0, ready("a"), heavy)
-		b.at(500*ms, note("s", "a", decision.NoteProgress, 0.4))
-		assert.Empty(t, pick[decision.SetTerms](b))
-		b.at(time.Second, note("s", "a", decision.NoteProgress, 0.6))
-		require.Len(t, pick[decision.SetTerms](b), 1)
-		assert.Equal(t, 3, pick[decision.SetTerms](b)[0].Priority)
+		b.at(500*ms, note("s", "a", decision.ProgressShareDone, 0.4))
+		assert.Empty(t, pick[decision.SetResources](b))
+		b.at(time.Second, note("s", "a", decision.ProgressShareDone, 0.6))
+		require.Len(t, pick[decision.SetResources](b), 1)
+		assert.Equal(t, 3, pick[decision.SetResources](b)[0].Priority)
 	})
 	t.Run("an engine slower than its workload's usual pace scores worse, for a while", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a", "b"))
@@ -668,8 +668,8 @@
 	})
 	t.Run("a list of engines all cold, and all draining", func(t *testing.T) {
 		cold, draining := ready("a", "b"), ready("a", "b")
-		for i := range cold.Entries {
-			cold.Entries[i].StartedAt, draining.Entries[i].State = 5*time.Second, decision.Draining
+		for i := range cold.Endpoints {
+			cold.Endpoints[i].StartedAt, draining.Endpoints[i].State = 5*time.Second, decision.Draining
 		}
 		b := newBed(t).at(0).at(5*time.Second, cold, read("s"))
 		assert.NotEmpty(t, b.sentTo(), "one router has the budget whole")
@@ -683,7 +683,7 @@
 		b := newBed(t).at(0, ready("a", "b", "c"))
 		for i := range 60 {
 			ev := read(decision.StatementID(fmt.Sprint(i)))
-			ev.Tables = decision.TableGroup(i % 7)
+			ev.TableGroup = decision.TableGroup(i % 7)
 			all = append(all, b.at(time.Duration(i)*20*ms, ev).out...)
 		}
 		return all
@@ -694,7 +694,7 @@
 // The host may hold few executions: what is beyond them waits here, and goes as others end.
 func TestNoMoreOutThanTheHostHolds(t *testing.T) {
 	b := newBed(t)
-	b.limits.MaxOut = 1
+	b.limits.MaxInFlightAttempts = 1
 	b.at(0, ready("a", "b"), read("1"), read("2"))
 	first := b.sentTo()
 	require.NotEmpty(t, first)
@@ -707,7 +707,7 @@
 // A router that stops answers by its time whatever is open, in an order of its own.
 func TestStopping(t *testing.T) {
 	b := newBed(t).at(0, ready("a", "b"), read("2"), read("1"), write("3"))
-	b.at(10*ms, decision.Stopping{Within: time.Second})
+	b.at(10*ms, decision.ShutdownStarted{GracePeriod: time.Second})
 	assert.Empty(t, pick[decision.Reject](b))
 	b.at(500*ms, read("4"))
 	b.at(1010*ms, decision.TimerFired{Token: "due"})
@@ -716,7 +716,7 @@
 		rejected = append(rejected, r.Statement)
 	}
 	assert.Equal(t, []decision.StatementID{"1", "2", "4"}, rejected)
-	assert.Equal(t, []decision.Abort{{Statement: "3", Why: decision.ReasonStopping}}, pick[decision.Abort](b), "it may have run")
+	assert.Equal(t, []decision.Abort{{Statement: "3", Reason: decision.ReasonShutdown}}, pick[decision.Abort](b), "it may have run")
 }
 
 // Loads go to the half of the hash where their group is read least, and where that is congested to all engines but
@@ -754,17 +754,17 @@
 // Ids, keys and table groups may be new for ever: what is kept of them levels off.
 func TestNothingGrows(t *testing.T) {
 	b := newBed(t)
-	b.wlms[0].InOrder = true
-	b.traits.ProgressEvery = 100 * ms
+	b.wlms[0].OrderedByKey = true
+	b.traits.ProgressInterval = 100 * ms
 	for i := range 2 * tallyMost {
 		now, id := time.Duration(i)*100*ms, strconv.Itoa(i)
 		e, s := decision.EngineID("e"+id), decision.StatementID("s"+id)
 		arrival := read(s)
-		arrival.Key, arrival.Tables = decision.Key(id), decision.TableGroup(i)
+		arrival.Key, arrival.TableGroup = decision.Key(id), decision.TableGroup(i)
 		b.at(now, ready(e), arrival)
 		require.Equal(t, e, b.sentTo(), "those that are gone get nothing")
-		b.at(now+1, note(s, e, decision.NoteWaits, decision.WaitsForLoad), end(s, 0, e, decision.Cancelled))
-		b.at(now+2, decision.ClientLeft{Statement: s})
+		b.at(now+1, note(s, e, decision.ProgressWaiting, decision.WaitingForBulkLoad), end(s, 0, e, decision.Cancelled))
+		b.at(now+2, decision.ClientCancelled{Statement: s})
 	}
 	require.Less(t, len(b.m.fleet.All), 200)
 	require.Empty(t, b.m.keys)
@@ -785,7 +785,7 @@
 	b.at(1, end("1", 0, "a", decision.Completed))
 	before, pace := b.m.workloads[0].Work, b.m.workloads[0].Pace
 	claim := read("2")
-	claim.Estimate = 24 * time.Hour
+	claim.EstimatedWork = 24 * time.Hour
 	b.at(2, claim)
 	require.Len(t, pick[decision.Reject](b), 1, "it cannot end in time")
 	require.Less(t, b.m.workloads[0].Work, 4*before)
@@ -808,7 +808,7 @@
 			for i := range 10 {
 				now = time.Duration(i+1) * ms
 				id := decision.StatementID("s" + strconv.Itoa(i))
-				on, n := b.at(now, read(id)).sentTo(), decision.ExecutionID(0)
+				on, n := b.at(now, read(id)).sentTo(), decision.AttemptID(0)
 				for on == failing {
 					on = b.at(now+1, end(id, n, on, decision.Errored)).sentTo()
 					n++
@@ -816,7 +816,7 @@
 				if on != "" {
 					b.at(now+2, end(id, n, on, c.other))
 				}
-				b.at(now+3, decision.ClientLeft{Statement: id})
+				b.at(now+3, decision.ClientCancelled{Statement: id})
 			}
 			assert.Equal(t, c.left, b.m.fleet.Of(failing).Left)
 			if !c.left {
@@ -833,9 +833,9 @@
 // A client with little time gets nearly all of it: two coarse ticks before its end would be before its beginning.
 func TestShortStatementTimeout(t *testing.T) {
 	b := newBed(t)
-	b.me.Tick = 25 * ms
+	b.me.ClockGranularity = 25 * ms
 	s := read("s")
-	s.TimeBudget, s.Estimate = 64*ms, 5*ms
+	s.TimeBudget, s.EstimatedWork = 64*ms, 5*ms
 	b.at(0, ready("a"), s)
 	require.NotEmpty(t, b.sentTo())
 	b.at(55 * ms)
@@ -847,9 +847,9 @@
 // An engine that all routers together jam is left, and tried by one statement after a growing while, whatever a router believes of
 // an engine that it has not heard of lately. One that ends and tells of room brings it back.
 func TestJammedEngine(t *testing.T) {
-	full := func(id decision.StatementID, held float64) decision.ExecutionEnded {
+	full := func(id decision.StatementID, held float64) decision.AttemptEnded {
 		e := end(id, 0, "a", decision.Completed)
-		e.Report = &decision.Report{}
+		e.Report = &decision.LoadReport{}
 		e.Report.Value[decision.FieldInFlight], e.Report.Known[decision.FieldInFlight] = held, true
 		return e
 	}
@@ -859,8 +859,8 @@
 	wait := func(from, to time.Duration) (sent time.Duration) { // a statement each 50 ms, until one is sent
 		for at := from; at < to; at += 50 * ms {
 			id := decision.StatementID(fmt.Sprint("at ", at))
-			if b.at(at, read(id)); len(pick[decision.Execute](b)) > 0 {
-				b.at(at+ms, full(pick[decision.Execute](b)[0].Statement, 2*crowdMost*8))
+			if b.at(at, read(id)); len(pick[decision.StartAttempt](b)) > 0 {
+				b.at(at+ms, full(pick[decision.StartAttempt](b)[0].Statement, 2*crowdMost*8))
 				return at
 			}
 		}
@@ -872,7 +872,7 @@
 	assert.Greater(t, third-second, second-first, "ever longer")
 	for at := third + 50*ms; at < third+time.Minute; at += 50 * ms { // a trial that finds room, and one more
 		b.at(at, read(decision.StatementID(fmt.Sprint("again ", at))))
-		if sent := pick[decision.Execute](b); len(sent) > 0 {
+		if sent := pick[decision.StartAttempt](b); len(sent) > 0 {
 			b.at(at+ms, full(sent[0].Statement, 1))
 			break
 		}
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -46,7 +46,7 @@
 			t.Parallel()
 			raw, err := os.ReadFile(filepath.Join("testdata", c.settings+".json"))
 			require.NoError(t, err)
-			opening, err := settings.Open(c.seed, raw)
+			opening, err := settings.ParseModuleSettings(c.seed, raw)
 			require.NoError(t, err)
 			record := newActionRecord(t, fmt.Sprintf("%s-%d", c.settings, c.seed))
 			site := newGeneratedSite(opening, c.seed, record)
@@ -80,20 +80,20 @@
 
 // add records what one call returned: the adapter's line, and what that leaves out.
 func (r *actionRecord) add(now time.Duration, actions []decision.Action) {
-	line, err := simwire.Reply([]simwire.Answer{{Actions: actions}})
+	line, err := simwire.EncodeReply([]simwire.InstanceActions{{Actions: actions}})
 	require.NoError(r.t, err)
 	fmt.Fprintf(r.text, "%d %s", now, line)
 	for _, action := range actions {
 		r.counts[fmt.Sprintf("%T", action)]++
 		switch a := action.(type) {
-		case decision.Execute:
-			fmt.Fprintf(r.text, "start by %d\n", a.Before)
-		case decision.Cancel:
-			fmt.Fprintf(r.text, "reason %d\n", reasonNumber(r.t, a.Why))
+		case decision.StartAttempt:
+			fmt.Fprintf(r.text, "start by %d\n", a.StartBefore)
+		case decision.CancelAttempt:
+			fmt.Fprintf(r.text, "reason %d\n", reasonNumber(r.t, a.Reason))
 		case decision.Reject:
-			fmt.Fprintf(r.text, "reason %d\n", reasonNumber(r.t, a.Why))
+			fmt.Fprintf(r.text, "reason %d\n", reasonNumber(r.t, a.Reason))
 		case decision.Abort:
-			fmt.Fprintf(r.text, "reason %d\n", reasonNumber(r.t, a.Why))
+			fmt.Fprintf(r.text, "reason %d\n", reasonNumber(r.t, a.Reason))
 		case decision.SetTimer:
 			fmt.Fprintf(r.text, "at %d\n", a.At)
 		}
@@ -102,9 +102,9 @@
 
 // reasonNumber keeps the texts of the reasons, which are for logs, out of the hash.
 func reasonNumber(t *testing.T, reason decision.Reason) int {
-	for i, known := range []decision.Reason{decision.ReasonTimeUp, decision.ReasonLate, decision.ReasonStopping,
-		decision.ReasonTooManyOpen, decision.ReasonNoRepeat, decision.ReasonOver, decision.ReasonSilent,
-		decision.ReasonWaits, decision.ReasonSlow} {
+	for i, known := range []decision.Reason{decision.ReasonDeadline, decision.ReasonTooLate, decision.ReasonShutdown,
+		decision.ReasonTooManyOpenStatements, decision.ReasonNotRetryable, decision.ReasonFinished, decision.ReasonNoProgress,
+		decision.ReasonWaitingForBulkLoad, decision.ReasonSlow} {
 		if reason == known {
 			return i
 		}
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -32,7 +32,7 @@
 	open  map[decision.StatementID]decision.StatementArrived
 	taken map[decision.StatementID]time.Duration // when its client came first
 	left  map[decision.StatementID]int           // tries
-	execs map[decision.StatementID]decision.ExecutionID
+	execs map[decision.StatementID]decision.AttemptID
 	again []again
 }
 
@@ -45,7 +45,7 @@
 }
 
 type worldEngine struct {
-	entry   decision.Entry
+	entry   decision.Endpoint
 	cores   float64
 	slow    float64 // times as long
 	stuck   bool    // nothing ends there
@@ -65,7 +65,7 @@
 type worldRun struct {
 	router  int
 	s       decision.StatementArrived
-	n       decision.ExecutionID
+	n       decision.AttemptID
 	threads float64
 	left    float64 // work, on one core
 }
@@ -74,14 +74,14 @@
 
 func newWorld(b func() *bed, routers int, rate float64, engines ...*worldEngine) *world {
 	w := &world{chance: rand.New(rand.NewPCG(7, 11)), engines: map[decision.EngineID]*worldEngine{}, rate: rate, now: time.Hour}
-	list := decision.EngineList{Kind: decision.ListComplete}
+	list := decision.EndpointList{Kind: decision.ListComplete}
 	for _, e := range engines {
 		w.engines[e.entry.Engine] = e
-		list.Entries = append(list.Entries, e.entry)
+		list.Endpoints = append(list.Endpoints, e.entry)
 	}
 	for i := range routers {
 		r := &worldRouter{bed: b(), times: 1, open: map[decision.StatementID]decision.StatementArrived{},
-			taken: map[decision.StatementID]time.Duration{}, left: map[decision.StatementID]int{}, execs: map[decision.StatementID]decision.ExecutionID{}}
+			taken: map[decision.StatementID]time.Duration{}, left: map[decision.StatementID]int{}, execs: map[decision.StatementID]decision.AttemptID{}}
 		r.me.Router, r.me.Seed = decision.RouterID(i), uint64(i+1)
 		if r.me.Routers == 0 {
 			r.me.Routers = routers
@@ -103,7 +103,7 @@
 // worldEngines are of eight cores each.
 func worldEngines(n int) (list []*worldEngine) {
 	for i := range n {
-		list = append(list, &worldEngine{cores: 8, slow: 1, entry: decision.Entry{Engine: decision.EngineID(fmt.Sprintf("e%02d", i)), Zone: "z1", Kind: "k8"}})
+		list = append(list, &worldEngine{cores: 8, slow: 1, entry: decision.Endpoint{Engine: decision.EngineID(fmt.Sprintf("e%02d", i)), Zone: "z1", MachineType: "k8"}})
 	}
 	return list
 }
@@ -117,9 +117,9 @@
 
 // restart has so many routers of ten start over: what they had taken is lost, what they had out is dropped.
 func (w *world) restart(ofTen int) {
-	list := decision.EngineList{Kind: decision.ListPersisted}
+	list := decision.EndpointList{Kind: decision.ListPersisted}
 	for _, id := range w.ids() {
-		list.Entries = append(list.Entries, w.engines[id].entry)
+		list.Endpoints = append(list.Endpoints, w.engines[id].entry)
 	}
 	for i, r := range w.routers {
 		if i%10 < ofTen {
@@ -162,7 +162,7 @@
 				if w.now < a.at {
 					return false
 				}
-				a.s.Statement, a.s.Resent = decision.StatementID(fmt.Sprintf("%d-%d-again", i, r.n)), true
+				a.s.Statement, a.s.ClientRetry = decision.StatementID(fmt.Sprintf("%d-%d-again", i, r.n)), true
 				r.n++
 				w.take(r, a.s, a.first, a.left)
 				return true
@@ -177,13 +177,13 @@
 
 func (w *world) arrive(i int, r *worldRouter) {
 	s := decision.StatementArrived{Statement: decision.StatementID(fmt.Sprintf("%d-%d", i, r.n)), TimeBudget: 2500 * ms,
-		Tables: decision.TableGroup(w.chance.IntN(40))}
+		TableGroup: decision.TableGroup(w.chance.IntN(40))}
 	r.n++
 	mean := 0.06
 	if w.chance.Float64() < 0.15 {
 		s.Workload, s.TimeBudget, mean = 1, 10*time.Second, 1.2
 	}
-	s.Estimate = time.Duration((0.5 + w.chance.ExpFloat64()/2) * mean * float64(time.Second))
+	s.EstimatedWork = time.Duration((0.5 + w.chance.ExpFloat64()/2) * mean * float64(time.Second))
 	w.firsts++
 	w.take(r, s, w.now, w.tries)
 }
@@ -213,32 +213,32 @@
 		case decision.Abort:
 			w.refused++
 			w.over(r, a.Statement)
-		case decision.Cancel:
+		case decision.CancelAttempt:
 			w.calledOff++
 			for _, e := range w.engines {
 				e.running = slices.DeleteFunc(e.running, func(x *worldRun) bool {
-					gone := x.router == i && x.s.Statement == a.Statement && x.n == a.Execution
+					gone := x.router == i && x.s.Statement == a.Statement && x.n == a.Attempt
 					if gone {
-						r.inbox = append(r.inbox, end(a.Statement, a.Execution, e.entry.Engine, decision.Cancelled))
+						r.inbox = append(r.inbox, end(a.Statement, a.Attempt, e.entry.Engine, decision.Cancelled))
 					}
 					return gone
 				})
 			}
-		case decision.Execute:
+		case decision.StartAttempt:
 			s, e := r.open[a.Statement], w.engines[a.Engine]
 			n := r.execs[a.Statement]
 			r.execs[a.Statement]++
 			e.sent++
-			e.work = append(e.work, worldSent{w.now, s.Estimate.Seconds()})
+			e.work = append(e.work, worldSent{w.now, s.EstimatedWork.Seconds()})
 			if e.gone {
-				r.inbox = append(r.inbox, end(a.Statement, n, a.Engine, decision.NotConnected))
+				r.inbox = append(r.inbox, end(a.Statement, n, a.Engine, decision.ConnectFailed))
 				continue
 			}
 			if e.errs || e.errsOn > 0 && int(s.Workload) == e.errsOn-1 {
 				r.inbox = append(r.inbox, end(a.Statement, n, a.Engine, decision.Errored))
 				continue
 			}
-			e.running = append(e.running, &worldRun{router: i, s: s, n: n, threads: float64(r.wlms[s.Workload].Threads), left: s.Estimate.Seconds() * e.slow})
+			e.running = append(e.running, &worldRun{router: i, s: s, n: n, threads: float64(r.wlms[s.Workload].Threads), left: s.EstimatedWork.Seconds() * e.slow})
 		}
 	}
 }
@@ -266,16 +266,16 @@
 		if x.left -= x.threads * speed * worldStep.Seconds(); x.left > 0 {
 			return false
 		}
-		r, report := w.routers[x.router], &decision.Report{}
+		r, report := w.routers[x.router], &decision.LoadReport{}
 		report.Value[decision.FieldInFlight], report.Known[decision.FieldInFlight] = float64(len(e.running)-1), true
 		report.Value[decision.FieldUtilisation], report.Known[decision.FieldUtilisation] = min(1, threads/e.cores), true
 		ended := end(x.s.Statement, x.n, e.entry.Engine, decision.Completed)
-		_, ended.Over = r.open[x.s.Statement]
+		_, ended.Finished = r.open[x.s.Statement]
 		ended.Report = report
 		r.inbox = append(r.inbox, ended)
-		if ended.Over {
+		if ended.Finished {
 			w.completed++
-			if w.now-r.taken[x.s.Statement] < r.wlms[x.s.Workload].SLO {
+			if w.now-r.taken[x.s.Statement] < r.wlms[x.s.Workload].LatencyObjective {
 				w.inTime++
 				r.good++
 			}
