--- /dev/null
+++ b/internal/logevent/events.go
@@ -0,0 +1,78 @@
+// Package logevent defines the log of the router program in one place: the name of each event, which is a constant text, and the
+// fields that events share, each with one key, one type and one unit. Dashboards and the fault lab read both, and docs/oncall.md
+// lists them.
+package logevent
+
+// The life of the process.
+const (
+	SettingsLoaded        = "settings loaded"
+	Serving               = "serving"
+	Stopped               = "stopped"
+	ShutdownStarted       = "graceful shutdown started"
+	ConfigurationReloaded = "configuration reloaded"
+	ConfigurationRejected = "configuration rejected, the old one stays in force"
+	WallClockStepped      = "wall clock stepped"
+)
+
+// Figures that are written at a fixed interval.
+const (
+	Metrics               = "metrics"
+	ClassificationMetrics = "classification metrics"
+)
+
+// The life of a request.
+const (
+	RequestAdmitted     = "request admitted"
+	RequestInvalid      = "request invalid"
+	RequestReclassified = "request reclassified"
+	RequestAnswered     = "request answered"
+	RequestCancelled    = "request cancelled by its client"
+	RequestUnanswered   = "request left without an answer" // a defect of the decision module
+)
+
+// The life of an attempt, which is one run of a request at an engine.
+const (
+	AttemptStarted              = "upstream attempt started"
+	AttemptRejectedAfterFinish  = "upstream attempt of a finished request not started" // a defect of the decision module
+	AttemptCancelled            = "upstream attempt cancelled"
+	AttemptResultRecorded       = "upstream attempt result recorded"
+	UpstreamAttemptEnded        = "upstream attempt ended"
+	UpstreamAttemptPanicked     = "upstream attempt panicked"
+	UpstreamAttemptNotConnected = "upstream attempt has no connection"
+	UpstreamCallRetried         = "upstream call retried"
+	UpstreamResponseUnusable    = "upstream response unusable"
+	UpstreamCancelAnswered      = "upstream cancel answered"
+)
+
+// The connections of clients.
+const (
+	ClientConnectionClosed   = "client connection closed"
+	ClientConnectionPanicked = "client connection panicked"
+	ClientAcceptFailed       = "client connection not accepted"
+	SlowClientDisconnected   = "slow client disconnected"
+)
+
+// The control feed, which brings the endpoint list.
+const (
+	EndpointListChanged       = "endpoint list changed"
+	ControlFeedAddressChanged = "control feed address changed"
+	ControlFeedLost           = "control feed connection lost"
+	ControlFeedEventSkipped   = "control feed event skipped"
+)
+
+// The control group, which brings the configuration versions.
+const (
+	ActiveRulesChanged   = "active rules changed"
+	ControlClientMessage = "control client message"
+	LeaseRenewalFailed   = "lease renewal failed"
+	VersionStreamEnded   = "configuration version stream ended"
+)
+
+// The decision module and the checks beside it.
+const (
+	DecisionModulePanicked = "decision module panicked"
+	DecisionModuleMessage  = "decision module message"
+	DecisionModuleFailed   = "decision module failed"
+	ActionUnsupported      = "decision action unsupported"
+	InvariantViolated      = "invariant violated"
+)
