--- a/internal/logevent/fields.go
+++ b/internal/logevent/fields.go
@@ -28,7 +28,7 @@
 func RequestID(id decision.StatementID) zap.Field { return zap.String(KeyRequestID, string(id)) }
 
 // Attempt is the number of an attempt of its request, from 0.
-func Attempt(number decision.ExecutionID) zap.Field { return zap.Int(KeyAttempt, int(number)) }
+func Attempt(number decision.AttemptID) zap.Field { return zap.Int(KeyAttempt, int(number)) }
 
 // Endpoint is the id of an engine.
 func Endpoint(engine decision.EngineID) zap.Field { return zap.String(KeyEndpoint, string(engine)) }
