--- a/cmd/bankledge-faultlab/terms.go
+++ b/cmd/bankledge-faultlab/terms.go
@@ -278,9 +278,9 @@
 		name: "a vote is not kept",
 		edits: []edit{
 			{
-				file: "internal/consensus/node.go",
-				old:  "e.Persist.HardState, e.Persist.Entries, e.MustSync = rd.HardState, rd.Entries, rd.MustSync",
-				new:  "e.Persist.Entries, e.MustSync = rd.Entries, rd.MustSync",
+				file: "internal/consensus/effects.go",
+				old:  "			HardState: n.ready.HardState,\n",
+				new:  "",
 			},
 		},
 	},
--- /dev/null
+++ b/internal/consensus/settings.go
@@ -0,0 +1,36 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"go.etcd.io/raft/v3"
+)
+
+// minHeartbeatsPerElection is how many heartbeat intervals an election timeout has to cover, so that one lost heartbeat calls no
+// election.
+const minHeartbeatsPerElection = 3
+
+// Settings of one process.
+type Settings struct {
+	ID                uint64        // from 1; an id is never used again after its process was removed
+	Voters            []uint64      // ids of the founding members; empty for a process that joins an existing group
+	HeartbeatInterval time.Duration // between two heartbeats of the leader
+	ElectionTimeout   time.Duration // a follower calls an election after one to two timeouts without the leader
+	Seed              uint64        // of the random part of the election timeouts
+	Logger            raft.Logger
+}
+
+// Validate returns an error that names the first invalid field by its key in the settings file.
+func (s *Settings) Validate() error {
+	switch {
+	case s.ID == 0:
+		return errors.New("id: missing")
+	case s.HeartbeatInterval <= 0:
+		return errors.New("heartbeat: not above 0")
+	case s.ElectionTimeout < minHeartbeatsPerElection*s.HeartbeatInterval:
+		return fmt.Errorf("election: %v is under three heartbeats", s.ElectionTimeout)
+	}
+	return nil
+}
