--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -27,21 +27,22 @@
 // edit puts something in the place of what stands once in a file.
 type edit struct{ file, old, new string }
 
+// Guards of the decision module that are named in several edits or hold several lines.
 const (
-	module   = "policy/policy.go"
-	watching = "m.due.Schedule(s.Last, func() { m.giveUp(s, decision.ReasonDeadline) })"
-	dropping = "	case m.now < s.Last && m.mayRepeat(s):\n		s.Avoid = e\n		m.hold(s)\n	default:\n		m.giveUp(s, decision.ReasonNotRetryable)"
+	deadlineTimer = "m.timers.Schedule(s.answerBy, func() { m.endUnanswered(s, decision.ReasonDeadline) })"
+	lostAttempt   = "	case m.now < s.answerBy && m.mayRepeat(s):\n		s.avoid = a.engine\n		m.enqueue(s)\n	default:\n		m.endUnanswered(s, decision.ReasonNotRetryable)"
+	repeatGuard   = "s.firstRun == nil || s.idempotency == decision.Idempotent {\n		return true\n	}\n	return s.idempotency == decision.Deduplicated && m.now"
 )
 
 // roomy has engines never full: at this scale the room that routers keep is as good a guard for cold engines as their budget is.
-var roomy = edit{module, "	others := m.othersOn(e)\n	if !m.isLight(s) && !m.isCold(e) {", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.isLight(s) && !m.isCold(e) {"}
+var roomy = edit{"policy/capacity.go", "	others := m.othersOn(e)\n	if !m.priorities.isLight(s, m.now)", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.priorities.isLight(s, m.now)"}
 
 // noBackstop has the router leave open what the module has forgotten.
 var noBackstop = edit{"internal/proxy/route.go", "if !s.over && now.After(s.ends) {", "if false {"}
 
 // repeats has the module take every repeat for harmless; unguarded has the run-time guard do so, too.
 var (
-	repeats   = edit{module, "return len(s.Execs) < most && (s.Home == nil || s.Effect == decision.Idempotent ||", "return len(s.Execs) < most && (true || s.Home == nil || s.Effect == decision.Idempotent ||"}
+	repeats   = edit{"policy/rules.go", "	if " + repeatGuard, "	if true || " + repeatGuard}
 	unguarded = edit{"internal/invariant/request.go", "	return r.mayRepeat(at, now)", "	return nil"}
 )
 
@@ -80,9 +81,9 @@
 		auditor: "answers",
 		edits: []edit{
 			{
-				file: module,
-				old:  watching,
-				new:  "m.due.Schedule(s.End+time.Second, func() { m.giveUp(s, decision.ReasonDeadline) })",
+				file: "policy/admission.go",
+				old:  deadlineTimer,
+				new:  "m.timers.Schedule(s.deadline+time.Second, func() { m.endUnanswered(s, decision.ReasonDeadline) })",
 			},
 			noBackstop,
 		},
@@ -107,9 +108,9 @@
 		auditor: "answers",
 		edits: []edit{
 			{
-				file: module,
-				old:  dropping,
-				new:  "	default:\n		m.finish(s)",
+				file: "policy/retry.go",
+				old:  lostAttempt,
+				new:  "	default:\n		_ = decision.ReasonNotRetryable\n		m.finish(s)",
 			},
 			noBackstop,
 		},
@@ -184,9 +185,9 @@
 		auditor: "drains",
 		edits: []edit{
 			{
-				file: module,
-				old:  "case !e.Listed, e.State != decision.Ready: // drains, stricter than their grace",
-				new:  "case false:",
+				file: "policy/rules.go",
+				old:  "return e.isReady() &&",
+				new:  "return true &&",
 			},
 		},
 		faults: drained,
@@ -197,9 +198,9 @@
 		auditor: "drains",
 		edits: []edit{
 			{
-				file: module,
-				old:  "e.Endpoint, e.Listed = entry, entry.State != decision.Removed",
-				new:  "e.Endpoint, e.Listed = entry, true\n\t\te.State = decision.Ready",
+				file: "policy/endpoint_list.go",
+				old:  "e.listed = endpoint.State != decision.Removed",
+				new:  "e.listed = true\n\te.State = decision.Ready",
 			},
 		},
 		faults: drained,
@@ -210,8 +211,8 @@
 		auditor: "cold",
 		edits: []edit{
 			{
-				file: module,
-				old:  "return e.StartedAt > 0 && m.now < e.StartedAt+m.rules.SlowStartDuration+coldMargin && m.rules.SlowStartWindow > 0",
+				file: "policy/slow_start.go",
+				old:  "return e.StartedAt > 0 && now < e.StartedAt+s.warmUpTime() && s.budget.Rules.SlowStartWindow > 0",
 				new:  "return false && e.StartedAt > 0",
 			},
 			roomy,
@@ -224,9 +225,9 @@
 		auditor: "cold",
 		edits: []edit{
 			{
-				file: module,
-				old:  "func (m *Module) coldLeft(s *statement, e *engine) bool {\n",
-				new:  "func (m *Module) coldLeft(s *statement, e *engine) bool {\n	if s != nil {\n		return true\n	}\n",
+				file: "policy/slow_start.go",
+				old:  "func (s *slowStart) mayStart(st *statement, e *engine, now time.Duration) bool {\n",
+				new:  "func (s *slowStart) mayStart(st *statement, e *engine, now time.Duration) bool {\n	if st != nil {\n		return true\n	}\n",
 			},
 			roomy,
 		},
@@ -238,9 +239,9 @@
 		auditor: "harm",
 		edits: []edit{
 			{
-				file: module,
-				old:  "elapsed+left > badPlan*max(run, 0.5) && left > 2*run",
-				new:  "elapsed+left > badPlan*0 && left > 0*run",
+				file: "policy/hedge.go",
+				old:  "elapsed+remaining > slowAttemptFactor*max(expected, minExpectedRun) && remaining > minRemainingRuns*expected",
+				new:  "elapsed+remaining > slowAttemptFactor*0 && remaining > 0*expected",
 			},
 		},
 		faults: crawling,
@@ -264,9 +265,9 @@
 		auditor: "back",
 		edits: []edit{
 			{
-				file: module,
-				old:  "e.Left, e.Backoff = true, min(max(backoffFirst, e.Backoff*2), backoffMost)",
-				new:  "e.Left, e.Backoff = true, time.Hour",
+				file: "policy/outlier.go",
+				old:  "e.backoff = min(max(minEjection, e.backoff*ejectionBackoffFactor), maxEjection)",
+				new:  "e.backoff = time.Hour",
 			},
 		},
 		faults: []faultlab.Fault{{Kind: "cut", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3, 4, 5}}},
--- a/cmd/bankledge/deploy_test.go
+++ b/cmd/bankledge/deploy_test.go
@@ -44,9 +44,15 @@
 	}
 	d := readDeploy(t)
 	assert.ElementsMatch(t, parts, d.Node)
-	for _, file := range d.Policy {
-		assert.FileExists(t, filepath.Join(root, file))
+	files, err := filepath.Glob(filepath.Join(root, "policy", "*.go"))
+	require.NoError(t, err)
+	var decisions []string
+	for _, file := range files {
+		if !strings.HasSuffix(file, "_test.go") {
+			decisions = append(decisions, "policy/"+filepath.Base(file))
+		}
 	}
+	assert.ElementsMatch(t, decisions, d.Policy)
 }
 
 // Some platforms start the router under a library of their own, preloaded by the C library's linker, and let it start
--- /dev/null
+++ b/policy/attempt.go
@@ -0,0 +1,141 @@
+package policy
+
+import (
+	"slices"
+	"time"
+
+	"bankledge/decision"
+)
+
+// attempt is one run of a statement at an engine.
+type attempt struct {
+	statement *statement
+	engine    *engine
+	number    decision.AttemptID
+	sentAt    time.Duration
+	memoryMB  float64 // that it is taken to need
+	ended     bool
+	neverRan  bool // it ended and is known not to have run
+	cancelled bool
+	spilled   bool // for want of memory
+	errored   bool
+}
+
+// startAttempt sends a statement to an engine.
+func (m *Module) startAttempt(s *statement, e *engine) {
+	if len(s.attempts) > 0 && m.rules.RetryBudgetWindow > 0 {
+		m.retryBudget.recordRetry(m.now)
+	}
+	if m.slowStart.isWarmingUp(e, m.now) {
+		e.slowStartWork.Add(m.now, s.work)
+	}
+	action := decision.StartAttempt{Statement: s.id, Engine: e.Engine}
+	if s.firstRun != nil && s.idempotency == decision.Deduplicated { // the host may be slow to send it
+		action.StartBefore = s.firstRun.sentAt + s.workload.DedupWindow
+	}
+	m.attemptsInFlight++
+	e.start(s, m.now, m.memoryNeed(s))
+	e.touch(s.tables, recentTableGroups)
+	m.setResources(s)
+	m.act(action)
+}
+
+// cancelAttempt stops an attempt, where the host can.
+func (m *Module) cancelAttempt(a *attempt, reason decision.Reason) {
+	if a.ended || a.cancelled || !m.limits.Cancellation {
+		return
+	}
+	a.cancelled = true
+	m.act(decision.CancelAttempt{Statement: a.statement.id, Attempt: a.number, Reason: reason})
+}
+
+// attemptEnded takes the one outcome of an attempt, learns from it and decides how its statement goes on.
+func (m *Module) attemptEnded(ev decision.AttemptEnded) {
+	a := m.endpoints.finishAttempt(ev)
+	if a == nil {
+		return
+	}
+	m.attemptsInFlight--
+	if a.statement.key != "" {
+		m.releaseKey(a.statement, ev.Outcome)
+	}
+	m.learnFromOutcome(a, ev.Outcome)
+	m.receiveReport(a.engine, ev.Report)
+	m.continueAfter(a, ev.Finished)
+}
+
+// learnFromOutcome updates what is known of the attempt's engine and workload.
+func (m *Module) learnFromOutcome(a *attempt, outcome decision.Outcome) {
+	e := a.engine
+	switch outcome {
+	case decision.Errored: // something answers there, which does not prove that it works, nor tell its pace
+		a.errored = true
+		if e.ejected {
+			m.eject(e, false)
+		}
+	case decision.Completed:
+		m.attemptCompleted(a)
+	case decision.Overloaded:
+		m.attemptRefused(a)
+	case decision.ConnectFailed:
+		m.eject(e, m.failsTrial(e))
+	case decision.ConnectionReset: // a crash breaks all that is in flight; a flaky link breaks only some
+		if len(e.attempts) == 0 {
+			m.eject(e, false)
+		}
+	}
+}
+
+// attemptCompleted learns from an attempt that completed.
+func (m *Module) attemptCompleted(a *attempt) {
+	s, e := a.statement, a.engine
+	taken := m.now - a.sentAt
+	m.learnErrors(s, e)
+	m.readmit(e)
+	e.passedOverUntil = 0
+	e.window(s.classifiedAs).recordCompletion(taken > s.workload.objective(s.expectedRun)/2)
+	e.learnPace(taken, s)
+	s.classifiedAs.learnPace(taken, s.expectedRun)
+	if !a.spilled {
+		s.classifiedAs.shrinkMemoryFactor()
+	}
+}
+
+// start adds a statement's next attempt to the engine.
+func (e *engine) start(s *statement, now time.Duration, memoryMB float64) {
+	if len(e.attempts) == 0 {
+		e.lastEventAt = now
+	}
+	a := &attempt{statement: s, engine: e, number: decision.AttemptID(len(s.attempts)), sentAt: now, memoryMB: memoryMB}
+	s.attempts = append(s.attempts, a)
+	s.openAttempts++
+	s.updateFirstRun()
+	e.attempts = append(e.attempts, a)
+	w := s.classifiedAs
+	e.threads += w.Threads
+	w.threadsInFlight += w.Threads
+	e.memoryInFlight += memoryMB
+	w.memoryInFlight += memoryMB
+	e.window(w).inFlight++
+}
+
+// finish takes an attempt off the engine; nil where the engine holds no such attempt.
+func (e *engine) finish(id decision.StatementID, number decision.AttemptID, neverRan bool) *attempt {
+	i := slices.IndexFunc(e.attempts, func(a *attempt) bool { return a.statement.id == id && a.number == number })
+	if i < 0 {
+		return nil
+	}
+	a := e.attempts[i]
+	e.attempts = slices.Delete(e.attempts, i, i+1)
+	w := a.statement.classifiedAs
+	e.threads -= w.Threads
+	w.threadsInFlight -= w.Threads
+	e.memoryInFlight -= a.memoryMB
+	w.memoryInFlight -= a.memoryMB
+	e.window(w).inFlight--
+	a.ended = true
+	a.neverRan = neverRan
+	a.statement.openAttempts--
+	a.statement.updateFirstRun()
+	return a
+}
--- /dev/null
+++ b/policy/fleet_quota.go
@@ -0,0 +1,84 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"time"
+)
+
+const (
+	// quotaAveragingTime is the time over which a router keeps its quota on average, since few statements vary much.
+	quotaAveragingTime = 4 * time.Second
+	// attemptMemoryDecay is what one maintenance leaves of the sums that give the mean memory of an attempt.
+	attemptMemoryDecay = 0.995
+)
+
+// fleetQuota is this router's part of the threads and the memory of the whole fleet. An engine's part may fall below
+// one statement, which each router may still send; the quota keeps the sum.
+type fleetQuota struct {
+	routers   float64 // that share the fleet
+	workloads []*workload
+
+	cores    float64 // of the engines in use; those that warm up count for what they can do
+	memoryMB float64 // of the same
+	saved    float64 // seconds for which twice the quota may be used; below 0: it was used too much
+
+	attempts      float64 // decaying sum of own attempts in flight
+	attemptMemory float64 // of their memory, in MB
+}
+
+// startMaintenance begins a new sum over the engines.
+func (q *fleetQuota) startMaintenance() {
+	q.cores = 0
+	q.memoryMB = 0
+	q.attempts *= attemptMemoryDecay
+	q.attemptMemory *= attemptMemoryDecay
+}
+
+// countAttempts adds an engine's attempts to the sums that give the mean memory of an attempt.
+func (q *fleetQuota) countAttempts(e *engine) {
+	q.attempts += float64(len(e.attempts))
+	q.attemptMemory += e.memoryInFlight
+}
+
+// countEngine adds an engine in use, at the share of its capacity that it has.
+func (q *fleetQuota) countEngine(e *engine, capacityShare float64) {
+	q.cores += capacityShare * e.cores
+	q.memoryMB += capacityShare * e.memoryMB
+}
+
+// save keeps what was not used of the quota in a time, for a while.
+func (q *fleetQuota) save(elapsed time.Duration) {
+	q.saved += (1 - q.used(math.Inf(1), 0, 0)) * elapsed.Seconds()
+	q.saved = min(max(q.saved, -quotaAveragingTime.Seconds()), quotaAveragingTime.Seconds())
+}
+
+// used is the share of the quota that workloads up to a mean work use, with a little more.
+func (q *fleetQuota) used(maxMeanWork, threads, memoryMB float64) float64 {
+	for _, w := range q.workloads {
+		if w.meanWork <= maxMeanWork {
+			threads += float64(w.threadsInFlight)
+			memoryMB += w.memoryInFlight
+		}
+	}
+	threadShare := threads / max(1, maxThreadsPerCore*q.cores)
+	memoryShare := memoryMB / cmp.Or(q.memoryMB, math.Inf(1))
+	return q.routers * max(threadShare, memoryShare)
+}
+
+// memoryOf is the memory that so many attempts need if they are like own ones, in MB.
+func (q *fleetQuota) memoryOf(attempts float64) float64 {
+	return attempts * q.attemptMemory / max(1, q.attempts)
+}
+
+// isWithinFleetQuota tells whether the quota has room for a statement, on average. Heavier workloads do not hold up
+// lighter ones. What is late already takes only what nobody else needs.
+func (m *Module) isWithinFleetQuota(s *statement) bool {
+	q := &m.fleetQuota
+	threads := float64(s.classifiedAs.Threads)
+	memoryMB := m.memoryNeed(s)
+	if m.now > s.latestStart() {
+		return q.saved > 0 && q.used(math.Inf(1), threads, memoryMB) <= 1
+	}
+	return q.saved > 0 || q.used(s.classifiedAs.meanWork, threads, memoryMB) <= 1
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,7 +12,6 @@
 	"github.com/stretchr/testify/require"
 
 	"bankledge/decision"
-	"bankledge/internal/state"
 )
 
 func TestWindow(t *testing.T) {
@@ -45,39 +44,39 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t).at(0, ready("a"))
-			w := &b.m.fleet.Of("a").Windows[0]
-			w.Size, w.Threshold, w.Late, w.Done = c.size, c.threshold, c.late, c.done
+			w := &b.m.endpoints.find("a").windows[0]
+			w.size, w.threshold, w.late, w.completions = c.size, c.threshold, c.late, c.done
 			b.m.now = time.Second
-			b.m.report(b.m.fleet.Of("a"), c.report)
-			assert.Equal(t, c.want, w.Size)
+			b.m.receiveReport(b.m.endpoints.find("a"), c.report)
+			assert.Equal(t, c.want, w.size)
 		})
 	}
 	t.Run("a refusal halves once a period and bars for one", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a", "b"))
-		w := &b.m.fleet.Of("a").Windows[0]
-		w.Size = 8
+		w := &b.m.endpoints.find("a").windows[0]
+		w.size = 8
 		b.at(time.Second, read("1"), read("2"))
 		for _, id := range []decision.StatementID{"1", "2"} {
-			b.m.fleet.Of("a").Holds(b.m.stmts[id], time.Second, 0)
-			n := decision.AttemptID(len(b.m.stmts[id].Execs) - 1)
+			b.m.endpoints.find("a").start(b.m.statements[id], time.Second, 0)
+			n := decision.AttemptID(len(b.m.statements[id].attempts) - 1)
 			b.at(time.Second, end(id, n, "a", decision.Overloaded))
 		}
-		assert.Equal(t, 4.0, w.Size)
-		assert.True(t, w.Barred)
+		assert.Equal(t, 4.0, w.size)
+		assert.True(t, w.excluded)
 		b.at(time.Second + reportPeriod)
-		assert.False(t, w.Barred)
+		assert.False(t, w.excluded)
 	})
 	t.Run("a new engine starts at the mean of its kind", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a", "b"))
-		b.m.fleet.Of("a").Windows[0].Size, b.m.fleet.Of("b").Windows[0].Size = 6, 10
+		b.m.endpoints.find("a").windows[0].size, b.m.endpoints.find("b").windows[0].size = 6, 10
 		b.at(time.Second, ready("a", "b", "c"))
-		assert.Equal(t, 8.0, b.m.fleet.Of("c").Windows[0].Size)
+		assert.Equal(t, 8.0, b.m.endpoints.find("c").windows[0].size)
 	})
 }
 
 func TestScoreAndCandidates(t *testing.T) {
 	b := newBed(t).at(0, ready("a"))
-	e, s := b.m.fleet.Of("a"), &statement{Workload: b.m.workloads[0], As: b.m.workloads[0], Tables: 7}
+	e, s := b.m.endpoints.find("a"), &statement{workload: b.m.workloads[0], classifiedAs: b.m.workloads[0], tables: 7}
 	for _, c := range []struct {
 		name    string
 		zone    decision.Zone
@@ -92,35 +91,35 @@
 		{"in flight, of any workload", "z1", true, 3, 4, 8.0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e.Zone, e.Threads, e.Windows[0].Size, e.Warm = c.zone, c.threads, c.size, nil
+			e.Zone, e.threads, e.windows[0].size, e.recentTables = c.zone, c.threads, c.size, nil
 			if c.warm {
-				e.Touch(7, warmGroups)
+				e.touch(7, recentTableGroups)
 			}
 			assert.Equal(t, c.want, b.m.score(e, s))
 		})
 	}
 	t.Run("candidates", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a", "b", "c", "d"))
-		s := &statement{Workload: b.m.workloads[0], As: b.m.workloads[0], Tables: 7}
-		first := slices.Clone(b.m.candidates(s, b.m.fleet.All))
+		s := &statement{workload: b.m.workloads[0], classifiedAs: b.m.workloads[0], tables: 7}
+		first := slices.Clone(b.m.candidates(s, b.m.endpoints.all))
 		require.Len(t, first, 1)
-		other := b.m.fleet.All[0]
+		other := b.m.endpoints.all[0]
 		if other == first[0] {
-			other = b.m.fleet.All[1]
+			other = b.m.endpoints.all[1]
 		}
-		other.Touch(7, warmGroups)
-		assert.Equal(t, []*engine{other}, b.m.candidates(s, b.m.fleet.All), "a warm engine comes first")
-		b.m.traffic.Count(7)
-		assert.Equal(t, []*engine{other, first[0]}, b.m.candidates(s, b.m.fleet.All)[:2], "traffic widens the row")
-		load := &statement{Workload: b.m.workloads[1], As: b.m.workloads[1], Tables: 7}
-		b.m.traffic = state.Traffic{}
-		assert.NotEqual(t, first, b.m.candidates(load, b.m.fleet.All), "a load stays off where its tables are read")
+		other.touch(7, recentTableGroups)
+		assert.Equal(t, []*engine{other}, b.m.candidates(s, b.m.endpoints.all), "a warm engine comes first")
+		b.m.affinity.count(7)
+		assert.Equal(t, []*engine{other, first[0]}, b.m.candidates(s, b.m.endpoints.all)[:2], "traffic widens the row")
+		load := &statement{workload: b.m.workloads[1], classifiedAs: b.m.workloads[1], tables: 7}
+		b.m.affinity = tableTraffic{}
+		assert.NotEqual(t, first, b.m.candidates(load, b.m.endpoints.all), "a load stays off where its tables are read")
 	})
 	t.Run("a barred engine takes it only when all are barred", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a", "b"))
-		b.m.fleet.Of("a").Windows[0].Barred = true
+		b.m.endpoints.find("a").windows[0].excluded = true
 		assert.EqualValues(t, "b", b.at(1, read("s1")).sentTo())
-		b.m.fleet.Of("b").Windows[0].Barred = true
+		b.m.endpoints.find("b").windows[0].excluded = true
 		assert.NotEmpty(t, b.at(2, read("s2")).sentTo())
 	})
 }
@@ -209,7 +208,7 @@
 			assert.Empty(t, b.at(0, list, read("s")).sentTo())
 			b.at(4*time.Second-10*ms, decision.TimerFired{})
 			assert.Empty(t, b.sentTo())
-			assert.Empty(t, b.m.stmts, "answered before the client gives up")
+			assert.Empty(t, b.m.statements, "answered before the client gives up")
 		})
 	}
 	t.Run("no engine at all", func(t *testing.T) {
@@ -238,7 +237,7 @@
 				cold.Kind, cold.Endpoints[0].StartedAt = decision.ListPartial, 4*time.Second
 				gap := time.Duration(routers) * 5 * ms
 				for i, now := 0, gap*time.Duration(me)/time.Duration(routers); now < 5500*ms; i, now = i+1, now+gap {
-					if now >= 4*time.Second && b.m.fleet.Of("a") == nil {
+					if now >= 4*time.Second && b.m.endpoints.find("a") == nil {
 						b.at(now, cold)
 					}
 					b.at(now, read(decision.StatementID(fmt.Sprint(me, " ", i))))
@@ -278,7 +277,7 @@
 				require.NotEmpty(t, b.at(now, read(id)).sentTo())
 				b.at(now+ms, end(id, 0, "a", outcome), decision.ClientCancelled{Statement: id})
 			}
-			assert.Equal(t, c.cold, b.m.isCold(b.m.fleet.Of("a")))
+			assert.Equal(t, c.cold, b.m.slowStart.isWarmingUp(b.m.endpoints.find("a"), b.m.now))
 		})
 	}
 }
@@ -330,7 +329,7 @@
 	for taken = 1; taken <= 8; taken++ {
 		id := decision.StatementID(fmt.Sprint(taken))
 		handle(read(id))
-		for _, e := range b.m.fleet.All { // every first execution errs, wherever it went
+		for _, e := range b.m.endpoints.all { // every first execution errs, wherever it went
 			handle(end(id, 0, e.Engine, decision.Errored))
 		}
 	}
@@ -364,7 +363,7 @@
 					sent = append(sent, now+time.Duration(chance.Int64N(int64(b.limits.MaxSendDelay))))
 				}
 				first[x.Statement] = true
-				due = append(due, end(x.Statement, decision.AttemptID(len(b.m.stmts[x.Statement].Execs)-1), x.Engine, decision.Errored))
+				due = append(due, end(x.Statement, decision.AttemptID(len(b.m.statements[x.Statement].attempts)-1), x.Engine, decision.Errored))
 			}
 		}
 		slices.Sort(sent)
@@ -467,14 +466,14 @@
 		b.wlms[0].LatencyObjective = time.Second
 		e := b.at(0, ready("a"), read("s")).sentTo()
 		b.at(2 * time.Second)
-		require.True(t, b.m.fleet.Of(e).Left)
+		require.True(t, b.m.endpoints.find(e).ejected)
 		b.at(2*time.Second+ms, end("s", 0, e, decision.Cancelled))
 		b.at(2*time.Second+2*ms, decision.HealthCheckEnded{Engine: e, Outcome: decision.Completed})
-		assert.True(t, b.m.fleet.Of(e).Left)
+		assert.True(t, b.m.endpoints.find(e).ejected)
 		assert.NotEmpty(t, b.at(4*time.Second, read("trial")).sentTo(), "one trial")
 		assert.Empty(t, b.at(4*time.Second+ms, read("more")).sentTo(), "and no more")
 		b.at(4*time.Second+2*ms, end("trial", 0, e, decision.Completed))
-		assert.False(t, b.m.fleet.Of(e).Left)
+		assert.False(t, b.m.endpoints.find(e).ejected)
 	})
 	t.Run("starts are judged by the workload's pace", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a"))
@@ -483,7 +482,7 @@
 			e := b.at(now, read(id)).sentTo()
 			b.at(now+300*ms, end(id, 0, e, decision.Completed))
 		}
-		assert.InDelta(t, 3, b.m.workloads[0].Pace, 0.3, "three times the expected 100 ms")
+		assert.InDelta(t, 3, b.m.workloads[0].pace, 0.3, "three times the expected 100 ms")
 	})
 	t.Run("a load and what waits for it do not meet on one engine", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a", "b"))
@@ -502,8 +501,8 @@
 		assert.NotEqual(t, e, b.at(501*ms, read("s2")).sentTo(), "the group it waits for")
 		other := read("s3")
 		other.TableGroup = 9
-		b.m.fleet.Of("a").Touch(9, warmGroups)
-		b.m.fleet.Of("b").Touch(9, warmGroups)
+		b.m.endpoints.find("a").touch(9, recentTableGroups)
+		b.m.endpoints.find("b").touch(9, recentTableGroups)
 		b.at(502*ms, end("s", 0, e, decision.Cancelled))
 		assert.Equal(t, e, b.at(503*ms, other).sentTo(), "another group")
 	})
@@ -535,14 +534,14 @@
 	t.Run("a reset beside work that is alive is no reason to leave", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a"), read("s"), read("s2"))
 		b.at(ms, end("s", 0, "a", decision.ConnectionReset))
-		assert.False(t, b.m.fleet.Of("a").Left)
+		assert.False(t, b.m.endpoints.find("a").ejected)
 		b.at(2*ms, end("s", 1, "a", decision.ConnectionReset), end("s2", 0, "a", decision.ConnectionReset))
-		assert.True(t, b.m.fleet.Of("a").Left)
+		assert.True(t, b.m.endpoints.find("a").ejected)
 	})
 	t.Run("an engine crowded by others or by what time-outs left takes nothing", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a"))
 		crowd := &decision.LoadReport{}
-		crowd.Value[decision.FieldInFlight], crowd.Known[decision.FieldInFlight] = 8*crowdMost, true
+		crowd.Value[decision.FieldInFlight], crowd.Known[decision.FieldInFlight] = 8*maxStatementsPerCore, true
 		b.at(ms, decision.HealthCheckEnded{Engine: "a", Outcome: decision.Completed, Report: crowd})
 		assert.Empty(t, b.at(2*ms, read("s")).sentTo())
 		assert.Empty(t, b.at(900*ms, read("s2")).sentTo(), "silence is no sign of room")
@@ -580,7 +579,7 @@
 			b.me.Router, b.me.Routers = decision.RouterID(me), 40
 			for i := range 3 { // the group's share of the traffic makes it several candidates
 				b.at(time.Duration(i)*100*ms, ready("a", "b", "c", "d"), read(decision.StatementID(fmt.Sprint(i))))
-				b.m.fleet.Of("a").Warm, b.m.fleet.Of("b").Warm = nil, nil
+				b.m.endpoints.find("a").recentTables, b.m.endpoints.find("b").recentTables = nil, nil
 			}
 			for _, sent := range pick[decision.StartAttempt](b) {
 				chosen[sent.Engine] = true
@@ -601,7 +600,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t)
 			b.me.Routers = 100
-			b.at(0, ready("a")).at(time.Second).m.lights = 0.8
+			b.at(0, ready("a")).at(time.Second).m.priorities.lightShare = 0.8
 			b.at(time.Second, decision.HealthCheckEnded{Engine: "a", Outcome: decision.Completed, Report: holds(c.inFlight)})
 			assert.Equal(t, c.want, b.at(time.Second+ms, c.ev).sentTo() != "")
 		})
@@ -613,7 +612,7 @@
 		assert.Empty(t, pick[decision.HealthCheck](b), "none on a clock")
 		asked := pick[decision.HealthCheck](b.at(ms, read("s")))
 		require.NotEmpty(t, asked)
-		assert.LessOrEqual(t, len(asked), askFirst, "two a statement at most")
+		assert.LessOrEqual(t, len(asked), healthCheckWidth, "two a statement at most")
 		assert.Empty(t, b.sentTo())
 		b.at(2*ms, decision.HealthCheckEnded{Engine: asked[0].Engine, Outcome: decision.Completed, Report: holds(0)})
 		assert.Equal(t, asked[0].Engine, b.sentTo())
@@ -626,7 +625,7 @@
 		require.NotEmpty(t, b.at(1001*ms, first).sentTo(), "from what was saved up")
 		second := write("second")
 		second.TableGroup = 9
-		b.m.credit = 0
+		b.m.fleetQuota.saved = 0
 		assert.Empty(t, b.at(1002*ms, second).sentTo())
 		assert.NotEmpty(t, b.at(1003*ms, read("light")).sentTo())
 	})
@@ -653,18 +652,18 @@
 		e := b.at(ms, read("s")).sentTo()
 		require.NotEmpty(t, e)
 		b.at(900*ms, end("s", 0, e, decision.Completed)) // nine times the expected run
-		slow := b.m.fleet.Of(e)
-		assert.Greater(t, slow.Pace, 2.0)
+		slow := b.m.endpoints.find(e)
+		assert.Greater(t, slow.pace, 2.0)
 		assert.NotEqual(t, e, b.at(901*ms, read("s2")).sentTo())
 		for i := range 3000 {
 			b.at(time.Second + time.Duration(i)*50*ms)
 		}
-		assert.InDelta(t, 1, slow.Pace, 0.1)
+		assert.InDelta(t, 1, slow.pace, 0.1)
 	})
 	t.Run("loads of one group spread over half of the engines", func(t *testing.T) {
 		b := newBed(t).at(0, ready("a", "b", "c", "d", "e", "f"))
-		load := &statement{Workload: b.m.workloads[1], As: b.m.workloads[1], Tables: 7}
-		assert.Len(t, b.m.candidates(load, slices.Clone(b.m.fleet.All)), 3)
+		load := &statement{workload: b.m.workloads[1], classifiedAs: b.m.workloads[1], tables: 7}
+		assert.Len(t, b.m.candidates(load, slices.Clone(b.m.endpoints.all)), 3)
 	})
 	t.Run("a list of engines all cold, and all draining", func(t *testing.T) {
 		cold, draining := ready("a", "b"), ready("a", "b")
@@ -729,13 +728,13 @@
 	}{{"free", false, 2}, {"congested", true, 3}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t).at(0, ready("a", "b", "c", "d"))
-			first := b.m.fleet.Ranked(0)[0].Engine
-			for _, e := range b.m.fleet.All {
-				e.Util, e.UtilKnown, e.Windows[1].Size = 0.1, true, 4
+			first := b.m.endpoints.ranked(0)[0].Engine
+			for _, e := range b.m.endpoints.all {
+				e.utilization, e.utilizationKnown, e.windows[1].size = 0.1, true, 4
 			}
-			for _, e := range b.m.candidates(&statement{Workload: b.m.workloads[1], As: b.m.workloads[1]}, slices.Clone(b.m.fleet.Ranked(0))) {
+			for _, e := range b.m.candidates(&statement{workload: b.m.workloads[1], classifiedAs: b.m.workloads[1]}, slices.Clone(b.m.endpoints.ranked(0))) {
 				if c.congested {
-					e.Util = busyUtil + 0.1
+					e.utilization = busyUtilization + 0.1
 				}
 			}
 			on := map[decision.EngineID]bool{}
@@ -756,7 +755,7 @@
 	b := newBed(t)
 	b.wlms[0].OrderedByKey = true
 	b.traits.ProgressInterval = 100 * ms
-	for i := range 2 * tallyMost {
+	for i := range 2 * maxTableGroups {
 		now, id := time.Duration(i)*100*ms, strconv.Itoa(i)
 		e, s := decision.EngineID("e"+id), decision.StatementID("s"+id)
 		arrival := read(s)
@@ -766,31 +765,31 @@
 		b.at(now+1, note(s, e, decision.ProgressWaiting, decision.WaitingForBulkLoad), end(s, 0, e, decision.Cancelled))
 		b.at(now+2, decision.ClientCancelled{Statement: s})
 	}
-	require.Less(t, len(b.m.fleet.All), 200)
-	require.Empty(t, b.m.keys)
-	require.Empty(t, b.m.stmts)
-	require.LessOrEqual(t, b.m.traffic.Groups(), tallyMost)
+	require.Less(t, len(b.m.endpoints.all), 200)
+	require.Empty(t, b.m.keyQueues)
+	require.Empty(t, b.m.statements)
+	require.LessOrEqual(t, len(b.m.affinity.groups), maxTableGroups)
 	one := newBed(t).at(0, ready("a"))
-	for i := range 2 * tallyMost { // one engine all the while
-		one.m.fleet.Ranked(decision.TableGroup(i))
-		one.m.fleet.Of("a").Loaded(decision.TableGroup(i), time.Duration(i)*ms, time.Duration(i+10)*ms)
+	for i := range 2 * maxTableGroups { // one engine all the while
+		one.m.endpoints.ranked(decision.TableGroup(i))
+		one.m.endpoints.find("a").noteLoad(decision.TableGroup(i), time.Duration(i)*ms, time.Duration(i+10)*ms)
 	}
-	require.LessOrEqual(t, one.m.fleet.Rankings(), tallyMost)
-	require.Less(t, len(one.m.fleet.Of("a").LoadedUntil), 20)
+	require.LessOrEqual(t, len(one.m.endpoints.rankings), maxTableGroups)
+	require.Less(t, len(one.m.endpoints.find("a").loadsUntil), 20)
 }
 
 // What clients claim beyond reason, and how fast executions fail, teaches little: good statements go on as before.
 func TestClaimsAndErrorsTeachLittle(t *testing.T) {
 	b := newBed(t).at(0, ready("a"), read("1"))
 	b.at(1, end("1", 0, "a", decision.Completed))
-	before, pace := b.m.workloads[0].Work, b.m.workloads[0].Pace
+	before, pace := b.m.workloads[0].meanWork, b.m.workloads[0].pace
 	claim := read("2")
 	claim.EstimatedWork = 24 * time.Hour
 	b.at(2, claim)
 	require.Len(t, pick[decision.Reject](b), 1, "it cannot end in time")
-	require.Less(t, b.m.workloads[0].Work, 4*before)
+	require.Less(t, b.m.workloads[0].meanWork, 4*before)
 	b.at(3, read("3")).at(4, end("3", 0, "a", decision.Errored))
-	require.Equal(t, pace, b.m.workloads[0].Pace)
+	require.Equal(t, pace, b.m.workloads[0].pace)
 }
 
 // An engine that fails fast draws ever more, since it is never busy. What errs there and completes elsewhere speaks against it;
@@ -818,14 +817,14 @@
 				}
 				b.at(now+3, decision.ClientCancelled{Statement: id})
 			}
-			assert.Equal(t, c.left, b.m.fleet.Of(failing).Left)
+			assert.Equal(t, c.left, b.m.endpoints.find(failing).ejected)
 			if !c.left {
 				return
 			}
-			b.at(now+backoffFirst, read("trial"))
-			require.Equal(t, failing, b.m.stmts["trial"].Execs[0].Engine.Engine, "a trial")
-			b.at(now+backoffFirst+1, end("trial", 0, failing, decision.Completed))
-			assert.True(t, b.m.fleet.Of(failing).Left, "one that completes is not enough")
+			b.at(now+minEjection, read("trial"))
+			require.Equal(t, failing, b.m.statements["trial"].attempts[0].engine.Engine, "a trial")
+			b.at(now+minEjection+1, end("trial", 0, failing, decision.Completed))
+			assert.True(t, b.m.endpoints.find(failing).ejected, "one that completes is not enough")
 		})
 	}
 }
@@ -854,13 +853,13 @@
 		return e
 	}
 	b := newBed(t).at(0, ready("a"), read("s"))
-	b.at(100*ms, full("s", 2*crowdMost*8))
+	b.at(100*ms, full("s", 2*maxStatementsPerCore*8))
 	assert.Empty(t, b.at(200*ms, read("early")).sentTo())
 	wait := func(from, to time.Duration) (sent time.Duration) { // a statement each 50 ms, until one is sent
 		for at := from; at < to; at += 50 * ms {
 			id := decision.StatementID(fmt.Sprint("at ", at))
 			if b.at(at, read(id)); len(pick[decision.StartAttempt](b)) > 0 {
-				b.at(at+ms, full(pick[decision.StartAttempt](b)[0].Statement, 2*crowdMost*8))
+				b.at(at+ms, full(pick[decision.StartAttempt](b)[0].Statement, 2*maxStatementsPerCore*8))
 				return at
 			}
 		}
@@ -877,5 +876,5 @@
 			break
 		}
 	}
-	assert.False(t, b.m.jammed(b.m.fleet.Of("a")))
+	assert.False(t, b.m.isOverloaded(b.m.endpoints.find("a")))
 }
--- /dev/null
+++ b/policy/queue.go
@@ -0,0 +1,105 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"bankledge/decision"
+)
+
+// maxWithoutEngine is how many statements of a workload may find no engine before a pass skips the workload.
+const maxWithoutEngine = 4
+
+// statementQueue holds the statements that wait for an attempt.
+type statementQueue struct {
+	waiting  []*statement
+	examined int  // the first so many found no place since the queue was last dirty
+	dirty    bool // statements may find a place that they did not find before
+}
+
+// enqueue has a statement wait for its next attempt.
+func (m *Module) enqueue(s *statement) {
+	s.parked = false
+	m.queue.waiting = append(m.queue.waiting, s)
+}
+
+// contains tells whether a statement waits for an attempt.
+func (q *statementQueue) contains(s *statement) bool { return slices.Contains(q.waiting, s) }
+
+// dispatch starts attempts of the statements that wait, by what their answers count for their work, and sheds those
+// whose answers no longer count. Unless the queue is dirty, only what has just arrived is examined.
+func (m *Module) dispatch() {
+	q := &m.queue
+	if q.dirty {
+		q.dirty = false
+		q.examined = 0
+		slices.SortStableFunc(q.waiting, func(a, b *statement) int {
+			return cmp.Compare(m.priorities.value(b, m.now), m.priorities.value(a, m.now))
+		})
+	}
+	withoutEngine := make([]int, len(m.workloads))
+	remaining := slices.DeleteFunc(q.waiting[q.examined:], func(s *statement) bool {
+		return m.leavesQueue(s, withoutEngine)
+	})
+	q.examined += len(remaining)
+	q.waiting = q.waiting[:q.examined]
+}
+
+// leavesQueue starts a statement's next attempt or sheds it, and tells whether it no longer waits. The slice counts, by
+// workload, the statements that found no engine in this pass.
+func (m *Module) leavesQueue(s *statement, withoutEngine []int) bool {
+	if m.isTooLate(s) {
+		m.endUnanswered(s, decision.ReasonTooLate)
+	}
+	s.parked = s.clientBlocked && !s.finished
+	if s.parked || s.finished {
+		return true
+	}
+	id := s.classifiedAs.id
+	if withoutEngine[id] >= maxWithoutEngine || !m.keyQueues.mayRun(s, m.now) || !m.isWithinFleetQuota(s) {
+		return false
+	}
+	if m.attemptsInFlight >= cmp.Or(m.limits.MaxInFlightAttempts, math.MaxInt) {
+		return false
+	}
+	e := m.selectEngine(s)
+	if e == nil {
+		withoutEngine[id]++
+		return false
+	}
+	m.startAttempt(s, e)
+	return true
+}
+
+// isTooLate tells whether a statement that has no attempt in flight is to be shed: it cannot be answered in time, or
+// its answer would no longer count for anything.
+func (m *Module) isTooLate(s *statement) bool {
+	if s.openAttempts > 0 || s.workload.Protected {
+		return false
+	}
+	lastStart := s.deadline - time.Duration(s.classifiedAs.pace*float64(s.expectedRun))
+	if m.now > lastStart {
+		return true
+	}
+	return s.workload.LateFactor == 0 && m.now > (s.objectiveAt+s.latestStart())/2
+}
+
+// clientReadStateChanged parks the statements of a client that does not read, since their answers might not be kept,
+// and queues them again. Their time runs on. What is answered and no longer waited for is finished.
+func (m *Module) clientReadStateChanged(ev decision.ClientReadStateChanged) {
+	for _, id := range ev.Statements {
+		s := m.statements[id]
+		switch {
+		case s == nil:
+		case ev.Disconnected:
+			m.finish(s)
+		default:
+			s.clientBlocked = !ev.Reading
+			if s.parked && ev.Reading {
+				m.enqueue(s)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/policy/rules.go
@@ -0,0 +1,74 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"bankledge/decision"
+)
+
+// mayStart tells whether the rules let a statement go to an engine now. Every attempt passes it.
+func (m *Module) mayStart(s *statement, e *engine) bool {
+	return m.mayRun(s) &&
+		isPlacementAllowed(s.workload, e) &&
+		isInDedupScope(s, e) &&
+		m.mayRepeat(s) &&
+		m.keyQueues.mayRun(s, m.now) &&
+		m.isWithinRetryBudget(s) &&
+		m.slowStart.mayStart(s, e, m.now) &&
+		!slices.Contains(m.rules.PlacementExclusions[s.tables], e.Engine)
+}
+
+// mayRun tells whether a statement may have one more attempt, wherever that is.
+func (m *Module) mayRun(s *statement) bool {
+	if s.finished || s.streaming || m.now >= s.deadline {
+		return false
+	}
+	return s.openAttempts == 0 || m.limits.Hedging
+}
+
+// isPlacementAllowed tells whether statements of a workload may go to the engine. Nothing goes to an engine that drains,
+// which is stricter than its grace period.
+func isPlacementAllowed(w *workload, e *engine) bool {
+	return e.isReady() &&
+		(len(w.AllowedZones) == 0 || slices.Contains(w.AllowedZones, e.Zone)) &&
+		(len(w.AllowedMachineTypes) == 0 || slices.Contains(w.AllowedMachineTypes, e.MachineType))
+}
+
+// isInDedupScope tells whether the engine drops a repeat of what may have run before.
+func isInDedupScope(s *statement, e *engine) bool {
+	if s.idempotency != decision.Deduplicated || s.firstRun == nil {
+		return true
+	}
+	first := s.firstRun.engine
+	switch s.workload.DedupScope {
+	case decision.ScopeAll:
+		return true
+	case decision.ScopeZone:
+		return first.Zone == e.Zone
+	case decision.ScopeCell:
+		return first.Cell == e.Cell
+	}
+	return false
+}
+
+// mayRepeat tells whether one more attempt does no effect twice: what may have run goes again only where that is
+// harmless.
+func (m *Module) mayRepeat(s *statement) bool {
+	if len(s.attempts) >= cmp.Or(m.limits.MaxAttempts, math.MaxInt) {
+		return false
+	}
+	if s.firstRun == nil || s.idempotency == decision.Idempotent {
+		return true
+	}
+	return s.idempotency == decision.Deduplicated && m.now < s.firstRun.sentAt+s.workload.DedupWindow
+}
+
+// mayReject tells whether the client may be told that sending the statement again is harmless.
+func mayReject(s *statement) bool {
+	if s.firstRun == nil || s.idempotency == decision.Idempotent {
+		return true
+	}
+	return s.idempotency == decision.Deduplicated && s.workload.DedupScope == decision.ScopeAll
+}
