--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	mostHead  = 16 << 10 // bytes of a status line with its headers
-	mostLine  = 256      // bytes of a chunk's size line or of a trailer
-	mostLines = 64       // trailers
-	mostEarly = 16       // interim answers before one
-	readAhead = 64 << 10
+	maxHeaderBytes      = 16 << 10 // bytes of a status line with its headers
+	maxChunkLineBytes   = 256      // bytes of a chunk's size line or of a trailer
+	maxTrailers         = 64       // trailers
+	maxInterimResponses = 16       // interim answers before one
+	readBufferBytes     = 64 << 10
 )
 
 // ErrMalformed tells of an answer that is not HTTP/1.1.
@@ -36,15 +36,17 @@
 
 // Reader reads the answers on one connection.
 type Reader struct {
-	src io.Reader
-	buf *readbuffer.Buffer
+	source io.Reader
+	buffer *readbuffer.Buffer
 }
 
 // NewReader reads answers from a connection.
-func NewReader(src io.Reader) *Reader { return &Reader{src: src, buf: readbuffer.New(readAhead)} }
+func NewReader(src io.Reader) *Reader {
+	return &Reader{source: src, buffer: readbuffer.New(readBufferBytes)}
+}
 
 // Buffered tells whether bytes were read that no call has taken.
-func (r *Reader) Buffered() bool { return len(r.buf.Bytes()) > 0 }
+func (r *Reader) Buffered() bool { return len(r.buffer.Bytes()) > 0 }
 
 // Answer reads a whole answer, with a body of at most so many bytes. What claims to hold more is not read, and a
 // body that only the end of the connection ends is none: nothing tells whether it came whole.
@@ -54,10 +56,10 @@
 		return head, nil, err
 	}
 	switch body := r.BodyReader(head).(type) {
-	case untilEnd:
+	case untilCloseBody:
 		return head, nil, fmt.Errorf("%w: a body without an end", ErrMalformed)
-	case *sized:
-		if body.left > int64(most) {
+	case *fixedLengthBody:
+		if body.remaining > int64(most) {
 			return head, nil, fmt.Errorf("%w: body over %d bytes", ErrMalformed, most)
 		}
 	}
@@ -71,20 +73,20 @@
 // Head reads a status line and headers; interim answers are passed over.
 func (r *Reader) ReadHeader() (Header, error) {
 	for early := 0; ; {
-		raw := r.buf.Bytes()
-		if i := bytes.Index(raw, []byte("\r\n\r\n")); i >= 0 && i <= mostHead {
+		raw := r.buffer.Bytes()
+		if i := bytes.Index(raw, []byte("\r\n\r\n")); i >= 0 && i <= maxHeaderBytes {
 			head, err := ParseHeader(raw[:i])
-			r.buf.Discard(i + 4)
+			r.buffer.Discard(i + 4)
 			if err != nil || head.Status >= 200 {
 				return head, err
 			}
-			if early++; early > mostEarly {
-				return Header{}, fmt.Errorf("%w: over %d interim answers", ErrMalformed, mostEarly)
+			if early++; early > maxInterimResponses {
+				return Header{}, fmt.Errorf("%w: over %d interim answers", ErrMalformed, maxInterimResponses)
 			}
 			continue
 		}
-		if len(raw) > mostHead {
-			return Header{}, fmt.Errorf("%w: headers over %d bytes", ErrMalformed, mostHead)
+		if len(raw) > maxHeaderBytes {
+			return Header{}, fmt.Errorf("%w: headers over %d bytes", ErrMalformed, maxHeaderBytes)
 		}
 		if err := r.fill(); err != nil {
 			return Header{}, err
@@ -125,49 +127,49 @@
 	n, err := strconv.ParseUint(length, 10, 62)
 	switch {
 	case h.Status == 204 || h.Status == 304:
-		return &sized{r, 0}
+		return &fixedLengthBody{r, 0}
 	case h.Field("Transfer-Encoding") != "":
 		if !strings.EqualFold(h.Field("Transfer-Encoding"), "chunked") {
-			return broken{fmt.Errorf("%w: transfer coding", ErrMalformed)}
+			return failedBody{fmt.Errorf("%w: transfer coding", ErrMalformed)}
 		}
-		return &chunked{r: r}
+		return &chunkedBody{r: r}
 	case length == "":
-		return untilEnd{r}
+		return untilCloseBody{r}
 	case err != nil:
-		return broken{fmt.Errorf("%w: length", ErrMalformed)}
+		return failedBody{fmt.Errorf("%w: length", ErrMalformed)}
 	}
-	return &sized{r, int64(n)}
+	return &fixedLengthBody{r, int64(n)}
 }
 
 func (r *Reader) fill() error {
-	_, err := r.buf.Fill(r.src)
+	_, err := r.buffer.Fill(r.source)
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func (r *Reader) take(p []byte) (int, error) {
-	for len(r.buf.Bytes()) == 0 {
+func (r *Reader) readBuffered(p []byte) (int, error) {
+	for len(r.buffer.Bytes()) == 0 {
 		if err := r.fill(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, r.buf.Bytes())
-	r.buf.Discard(n)
+	n := copy(p, r.buffer.Bytes())
+	r.buffer.Discard(n)
 	return n, nil
 }
 
 // line reads one line of a chunked body.
-func (r *Reader) line() (string, error) {
+func (r *Reader) readLine() (string, error) {
 	for {
-		raw := r.buf.Bytes()
-		if i := bytes.Index(raw, []byte("\r\n")); i >= 0 && i <= mostLine {
+		raw := r.buffer.Bytes()
+		if i := bytes.Index(raw, []byte("\r\n")); i >= 0 && i <= maxChunkLineBytes {
 			line := string(raw[:i])
-			r.buf.Discard(i + 2)
+			r.buffer.Discard(i + 2)
 			return line, nil
 		}
-		if len(raw) > mostLine {
+		if len(raw) > maxChunkLineBytes {
 			return "", fmt.Errorf("%w: chunk line", ErrMalformed)
 		}
 		if err := r.fill(); err != nil {
@@ -176,64 +178,64 @@
 	}
 }
 
-type broken struct{ err error }
+type failedBody struct{ err error }
 
-func (b broken) Read([]byte) (int, error) { return 0, b.err }
+func (b failedBody) Read([]byte) (int, error) { return 0, b.err }
 
-type untilEnd struct{ r *Reader }
+type untilCloseBody struct{ r *Reader }
 
-func (u untilEnd) Read(p []byte) (int, error) {
-	n, err := u.r.take(p)
+func (u untilCloseBody) Read(p []byte) (int, error) {
+	n, err := u.r.readBuffered(p)
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		err = io.EOF
 	}
 	return n, err
 }
 
-type sized struct {
-	r    *Reader
-	left int64
+type fixedLengthBody struct {
+	r         *Reader
+	remaining int64
 }
 
-func (s *sized) Read(p []byte) (int, error) {
-	if s.left == 0 {
+func (s *fixedLengthBody) Read(p []byte) (int, error) {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := s.r.take(p[:min(int64(len(p)), s.left)])
-	s.left -= int64(n)
+	n, err := s.r.readBuffered(p[:min(int64(len(p)), s.remaining)])
+	s.remaining -= int64(n)
 	return n, err
 }
 
-type chunked struct {
-	r     *Reader
-	left  int64
-	begun bool
-	ended bool
+type chunkedBody struct {
+	r         *Reader
+	remaining int64
+	started   bool
+	finished  bool
 }
 
-func (c *chunked) Read(p []byte) (int, error) {
-	if c.left == 0 && !c.ended {
-		if err := c.next(); err != nil {
+func (c *chunkedBody) Read(p []byte) (int, error) {
+	if c.remaining == 0 && !c.finished {
+		if err := c.nextChunk(); err != nil {
 			return 0, err
 		}
 	}
-	if c.ended {
+	if c.finished {
 		return 0, io.EOF
 	}
-	n, err := c.r.take(p[:min(int64(len(p)), c.left)])
-	c.left -= int64(n)
+	n, err := c.r.readBuffered(p[:min(int64(len(p)), c.remaining)])
+	c.remaining -= int64(n)
 	return n, err
 }
 
 // next reads up to the next chunk's data, or past the last chunk and its trailers.
-func (c *chunked) next() error {
-	if c.begun {
-		if line, err := c.r.line(); err != nil || line != "" {
+func (c *chunkedBody) nextChunk() error {
+	if c.started {
+		if line, err := c.r.readLine(); err != nil || line != "" {
 			return errors.Join(err, fmt.Errorf("%w: end of chunk", ErrMalformed))
 		}
 	}
-	c.begun = true
-	line, err := c.r.line()
+	c.started = true
+	line, err := c.r.readLine()
 	if err != nil {
 		return err
 	}
@@ -242,13 +244,13 @@
 	if err != nil {
 		return fmt.Errorf("%w: chunk size", ErrMalformed)
 	}
-	c.left, c.ended = int64(n), n == 0
-	for i := 0; c.ended; i++ {
-		line, err := c.r.line()
+	c.remaining, c.finished = int64(n), n == 0
+	for i := 0; c.finished; i++ {
+		line, err := c.r.readLine()
 		if err != nil || line == "" {
 			return err
 		}
-		if i >= mostLines {
+		if i >= maxTrailers {
 			return fmt.Errorf("%w: trailers", ErrMalformed)
 		}
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -32,7 +32,7 @@
 		{"cut in the body", ok + "Content-Length: 5\r\n\r\nhel", "", "EOF", 200, false},
 		{"cut in a chunk", ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nhel", "", "EOF", 200, false},
 		{"body over the limit", ok + "Content-Length: 99\r\n\r\n" + strings.Repeat("x", 99), "", "over 64 bytes", 200, false},
-		{"head over the limit", ok + "A: " + strings.Repeat("x", mostHead) + "\r\n\r\n", "", "headers over", 0, false},
+		{"head over the limit", ok + "A: " + strings.Repeat("x", maxHeaderBytes) + "\r\n\r\n", "", "headers over", 0, false},
 		{"no HTTP", "so what\r\n\r\n", "", "status line", 0, false},
 		{"status of two digits", "HTTP/1.1 20 OK\r\n\r\n", "", "status line", 0, false},
 		{"a header with no colon", ok + "what\r\n\r\n", "", "header line", 0, false},
--- a/internal/upstream/calloff.go
+++ b/internal/upstream/calloff.go
@@ -19,17 +19,17 @@
 	ProofShutdown                         // the router ends: nothing is sent any more
 )
 
-var proofNames = [...]string{"not sent", "the engine told its end", "the engine gave it up", "not asked for, so dropped", "none: the router ends"}
+var proofTexts = [...]string{"not sent", "the engine told its end", "the engine gave it up", "not asked for, so dropped", "none: the router ends"}
 
 // String is the proof's name in logs.
-func (p EndProof) String() string { return proofNames[p] }
+func (p EndProof) String() string { return proofTexts[p] }
 
 // dropped is when the engine has dropped the execution at the latest, if it is not asked for it again. A call without an answer may have
 // come to it until its connection was reset.
-func (x *Attempt) dropped() time.Time {
-	answered := x.asked.time(x.back.origin).Add(pollHeld + forgets + forgetOff)
-	unanswered := x.aborted.time(x.back.origin).Add(pollHeld + forgets + resetOff)
-	if x.aborted.isSet() && unanswered.After(answered) {
+func (x *Attempt) expiresAtEngine() time.Time {
+	answered := x.lastRequest.load(x.client.clockOrigin).Add(pollHoldTime + engineRetention + retentionMargin)
+	unanswered := x.lastAbort.load(x.client.clockOrigin).Add(pollHoldTime + engineRetention + resetMargin)
+	if x.lastAbort.isSet() && unanswered.After(answered) {
 		return unanswered
 	}
 	return answered
@@ -39,38 +39,38 @@
 // gave it up, after it had answered its start (a start that is still on its way would begin it anew); its end was
 // read; or the engine must have dropped what it was not asked for. That nobody listens there proves nothing: an
 // engine on its way out takes no new connections and runs on. It hears of it on one that it has taken, such as the poll's.
-func (x *Attempt) callOff() EndProof {
+func (x *Attempt) cancelAtEngine() EndProof {
 	for {
-		if proof, proven := x.callOffUntil(x.dropped()); proven {
+		if proof, proven := x.cancelAtEngineUntil(x.expiresAtEngine()); proven {
 			return proof
 		}
-		if x.back.ctx.Err() != nil {
+		if x.client.lifetime.Err() != nil {
 			return ProofShutdown
 		}
-		if !time.Now().Before(x.dropped()) { // a poll beside this may have gone out since, which prolongs it
+		if !time.Now().Before(x.expiresAtEngine()) { // a poll beside this may have gone out since, which prolongs it
 			return ProofExpiredAtEngine
 		}
 	}
 }
 
 // callOffUntil tries to have the engine give it up until a time.
-func (x *Attempt) callOffUntil(until time.Time) (proof EndProof, proven bool) {
-	ctx, cancel := context.WithDeadline(x.back.ctx, until)
+func (x *Attempt) cancelAtEngineUntil(until time.Time) (proof EndProof, proven bool) {
+	ctx, cancel := context.WithDeadline(x.client.lifetime, until)
 	defer cancel()
 	for ctx.Err() == nil {
-		answered := isClosed(x.heard)
-		confirmed := x.delete(ctx)
+		answered := isClosed(x.startResolved)
+		confirmed := x.sendCancel(ctx)
 		if confirmed && answered {
 			return ProofCancelConfirmed, true
 		}
-		retry, heard := time.After(askAgain), (chan struct{})(nil)
+		retry, heard := time.After(retryDelay), (chan struct{})(nil)
 		if confirmed { // again, behind the answer to the start
-			retry, heard = nil, x.heard
+			retry, heard = nil, x.startResolved
 		}
 		select {
 		case <-retry:
 		case <-heard:
-		case <-x.over:
+		case <-x.endConfirmed:
 			return ProofReportedByEngine, true
 		case <-ctx.Done():
 		}
@@ -79,20 +79,20 @@
 }
 
 // delete tells the engine that the execution is given up, and whether it has answered so.
-func (x *Attempt) delete(ctx context.Context) bool {
-	c, err := x.back.pool.get(ctx, x.Engine, x.address, false)
+func (x *Attempt) sendCancel(ctx context.Context) bool {
+	c, err := x.client.pool.acquire(ctx, x.Engine, x.address, false)
 	if err != nil {
 		return false
 	}
-	head, _, _, err := c.do(time.Now().Add(pollHeld+pollSlack), message("DELETE", x.path, c.address, nil))
-	x.back.log.Debug("called off", zap.String("statement", string(x.Statement)), zap.String("engine", string(x.Engine)),
-		zap.Duration("after", time.Since(x.sent)), zap.Int("status", head.Status), zap.Error(err))
+	head, _, _, err := c.roundTrip(time.Now().Add(pollHoldTime+responseMargin), formatRequest("DELETE", x.resourcePath, c.address, nil))
+	x.client.log.Debug("called off", zap.String("statement", string(x.Statement)), zap.String("engine", string(x.Engine)),
+		zap.Duration("after", time.Since(x.createdAt)), zap.Int("status", head.Status), zap.Error(err))
 	if err != nil {
-		x.back.pool.abort(c)
-	} else if head.Close || c.look() != quiet {
-		x.back.pool.drop(c)
+		x.client.pool.abort(c)
+	} else if head.Close || c.inspect() != stateQuiet {
+		x.client.pool.close(c)
 	} else {
-		x.back.pool.put(c)
+		x.client.pool.release(c)
 	}
 	return err == nil && (head.Status == 204 || head.Status == 500) // 500: it is known there no longer
 }
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -30,7 +30,7 @@
 }
 
 // calls is an engine that tells each call and answers it at once.
-func calls(t *testing.T, listener net.Listener) chan string {
+func startRecordingEngine(t *testing.T, listener net.Listener) chan string {
 	heard := make(chan string, 1000)
 	go func() {
 		for {
@@ -76,12 +76,12 @@
 		t.Run("waits for a descriptor, "+name, func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			heard, ended := calls(t, listener), make(ends, 1)
+			heard, ended := startRecordingEngine(t, listener), make(endRecorder, 1)
 			b := New(t.Context(), ended, 1, time.Minute, patience, zap.NewNop())
 			b.UpdateEngine("e", listener.Addr().String(), true)
-			require.NoError(t, b.pool.slot(t.Context()))
+			require.NoError(t, b.pool.acquireSlot(t.Context()))
 			b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)})
-			require.Eventually(t, func() bool { b.pool.mu.Lock(); defer b.pool.mu.Unlock(); return b.pool.waiting == 1 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { b.pool.mu.Lock(); defer b.pool.mu.Unlock(); return b.pool.slotWaiters == 1 }, patience, time.Millisecond)
 			tell(b, listener.Addr().String())
 			<-b.pool.slots
 			assert.Equal(t, decision.NotSent, await(t, ended).Outcome)
@@ -91,14 +91,14 @@
 			t.Parallel()
 			listener, accept, err := fakes.NotUp()
 			require.NoError(t, err)
-			ended := make(ends, 1)
+			ended := make(endRecorder, 1)
 			b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
 			b.UpdateEngine("e", listener.Addr().String(), true)
 			b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)})
 			require.Eventually(t, func() bool { return b.ConnectionsInUse() == 1 }, patience, time.Millisecond)
 			tell(b, listener.Addr().String())
 			accept()
-			heard := calls(t, listener)
+			heard := startRecordingEngine(t, listener)
 			assert.Equal(t, decision.NotSent, await(t, ended).Outcome)
 			assert.Empty(t, heard)
 		})
@@ -109,11 +109,11 @@
 func TestAnEngineThatIsReadyAgain(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	heard := calls(t, listener)
-	b := New(t.Context(), make(ends, 1), 4, time.Minute, patience, zap.NewNop())
+	heard := startRecordingEngine(t, listener)
+	b := New(t.Context(), make(endRecorder, 1), 4, time.Minute, patience, zap.NewNop())
 	b.UpdateEngine("e", listener.Addr().String(), true)
 	b.DrainEngine("e")
-	assert.False(t, b.pool.mayBegin("e", listener.Addr().String()))
+	assert.False(t, b.pool.mayStartAttempt("e", listener.Addr().String()))
 	b.UpdateEngine("e", listener.Addr().String(), true)
 	b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)})
 	assert.Equal(t, "POST", await(t, heard))
@@ -124,7 +124,7 @@
 		b.DrainEngine(id)
 		b.RemoveEngine(id)
 	}
-	assert.Empty(t, b.pool.drains)
+	assert.Empty(t, b.pool.draining)
 }
 
 // An execution is given up in the moment between its start is marked and the first byte of it is written: it has no end before the
@@ -132,28 +132,28 @@
 func TestGivenUpBetweenTheMarkAndTheFirstByte(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	heard, ended := calls(t, listener), make(ends, 1)
+	heard, ended := startRecordingEngine(t, listener), make(endRecorder, 1)
 	b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
 	b.UpdateEngine("e", listener.Addr().String(), true)
 	ctx, cancel := context.WithCancel(t.Context())
-	x := &Attempt{back: b, AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)}, path: "/x/s", address: b.pool.of("e"),
-		sent: time.Now(), ctx: ctx, cancel: cancel, heard: make(chan struct{}), over: make(chan struct{})}
-	b.pool.hold("e")
-	x.conn, err = b.pool.get(ctx, "e", x.address, false)
+	x := &Attempt{client: b, AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)}, resourcePath: "/x/s", address: b.pool.addressOf("e"),
+		createdAt: time.Now(), ctx: ctx, cancel: cancel, startResolved: make(chan struct{}), endConfirmed: make(chan struct{})}
+	b.pool.attemptStarted("e")
+	x.conn, err = b.pool.acquire(ctx, "e", x.address, false)
 	require.NoError(t, err)
-	require.True(t, x.begin())
-	context.AfterFunc(ctx, x.lapsed)
+	require.True(t, x.markStarted())
+	context.AfterFunc(ctx, x.onContextDone)
 	x.Cancel() // here
 	assert.Equal(t, "DELE", await(t, heard), "it may be on its way already")
 	assert.Empty(t, ended)
-	_, whole, err := x.ask(patience, message("POST", "/x", x.address, nil, "Content-Length", "0"))
+	_, whole, err := x.roundTrip(patience, formatRequest("POST", "/x", x.address, nil, "Content-Length", "0"))
 	require.True(t, whole && err == nil)
 	assert.Equal(t, "POST", await(t, heard))
 	assert.Empty(t, ended, "its start was answered after the DELETE")
-	close(x.heard)
+	close(x.startResolved)
 	assert.Equal(t, "DELE", await(t, heard), "once more, behind the start")
 	assert.Equal(t, decision.Cancelled, await(t, ended).Outcome)
-	x.release(true)
+	x.releaseConnection(true)
 }
 
 // The end of the program waits for no engine: a call to one that hangs is broken off.
@@ -162,15 +162,15 @@
 	require.NoError(t, err)
 	defer listener.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	b := New(ctx, make(ends, 1), 4, time.Minute, patience, zap.NewNop())
+	b := New(ctx, make(endRecorder, 1), 4, time.Minute, patience, zap.NewNop())
 	b.UpdateEngine("e", listener.Addr().String(), true)
 	tended := make(chan error, 1)
 	go func() { tended <- b.Run(ctx) }()
-	c, err := b.pool.get(ctx, "e", b.pool.of("e"), false)
+	c, err := b.pool.acquire(ctx, "e", b.pool.addressOf("e"), false)
 	require.NoError(t, err)
-	b.running.Go(func() {
-		c.do(time.Now().Add(time.Hour), message("GET", "/x/s/0", c.address, nil))
-		b.pool.drop(c)
+	b.tasks.Go(func() {
+		c.roundTrip(time.Now().Add(time.Hour), formatRequest("GET", "/x/s/0", c.address, nil))
+		b.pool.close(c)
 	})
 	engine, err := listener.Accept()
 	require.NoError(t, err)
@@ -180,7 +180,7 @@
 	cancel()
 	require.NoError(t, await(t, tended))
 	assert.Zero(t, b.ConnectionsInUse())
-	_, err = b.pool.get(t.Context(), "e", b.pool.of("e"), true) // nothing comes up after it
+	_, err = b.pool.acquire(t.Context(), "e", b.pool.addressOf("e"), true) // nothing comes up after it
 	require.Error(t, err)
 	assert.Zero(t, b.ConnectionsInUse())
 }
@@ -189,8 +189,8 @@
 // for its connection, or that comes to begin just then, is never sent.
 func TestNothingIsSentTooLate(t *testing.T) {
 	const soon = 20 * time.Millisecond
-	run := func(t *testing.T, wait func(b *Client), listener net.Listener) ends {
-		ended := make(ends, 1)
+	run := func(t *testing.T, wait func(b *Client), listener net.Listener) endRecorder {
+		ended := make(endRecorder, 1)
 		b := New(t.Context(), ended, 1, time.Minute, patience, zap.NewNop())
 		b.UpdateEngine("e", listener.Addr().String(), true)
 		wait(b)
@@ -200,8 +200,8 @@
 	t.Run("waits for a descriptor", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		heard := calls(t, listener)
-		ended := run(t, func(b *Client) { require.NoError(t, b.pool.slot(t.Context())) }, listener)
+		heard := startRecordingEngine(t, listener)
+		ended := run(t, func(b *Client) { require.NoError(t, b.pool.acquireSlot(t.Context())) }, listener)
 		assert.Equal(t, decision.NotSent, await(t, ended).Outcome)
 		assert.Empty(t, heard)
 	})
@@ -211,18 +211,18 @@
 		ended := run(t, func(*Client) {}, listener)
 		assert.Equal(t, decision.NotSent, await(t, ended).Outcome, "which says nothing of its engine")
 		accept()
-		assert.Empty(t, calls(t, listener))
+		assert.Empty(t, startRecordingEngine(t, listener))
 	})
 	t.Run("begins", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		heard, ended := calls(t, listener), make(ends, 1)
+		heard, ended := startRecordingEngine(t, listener), make(endRecorder, 1)
 		b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
 		b.UpdateEngine("e", listener.Addr().String(), true)
-		x := &Attempt{back: b, ctx: t.Context(), address: b.pool.of("e"), AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute), StartBefore: time.Now()}}
-		assert.False(t, x.begin())
+		x := &Attempt{client: b, ctx: t.Context(), address: b.pool.addressOf("e"), AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute), StartBefore: time.Now()}}
+		assert.False(t, x.markStarted())
 		x.StartBefore = time.Now().Add(time.Minute)
-		assert.True(t, x.begin())
+		assert.True(t, x.markStarted())
 		b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute), StartBefore: time.Now().Add(time.Minute)})
 		assert.Equal(t, "POST", await(t, heard))
 	})
@@ -233,44 +233,44 @@
 func TestAPollGoesOutWhileItIsCalledOff(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	heard := calls(t, listener)
-	b := New(t.Context(), make(ends, 1), 4, time.Minute, patience, zap.NewNop())
+	heard := startRecordingEngine(t, listener)
+	b := New(t.Context(), make(endRecorder, 1), 4, time.Minute, patience, zap.NewNop())
 	b.UpdateEngine("e", listener.Addr().String(), true)
-	x := &Attempt{back: b, AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)}, path: "/x/s", address: b.pool.of("e"),
-		sent: time.Now(), ctx: t.Context(), heard: make(chan struct{}), over: make(chan struct{})}
-	x.conn, err = b.pool.get(t.Context(), "e", x.address, false)
+	x := &Attempt{client: b, AttemptRequest: AttemptRequest{Statement: "s", Engine: "e", Deadline: time.Now().Add(time.Minute)}, resourcePath: "/x/s", address: b.pool.addressOf("e"),
+		createdAt: time.Now(), ctx: t.Context(), startResolved: make(chan struct{}), endConfirmed: make(chan struct{})}
+	x.conn, err = b.pool.acquire(t.Context(), "e", x.address, false)
 	require.NoError(t, err)
 	poll := func() {
 		t.Helper()
-		_, _, err := x.ask(patience, message("GET", "/x/s/0", x.address, nil))
+		_, _, err := x.roundTrip(patience, formatRequest("GET", "/x/s/0", x.address, nil))
 		require.NoError(t, err)
 		assert.Equal(t, "GET ", await(t, heard))
 	}
-	close(x.heard)
-	poll()                                          // its connection has been accepted
-	x.asked.set(b.origin, time.Now().Add(-forgets)) // soon it would be held to be dropped
-	listener.Close()                                // nothing is confirmed
+	close(x.startResolved)
+	poll()                                                               // its connection has been accepted
+	x.lastRequest.store(b.clockOrigin, time.Now().Add(-engineRetention)) // soon it would be held to be dropped
+	listener.Close()                                                     // nothing is confirmed
 	proof := make(chan EndProof, 1)
-	go func() { proof <- x.callOff() }()
-	require.Eventually(t, func() bool { b.pool.mu.Lock(); defer b.pool.mu.Unlock(); return b.pool.dials.Failed > 0 }, patience, time.Millisecond) // it has begun
+	go func() { proof <- x.cancelAtEngine() }()
+	require.Eventually(t, func() bool { b.pool.mu.Lock(); defer b.pool.mu.Unlock(); return b.pool.stats.Failed > 0 }, patience, time.Millisecond) // it has begun
 	poll()
 	asked := time.Now()
 	assert.Equal(t, ProofExpiredAtEngine, await(t, proof))
-	assert.GreaterOrEqual(t, time.Since(asked), forgets, "the engine still ran it")
-	x.release(true)
+	assert.GreaterOrEqual(t, time.Since(asked), engineRetention, "the engine still ran it")
+	x.releaseConnection(true)
 }
 
 // The router ends while a start is held up on its way to an engine: it must not come there any more, since nobody is left to call it off.
 func TestAStartOnItsWayWhenTheRouterEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	heard := calls(t, listener)
+	heard := startRecordingEngine(t, listener)
 	link, err := faultlab.NewLink(listener.Addr().String())
 	require.NoError(t, err)
 	defer link.Close()
 	link.Set(faultlab.Way{Cut: true}, faultlab.Way{Cut: true})
 	ctx, end := context.WithCancel(t.Context())
-	b := New(ctx, make(ends, 1), 4, time.Minute, patience, zap.NewNop())
+	b := New(ctx, make(endRecorder, 1), 4, time.Minute, patience, zap.NewNop())
 	b.UpdateEngine("e", link.Address(), true)
 	b.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Text: []byte("update"), Deadline: time.Now().Add(time.Minute)})
 	require.Eventually(t, func() bool { return link.Held() > 0 }, patience, time.Millisecond)
--- a/internal/upstream/execution_test.go
+++ b/internal/upstream/execution_test.go
@@ -15,11 +15,11 @@
 	"bankledge/decision"
 )
 
-type ends chan decision.AttemptEnded
+type endRecorder chan decision.AttemptEnded
 
-func (e ends) AttemptProgressed(decision.AttemptProgress)         {}
-func (e ends) AttemptEnded(ended decision.AttemptEnded, _ []byte) { e <- ended }
-func (e ends) HealthCheckEnded(decision.HealthCheckEnded)         {}
+func (e endRecorder) AttemptProgressed(decision.AttemptProgress)         {}
+func (e endRecorder) AttemptEnded(ended decision.AttemptEnded, _ []byte) { e <- ended }
+func (e endRecorder) HealthCheckEnded(decision.HealthCheckEnded)         {}
 
 // Whenever an execution is given up or its time is up, before, while and after it is started, it has one end,
 // and one that was never started never reached the engine.
@@ -33,7 +33,7 @@
 	}))
 	defer engine.Close()
 	ctx, cancel := context.WithCancel(t.Context())
-	heard := make(ends, 1000)
+	heard := make(endRecorder, 1000)
 	b := New(ctx, heard, 20, time.Minute, time.Second, zap.NewNop())
 	b.UpdateEngine("e", engine.Listener.Addr().String(), true)
 	const n = 300
@@ -64,10 +64,10 @@
 	require.NoError(t, b.Preconnect(ctx, "e"))
 	over, lapse := context.WithCancel(ctx)
 	lapse()
-	x := &Attempt{back: b, ctx: over, AttemptRequest: AttemptRequest{Statement: "late", Engine: "e", Deadline: time.Now().Add(time.Minute)}}
+	x := &Attempt{client: b, ctx: over, AttemptRequest: AttemptRequest{Statement: "late", Engine: "e", Deadline: time.Now().Add(time.Minute)}}
 	end, known := x.run()
 	assert.True(t, known)
-	assert.Equal(t, ending{outcome: decision.NotSent, proof: ProofNotSent}, end)
+	assert.Equal(t, attemptEnd{outcome: decision.NotSent, proof: ProofNotSent}, end)
 	seen["late"] = end.outcome
 
 	cancel()
@@ -91,7 +91,7 @@
 		w.WriteHeader(map[string]int{"POST": 202, "GET": 202, "DELETE": 204}[r.Method])
 	}))
 	defer at.Close()
-	heard := make(ends, 10)
+	heard := make(endRecorder, 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	b := New(ctx, heard, 20, time.Minute, time.Second, zap.NewNop())
 	address := at.Listener.Addr().String()
@@ -106,10 +106,10 @@
 	b.pool.mu.Unlock()
 	ended := <-heard // what was out there is not asked of the new one
 	assert.Equal(t, decision.ConnectionReset, ended.Outcome)
-	_, err := b.pool.get(ctx, "old", address, false)
-	require.ErrorIs(t, err, errNoEngine)
+	_, err := b.pool.acquire(ctx, "old", address, false)
+	require.ErrorIs(t, err, errUnknownEngine)
 	b.RemoveEngine("old")
-	assert.Equal(t, address, b.pool.of("new"), "it is the new one's")
+	assert.Equal(t, address, b.pool.addressOf("new"), "it is the new one's")
 	for i := range 1000 {
 		id := decision.EngineID(strconv.Itoa(i))
 		b.UpdateEngine(id, "127.0.0.1:"+strconv.Itoa(1000+i), true)
@@ -118,8 +118,8 @@
 		}
 	}
 	b.RetainEngines(map[decision.EngineID]bool{"new": true})
-	assert.Len(t, b.pool.address, 1)
-	assert.Len(t, b.pool.owner, 1)
+	assert.Len(t, b.pool.addresses, 1)
+	assert.Len(t, b.pool.engineAt, 1)
 	cancel()
 	require.NoError(t, b.Run(ctx))
 	assert.Empty(t, b.pool.idle)
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -16,11 +16,11 @@
 	"bankledge/decision"
 )
 
-type results chan string
+type resultRecorder chan string
 
-func (r results) AttemptProgressed(decision.AttemptProgress) {}
-func (r results) HealthCheckEnded(decision.HealthCheckEnded) {}
-func (r results) AttemptEnded(ended decision.AttemptEnded, result []byte) {
+func (r resultRecorder) AttemptProgressed(decision.AttemptProgress) {}
+func (r resultRecorder) HealthCheckEnded(decision.HealthCheckEnded) {}
+func (r resultRecorder) AttemptEnded(ended decision.AttemptEnded, result []byte) {
 	r <- string(ended.Statement) + " " + string(result)
 }
 
@@ -72,7 +72,7 @@
 					}()
 				}
 			}()
-			ended := make(results, 2)
+			ended := make(resultRecorder, 2)
 			b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
 			b.UpdateEngine("e", listener.Addr().String(), true)
 			for _, id := range []decision.StatementID{"A", "B"} {
@@ -81,7 +81,7 @@
 				require.Eventually(t, func() bool { // a connection that was given back has rested
 					b.pool.mu.Lock()
 					defer b.pool.mu.Unlock()
-					return len(b.pool.idle["e"]) == 0 || time.Since(b.pool.idle["e"][0].idle) > 2*restTime
+					return len(b.pool.idle["e"]) == 0 || time.Since(b.pool.idle["e"][0].idleSince) > 2*minRestTime
 				}, patience, time.Millisecond)
 			}
 		})
@@ -120,7 +120,7 @@
 			}()
 		}
 	}()
-	ended := make(ends, 2)
+	ended := make(endRecorder, 2)
 	b := New(t.Context(), ended, 4, time.Minute, patience, zap.NewNop())
 	b.UpdateEngine("e", listener.Addr().String(), true)
 	b.StartAttempt(AttemptRequest{Statement: "A", Engine: "e", Text: []byte("select"), Deadline: time.Now().Add(time.Minute)})
@@ -128,7 +128,7 @@
 	require.Eventually(t, func() bool { // a connection that was given back has rested
 		b.pool.mu.Lock()
 		defer b.pool.mu.Unlock()
-		return len(b.pool.idle["e"]) == 0 || time.Since(b.pool.idle["e"][0].idle) > 2*restTime
+		return len(b.pool.idle["e"]) == 0 || time.Since(b.pool.idle["e"][0].idleSince) > 2*minRestTime
 	}, patience, time.Millisecond)
 	b.StartAttempt(AttemptRequest{Statement: "B", Engine: "e", Text: []byte("update"), Deadline: time.Now().Add(time.Minute)})
 	assert.Equal(t, decision.Completed, await(t, ended).Outcome)
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -12,27 +12,27 @@
 
 // The protocol's headers.
 const (
-	fieldID       = "X-Txn"
-	fieldWorkload = "X-Lane"
-	fieldLimit    = "X-Limit-Ms"
-	fieldNeverRan = "X-Unrun"
-	fieldPages    = "X-Batches"
-	fieldPage     = "X-Batch"
-	fieldNote     = "X-How"
-	fieldValue    = "X-Num"
-	fieldReport   = "X-Gauges"
+	headerStatementID   = "X-Txn"
+	headerWorkload      = "X-Lane"
+	headerTimeLeft      = "X-Limit-Ms"
+	headerNeverRan      = "X-Unrun"
+	headerPageCount     = "X-Batches"
+	headerPageNumber    = "X-Batch"
+	headerProgressKind  = "X-How"
+	headerProgressValue = "X-Num"
+	headerLoadReport    = "X-Gauges"
 )
 
 // reading is what an engine's answer to the start of an execution, or to a poll, says.
-type reading struct {
-	over    bool             // the execution has ended
-	outcome decision.Outcome // with over
-	pages   int              // with a good end, how many there are
-	note    *decision.AttemptProgress
-	report  *decision.LoadReport
+type attemptStatus struct {
+	ended      bool             // the execution has ended
+	outcome    decision.Outcome // with over
+	pageCount  int              // with a good end, how many there are
+	progress   *decision.AttemptProgress
+	loadReport *decision.LoadReport
 }
 
-var notes = map[string]decision.ProgressKind{"done": decision.ProgressShareDone, "spills": decision.ProgressSpilling,
+var progressKinds = map[string]decision.ProgressKind{"done": decision.ProgressShareDone, "spills": decision.ProgressSpilling,
 	"waits": decision.ProgressWaiting}
 
 // outcomeOf is the one table from answers to outcomes. Only where an answer says so did nothing run.
@@ -51,35 +51,35 @@
 }
 
 // neverRan tells whether an answer says that nothing ran.
-func neverRan(head http1.Header) bool { return head.Field(fieldNeverRan) == "1" }
+func saysNeverRan(head http1.Header) bool { return head.Field(headerNeverRan) == "1" }
 
 // read reads an answer; odd or absent fields are passed over, but for the number of pages.
-func read(head http1.Header) reading {
-	var r reading
-	r.report = parseReport(head.Field(fieldReport))
-	r.outcome, r.over = outcomeOf(head.Status, neverRan(head))
-	if r.over && r.outcome == decision.Completed {
-		n, err := strconv.Atoi(head.Field(fieldPages))
-		if err != nil || n < 1 || n > mostPages {
+func readStatus(head http1.Header) attemptStatus {
+	var r attemptStatus
+	r.loadReport = parseLoadReport(head.Field(headerLoadReport))
+	r.outcome, r.ended = outcomeOf(head.Status, saysNeverRan(head))
+	if r.ended && r.outcome == decision.Completed {
+		n, err := strconv.Atoi(head.Field(headerPageCount))
+		if err != nil || n < 1 || n > maxPages {
 			r.outcome = decision.Errored // a result of unknown length is none
 		}
-		r.pages = n
+		r.pageCount = n
 	}
-	if note, ok := notes[head.Field(fieldNote)]; ok && !r.over {
-		if value, ok := number(head.Field(fieldValue)); ok {
-			r.note = &decision.AttemptProgress{Kind: note, Value: value}
+	if note, ok := progressKinds[head.Field(headerProgressKind)]; ok && !r.ended {
+		if value, ok := parseNonNegative(head.Field(headerProgressValue)); ok {
+			r.progress = &decision.AttemptProgress{Kind: note, Value: value}
 		}
 	}
 	return r
 }
 
 // parseReport reads name:value pairs with semicolons between them; nil if there is nothing to be had.
-func parseReport(text string) *decision.LoadReport {
+func parseLoadReport(text string) *decision.LoadReport {
 	var r *decision.LoadReport
 	for pair := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		field, known := settings.ResponseFieldWords[strings.TrimSpace(name)]
-		v, ok := number(strings.TrimSpace(value))
+		v, ok := parseNonNegative(strings.TrimSpace(value))
 		if !known || !ok {
 			continue
 		}
@@ -91,7 +91,7 @@
 	return r
 }
 
-func number(text string) (float64, bool) {
+func parseNonNegative(text string) (float64, bool) {
 	v, err := strconv.ParseFloat(text, 64)
 	return v, err == nil && v >= 0 && !math.IsInf(v, 0)
 }
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -42,12 +42,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			head, err := http1.ParseHeader([]byte("HTTP/1.1 " + c.head))
 			require.NoError(t, err)
-			got := read(head)
-			assert.Equal(t, c.over, got.over)
+			got := readStatus(head)
+			assert.Equal(t, c.over, got.ended)
 			assert.Equal(t, c.outcome, got.outcome)
-			assert.Equal(t, c.note, got.note)
+			assert.Equal(t, c.note, got.progress)
 			if c.outcome == decision.Completed {
-				assert.Equal(t, c.pages, got.pages)
+				assert.Equal(t, c.pages, got.pageCount)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 		{"util:-1;inflight:Inf", nil},
 		{"", nil},
 	} {
-		got := parseReport(c.text)
+		got := parseLoadReport(c.text)
 		if c.want == nil {
 			assert.Nil(t, got, c.text)
 			continue
--- a/internal/upstream/proof_test.go
+++ b/internal/upstream/proof_test.go
@@ -20,26 +20,26 @@
 )
 
 // lingering is an engine that goes on running what it has, whatever becomes of its listener and its connections.
-type lingering struct {
-	listener net.Listener
-	answer   func(e *lingering, call string, conn int) string // what is written for a call on the conn-th connection
-	calls    chan string
-	read     chan struct{} // for a case: its start was read
-	told     chan struct{} // closed when it was first told to give up
-	wait     sync.WaitGroup
+type persistentEngine struct {
+	listener       net.Listener
+	answer         func(e *persistentEngine, call string, conn int) string // what is written for a call on the conn-th connection
+	calls          chan string
+	startReceived  chan struct{} // for a case: its start was read
+	cancelReceived chan struct{} // closed when it was first told to give up
+	serving        sync.WaitGroup
 
-	mu      sync.Mutex
-	conns   []net.Conn
-	running bool
-	asked   time.Time
-	once    sync.Once
+	mu          sync.Mutex
+	conns       []net.Conn
+	running     bool
+	lastRequest time.Time
+	cancelOnce  sync.Once
 }
 
-func linger(t *testing.T, answer func(*lingering, string, int) string) *lingering {
+func startPersistentEngine(t *testing.T, answer func(*persistentEngine, string, int) string) *persistentEngine {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	e := &lingering{listener: listener, answer: answer, calls: make(chan string, 1000), read: make(chan struct{}), told: make(chan struct{})}
-	e.wait.Go(func() {
+	e := &persistentEngine{listener: listener, answer: answer, calls: make(chan string, 1000), startReceived: make(chan struct{}), cancelReceived: make(chan struct{})}
+	e.serving.Go(func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
@@ -49,18 +49,18 @@
 			e.conns = append(e.conns, c)
 			n := len(e.conns)
 			e.mu.Unlock()
-			e.wait.Go(func() { e.serve(c, n) })
+			e.serving.Go(func() { e.serve(c, n) })
 		}
 	})
 	t.Cleanup(func() {
 		listener.Close()
-		e.breakAll()
-		e.wait.Wait()
+		e.closeConnections()
+		e.serving.Wait()
 	})
 	return e
 }
 
-func (e *lingering) serve(c net.Conn, n int) {
+func (e *persistentEngine) serve(c net.Conn, n int) {
 	for r := bufio.NewReader(c); ; {
 		call, err := http.ReadRequest(r)
 		if err != nil {
@@ -71,12 +71,12 @@
 		e.mu.Lock()
 		switch call.Method {
 		case "POST":
-			e.running, e.asked = true, time.Now()
+			e.running, e.lastRequest = true, time.Now()
 		case "GET":
-			e.asked = time.Now()
+			e.lastRequest = time.Now()
 		case "DELETE":
-			e.running = e.running && said != dropped
-			e.once.Do(func() { close(e.told) })
+			e.running = e.running && said != cancelledAnswer
+			e.cancelOnce.Do(func() { close(e.cancelReceived) })
 		}
 		e.mu.Unlock()
 		e.calls <- call.Method
@@ -88,7 +88,7 @@
 	}
 }
 
-func (e *lingering) breakAll() {
+func (e *persistentEngine) closeConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.conns {
@@ -96,20 +96,20 @@
 	}
 }
 
-func (e *lingering) hasBegun() bool {
+func (e *persistentEngine) hasStarted() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.asked.IsZero()
+	return !e.lastRequest.IsZero()
 }
 
 // isOut tells whether it runs the execution still: neither given up nor unasked for so long that it was dropped.
-func (e *lingering) isOut() bool {
+func (e *persistentEngine) stillRuns() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.running && time.Since(e.asked) < forgets
+	return e.running && time.Since(e.lastRequest) < engineRetention
 }
 
-func (e *lingering) await(t *testing.T, call string) {
+func (e *persistentEngine) await(t *testing.T, call string) {
 	t.Helper()
 	for late := time.After(10 * time.Second); ; {
 		select {
@@ -124,84 +124,84 @@
 }
 
 // leaves takes no new connections, once it has been asked for the execution.
-func (e *lingering) leaves(t *testing.T) {
+func (e *persistentEngine) stopListening(t *testing.T) {
 	e.await(t, "GET")
 	e.listener.Close()
 }
 
 const (
-	noNews  = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
-	dropped = "HTTP/1.1 204 No Content\r\n\r\n"
+	noProgressAnswer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+	cancelledAnswer  = "HTTP/1.1 204 No Content\r\n\r\n"
 )
 
 // held answers like an engine that has no news: a poll after a while.
-func held(_ *lingering, call string, _ int) string {
+func holdPolls(_ *persistentEngine, call string, _ int) string {
 	switch call {
 	case "DELETE":
-		return dropped
+		return cancelledAnswer
 	case "GET":
-		time.Sleep(pollHeld / 5)
+		time.Sleep(pollHoldTime / 5)
 	}
-	return noNews
+	return noProgressAnswer
 }
 
 // A statement's next execution goes out when one is told to have ended: so whatever end is told, the engine runs it no
 // longer. Each case is one way by which an execution comes to be out no longer, at an engine that would run on.
 func TestWhatHasEndedRunsNoLonger(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer  func(*lingering, string, int) string
-		then    func(t *testing.T, e *lingering, b *Client, x *Attempt)
+		answer  func(*persistentEngine, string, int) string
+		then    func(t *testing.T, e *persistentEngine, b *Client, x *Attempt)
 		outcome decision.Outcome
 	}{
-		"given up at an engine that listens no more": {held, func(t *testing.T, e *lingering, _ *Client, x *Attempt) {
-			e.leaves(t)
+		"given up at an engine that listens no more": {holdPolls, func(t *testing.T, e *persistentEngine, _ *Client, x *Attempt) {
+			e.stopListening(t)
 			x.Cancel()
 		}, decision.Cancelled},
-		"given up at an engine that listens no more and has left the list": {held, func(t *testing.T, e *lingering, b *Client, x *Attempt) {
-			e.leaves(t)
+		"given up at an engine that listens no more and has left the list": {holdPolls, func(t *testing.T, e *persistentEngine, b *Client, x *Attempt) {
+			e.stopListening(t)
 			b.RemoveEngine("e")
 			x.Cancel()
 		}, decision.Cancelled},
-		"connections break at an engine that listens no more": {held, func(t *testing.T, e *lingering, _ *Client, _ *Attempt) {
-			e.leaves(t)
-			e.breakAll()
+		"connections break at an engine that listens no more": {holdPolls, func(t *testing.T, e *persistentEngine, _ *Client, _ *Attempt) {
+			e.stopListening(t)
+			e.closeConnections()
 		}, decision.ConnectionReset},
-		"the address is another's, the connections are gone": {held, func(t *testing.T, e *lingering, b *Client, _ *Attempt) {
+		"the address is another's, the connections are gone": {holdPolls, func(t *testing.T, e *persistentEngine, b *Client, _ *Attempt) {
 			e.await(t, "GET")
 			b.UpdateEngine("other", e.listener.Addr().String(), true)
-			e.breakAll()
+			e.closeConnections()
 		}, decision.ConnectionReset},
-		"the start comes behind its own end": {func(e *lingering, call string, n int) string {
+		"the start comes behind its own end": {func(e *persistentEngine, call string, n int) string {
 			if call == "POST" {
-				close(e.read)
-				<-e.told // it comes to run what it was told of only when it was told to give that up
+				close(e.startReceived)
+				<-e.cancelReceived // it comes to run what it was told of only when it was told to give that up
 			}
-			return held(e, call, n)
-		}, func(_ *testing.T, e *lingering, _ *Client, x *Attempt) {
-			<-e.read
+			return holdPolls(e, call, n)
+		}, func(_ *testing.T, e *persistentEngine, _ *Client, x *Attempt) {
+			<-e.startReceived
 			x.Cancel()
 		}, decision.Cancelled},
-		"an end that the protocol does not have": {func(e *lingering, call string, n int) string {
+		"an end that the protocol does not have": {func(e *persistentEngine, call string, n int) string {
 			if call == "GET" {
 				return "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 			}
-			return held(e, call, n)
+			return holdPolls(e, call, n)
 		}, nil, decision.Errored},
-		"giving up is answered by somebody who knows nothing of it": {func(e *lingering, call string, n int) string {
+		"giving up is answered by somebody who knows nothing of it": {func(e *persistentEngine, call string, n int) string {
 			if call == "DELETE" && n < 4 {
 				return "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 			}
-			return held(e, call, n)
-		}, func(t *testing.T, e *lingering, _ *Client, x *Attempt) {
+			return holdPolls(e, call, n)
+		}, func(t *testing.T, e *persistentEngine, _ *Client, x *Attempt) {
 			e.await(t, "GET")
 			x.Cancel()
 		}, decision.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := linger(t, c.answer)
+			e := startPersistentEngine(t, c.answer)
 			ctx, cancel := context.WithCancel(t.Context())
-			ended := make(ends, 10)
+			ended := make(endRecorder, 10)
 			b := New(ctx, ended, 20, time.Minute, time.Second, zap.NewNop())
 			b.UpdateEngine("e", e.listener.Addr().String(), true)
 			x := b.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: time.Now().Add(time.Minute)})
@@ -210,8 +210,8 @@
 			}
 			select {
 			case end := <-ended:
-				require.Eventually(t, e.hasBegun, 10*time.Second, time.Millisecond) // what was on its way has come
-				assert.False(t, e.isOut(), "the engine still runs it")
+				require.Eventually(t, e.hasStarted, 10*time.Second, time.Millisecond) // what was on its way has come
+				assert.False(t, e.stillRuns(), "the engine still runs it")
 				assert.Equal(t, c.outcome, end.Outcome)
 			case <-time.After(10 * time.Second):
 				t.Fatal("no end was told")
@@ -237,21 +237,21 @@
 		"the engine has told its end":                          {ProofReportedByEngine, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := linger(t, held)
-			ended := make(ends, 1)
+			e := startPersistentEngine(t, holdPolls)
+			ended := make(endRecorder, 1)
 			b := New(t.Context(), ended, 4, time.Minute, time.Second, zap.NewNop())
 			b.UpdateEngine("e", e.listener.Addr().String(), true)
-			x := &Attempt{back: b, AttemptRequest: AttemptRequest{Statement: "1", Engine: "e"}, path: "/x/1", address: b.pool.of("e"), ctx: t.Context(),
-				heard: make(chan struct{}), over: make(chan struct{})}
-			close(x.heard)
-			x.written.Store(true)
-			x.asked.set(b.origin, time.Now())
-			b.pool.hold("e")
-			x.end(ending{outcome: decision.Cancelled, proof: c.proof})
+			x := &Attempt{client: b, AttemptRequest: AttemptRequest{Statement: "1", Engine: "e"}, resourcePath: "/x/1", address: b.pool.addressOf("e"), ctx: t.Context(),
+				startResolved: make(chan struct{}), endConfirmed: make(chan struct{})}
+			close(x.startResolved)
+			x.startWritten.Store(true)
+			x.lastRequest.store(b.clockOrigin, time.Now())
+			b.pool.attemptStarted("e")
+			x.reportEnd(attemptEnd{outcome: decision.Cancelled, proof: c.proof})
 			assert.Equal(t, decision.Cancelled, await(t, ended).Outcome)
 			assert.Equal(t, c.counts, b.Violations.Recorded(invariant.ProvenAttemptEnd))
 			select {
-			case <-e.told:
+			case <-e.cancelReceived:
 				assert.True(t, c.calledOff)
 			default:
 				assert.False(t, c.calledOff, "the engine was not told to give it up")
@@ -265,20 +265,20 @@
 func TestAPollThatComesLate(t *testing.T) {
 	const late = 450 * time.Millisecond // shorter than the router waits for the answer
 	started, polls := make(chan struct{}), make(chan struct{})
-	e := linger(t, func(_ *lingering, call string, _ int) string {
+	e := startPersistentEngine(t, func(_ *persistentEngine, call string, _ int) string {
 		switch call {
 		case "POST":
 			close(started)
 			<-polls
 		case "GET":
-			time.Sleep(pollHeld)
+			time.Sleep(pollHoldTime)
 		}
-		return noNews
+		return noProgressAnswer
 	})
 	link, err := faultlab.NewLink(e.listener.Addr().String())
 	require.NoError(t, err)
 	defer link.Close()
-	ended := make(ends, 1)
+	ended := make(endRecorder, 1)
 	b := New(t.Context(), ended, 4, time.Minute, time.Second, zap.NewNop())
 	b.UpdateEngine("e", link.Address(), true)
 	x := b.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: time.Now().Add(time.Minute)})
@@ -293,5 +293,5 @@
 	x.Cancel()
 	e.await(t, "GET")
 	assert.Equal(t, decision.Cancelled, await(t, ended).Outcome)
-	assert.False(t, e.isOut(), "the engine still runs it")
+	assert.False(t, e.stillRuns(), "the engine still runs it")
 }
