--- /dev/null
+++ b/internal/upstream/attempt_end_test.go
@@ -0,0 +1,288 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/decision"
+	"bankledge/internal/invariant"
+)
+
+// engineScript returns what is written for a request on the connection with a number, from 1; "" closes it.
+type engineScript func(engine *persistentEngine, method string, connection int) string
+
+// persistentEngine goes on running an attempt, whatever becomes of its listener and its connections.
+type persistentEngine struct {
+	listener       net.Listener
+	script         engineScript
+	requests       chan string   // their methods
+	startReceived  chan struct{} // for scripts
+	cancelReceived chan struct{} // closed with the first cancellation
+	cancelOnce     sync.Once
+	serving        sync.WaitGroup
+
+	mu          sync.Mutex
+	connections []net.Conn
+	running     bool
+	lastRequest time.Time
+}
+
+func startPersistentEngine(t *testing.T, script engineScript) *persistentEngine {
+	t.Helper()
+	engine := &persistentEngine{
+		listener:       listenOnLoopback(t),
+		script:         script,
+		requests:       make(chan string, 1000),
+		startReceived:  make(chan struct{}),
+		cancelReceived: make(chan struct{}),
+	}
+	engine.serving.Go(engine.accept)
+	t.Cleanup(func() {
+		engine.listener.Close()
+		engine.closeConnections()
+		engine.serving.Wait()
+	})
+	return engine
+}
+
+func (e *persistentEngine) accept() {
+	for {
+		socket, err := e.listener.Accept()
+		if err != nil {
+			return
+		}
+		e.mu.Lock()
+		e.connections = append(e.connections, socket)
+		number := len(e.connections)
+		e.mu.Unlock()
+		e.serving.Go(func() { e.serve(socket, number) })
+	}
+}
+
+func (e *persistentEngine) serve(socket net.Conn, number int) {
+	reader := bufio.NewReader(socket)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		io.Copy(io.Discard, request.Body)
+		answer := e.script(e, request.Method, number)
+		e.take(request.Method, answer)
+		e.requests <- request.Method
+		if answer == "" {
+			socket.Close()
+			return
+		}
+		io.WriteString(socket, answer)
+	}
+}
+
+func (e *persistentEngine) take(method, answer string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	switch method {
+	case http.MethodPost:
+		e.running = true
+		e.lastRequest = time.Now()
+	case http.MethodGet:
+		e.lastRequest = time.Now()
+	case http.MethodDelete:
+		e.running = e.running && answer != cancelledResponse
+		e.cancelOnce.Do(func() { close(e.cancelReceived) })
+	}
+}
+
+func (e *persistentEngine) closeConnections() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, socket := range e.connections {
+		socket.Close()
+	}
+}
+
+func (e *persistentEngine) hasStarted() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return !e.lastRequest.IsZero()
+}
+
+// stillRuns reports whether the attempt is neither cancelled nor dropped because it was not asked for.
+func (e *persistentEngine) stillRuns() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.running && time.Since(e.lastRequest) < engineRetention
+}
+
+func (e *persistentEngine) awaitRequest(t *testing.T, method string) {
+	t.Helper()
+	timeout := time.After(patience)
+	for {
+		select {
+		case received := <-e.requests:
+			if received == method {
+				return
+			}
+		case <-timeout:
+			t.Fatalf("no %s was received", method)
+		}
+	}
+}
+
+// stopListening accepts no new connections once the attempt has been polled.
+func (e *persistentEngine) stopListening(t *testing.T) {
+	t.Helper()
+	e.awaitRequest(t, http.MethodGet)
+	e.listener.Close()
+}
+
+// holdPolls answers like an engine without progress: a poll after a while.
+func holdPolls(_ *persistentEngine, method string, _ int) string {
+	switch method {
+	case http.MethodDelete:
+		return cancelledResponse
+	case http.MethodGet:
+		time.Sleep(pollHoldTime / 5)
+	}
+	return noProgressResponse
+}
+
+// A statement is started elsewhere when an attempt is reported as ended: so whatever end is reported, the engine does
+// not run it any more. Each case is one way in which an attempt comes to its end, at an engine that would run on.
+func TestEndedAttemptsDoNotRun(t *testing.T) {
+	cases := map[string]struct {
+		script  engineScript
+		act     func(t *testing.T, engine *persistentEngine, client *Client, attempt *Attempt)
+		outcome decision.Outcome
+	}{
+		"cancelled at an engine that does not listen any more": {
+			script: holdPolls,
+			act: func(t *testing.T, engine *persistentEngine, _ *Client, attempt *Attempt) {
+				engine.stopListening(t)
+				attempt.Cancel()
+			},
+			outcome: decision.Cancelled,
+		},
+		"cancelled at an engine that does not listen any more and is not listed": {
+			script: holdPolls,
+			act: func(t *testing.T, engine *persistentEngine, client *Client, attempt *Attempt) {
+				engine.stopListening(t)
+				client.RemoveEngine("e")
+				attempt.Cancel()
+			},
+			outcome: decision.Cancelled,
+		},
+		"connections break at an engine that does not listen any more": {
+			script: holdPolls,
+			act: func(t *testing.T, engine *persistentEngine, _ *Client, _ *Attempt) {
+				engine.stopListening(t)
+				engine.closeConnections()
+			},
+			outcome: decision.ConnectionReset,
+		},
+		"the address is another engine's, the connections are gone": {
+			script: holdPolls,
+			act: func(t *testing.T, engine *persistentEngine, client *Client, _ *Attempt) {
+				engine.awaitRequest(t, http.MethodGet)
+				client.UpdateEngine("other", engine.listener.Addr().String(), true)
+				engine.closeConnections()
+			},
+			outcome: decision.ConnectionReset,
+		},
+		"the start arrives behind its cancellation": {
+			script: func(engine *persistentEngine, method string, connection int) string {
+				if method == http.MethodPost {
+					close(engine.startReceived)
+					<-engine.cancelReceived
+				}
+				return holdPolls(engine, method, connection)
+			},
+			act: func(_ *testing.T, engine *persistentEngine, _ *Client, attempt *Attempt) {
+				<-engine.startReceived
+				attempt.Cancel()
+			},
+			outcome: decision.Cancelled,
+		},
+		"an end that the protocol does not have": {
+			script: func(engine *persistentEngine, method string, connection int) string {
+				if method == http.MethodGet {
+					return "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+				}
+				return holdPolls(engine, method, connection)
+			},
+			outcome: decision.Errored,
+		},
+		"the cancellation is answered by somebody who does not know the attempt": {
+			script: func(engine *persistentEngine, method string, connection int) string {
+				if method == http.MethodDelete && connection < 4 {
+					return "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+				}
+				return holdPolls(engine, method, connection)
+			},
+			act: func(t *testing.T, engine *persistentEngine, _ *Client, attempt *Attempt) {
+				engine.awaitRequest(t, http.MethodGet)
+				attempt.Cancel()
+			},
+			outcome: decision.Cancelled,
+		},
+	}
+	for name, test := range cases {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			engine := startPersistentEngine(t, test.script)
+			ctx, cancel := context.WithCancel(t.Context())
+			ends := make(endRecorder, 10)
+			client := newTestClient(ctx, ends, 20, time.Second, engine.listener.Addr().String())
+			attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
+			if test.act != nil {
+				test.act(t, engine, client, attempt)
+			}
+			ended := receive(t, ends)
+			require.Eventually(t, engine.hasStarted, patience, time.Millisecond) // what was on its way has arrived
+			assert.False(t, engine.stillRuns(), "the engine still runs it")
+			assert.Equal(t, test.outcome, ended.Outcome)
+			cancel()
+			require.NoError(t, client.Run(ctx))
+			assert.Zero(t, client.ConnectionsInUse(), "all given back")
+			assert.Empty(t, ends, "one end")
+		})
+	}
+}
+
+// An end whose proof does not hold is counted, and not reported before there is one that does.
+func TestEndWithoutProofIsNotReported(t *testing.T) {
+	for name, test := range map[string]struct {
+		proof      EndProof
+		violations int64
+		cancelled  bool // before the end is reported
+	}{
+		"it is said to be dropped, and was asked for just now": {ProofExpiredAtEngine, 1, true},
+		"it is said not to be sent, and was":                   {ProofNotSent, 1, true},
+		"a shutdown is claimed, and there is none":             {ProofShutdown, 1, true},
+		"the engine has reported the end":                      {ProofReportedByEngine, 0, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			engine := startPersistentEngine(t, holdPolls)
+			ends := make(endRecorder, 1)
+			client := newTestClient(t.Context(), ends, 4, time.Second, engine.listener.Addr().String())
+			attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "1"})
+			close(attempt.startResolved)
+			attempt.startWritten.Store(true)
+			attempt.lastRequest.store(client.clockOrigin, time.Now())
+			client.pool.attemptStarted("e")
+			attempt.reportEnd(attemptEnd{outcome: decision.Cancelled, proof: test.proof})
+			assert.Equal(t, decision.Cancelled, receive(t, ends).Outcome)
+			assert.Equal(t, test.violations, client.Violations.Recorded(invariant.ProvenAttemptEnd))
+			assert.Equal(t, test.cancelled, isClosed(engine.cancelReceived), "whether the engine was sent a cancellation")
+		})
+	}
+}
--- /dev/null
+++ b/internal/upstream/connection_pool_test.go
@@ -0,0 +1,94 @@
+package upstream
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/internal/faultlab"
+)
+
+// A connection that was idle for longer than its last request had is as good as before. One that its engine has closed
+// meanwhile is not, nor one that was idle for too long.
+func TestConnectionOutlivesTheDeadlineOfARequest(t *testing.T) {
+	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
+	defer engine.Close()
+	pool := newConnectionPool(4, time.Minute, time.Second)
+	pool.updateEngine("e", engine.Listener.Addr().String(), true)
+	first, err := pool.acquire(t.Context(), "e", pool.addressOf("e"), false)
+	require.NoError(t, err)
+	_, err = first.roundTrip(inAMinute(), formatRequest(http.MethodDelete, "/x/s", first.address, nil))
+	require.NoError(t, err)
+	rest := func() {
+		first.socket.SetDeadline(time.Now().Add(-time.Second)) // the request's deadline has passed
+		pool.release(first)
+		first.idleSince = first.idleSince.Add(-minRestTime)
+	}
+	rest()
+	again, err := pool.acquire(t.Context(), "e", pool.addressOf("e"), false)
+	require.NoError(t, err)
+	assert.Same(t, first, again)
+	_, err = again.roundTrip(inAMinute(), formatRequest(http.MethodDelete, "/x/s", first.address, nil))
+	assert.NoError(t, err)
+	rest()
+	engine.CloseClientConnections()
+	require.Eventually(t, func() bool { return first.inspect() == stateEnded }, patience, time.Millisecond)
+	other, err := pool.acquire(t.Context(), "e", pool.addressOf("e"), false)
+	require.NoError(t, err)
+	assert.NotSame(t, first, other)
+	assert.Equal(t, ConnectionStats{Dialled: 2, Stale: 1}, ConnectionStats{Dialled: pool.stats.Dialled, Stale: pool.stats.Stale})
+	pool.close(other)
+	assert.Zero(t, pool.inUse())
+}
+
+// Shutdown waits for no engine: a request to one that hangs is broken off.
+func TestShutdownWaitsForNoEngine(t *testing.T) {
+	listener := listenOnLoopback(t)
+	ctx, cancel := context.WithCancel(t.Context())
+	client := newTestClient(ctx, make(endRecorder, 1), 4, patience, listener.Addr().String())
+	finished := make(chan error, 1)
+	go func() { finished <- client.Run(ctx) }()
+	conn, err := client.pool.acquire(ctx, "e", client.pool.addressOf("e"), false)
+	require.NoError(t, err)
+	client.tasks.Go(func() {
+		conn.roundTrip(time.Now().Add(time.Hour), formatRequest(http.MethodGet, "/x/s/0", conn.address, nil))
+		client.pool.close(conn)
+	})
+	engine, err := listener.Accept()
+	require.NoError(t, err)
+	defer engine.Close()
+	_, err = engine.Read(make([]byte, 1)) // the request is out
+	require.NoError(t, err)
+	cancel()
+	require.NoError(t, receive(t, finished))
+	assert.Zero(t, client.ConnectionsInUse())
+	_, err = client.pool.acquire(t.Context(), "e", client.pool.addressOf("e"), true)
+	require.Error(t, err, "nothing is dialled after it")
+	assert.Zero(t, client.ConnectionsInUse())
+}
+
+// The router shuts down while a start is delayed on its way to an engine: the start must not arrive any more, since
+// nobody is left to cancel the attempt.
+func TestShutdownResetsADelayedStart(t *testing.T) {
+	listener := listenOnLoopback(t)
+	requests := serveAtOnce(t, listener)
+	link, err := faultlab.NewLink(listener.Addr().String())
+	require.NoError(t, err)
+	defer link.Close()
+	link.Set(faultlab.Way{Cut: true}, faultlab.Way{Cut: true})
+	ctx, cancel := context.WithCancel(t.Context())
+	client := newTestClient(ctx, make(endRecorder, 1), 4, patience, link.Address())
+	client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Text: []byte("update"), Deadline: inAMinute()})
+	require.Eventually(t, func() bool { return link.Held() > 0 }, patience, time.Millisecond)
+	cancel()
+	require.NoError(t, client.Run(ctx))
+	require.Eventually(t, func() bool { return link.Resets() > 0 }, patience, time.Millisecond)
+	link.Set(faultlab.Way{}, faultlab.Way{})
+	require.Eventually(t, func() bool { return link.Held() == 0 }, patience, time.Millisecond)
+	assert.Never(t, func() bool { return len(requests) > 0 }, 200*time.Millisecond, time.Millisecond)
+}
--- /dev/null
+++ b/internal/upstream/duplicate_response_test.go
@@ -0,0 +1,113 @@
+package upstream
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"bankledge/decision"
+)
+
+// serveConnections calls a script for each request with the number of its connection and of the request on that
+// connection, both from 0, and writes what the script returns.
+func serveConnections(listener net.Listener, newScript func(connection int) func(request *http.Request, number int) string) {
+	for connection := 0; ; connection++ {
+		socket, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		script := newScript(connection)
+		go func() {
+			defer socket.Close()
+			reader := bufio.NewReader(socket)
+			for number := 0; ; number++ {
+				request, err := http.ReadRequest(reader)
+				if err != nil {
+					return
+				}
+				io.Copy(io.Discard, request.Body)
+				io.WriteString(socket, script(request, number))
+			}
+		}()
+	}
+}
+
+// resultOf returns a response with a result that names the statement that a request asks for.
+func resultOf(request *http.Request) string {
+	statement := request.Header.Get(headerStatementID)
+	if parts := strings.Split(request.URL.Path, "/"); len(parts) > 2 {
+		statement = parts[2]
+	}
+	return "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\nof-" + statement + "\n\n"
+}
+
+// A response's duplicate arrives behind the next request of the same attempt and is taken for the response to it: what
+// was requested is then still to come on that connection, and must not become another statement's result.
+func TestDuplicateOfStatusIsNoOtherAttemptsResponse(t *testing.T) {
+	const header = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n"
+	duplicates := map[string]string{
+		"no progress": header + "\r\n",
+		"progress":    header + "X-How: done\r\nX-Num: 0.3\r\n\r\n",
+	}
+	for name, duplicate := range duplicates {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			listener := listenOnLoopback(t)
+			go serveConnections(listener, func(connection int) func(*http.Request, int) string {
+				delayed := "" // the response to the previous request
+				return func(request *http.Request, _ int) string {
+					if connection > 0 {
+						return resultOf(request)
+					}
+					if delayed == "" && request.Method == http.MethodPost {
+						return duplicate
+					}
+					answer := delayed
+					if answer == "" {
+						answer = duplicate // the start's response once more
+					}
+					delayed = resultOf(request)
+					return answer
+				}
+			})
+			results := make(resultRecorder, 2)
+			client := newTestClient(t.Context(), results, 4, patience, listener.Addr().String())
+			for _, statement := range []decision.StatementID{"A", "B"} {
+				client.StartAttempt(AttemptRequest{Statement: statement, Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
+				assert.Equal(t, string(statement)+" of-"+string(statement)+"\n\n", receive(t, results))
+				awaitRest(t, client)
+			}
+		})
+	}
+}
+
+// An engine's word that a statement never ran arrives a second time, behind the next start on the same connection. It
+// is not believed of that statement, which runs: otherwise it would be sent elsewhere and run twice.
+func TestDuplicateOfNeverRanIsNoOtherAttemptsResponse(t *testing.T) {
+	const neverRan = "HTTP/1.1 503 Service Unavailable\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"
+	const result = "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 4\r\n\r\none\n"
+	listener := listenOnLoopback(t)
+	go serveConnections(listener, func(connection int) func(*http.Request, int) string {
+		return func(_ *http.Request, number int) string {
+			switch {
+			case connection > 0:
+				return result
+			case number > 0:
+				return neverRan + result
+			}
+			return neverRan
+		}
+	})
+	ends := make(endRecorder, 2)
+	client := newTestClient(t.Context(), ends, 4, patience, listener.Addr().String())
+	client.StartAttempt(AttemptRequest{Statement: "A", Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
+	assert.Equal(t, decision.Overloaded, receive(t, ends).Outcome)
+	awaitRest(t, client)
+	client.StartAttempt(AttemptRequest{Statement: "B", Engine: "e", Text: []byte("update"), Deadline: inAMinute()})
+	assert.Equal(t, decision.Completed, receive(t, ends).Outcome)
+}
--- /dev/null
+++ b/internal/upstream/health_check.go
@@ -0,0 +1,43 @@
+package upstream
+
+import (
+	"net/http"
+	"time"
+
+	"bankledge/decision"
+)
+
+const healthCheckPath = "/busy"
+
+// CheckHealth asks an engine for a sign of life and its load report, and notifies the listener of the outcome. Connecting
+// and the response together have the connect timeout.
+func (c *Client) CheckHealth(engine decision.EngineID) {
+	c.tasks.Go(func() {
+		began := time.Now()
+		ended := decision.HealthCheckEnded{Engine: engine}
+		ended.Outcome, ended.Report = c.exchangeHealthCheck(engine, began.Add(c.pool.connectTimeout))
+		ended.Elapsed = time.Since(began)
+		c.listener.HealthCheckEnded(ended)
+	})
+}
+
+func (c *Client) exchangeHealthCheck(engine decision.EngineID, deadline time.Time) (decision.Outcome, *decision.LoadReport) {
+	conn, err := c.pool.acquire(c.lifetime, engine, c.pool.addressOf(engine), false)
+	if err != nil {
+		return decision.ConnectFailed, nil
+	}
+	received, err := conn.roundTrip(deadline, formatRequest(http.MethodGet, healthCheckPath, conn.address, nil))
+	if err != nil {
+		c.pool.abort(conn)
+		if isTimeout(err) {
+			return decision.TimedOut, nil
+		}
+		return decision.ConnectionReset, nil
+	}
+	c.pool.releaseOrClose(conn, received.Header)
+	report := parseLoadReport(received.Field(headerLoadReport))
+	if received.Status != http.StatusOK {
+		return decision.Errored, report
+	}
+	return decision.Completed, report
+}
--- /dev/null
+++ b/internal/upstream/load_report.go
@@ -0,0 +1,36 @@
+package upstream
+
+import (
+	"math"
+	"strconv"
+	"strings"
+
+	"bankledge/decision"
+	"bankledge/internal/settings"
+)
+
+// parseLoadReport reads pairs NAME:VALUE separated by semicolons, and ignores unknown names and invalid values; nil if
+// nothing is left.
+func parseLoadReport(text string) *decision.LoadReport {
+	var report *decision.LoadReport
+	for pair := range strings.SplitSeq(text, ";") {
+		name, valueText, _ := strings.Cut(pair, ":")
+		field, known := settings.ResponseFieldWords[strings.TrimSpace(name)]
+		value, valid := parseNonNegative(strings.TrimSpace(valueText))
+		if !known || !valid {
+			continue
+		}
+		if report == nil {
+			report = &decision.LoadReport{}
+		}
+		report.Value[field] = value
+		report.Known[field] = true
+	}
+	return report
+}
+
+// parseNonNegative parses a finite number that is not below 0.
+func parseNonNegative(text string) (value float64, valid bool) {
+	value, err := strconv.ParseFloat(text, 64)
+	return value, err == nil && value >= 0 && !math.IsInf(value, 0)
+}
--- /dev/null
+++ b/internal/upstream/shared_time.go
@@ -0,0 +1,21 @@
+package upstream
+
+import (
+	"sync/atomic"
+	"time"
+)
+
+// sharedTime is a point in time that goroutines share. It is kept as a duration since an origin with a monotonic
+// reading, and not as a Unix time: a duration between Unix times changes when the wall clock is stepped.
+type sharedTime struct{ nanosSinceOrigin atomic.Int64 }
+
+// store sets the time; at must have a monotonic reading.
+func (t *sharedTime) store(origin, at time.Time) { t.nanosSinceOrigin.Store(int64(at.Sub(origin))) }
+
+// isSet reports whether a time was stored.
+func (t *sharedTime) isSet() bool { return t.nanosSinceOrigin.Load() != 0 }
+
+// load returns the stored time, with a monotonic reading.
+func (t *sharedTime) load(origin time.Time) time.Time {
+	return origin.Add(time.Duration(t.nanosSinceOrigin.Load()))
+}
