--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -16,43 +16,52 @@
 	ListenAddress    string
 	Seed             uint64
 	Limits           ResourceLimits
-	DiscoveryAddress string
-	KnownEvents      []json.RawMessage // the control feed's events up to now
+	DiscoveryAddress string            // of the control feed
+	KnownEvents      []json.RawMessage // of the control feed, up to now
 	LastEventID      int64             // number of the last of them
 	Module           *ModuleSettings
 
-	ClassificationDisabled bool // statements are taken as what their clients declare; from the command line
+	// ClassificationDisabled takes statements as what their clients declare. It comes from the command line.
+	ClassificationDisabled bool
 
-	settings any // as they stand in the file
+	settings any // the settings object as it stands in the file
 }
 
-// Differs names the fields that are read only at the start and differ in another configuration.
-func (c *Config) RestartRequired(other *Config) (fields []string) {
-	for _, f := range []struct {
-		name      string
-		ours, now any
-	}{{"name", c.Name, other.Name}, {"listen", c.ListenAddress, other.ListenAddress}, {"limits", c.Limits, other.Limits},
-		{"settings", c.settings, other.settings}} {
-		if !reflect.DeepEqual(f.ours, f.now) {
-			fields = append(fields, f.name)
-		}
-	}
-	return fields
-}
-
-// Machine is what the platform gives the router.
+// ResourceLimits is what the platform gives the router.
 type ResourceLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // open at once
 }
 
-// least of each limit with which the router can serve at all.
+// With less than this the router cannot serve at all.
 const (
-	leastMemoryMB = 32
-	leastSockets  = 64
+	minMemoryMB = 32
+	minSockets  = 64
+)
+
+// What is wrong with a field of a configuration.
+var (
+	errMissing     = errors.New("missing")
+	errNone        = errors.New("none")
+	errNotPositive = errors.New("not above 0")
+	errNegative    = errors.New("under 0")
 )
 
+// configFile is a configuration as it stands in its file. It is an alias so that errors of encoding/json name only the keys.
+type configFile = struct {
+	Name   string         `json:"name"`
+	Listen string         `json:"listen"`
+	Seed   string         `json:"seed"` // hexadecimal
+	Limits ResourceLimits `json:"limits"`
+	Feed   string         `json:"feed"`
+	Known  struct {
+		N      int64             `json:"n"`
+		Events []json.RawMessage `json:"events"`
+	} `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
 // Load reads a configuration file; an error names the field.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
@@ -64,64 +73,92 @@
 
 // ParseConfig reads a configuration; an error names the field.
 func ParseConfig(raw []byte) (*Config, error) {
-	var in struct {
-		Name   string         `json:"name"`
-		Listen string         `json:"listen"`
-		Seed   string         `json:"seed"`
-		Limits ResourceLimits `json:"limits"`
-		Feed   string         `json:"feed"`
-		Known  struct {
-			N      int64             `json:"n"`
-			Events []json.RawMessage `json:"events"`
-		} `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
+	var in configFile
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c := &Config{Name: in.Name, ListenAddress: in.Listen, Limits: in.Limits, DiscoveryAddress: in.Feed, KnownEvents: in.Known.Events,
-		LastEventID: in.Known.N}
-	var err error
-	if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %q is not a number in hex", in.Seed)
+	seed, err := strconv.ParseUint(in.Seed, 16, 64)
+	if err != nil {
+		return nil, &FieldError{Field: "seed", Err: fmt.Errorf("%q is not a number in hex", in.Seed)}
 	}
-	for _, f := range []struct{ name, value string }{{"listen", in.Listen}, {"feed", in.Feed}} {
-		if err := ValidateAddress(f.value); err != nil {
-			return nil, fmt.Errorf("%s: %w", f.name, err)
-		}
+	if err := checkConfig(&in); err != nil {
+		return nil, err
+	}
+	module, err := ParseModuleSettings(seed, in.Settings)
+	if err != nil {
+		return nil, &FieldError{Field: "settings", Err: err}
+	}
+	var settings any
+	if err := json.Unmarshal(in.Settings, &settings); err != nil {
+		return nil, &FieldError{Field: "settings", Err: err}
+	}
+	if len(module.Workloads) == 0 {
+		return nil, &FieldError{Field: "settings: classes", Err: errNone}
+	}
+	return &Config{
+		Name:             in.Name,
+		ListenAddress:    in.Listen,
+		Seed:             seed,
+		Limits:           in.Limits,
+		DiscoveryAddress: in.Feed,
+		KnownEvents:      in.Known.Events,
+		LastEventID:      in.Known.N,
+		Module:           module,
+		settings:         settings,
+	}, nil
+}
+
+// checkConfig tells what is wrong around the settings of the module.
+func checkConfig(in *configFile) error {
+	if err := ValidateAddress(in.Listen); err != nil {
+		return &FieldError{Field: "listen", Err: err}
+	}
+	if err := ValidateAddress(in.Feed); err != nil {
+		return &FieldError{Field: "feed", Err: err}
 	}
 	switch {
-	case !(in.Limits.Cores > 0):
-		return nil, errors.New("limits.cores: not above 0")
-	case in.Limits.MemoryMB < leastMemoryMB:
-		return nil, fmt.Errorf("limits.memory_mb: under %d", leastMemoryMB)
-	case in.Limits.Sockets < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: under %d", leastSockets)
+	case !(in.Limits.Cores > 0): // also if it is not a number
+		return &FieldError{Field: "limits.cores", Err: errNotPositive}
+	case in.Limits.MemoryMB < minMemoryMB:
+		return &FieldError{Field: "limits.memory_mb", Err: fmt.Errorf("under %d", minMemoryMB)}
+	case in.Limits.Sockets < minSockets:
+		return &FieldError{Field: "limits.sockets", Err: fmt.Errorf("under %d", minSockets)}
 	case in.Known.N < 0:
-		return nil, errors.New("known.n: under 0")
+		return &FieldError{Field: "known.n", Err: errNegative}
 	case len(in.Settings) == 0:
-		return nil, errors.New("settings: missing")
-	}
-	if c.Module, err = ParseModuleSettings(c.Seed, in.Settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return &FieldError{Field: "settings", Err: errMissing}
 	}
-	if err := json.Unmarshal(in.Settings, &c.settings); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	if len(c.Module.Workloads) == 0 {
-		return nil, errors.New("settings: classes: none")
+	return nil
+}
+
+// RestartRequired names the fields that differ from another configuration and are read only at the start.
+func (c *Config) RestartRequired(other *Config) []string {
+	var fields []string
+	for _, field := range []struct {
+		name            string
+		current, reload any
+	}{
+		{"name", c.Name, other.Name},
+		{"listen", c.ListenAddress, other.ListenAddress},
+		{"limits", c.Limits, other.Limits},
+		{"settings", c.settings, other.settings},
+	} {
+		if !reflect.DeepEqual(field.current, field.reload) {
+			fields = append(fields, field.name)
+		}
 	}
-	return c, nil
+	return fields
 }
 
-// CheckAddress tells whether text is an address and a port.
+// ValidateAddress returns an AddressError unless a text is an IP address and a port.
 func ValidateAddress(text string) error {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
-		return fmt.Errorf("%q is not an address with a port", text)
+		return AddressError{Text: text}
 	}
-	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 || net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is not an address with a port", text)
+	n, err := strconv.Atoi(port)
+	if err != nil || n < 0 || n > 65535 || net.ParseIP(host) == nil {
+		return AddressError{Text: text}
 	}
 	return nil
 }
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -45,3 +45,18 @@
 	_, err := Load("nowhere")
 	require.ErrorContains(t, err, "configuration")
 }
+
+func TestErrorsAreTyped(t *testing.T) {
+	_, err := ParseConfig([]byte(strings.Replace(config, `"idempotency":"idempotent"`, `"idempotency":"odd"`, 1)))
+	var field *FieldError
+	require.ErrorAs(t, err, &field)
+	assert.Equal(t, "settings", field.Field)
+	var word UnknownWordError
+	require.ErrorAs(t, err, &word)
+	assert.Equal(t, "odd", word.Word)
+
+	_, err = ParseConfig([]byte(strings.Replace(config, "127.0.0.1:4222", "feed:1", 1)))
+	var address AddressError
+	require.ErrorAs(t, err, &address)
+	assert.Equal(t, "feed:1", address.Text)
+}
