--- /dev/null
+++ b/cmd/adapter/instances.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"fmt"
+	"runtime/debug"
+	"time"
+
+	"bankledge/decision"
+	"bankledge/internal/settings"
+	"bankledge/internal/simwire"
+	"bankledge/policy"
+)
+
+// instances holds the modules that run, by the bench's numbers.
+type instances map[int]*policy.Module
+
+// handle gives one instance its part of a batch and returns its actions. A panic in the module becomes a Crash.
+func (m instances) handle(now time.Duration, in simwire.InstanceInputs) (actions []decision.Action) {
+	defer func() {
+		if p := recover(); p != nil {
+			actions = append(actions, decision.Crash{Text: fmt.Sprintf("%v\n%s", p, debug.Stack())})
+		}
+	}()
+	var events []decision.Event
+	flush := func() {
+		if module := m[in.Instance]; module != nil && len(events) > 0 {
+			actions = append(actions, module.Handle(now, events)...)
+		}
+		events = nil
+	}
+	for _, input := range in.Inputs {
+		switch {
+		case input.Settings != nil:
+			flush()
+			m[in.Instance] = newModule(input.Settings)
+		case input.Stop:
+			flush()
+			delete(m, in.Instance)
+			actions = nil // what a killed instance did in this batch is void
+		default:
+			events = append(events, input.Event)
+		}
+	}
+	flush()
+	return actions
+}
+
+func newModule(s *settings.ModuleSettings) *policy.Module {
+	return policy.New(s.Identity, s.Workloads, s.Engines, s.Quotas, s.Limits, s.Rules, s.LoadReports)
+}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/serve_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"bankledge/decision"
+	"bankledge/internal/settings"
 	"bankledge/internal/simwire"
-	"bankledge/policy"
 )
 
 const (
@@ -62,10 +62,9 @@
 }
 
 func TestPanicBecomesCrash(t *testing.T) {
-	broken := []simwire.Input{{Event: decision.StatementArrived{Workload: 99}}} // no such workload: the module panics
-	instances := map[int]*policy.Module{3: policy.New(decision.Identity{}, nil, decision.EngineTraits{}, decision.Quotas{},
-		decision.Limits{}, decision.Rules{}, decision.LoadReportSettings{})}
-	out := handle(instances, simwire.InstanceInputs{Instance: 3, Inputs: broken}, 0)
-	require.Len(t, out, 1)
-	assert.Contains(t, out[0].(decision.Crash).Text, "out of range")
+	modules := instances{3: newModule(&settings.ModuleSettings{})}
+	noSuchWorkload := simwire.Input{Event: decision.StatementArrived{Workload: 99}}
+	actions := modules.handle(0, simwire.InstanceInputs{Instance: 3, Inputs: []simwire.Input{noSuchWorkload}})
+	require.Len(t, actions, 1)
+	assert.Contains(t, actions[0].(decision.Crash).Text, "out of range")
 }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -4,80 +4,145 @@
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
-	"time"
 
 	"bankledge/decision"
 )
 
-// Answer is what one instance does in a reply.
+// InstanceActions is what one instance answers to its part of a batch.
 type InstanceActions struct {
 	Instance int
 	Actions  []decision.Action
 }
 
-type object map[string]any
+// reply is the line that answers a batch.
+type reply struct {
+	Groups []replyGroup `json:"groups"`
+}
 
-// Reply encodes the line that answers a batch.
-func EncodeReply(answers []InstanceActions) ([]byte, error) {
-	type group struct {
-		I   int      `json:"i"`
-		Out []object `json:"out"`
+type replyGroup struct {
+	I   int         `json:"i"`
+	Out []outAction `json:"out"`
+}
+
+// outAction is one action on the wire, under its name there: exactly one field is set. The fields of each action stand in the
+// order of their keys.
+type outAction struct {
+	Attempt   *outAttempt   `json:"Attempt,omitempty"`
+	Retract   *outRetract   `json:"Retract,omitempty"`
+	PushBack  *outPushBack  `json:"PushBack,omitempty"`
+	EndFailed *outEndFailed `json:"EndFailed,omitempty"`
+	Terms     *outTerms     `json:"Terms,omitempty"`
+	Ping      *outEngine    `json:"Ping,omitempty"`
+	CloseIdle *outEngine    `json:"CloseIdle,omitempty"`
+	SetTimer  *outTimer     `json:"SetTimer,omitempty"`
+	Tail      *outTail      `json:"Tail,omitempty"`
+	Resolve   *struct{}     `json:"Resolve,omitempty"`
+	Notify    *outNotify    `json:"Notify,omitempty"`
+	SayLog    *outText      `json:"SayLog,omitempty"`
+	Crash     *outText      `json:"Crash,omitempty"`
+}
+
+type (
+	outAttempt struct {
+		Corr   decision.StatementID `json:"corr"`
+		Engine decision.EngineID    `json:"engine"`
+		TryFor int64                `json:"tryFor"` // microseconds
+	}
+	outRetract struct {
+		Corr  decision.StatementID `json:"corr"`
+		SeqNo decision.AttemptID   `json:"seqNo"`
+	}
+	outPushBack struct {
+		ComeBack int64                `json:"comeBack"` // microseconds
+		Corr     decision.StatementID `json:"corr"`
+	}
+	outEndFailed struct {
+		Corr decision.StatementID `json:"corr"`
+	}
+	outTerms struct {
+		AllotMb int64                `json:"allotMb"`
+		Corr    decision.StatementID `json:"corr"`
+		Rank    int                  `json:"rank"`
+	}
+	outEngine struct {
+		Engine decision.EngineID `json:"engine"`
+	}
+	outTimer struct {
+		Cookie string `json:"cookie"`
+		Moment int64  `json:"moment"` // microseconds
 	}
-	reply := struct {
-		Groups []group `json:"groups"`
-	}{Groups: []group{}}
-	for _, a := range answers {
-		if len(a.Actions) == 0 {
+	outTail struct {
+		Active bool `json:"active"`
+	}
+	outNotify struct {
+		Dest    any    `json:"dest"` // a router's number, or allPeers
+		Payload string `json:"payload"`
+	}
+	outText struct {
+		What string `json:"what"`
+	}
+)
+
+// allPeers stands for all other routers as the destination of a message.
+const allPeers = "all"
+
+// EncodeReply encodes the line that answers a batch. Instances without an action are left out.
+func EncodeReply(answers []InstanceActions) ([]byte, error) {
+	out := reply{Groups: []replyGroup{}}
+	for _, answer := range answers {
+		if len(answer.Actions) == 0 {
 			continue
 		}
-		g := group{I: a.Instance}
-		for _, action := range a.Actions {
-			o, err := message(action)
+		group := replyGroup{I: answer.Instance}
+		for _, action := range answer.Actions {
+			encoded, err := encodeAction(action)
 			if err != nil {
 				return nil, err
 			}
-			g.Out = append(g.Out, o)
+			group.Out = append(group.Out, encoded)
 		}
-		reply.Groups = append(reply.Groups, g)
+		out.Groups = append(out.Groups, group)
 	}
-	line, err := json.Marshal(reply)
+	line, err := json.Marshal(out)
 	return append(line, '\n'), err
 }
 
-func micros(d time.Duration) int64 { return d.Microseconds() }
-
-func message(action decision.Action) (object, error) {
+func encodeAction(action decision.Action) (outAction, error) {
 	switch a := action.(type) {
 	case decision.StartAttempt:
-		return object{"Attempt": object{"corr": a.Statement, "engine": a.Engine, "tryFor": micros(a.Timeout)}}, nil
+		return outAction{Attempt: &outAttempt{Corr: a.Statement, Engine: a.Engine, TryFor: a.Timeout.Microseconds()}}, nil
 	case decision.CancelAttempt:
-		return object{"Retract": object{"corr": a.Statement, "seqNo": a.Attempt}}, nil
+		return outAction{Retract: &outRetract{Corr: a.Statement, SeqNo: a.Attempt}}, nil
 	case decision.Reject:
-		return object{"PushBack": object{"corr": a.Statement, "comeBack": micros(a.RetryAfter)}}, nil
+		return outAction{PushBack: &outPushBack{Corr: a.Statement, ComeBack: a.RetryAfter.Microseconds()}}, nil
 	case decision.Abort:
-		return object{"EndFailed": object{"corr": a.Statement}}, nil
+		return outAction{EndFailed: &outEndFailed{Corr: a.Statement}}, nil
 	case decision.SetResources:
-		return object{"Terms": object{"corr": a.Statement, "allotMb": a.MemoryGrantMB, "rank": a.Priority}}, nil
+		return outAction{Terms: &outTerms{Corr: a.Statement, AllotMb: a.MemoryGrantMB, Rank: a.Priority}}, nil
 	case decision.HealthCheck:
-		return object{"Ping": object{"engine": a.Engine}}, nil
+		return outAction{Ping: &outEngine{Engine: a.Engine}}, nil
 	case decision.CloseIdleConnections:
-		return object{"CloseIdle": object{"engine": a.Engine}}, nil
+		return outAction{CloseIdle: &outEngine{Engine: a.Engine}}, nil
 	case decision.SetTimer:
-		return object{"SetTimer": object{"cookie": a.Token, "moment": micros(a.At)}}, nil
+		return outAction{SetTimer: &outTimer{Cookie: a.Token, Moment: a.At.Microseconds()}}, nil
 	case decision.WatchEndpoints:
-		return object{"Tail": object{"active": a.Enabled}}, nil
+		return outAction{Tail: &outTail{Active: a.Enabled}}, nil
 	case decision.FetchEndpoints:
-		return object{"Resolve": object{}}, nil
+		return outAction{Resolve: &struct{}{}}, nil
 	case decision.SendToPeers:
-		var dest any = int(a.To)
-		if a.All {
-			dest = "all"
-		}
-		return object{"Notify": object{"dest": dest, "payload": hex.EncodeToString(a.Data)}}, nil
+		return outAction{Notify: encodePeerMessage(a)}, nil
 	case decision.Log:
-		return object{"SayLog": object{"what": a.Text}}, nil
+		return outAction{SayLog: &outText{What: a.Text}}, nil
 	case decision.Crash:
-		return object{"Crash": object{"what": a.Text}}, nil
+		return outAction{Crash: &outText{What: a.Text}}, nil
+	}
+	return outAction{}, fmt.Errorf("action %T has no word on the wire", action)
+}
+
+func encodePeerMessage(a decision.SendToPeers) *outNotify {
+	message := &outNotify{Dest: int(a.To), Payload: hex.EncodeToString(a.Data)}
+	if a.All {
+		message.Dest = allPeers
 	}
-	return nil, fmt.Errorf("action %T has no word on the wire", action)
+	return message
 }
