--- a/internal/configregister/register.go
+++ b/internal/configregister/register.go
@@ -196,7 +196,7 @@
 	return raw
 }
 
-// Restore replaces the register by a snapshot. On an error the register is unchanged.
+// Restore replaces the register by a snapshot, with the guards that the snapshot holds. On an error the register is unchanged.
 func (r *Register) Restore(raw []byte) error {
 	restored := Register{Guards: r.Guards}
 	if err := json.Unmarshal(raw, &restored); err != nil {
--- a/internal/configversion/recording_test.go
+++ b/internal/configversion/recording_test.go
@@ -63,7 +63,7 @@
 func TestRecordedErrors(t *testing.T) {
 	var out bytes.Buffer
 	record := func(name string, err error) { fmt.Fprintf(&out, "%s: %v\n", name, err) }
-	good := New(nil, "lineage", fleet(2), nil, "note")
+	good := New(nil, "lineage", rulesWithEngines(t, 2), nil, "note")
 	decode := func(name string, change func(fields map[string]any)) {
 		fields := map[string]any{}
 		require.NoError(t, json.Unmarshal(good.Encode(), &fields))
@@ -87,10 +87,10 @@
 		_, err := Decode([]byte(raw))
 		record(fmt.Sprintf("decode %.20q", raw), err)
 	}
-	next := New(good, "", fleet(3), nil, "")
+	next := New(good, "", rulesWithEngines(t, 3), nil, "")
 	for name, pair := range map[string][2]*Version{
-		"none": {next, nil}, "next": {next, good}, "older": {good, next}, "later": {New(next, "", fleet(4), nil, ""), good}, "lineage": {New(nil, "m", fleet(2), nil, ""), good},
-		"past": {New(New(nil, "lineage", fleet(9), nil, ""), "", fleet(2), nil, ""), good}, "twice": {New(nil, "lineage", fleet(9), nil, ""), good},
+		"none": {next, nil}, "next": {next, good}, "older": {good, next}, "later": {New(next, "", rulesWithEngines(t, 4), nil, ""), good}, "lineage": {New(nil, "m", rulesWithEngines(t, 2), nil, ""), good},
+		"past": {New(New(nil, "lineage", rulesWithEngines(t, 9), nil, ""), "", rulesWithEngines(t, 2), nil, ""), good}, "twice": {New(nil, "lineage", rulesWithEngines(t, 9), nil, ""), good},
 	} {
 		record("follows "+name, pair[0].CheckFollows(pair[1]))
 	}
@@ -105,11 +105,11 @@
 func TestRecordedChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(45, 2))
 	hash := sha256.New()
-	floor, before := changed(t, random, fleet(6)), changed(t, random, fleet(6))
+	floor, before := changed(t, random, rulesWithEngines(t, 6)), changed(t, random, rulesWithEngines(t, 6))
 	for i := range 3000 {
 		next := changed(t, random, before)
 		if i%100 == 0 {
-			floor, next = next, fleet(6)
+			floor, next = next, rulesWithEngines(t, 6)
 		}
 		var forced []string
 		if random.IntN(4) == 0 {
--- /dev/null
+++ b/internal/rules/compare_test.go
@@ -0,0 +1,167 @@
+package rules
+
+import (
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+func requireSame(t *rapid.T, property string, a, b *Rules) {
+	t.Helper()
+	encodedA, encodedB := string(a.Canonical()), string(b.Canonical())
+	if encodedA != encodedB {
+		t.Fatalf("%s:\n%s\n%s", property, encodedA, encodedB)
+	}
+}
+
+// Intersect is the meet of a lattice: idempotent, commutative, associative, in conflict with neither side, and it permits all that both
+// permit.
+func TestIntersectIsALatticeMeet(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, b, c := drawnRules.Draw(t, "a"), drawnRules.Draw(t, "b"), drawnRules.Draw(t, "c")
+		both := Intersect(a, b)
+		if err := both.Validate(); err != nil {
+			t.Fatalf("the intersection is not valid: %v", err)
+		}
+		requireSame(t, "idempotent", Intersect(a, a), a)
+		requireSame(t, "commutative", both, Intersect(b, a))
+		requireSame(t, "associative", Intersect(both, c), Intersect(a, Intersect(b, c)))
+		for _, side := range []*Rules{a, b} {
+			if conflicts := Conflicts(both, side); len(conflicts) > 0 {
+				t.Fatalf("the intersection conflicts with a side in %s", conflicts[0].Name)
+			}
+		}
+		if len(Conflicts(c, a)) == 0 && len(Conflicts(c, b)) == 0 && len(Conflicts(c, both)) > 0 {
+			t.Fatalf("both permit what the intersection forbids: %s", Conflicts(c, both)[0].Name)
+		}
+	})
+}
+
+// That a does not conflict with b is a partial order.
+func TestConflictsDefineAPartialOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, b, c := drawnRules.Draw(t, "a"), drawnRules.Draw(t, "b"), drawnRules.Draw(t, "c")
+		if len(Conflicts(a, a)) > 0 {
+			t.Fatal("rules conflict with themselves")
+		}
+		if len(Conflicts(a, b)) == 0 && len(Conflicts(b, c)) == 0 && len(Conflicts(a, c)) > 0 {
+			t.Fatalf("not transitive: %s", Conflicts(a, c)[0].Name)
+		}
+		if len(Conflicts(a, b)) == 0 && len(Conflicts(b, a)) == 0 {
+			requireSame(t, "rules without a conflict either way are the same", Intersect(a, b), a)
+		}
+	})
+}
+
+func TestCanonicalFormIsReadAgain(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		r := drawnRules.Draw(t, "rules")
+		again, err := Parse(r.Canonical())
+		if err != nil {
+			t.Fatal(err)
+		}
+		requireSame(t, "read again", r, again)
+	})
+}
+
+// exampleRules sets each field, so that each can be changed alone.
+func exampleRules(t *testing.T) *Rules {
+	t.Helper()
+	r := &Rules{
+		Routers:                  4,
+		FleetQuotas:              map[string]float64{"a": 0.1},
+		PriorityWeights:          map[string]float64{"w": 1},
+		TenantQuotas:             map[string]float64{"g": 5},
+		OverQuotaFactor:          0.1,
+		RetryBudgetShare:         0.1,
+		RetryBudgetFree:          3,
+		RetryBudgetWindowMillis:  10,
+		HealthChecksPerStatement: 1,
+		SlowStartShare:           0.3,
+		SlowStartMultiple:        4,
+		WarmAfterMillis:          15000,
+		DrainGraceMillis:         1000,
+		KeyQuietPeriodMillis:     5,
+		SheddableWorkloads:       []string{"w"},
+		PlacementExclusions:      map[string][]string{"1": {"e"}},
+		AllowedMachineTypes:      map[string][]string{"w": {"k"}},
+		Engines:                  map[string]Engine{"e": {Phase: Active, Address: "e:1", Kind: "k"}},
+	}
+	require.NoError(t, r.Validate())
+	return r
+}
+
+// changesByField changes each field alone, from exampleRules.
+var changesByField = map[string][]func(*Rules){
+	"routers":         {func(r *Rules) { r.Routers = 5 }},
+	"parts":           {func(r *Rules) { r.FleetQuotas["a"] = 0.2 }},
+	"importance":      {func(r *Rules) { r.PriorityWeights["w"] = 2 }, func(r *Rules) { delete(r.PriorityWeights, "w") }},
+	"shares":          {func(r *Rules) { r.TenantQuotas["g"] = 6 }},
+	"over_importance": {func(r *Rules) { r.OverQuotaFactor = 0.2 }},
+	"further_share":   {func(r *Rules) { r.RetryBudgetShare = 1 }},
+	"further_free":    {func(r *Rules) { r.RetryBudgetFree = 4 }},
+	"further_window":  {func(r *Rules) { r.RetryBudgetWindowMillis = 0 }},
+	"probes":          {func(r *Rules) { r.HealthChecksPerStatement = 2 }},
+	"cold_share":      {func(r *Rules) { r.SlowStartShare = 0.4 }},
+	"cold_multiple":   {func(r *Rules) { r.SlowStartMultiple = 5 }},
+	"warm_after":      {func(r *Rules) { r.WarmAfterMillis = 1 }},
+	"drain_grace":     {func(r *Rules) { r.DrainGraceMillis = 1 }},
+	"key_rest":        {func(r *Rules) { r.KeyQuietPeriodMillis = 6 }},
+	"may_turn_away":   {func(r *Rules) { r.SheddableWorkloads = nil }},
+	"kept_off":        {func(r *Rules) { r.PlacementExclusions = nil }},
+	"kinds": {
+		func(r *Rules) { r.AllowedMachineTypes["w"] = []string{"k", "l"} },
+		func(r *Rules) { r.AllowedMachineTypes = nil },
+	},
+	"engines": {
+		func(r *Rules) { r.Engines = nil },
+		func(r *Rules) { delete(r.Engines, "e") },
+		func(r *Rules) { r.Engines["e"] = Engine{Phase: Draining, Address: "e:1", Kind: "k"} },
+		func(r *Rules) { r.Engines["e"] = Engine{Phase: Active, Address: "e:1", Kind: "k", WarmingUp: true} },
+		func(r *Rules) { r.Engines["e"] = Engine{Phase: Active, Address: "e:2", Kind: "k"} },
+	},
+}
+
+// A field that is changed alone conflicts one way or the other, and the intersection conflicts with neither.
+func TestChangeOfAFieldIsAConflict(t *testing.T) {
+	for _, field := range Fields() {
+		t.Run(field.Name, func(t *testing.T) {
+			require.NotEmpty(t, changesByField[field.Name], "no change is tried")
+			for i, change := range changesByField[field.Name] {
+				before, after := exampleRules(t), exampleRules(t)
+				change(after)
+				require.NoError(t, after.Validate())
+				conflicts := append(Conflicts(before, after), Conflicts(after, before)...)
+				require.NotEmpty(t, conflicts, "change %d: no conflict is seen", i)
+				both := Intersect(before, after)
+				assert.Empty(t, append(Conflicts(both, before), Conflicts(both, after)...))
+				for _, conflict := range conflicts {
+					if field.Name != "routers" { // fewer routers have larger default quotas
+						assert.Equal(t, field.Name, conflict.Name)
+					}
+				}
+			}
+		})
+	}
+}
+
+// A field that is missing in the table would be ignored by Conflicts and Intersect.
+func TestEveryFieldIsInTheTable(t *testing.T) {
+	described := map[string]bool{}
+	for _, field := range Fields() {
+		assert.NotEmpty(t, field.Description, field.Name)
+		assert.NotEmpty(t, field.Consequence, field.Name)
+		assert.False(t, described[field.Name], "%s is described twice", field.Name)
+		described[field.Name] = true
+	}
+	rulesType := reflect.TypeFor[Rules]()
+	for i := range rulesType.NumField() {
+		name, _, _ := strings.Cut(rulesType.Field(i).Tag.Get("json"), ",")
+		assert.True(t, described[name], "%s is not described", name)
+	}
+	assert.Equal(t, rulesType.NumField(), len(Fields()))
+}
