--- /dev/null
+++ b/policy/bulk_load_test.go
@@ -0,0 +1,81 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/decision"
+)
+
+// A bulk load and what waits for it do not meet on one engine.
+func TestLoadKeepsReadsOff(t *testing.T) {
+	h := newHarness(t).at(0, ready("a", "b"))
+	e := h.at(1, write("w")).sentTo()
+	for i := range 4 {
+		assert.NotEqual(t, e, h.at(2, read(decision.StatementID(fmt.Sprint(i)))).sentTo())
+	}
+}
+
+// A note of waiting for another router's bulk load keeps its table group off that engine.
+func TestLoadOfAnotherRouter(t *testing.T) {
+	h := newHarness(t)
+	h.traits.ProgressInterval = 500 * ms
+	h.workloads[0].LatencyObjective = 3 * time.Second
+	e := h.at(0, ready("a", "b"), read("s")).sentTo()
+	h.at(500*ms, note("s", e, decision.ProgressWaiting, decision.WaitingForBulkLoad))
+	require.Len(t, pick[decision.CancelAttempt](h), 1)
+	assert.NotEqual(t, e, h.at(501*ms, read("s2")).sentTo(), "the group it waits for")
+	other := read("s3")
+	other.TableGroup = 9
+	h.engine("a").touch(9, recentTableGroups)
+	h.engine("b").touch(9, recentTableGroups)
+	h.at(502*ms, end("s", 0, e, decision.Cancelled))
+	assert.Equal(t, e, h.at(503*ms, other).sentTo(), "another group")
+}
+
+// Bulk loads of one table group spread over half of the engines.
+func TestLoadsSpreadOverHalfOfTheEngines(t *testing.T) {
+	h := newHarness(t).at(0, ready("a", "b", "c", "d", "e", "f"))
+	load := h.unsent(1, 7)
+	assert.Len(t, h.module.candidates(load, slices.Clone(h.module.endpoints.all)), 3)
+}
+
+// Loads go to the half of the hash where their group is read least, and where that is congested to all engines but
+// the first: there its reads find none to wait for.
+func TestLoadsLeaveOneEngineToReads(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		congested bool
+		placed    int
+	}{{"free", false, 2}, {"congested", true, 3}} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t).at(0, ready("a", "b", "c", "d"))
+			first := h.module.endpoints.ranked(0)[0].Engine
+			for _, e := range h.module.endpoints.all {
+				e.utilization = 0.1
+				e.utilizationKnown = true
+				e.windows[1].size = 4
+			}
+			for _, e := range h.module.candidates(h.unsent(1, 0), slices.Clone(h.module.endpoints.ranked(0))) {
+				if c.congested {
+					e.utilization = busyUtilization + 0.1
+				}
+			}
+			on := map[decision.EngineID]bool{}
+			for i := range 4 { // no engine has two loads of a group
+				if e := h.at(time.Duration(i+1), write(decision.StatementID(strconv.Itoa(i)))).sentTo(); e != "" {
+					on[e] = true
+				}
+			}
+			require.Len(t, on, c.placed)
+			require.NotContains(t, on, first)
+			require.Equal(t, first, h.at(5, read("r")).sentTo())
+		})
+	}
+}
--- /dev/null
+++ b/policy/endpoint_list_test.go
@@ -0,0 +1,20 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"bankledge/decision"
+)
+
+// The endpoint list is asked for where it comes on request, and again after a failure.
+func TestEndpointListOnRequest(t *testing.T) {
+	h := newHarness(t)
+	h.limits.PollEndpoints = true
+	assert.Len(t, pick[decision.WatchEndpoints](h.at(0)), 1)
+	h.at(time.Second, decision.EndpointList{Kind: decision.ListFailed})
+	assert.Empty(t, pick[decision.WatchEndpoints](h))
+	assert.Len(t, pick[decision.WatchEndpoints](h.at(3*time.Second)), 1)
+}
--- /dev/null
+++ b/policy/fleet_quota_test.go
@@ -0,0 +1,23 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// A router keeps its quota of the fleet on average, and heavy work does not hold up lighter work.
+func TestFleetQuotaOnAverage(t *testing.T) {
+	h := newHarness(t)
+	h.identity.Routers = 16 // the quota: 3.2 x 8 / 16 = 1.6 threads, a write takes two
+	h.at(0, ready("a", "b")).at(time.Second)
+	first := write("first")
+	require.NotEmpty(t, h.at(1001*ms, first).sentTo(), "from what was saved up")
+	second := write("second")
+	second.TableGroup = 9
+	h.module.fleetQuota.saved = 0
+	assert.Empty(t, h.at(1002*ms, second).sentTo())
+	assert.NotEmpty(t, h.at(1003*ms, read("light")).sentTo())
+}
--- /dev/null
+++ b/policy/health_check_test.go
@@ -0,0 +1,24 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/decision"
+)
+
+// Where load reports come by health check, a statement waits for those of its candidates.
+func TestStatementWaitsForHealthChecks(t *testing.T) {
+	h := newHarness(t)
+	h.reports.Source = decision.LoadReportsByHealthCheck
+	h.at(0, ready("a", "b", "c", "d"))
+	assert.Empty(t, pick[decision.HealthCheck](h), "none on a clock")
+	asked := pick[decision.HealthCheck](h.at(ms, read("s")))
+	require.NotEmpty(t, asked)
+	assert.LessOrEqual(t, len(asked), healthCheckWidth, "two a statement at most")
+	assert.Empty(t, h.sentTo())
+	h.at(2*ms, decision.HealthCheckEnded{Engine: asked[0].Engine, Outcome: decision.Completed, Report: inFlightReport(0)})
+	assert.Equal(t, asked[0].Engine, h.sentTo())
+}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -11,35 +11,42 @@
 
 const ms = time.Millisecond
 
-// bed is an instance under test, with settings that a case may change before it opens.
-type bed struct {
-	t       *testing.T
-	me      decision.Identity
-	wlms    []decision.Workload
-	traits  decision.EngineTraits
-	shares  decision.Quotas
-	limits  decision.Limits
-	rules   decision.Rules
-	reports decision.LoadReportSettings
-	m       *Module
-	out     []decision.Action // of the last call
+// harness is an instance under test, with settings that a case may change before it opens.
+type harness struct {
+	t         *testing.T
+	identity  decision.Identity
+	workloads []decision.Workload
+	traits    decision.EngineTraits
+	quotas    decision.Quotas
+	limits    decision.Limits
+	rules     decision.Rules
+	reports   decision.LoadReportSettings
+	module    *Module
+	actions   []decision.Action // of the last call
 }
 
-func newBed(t *testing.T) *bed {
+func newHarness(t *testing.T) *harness {
+	t.Helper()
 	read := decision.Workload{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second, StatementTimeout: 4 * time.Second,
 		Threads: 1, WaitsForBulkLoads: true, DedupWindow: time.Second}
 	write := decision.Workload{Name: "write", PriorityWeight: 5, LatencyObjective: 3 * time.Second, LateFactor: 0.5,
 		StatementTimeout: 20 * time.Second, Threads: 2, Idempotency: decision.NonIdempotent, BulkLoad: true}
-	return &bed{t: t, me: decision.Identity{Seed: 1, Routers: 1, Zone: "z1", ClockGranularity: 5 * ms},
-		wlms: []decision.Workload{read, write},
-		traits: decision.EngineTraits{Machines: map[decision.MachineType]decision.MachineSpec{"k8": {Cores: 8, MemoryMB: 8000},
-			"k4": {Cores: 4, MemoryMB: 4000}}},
+	return &harness{
+		t:         t,
+		identity:  decision.Identity{Seed: 1, Routers: 1, Zone: "z1", ClockGranularity: 5 * ms},
+		workloads: []decision.Workload{read, write},
+		traits: decision.EngineTraits{Machines: map[decision.MachineType]decision.MachineSpec{
+			"k8": {Cores: 8, MemoryMB: 8000},
+			"k4": {Cores: 4, MemoryMB: 4000},
+		}},
 		limits: decision.Limits{Cancellation: true, MaxAttempts: 4, HealthChecks: true},
 		rules: decision.Rules{DrainGrace: time.Second, SlowStartShare: 0.3, SlowStartDuration: 15 * time.Second,
 			SlowStartMultiple: 2, SlowStartWindow: 1500 * ms},
-		reports: decision.LoadReportSettings{Source: decision.LoadReportsInResponses}}
+		reports: decision.LoadReportSettings{Source: decision.LoadReportsInResponses},
+	}
 }
 
+// ready is a complete endpoint list of engines of eight cores in the harness's zone.
 func ready(ids ...decision.EngineID) decision.EndpointList {
 	list := decision.EndpointList{Kind: decision.ListComplete}
 	for _, id := range ids {
@@ -48,34 +55,38 @@
 	return list
 }
 
-// at hands events over and keeps what came back.
-func (b *bed) at(now time.Duration, events ...decision.Event) *bed {
-	if b.m == nil {
-		b.m = New(b.me, b.wlms, b.traits, b.shares, b.limits, b.rules, b.reports)
+// at has the module handle events, and keeps the actions.
+func (h *harness) at(now time.Duration, events ...decision.Event) *harness {
+	if h.module == nil {
+		h.module = New(h.identity, h.workloads, h.traits, h.quotas, h.limits, h.rules, h.reports)
 	}
-	b.out = b.m.Handle(now, events)
-	return b
+	h.actions = h.module.Handle(now, events)
+	return h
 }
 
+// read is a statement of the first workload: idempotent, of 100 ms.
 func read(id decision.StatementID) decision.StatementArrived {
 	return decision.StatementArrived{Statement: id, TimeBudget: 4 * time.Second, EstimatedWork: 100 * ms}
 }
 
+// write is a statement of the second workload: a bulk load that is not idempotent, of 1 s on one thread.
 func write(id decision.StatementID) decision.StatementArrived {
 	return decision.StatementArrived{Statement: id, Workload: 1, TimeBudget: 20 * time.Second, EstimatedWork: time.Second}
 }
 
+// end is the outcome of an attempt; one that completes finishes its statement.
 func end(id decision.StatementID, n decision.AttemptID, e decision.EngineID, o decision.Outcome) decision.AttemptEnded {
 	return decision.AttemptEnded{Statement: id, Attempt: n, Engine: e, Outcome: o, Finished: o == decision.Completed}
 }
 
+// note is progress of a statement's first attempt.
 func note(id decision.StatementID, e decision.EngineID, n decision.ProgressKind, v float64) decision.AttemptProgress {
 	return decision.AttemptProgress{Statement: id, Engine: e, Kind: n, Value: v}
 }
 
 // pick returns the actions of one type from the last call.
-func pick[A decision.Action](b *bed) (list []A) {
-	for _, a := range b.out {
+func pick[A decision.Action](h *harness) (list []A) {
+	for _, a := range h.actions {
 		if a, ok := a.(A); ok {
 			list = append(list, a)
 		}
@@ -83,12 +94,47 @@
 	return list
 }
 
-// sentTo returns where the last call sent its one execution, or "" if it sent none.
-func (b *bed) sentTo() decision.EngineID {
-	sent := pick[decision.StartAttempt](b)
-	require.LessOrEqual(b.t, len(sent), 1)
+// sentTo returns where the last call sent its one attempt, or "" if it sent none.
+func (h *harness) sentTo() decision.EngineID {
+	h.t.Helper()
+	sent := pick[decision.StartAttempt](h)
+	require.LessOrEqual(h.t, len(sent), 1)
 	if len(sent) == 0 {
 		return ""
 	}
 	return sent[0].Engine
 }
+
+// heavyWrite is a write that is heavy for what its answer counts.
+func heavyWrite(id decision.StatementID) decision.StatementArrived {
+	arrival := write(id)
+	arrival.EstimatedWork = 4 * time.Second
+	return arrival
+}
+
+// inFlightReport is a load report of so many statements in flight.
+func inFlightReport(statements float64) *decision.LoadReport {
+	return reportOf(decision.FieldInFlight, statements)
+}
+
+// reportOf is a load report of one field.
+func reportOf(field decision.LoadReportField, value float64) *decision.LoadReport {
+	report := &decision.LoadReport{}
+	report.Value[field] = value
+	report.Known[field] = true
+	return report
+}
+
+// engine is what the module knows of an engine.
+func (h *harness) engine(id decision.EngineID) *engine { return h.module.endpoints.find(id) }
+
+// unsent is a statement of a workload that the module does not know.
+func (h *harness) unsent(workload int, tables decision.TableGroup) *statement {
+	w := h.module.workloads[workload]
+	return &statement{workload: w, classifiedAs: w, tables: tables}
+}
+
+// value is what a statement's answer counts now, a second of its work.
+func (h *harness) value(id decision.StatementID) float64 {
+	return h.module.priorities.value(h.module.statements[id], h.module.now)
+}
--- /dev/null
+++ b/policy/memory_grant_test.go
@@ -0,0 +1,23 @@
+package policy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/decision"
+)
+
+// Estimates of memory that run low: grants follow the spills.
+func TestMemoryGrantFollowsSpills(t *testing.T) {
+	h := newHarness(t)
+	h.traits.MemoryGrants = true
+	ev := read("s")
+	ev.EstimatedMemoryMB = 100
+	e := h.at(0, ready("a"), ev).sentTo()
+	require.Equal(t, int64(125), pick[decision.SetResources](h)[0].MemoryGrantMB)
+	h.at(ms, note("s", e, decision.ProgressSpilling, 40))
+	ev.Statement = "s2"
+	assert.Greater(t, pick[decision.SetResources](h.at(2*ms, ev))[0].MemoryGrantMB, int64(125))
+}
--- /dev/null
+++ b/policy/priority_test.go
@@ -0,0 +1,37 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/decision"
+)
+
+// Late work is never starved at the lowest priority.
+func TestLateWorkIsNotStarved(t *testing.T) {
+	h := newHarness(t)
+	h.traits.Priorities = true
+	h.workloads[0].LateFactor = 0.5
+	h.at(0, read("s"))
+	h.at(1500*ms, ready("a"))
+	require.NotEmpty(t, h.sentTo())
+	for _, terms := range pick[decision.SetResources](h) {
+		assert.Positive(t, terms.Priority)
+	}
+}
+
+// What is half done gets the highest priority, where priorities are heeded.
+func TestNearlyDoneAttemptGetsHighPriority(t *testing.T) {
+	h := newHarness(t)
+	h.traits.Priorities = true
+	h.traits.ProgressInterval = 500 * ms
+	h.at(0, ready("a"), heavyWrite("s"))
+	h.at(500*ms, note("s", "a", decision.ProgressShareDone, 0.4))
+	assert.Empty(t, pick[decision.SetResources](h))
+	h.at(time.Second, note("s", "a", decision.ProgressShareDone, 0.6))
+	require.Len(t, pick[decision.SetResources](h), 1)
+	assert.Equal(t, 3, pick[decision.SetResources](h)[0].Priority)
+}
--- /dev/null
+++ b/policy/rules_test.go
@@ -0,0 +1,118 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/decision"
+)
+
+// A statement with one attempt that ended on one of two engines: what may follow.
+func TestRetryRules(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		idempotency decision.Idempotency
+		scope       decision.DedupScope
+		outcome     decision.Outcome
+		after       time.Duration
+		want        string // "sent", "reject" or "abort"
+	}{
+		{"idempotent goes again after an error", decision.Idempotent, 0, decision.Errored, 10 * ms, "sent"},
+		{"non-idempotent that may have run is aborted", decision.NonIdempotent, 0, decision.ConnectionReset, 10 * ms, "abort"},
+		{"non-idempotent after a time-out is aborted", decision.NonIdempotent, 0, decision.TimedOut, 10 * ms, "abort"},
+		{"non-idempotent that never ran goes again", decision.NonIdempotent, 0, decision.Overloaded, 10 * ms, "sent"},
+		{"deduplicated goes again in time", decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 10 * ms, "sent"},
+		{"deduplicated after its window is not sent", decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 2 * time.Second, "reject"},
+		{"deduplicated stays in its cell", decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 10 * ms, ""},
+		{"deduplicated in a cell is not rejected after", decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 2 * time.Second, "abort"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t)
+			h.workloads[0].Idempotency = c.idempotency
+			h.workloads[0].DedupScope = c.scope
+			h.workloads[0].LatencyObjective = 3 * time.Second
+			list := ready("a", "b")
+			list.Endpoints[0].Cell = 1
+			list.Endpoints[1].Cell = 2
+			e := h.at(0, list, read("s")).sentTo()
+			require.NotEmpty(t, e)
+			h.at(c.after, end("s", 0, e, c.outcome))
+			got := ""
+			for _, a := range h.actions {
+				switch a.(type) {
+				case decision.StartAttempt:
+					got = "sent"
+				case decision.Reject:
+					got = "reject"
+				case decision.Abort:
+					got = "abort"
+				}
+			}
+			assert.Equal(t, c.want, got)
+		})
+	}
+}
+
+// What may have run is deduplicated for a window from when it was sent: a host that is slow to send a retry must not
+// send it later.
+func TestRetryStartsWithinDedupWindow(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		idempotency decision.Idempotency
+		first       decision.Outcome
+		want        time.Duration
+	}{
+		{"deduplicated", decision.Deduplicated, decision.ConnectionReset, 500*ms + time.Second},
+		{"the first never ran", decision.Deduplicated, decision.Overloaded, 0},
+		{"idempotent", decision.Idempotent, decision.ConnectionReset, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t)
+			h.workloads[0].Idempotency = c.idempotency
+			h.workloads[0].DedupWindow = time.Second
+			h.workloads[0].LatencyObjective = 3 * time.Second
+			first := pick[decision.StartAttempt](h.at(500*ms, ready("a", "b"), read("s")))
+			require.Len(t, first, 1)
+			assert.Zero(t, first[0].StartBefore, "it repeats nothing")
+			again := pick[decision.StartAttempt](h.at(600*ms, end("s", 0, first[0].Engine, c.first)))
+			require.Len(t, again, 1)
+			assert.Equal(t, c.want, again[0].StartBefore)
+		})
+	}
+}
+
+func TestForbiddenPlacements(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(h *harness, e *decision.Endpoint)
+	}{
+		{"draining", func(_ *harness, e *decision.Endpoint) { e.State = decision.Draining }},
+		{"removed", func(_ *harness, e *decision.Endpoint) { e.State = decision.Removed }},
+		{"zone not allowed", func(h *harness, e *decision.Endpoint) { h.workloads[0].AllowedZones = []decision.Zone{"z9"} }},
+		{"machine type not allowed", func(h *harness, e *decision.Endpoint) {
+			h.workloads[0].AllowedMachineTypes = []decision.MachineType{"k4"}
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h, list := newHarness(t), ready("a")
+			c.change(h, &list.Endpoints[0])
+			assert.Empty(t, h.at(0, list, read("s")).sentTo())
+			h.at(4*time.Second-10*ms, decision.TimerFired{})
+			assert.Empty(t, h.sentTo())
+			assert.Empty(t, h.module.statements, "answered before the client gives up")
+		})
+	}
+	t.Run("no engine at all", func(t *testing.T) {
+		h := newHarness(t).at(0, read("s"))
+		assert.Empty(t, h.sentTo())
+		h.at(2 * time.Second)
+		assert.Len(t, pick[decision.Reject](h), 1, "rejected once no answer can count")
+	})
+	t.Run("missing from a complete list", func(t *testing.T) {
+		h := newHarness(t).at(0, ready("a", "b")).at(1, ready("b"))
+		assert.EqualValues(t, "b", h.at(2, read("s")).sentTo())
+	})
+}
--- /dev/null
+++ b/policy/slow_start_test.go
@@ -0,0 +1,88 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/decision"
+)
+
+func TestSlowStartBudget(t *testing.T) {
+	// The same traffic at any number of routers: 210 statements a second of 0.1 core seconds, before ten engines of which
+	// one starts meanwhile.
+	for _, routers := range []int{1, 3, 300} {
+		t.Run(fmt.Sprintf("%d routers together keep under the budget and use it", routers), func(t *testing.T) {
+			sent, budget := 0, 0.0
+			for me := range routers {
+				h, list := newHarness(t), ready("b", "c", "d", "e", "f", "g", "h", "i", "j")
+				h.identity.Router = decision.RouterID(me)
+				h.identity.Routers = routers
+				h.identity.Seed = uint64(me)
+				budget = h.rules.SlowStartMultiple * h.rules.SlowStartShare * 8 * h.rules.SlowStartWindow.Seconds()
+				h.at(0, list)
+				started := ready("a")
+				started.Kind = decision.ListPartial
+				started.Endpoints[0].StartedAt = 4 * time.Second
+				gap := time.Duration(routers) * 5 * ms
+				for i, now := 0, gap*time.Duration(me)/time.Duration(routers); now < 5500*ms; i, now = i+1, now+gap {
+					if now >= 4*time.Second && h.engine("a") == nil {
+						h.at(now, started)
+					}
+					h.at(now, read(decision.StatementID(fmt.Sprint(me, " ", i))))
+					for _, x := range pick[decision.StartAttempt](h) {
+						if x.Engine == "a" {
+							sent++
+						}
+						h.at(now, end(x.Statement, 0, x.Engine, decision.Completed))
+					}
+				}
+			}
+			assert.Positive(t, sent)
+			assert.LessOrEqual(t, float64(sent)*0.1, budget)
+		})
+	}
+	t.Run("a router that has just started does not know what it sent before", func(t *testing.T) {
+		h, list := newHarness(t), ready("a")
+		list.Endpoints[0].StartedAt = time.Second
+		assert.Empty(t, h.at(2*time.Second, list, read("s")).sentTo())
+		assert.NotEmpty(t, h.at(2*time.Second+h.rules.SlowStartWindow, read("later")).sentTo())
+	})
+	for _, c := range []struct {
+		name          string
+		first, second decision.Outcome // the second: of a trial
+		warmingUp     bool
+	}{
+		{"a connection that does not come up may be late", decision.ConnectFailed, decision.Completed, false},
+		{"nor does a trial's", decision.ConnectFailed, decision.ConnectFailed, true},
+		{"what breaks connections is up", decision.ConnectionReset, decision.ConnectionReset, false},
+	} {
+		t.Run("only failed connections make an engine warm up before the list does: "+c.name, func(t *testing.T) {
+			h := newHarness(t).at(0, ready("a"), read("s"), read("beside"))
+			h.at(ms, end("s", 0, "a", c.first), end("beside", 0, "a", c.first)) // at once: that is one observation
+			h.at(ms, decision.ClientCancelled{Statement: "s"}, decision.ClientCancelled{Statement: "beside"})
+			for i, outcome := range []decision.Outcome{c.second, decision.Completed} {
+				now, id := time.Duration(2+8*i)*time.Second, decision.StatementID(fmt.Sprint("trial ", i))
+				require.NotEmpty(t, h.at(now, read(id)).sentTo())
+				h.at(now+ms, end(id, 0, "a", outcome), decision.ClientCancelled{Statement: id})
+			}
+			assert.Equal(t, c.warmingUp, h.module.slowStart.isWarmingUp(h.engine("a"), h.module.now))
+		})
+	}
+}
+
+// All engines of the list warm up, and then all drain.
+func TestAllEnginesWarmingUpOrDraining(t *testing.T) {
+	started, draining := ready("a", "b"), ready("a", "b")
+	for i := range started.Endpoints {
+		started.Endpoints[i].StartedAt = 5 * time.Second
+		draining.Endpoints[i].State = decision.Draining
+	}
+	h := newHarness(t).at(0).at(5*time.Second, started, read("s"))
+	assert.NotEmpty(t, h.sentTo(), "one router has the whole budget")
+	assert.Empty(t, h.at(6*time.Second, draining, read("s2")).sentTo())
+	assert.Len(t, pick[decision.Reject](h.at(10*time.Second)), 2, "the second never went")
+}
