--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -19,152 +19,196 @@
 	"bankledge/internal/consensus"
 )
 
-func entries(from, to, term uint64) (list []*pb.Entry) {
-	for i := from; i <= to; i++ {
-		list = append(list, &pb.Entry{Index: proto.Uint64(i), Term: proto.Uint64(term), Data: []byte{byte(i), byte(term)}})
+func entries(first, last, term uint64) []*pb.Entry {
+	var list []*pb.Entry
+	for index := first; index <= last; index++ {
+		list = append(list, &pb.Entry{
+			Index: proto.Uint64(index),
+			Term:  proto.Uint64(term),
+			Data:  []byte{byte(index), byte(term)},
+		})
 	}
 	return list
 }
 
-func snapshot(at uint64) *pb.Snapshot {
-	return &pb.Snapshot{Data: []byte("state"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(at), Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: []uint64{1}}}}
+func snapshot(index uint64) *pb.Snapshot {
+	return &pb.Snapshot{
+		Data: []byte("state"),
+		Metadata: &pb.SnapshotMetadata{
+			Index:     proto.Uint64(index),
+			Term:      proto.Uint64(1),
+			ConfState: &pb.ConfState{Voters: []uint64{1}},
+		},
+	}
 }
 
-func hard(term, commit uint64) *pb.HardState {
+func hardState(term, commit uint64) *pb.HardState {
 	return &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(1), Commit: proto.Uint64(commit)}
 }
 
-// What was saved is there again; what was written over is not, and a snapshot takes the place of what it holds.
-func TestWhatIsSavedIsThereAgain(t *testing.T) {
+// save saves changes, each of which has to succeed.
+func save(t *testing.T, s *Store, changes ...consensus.PersistentState) {
+	t.Helper()
+	for _, change := range changes {
+		require.NoError(t, s.Save(change))
+	}
+}
+
+// What was saved is loaded again; what was replaced is not, and a snapshot takes the place of the entries that it covers.
+func TestSaveAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, 1)
 	require.NoError(t, err)
-	require.NoError(t, s.Save(consensus.PersistentState{Snapshot: snapshot(1), HardState: hard(1, 1)}))
-	require.NoError(t, s.Save(consensus.PersistentState{Entries: entries(2, 9, 1)}))
-	require.NoError(t, s.Save(consensus.PersistentState{Entries: entries(6, 7, 2), HardState: hard(2, 5)}))
-	require.NoError(t, s.Save(consensus.PersistentState{Snapshot: snapshot(3)}))
+	save(t, s,
+		consensus.PersistentState{Snapshot: snapshot(1), HardState: hardState(1, 1)},
+		consensus.PersistentState{Entries: entries(2, 9, 1)},
+		consensus.PersistentState{Entries: entries(6, 7, 2), HardState: hardState(2, 5)},
+		consensus.PersistentState{Snapshot: snapshot(3)},
+	)
 	_, err = Open(dir, 1)
 	assert.ErrorContains(t, err, "another process's")
 	require.NoError(t, s.Close())
 	_, err = Open(dir, 2)
+	assert.ErrorIs(t, err, errOtherOwner)
 	assert.ErrorContains(t, err, "its id differs")
+
 	s, err = Open(dir, 1)
 	require.NoError(t, err)
 	defer s.Close()
-	kept, err := s.Load()
+	loaded, err := s.Load()
 	require.NoError(t, err)
-	require.Len(t, kept.Entries, 4)
-	assert.Equal(t, []uint64{4, 5, 6, 7}, []uint64{kept.Entries[0].GetIndex(), kept.Entries[1].GetIndex(), kept.Entries[2].GetIndex(), kept.Entries[3].GetIndex()})
-	assert.Equal(t, []uint64{1, 1, 2, 2}, []uint64{kept.Entries[0].GetTerm(), kept.Entries[1].GetTerm(), kept.Entries[2].GetTerm(), kept.Entries[3].GetTerm()})
-	assert.Equal(t, uint64(3), kept.Snapshot.GetMetadata().GetIndex())
-	assert.Equal(t, uint64(2), kept.HardState.GetTerm())
+	var indexes, terms []uint64
+	for _, entry := range loaded.Entries {
+		indexes = append(indexes, entry.GetIndex())
+		terms = append(terms, entry.GetTerm())
+	}
+	assert.Equal(t, []uint64{4, 5, 6, 7}, indexes)
+	assert.Equal(t, []uint64{1, 1, 2, 2}, terms)
+	assert.Equal(t, uint64(3), loaded.Snapshot.GetMetadata().GetIndex())
+	assert.Equal(t, uint64(2), loaded.HardState.GetTerm())
 	assert.Greater(t, s.Size(), uint64(0))
 }
 
-// A disk that fails at the sync is an error, and what was synced before stays.
-func TestADiskThatFails(t *testing.T) {
+// A disk that fails at the write or the sync is an error, and what was synced before stays.
+func TestFailingDisk(t *testing.T) {
 	var fails atomic.Bool
-	mem := vfs.NewCrashableMem()
-	fs := errorfs.Wrap(mem, errorfs.InjectorFunc(func(op errorfs.Op) error {
-		if fails.Load() && (op.Kind == errorfs.OpFileSync || op.Kind == errorfs.OpFileSyncData || op.Kind == errorfs.OpFileSyncTo || op.Kind == errorfs.OpFileWrite) {
+	memory := vfs.NewCrashableMem()
+	fs := errorfs.Wrap(memory, errorfs.InjectorFunc(func(op errorfs.Op) error {
+		if !fails.Load() {
+			return nil
+		}
+		switch op.Kind {
+		case errorfs.OpFileSync, errorfs.OpFileSyncData, errorfs.OpFileSyncTo, errorfs.OpFileWrite:
 			return errors.New("no space left on device")
 		}
 		return nil
 	}))
 	s, err := OpenFS(fs, "d", 1)
 	require.NoError(t, err)
-	require.NoError(t, s.Save(consensus.PersistentState{Entries: entries(1, 3, 1)}))
+	save(t, s, consensus.PersistentState{Entries: entries(1, 3, 1)})
 	fails.Store(true)
 	assert.ErrorContains(t, s.Save(consensus.PersistentState{Entries: entries(4, 5, 1)}), "no space left")
-	crashed := mem.CrashClone(vfs.CrashCloneCfg{})
-	s, err = OpenFS(crashed, "d", 1)
+
+	s, err = OpenFS(memory.CrashClone(vfs.CrashCloneCfg{}), "d", 1)
 	require.NoError(t, err)
 	defer s.Close()
-	kept, err := s.Load()
+	loaded, err := s.Load()
 	require.NoError(t, err)
-	assert.GreaterOrEqual(t, len(kept.Entries), 3)
+	assert.GreaterOrEqual(t, len(loaded.Entries), 3)
+}
+
+// A folder that can't be made is an error.
+func TestFolderIsAFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
-	_, err = Open(file, 1)
+	_, err := Open(file, 1)
 	assert.ErrorContains(t, err, "store")
 }
 
-// A machine that loses its power at any moment: what Save had returned for is there, whatever else of the disk's cache was lost.
+// A machine that loses its power at any moment: all for which Save had returned is there, whatever else of the disk's cache was lost.
 func TestPowerLoss(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for range 60 {
-		mem := vfs.NewCrashableMem()
-		s, err := OpenFS(mem, "d", 1)
+		memory := vfs.NewCrashableMem()
+		s, err := OpenFS(memory, "d", 1)
 		require.NoError(t, err)
-		last, at := uint64(0), uint64(0)
-		for range 1 + chance.IntN(30) {
-			n := 1 + chance.Uint64N(20)
-			require.NoError(t, s.Save(consensus.PersistentState{Entries: entries(last+1, last+n, 1)}))
-			if last += n; chance.IntN(5) == 0 {
-				at = last - chance.Uint64N(n)
-				require.NoError(t, s.Save(consensus.PersistentState{Snapshot: snapshot(at)}))
+		lastIndex, snapshotIndex := uint64(0), uint64(0)
+		for range 1 + random.IntN(30) {
+			count := 1 + random.Uint64N(20)
+			save(t, s, consensus.PersistentState{Entries: entries(lastIndex+1, lastIndex+count, 1)})
+			lastIndex += count
+			if random.IntN(5) == 0 {
+				snapshotIndex = lastIndex - random.Uint64N(count)
+				save(t, s, consensus.PersistentState{Snapshot: snapshot(snapshotIndex)})
 			}
 		}
-		crashed := mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: chance.IntN(101), RNG: chance})
+		crashed := memory.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: random.IntN(101), RNG: random})
 		s.Close()
-		again, err := OpenFS(crashed, "d", 1)
+
+		reopened, err := OpenFS(crashed, "d", 1)
 		require.NoError(t, err)
-		kept, err := again.Load()
+		loaded, err := reopened.Load()
 		require.NoError(t, err)
-		assert.Equal(t, at, kept.Snapshot.GetMetadata().GetIndex())
-		assert.Len(t, kept.Entries, int(last-at))
-		require.NoError(t, again.Close())
+		assert.Equal(t, snapshotIndex, loaded.Snapshot.GetMetadata().GetIndex())
+		assert.Len(t, loaded.Entries, int(lastIndex-snapshotIndex))
+		require.NoError(t, reopened.Close())
 	}
 }
 
-// Files that were torn, or of which bytes were changed, are told to be damaged: what was synced is never read as something else, and
-// never lost without a word.
-func TestTornFiles(t *testing.T) {
+// loadsWithFile tells whether a copy of a stored folder can be loaded after one of its files was replaced. What is loaded has to be
+// what was stored: entries 2 to 60.
+func loadsWithFile(t *testing.T, dir, name string, content []byte) bool {
+	t.Helper()
+	folder := t.TempDir()
+	require.NoError(t, os.CopyFS(folder, os.DirFS(dir)))
+	require.NoError(t, os.WriteFile(filepath.Join(folder, databaseName, name), content, 0o600))
+	s, err := Open(folder, 1)
+	if err != nil {
+		return false
+	}
+	defer s.Close()
+	loaded, err := s.Load()
+	if err != nil {
+		return false
+	}
+	for i, entry := range loaded.Entries {
+		require.Equal(t, []byte{byte(i + 2), 1}, entry.GetData(), name)
+	}
+	require.Len(t, loaded.Entries, 59, "%s: synced entries are gone without an error", name)
+	return true
+}
+
+// Files that were torn, or of which bytes were changed, are an error: what was synced is never read as something else, and never lost
+// without notice.
+func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, 1)
 	require.NoError(t, err)
-	require.NoError(t, s.Save(consensus.PersistentState{Snapshot: snapshot(1), HardState: hard(1, 1), Entries: entries(2, 60, 1)}))
+	save(t, s, consensus.PersistentState{Snapshot: snapshot(1), HardState: hardState(1, 1), Entries: entries(2, 60, 1)})
 	require.NoError(t, s.Close())
-	files, err := filepath.Glob(filepath.Join(dir, "log", "*"))
+	files, err := filepath.Glob(filepath.Join(dir, databaseName, "*"))
 	require.NoError(t, err)
-	try := func(name string, raw []byte) (whole bool) {
-		folder := t.TempDir()
-		require.NoError(t, os.CopyFS(folder, os.DirFS(dir)))
-		require.NoError(t, os.WriteFile(filepath.Join(folder, "log", name), raw, 0o600))
-		s, err := Open(folder, 1)
-		if err != nil {
-			return false
-		}
-		defer s.Close()
-		kept, err := s.Load()
-		if err != nil {
-			return false
-		}
-		for i, e := range kept.Entries {
-			require.Equal(t, []byte{byte(i + 2), 1}, e.GetData(), name)
-		}
-		require.Len(t, kept.Entries, 59, "%s: what was synced is gone, and nothing says so", name)
-		return true
-	}
-	seen := 0
+	detected := 0
 	for _, file := range files {
-		raw, err := os.ReadFile(file)
+		content, err := os.ReadFile(file)
 		require.NoError(t, err)
 		name := filepath.Base(file)
-		require.True(t, try(name, raw), name)
-		raw = bytes.TrimRight(raw, "\x00")
-		for i := range 4 {
-			if len(raw) > 12 {
-				if at := len(raw) * i / 4; !try(name, raw[:at]) {
-					seen++
-				}
-				changed := append([]byte(nil), raw...)
-				changed[len(raw)*i/4] ^= 0x5a
-				if !try(name, changed) {
-					seen++
-				}
+		require.True(t, loadsWithFile(t, dir, name, content), name)
+		content = bytes.TrimRight(content, "\x00") // space that was only reserved
+		if len(content) <= 12 {
+			continue
+		}
+		for quarter := range 4 {
+			at := len(content) * quarter / 4
+			if !loadsWithFile(t, dir, name, content[:at]) {
+				detected++
+			}
+			changed := bytes.Clone(content)
+			changed[at] ^= 0x5a
+			if !loadsWithFile(t, dir, name, changed) {
+				detected++
 			}
 		}
 	}
-	assert.Greater(t, seen, 5)
+	assert.Greater(t, detected, 5)
 }
