--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -95,8 +95,8 @@
 		edits: []edit{
 			{
 				file: "internal/downstream/front.go",
-				old:  "return c.queue(appendAnswer(make([]byte, 0, headBytes+leastLength+2+len(body)), typeAnswer, stream, code, body), stream)",
-				new:  "b := appendAnswer(nil, typeAnswer, stream, code, body)\n\treturn c.queue(append(b, b...), stream)",
+				old:  "return c.enqueue(appendAnswer(make([]byte, 0, lengthBytes+minFrameLength+2+len(body)), frameAnswer, stream, code, body), stream)",
+				new:  "b := appendAnswer(nil, frameAnswer, stream, code, body)\n\treturn c.enqueue(append(b, b...), stream)",
 			},
 		},
 		faults: nil,
@@ -278,8 +278,8 @@
 		edits: []edit{
 			{
 				file: "internal/discovery/feed.go",
-				old:  "silence    = 2500 * time.Millisecond",
-				new:  "silence    = 2500 * time.Second",
+				old:  "silenceTimeout   = 2500 * time.Millisecond",
+				new:  "silenceTimeout   = 2500 * time.Second",
 			},
 		},
 		faults: append([]faultlab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}}, lost...),
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -119,19 +119,19 @@
 // given ever more time.
 func TestAWatchThatIsFine(t *testing.T) {
 	f := &Client{}
-	for _, want := range []time.Duration{firstLine, firstLine * 3 / 2, silence, silence} {
-		assert.Equal(t, want, f.patience().Round(time.Microsecond))
-		f.barren++
+	for _, want := range []time.Duration{firstLineTimeout, firstLineTimeout * 3 / 2, silenceTimeout, silenceTimeout} {
+		assert.Equal(t, want, f.firstLineTimeout().Round(time.Microsecond))
+		f.emptyConnections++
 	}
 	in, out := net.Pipe()
 	defer in.Close()
 	tries := 0
-	a := &alive{Conn: out, sign: time.Now(), patience: silence, heads: true, lines: true, event: time.Now().Add(-quiet), renew: func() bool { tries++; return tries > 1 }, waits: new(atomic.Bool)}
+	a := &liveConn{Conn: out, lastProgress: time.Now(), progressTimeout: silenceTimeout, headerRead: true, bodyStarted: true, lastEvent: time.Now().Add(-eventTimeout), connectReplacement: func() bool { tries++; return tries > 1 }, reading: new(atomic.Bool)}
 	read := make(chan error, 1)
 	go func() { _, err := a.Read(make([]byte, 10)); read <- err }()
 	go func() { io.WriteString(in, ":\n") }() // what comes meanwhile is taken
 	require.NoError(t, <-read)
 	_, err := a.Read(make([]byte, 10)) // no other connection is to be had at first, then one is
-	require.ErrorIs(t, err, errRenewed)
+	require.ErrorIs(t, err, errReplaced)
 	assert.Equal(t, 2, tries)
 }
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -43,14 +43,14 @@
 		{"an event not ended is none", strings.TrimSuffix(event("5", "5"), "\n"), 1, nil, 4, "EOF"},
 		{"garbage is asked for again", "id: 5\ndata: {\n\n", 2, nil, 4, "unexpected end"},
 		{"garbage that stays is passed over", "id: 5\ndata: {\n\n" + event("6", "6"), 3, []int64{6}, 6, "EOF"},
-		{"too large", "data: " + strings.Repeat("x", mostEvent) + "\n\n", 1, nil, 4, "too long"},
+		{"too large", "data: " + strings.Repeat("x", maxEventBytes) + "\n\n", 1, nil, 4, "too long"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var took []int64
 			f := &Client{LastEventID: 4, Log: zap.NewNop(), OnEvent: func(c WatchEvent) { took = append(took, c.Number) }}
 			var err error
 			for range c.tries {
-				err = f.events(iotest.HalfReader(strings.NewReader(c.in)))
+				err = f.readEvents(iotest.HalfReader(strings.NewReader(c.in)))
 			}
 			require.ErrorContains(t, err, c.err)
 			assert.Equal(t, c.took, took)
@@ -84,7 +84,7 @@
 			}
 			require.NoError(t, err)
 			require.True(t, ok && got.Complete && got.Number == 3 && got.Revision == 9 && len(got.Endpoints) == 1)
-			assert.Equal(t, c.upSince, got.Endpoints[0].upSinceMillis)
+			assert.Equal(t, c.upSince, got.Endpoints[0].startedUnixMillis)
 			assert.Equal(t, c.state, got.Endpoints[0].State)
 		})
 	}
@@ -95,7 +95,7 @@
 	f.Add("\ufeffid: 1\r\rdata\n\n:x\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		feed := &Client{Log: zap.NewNop(), OnEvent: func(WatchEvent) {}}
-		if err := feed.events(strings.NewReader(in)); err == nil {
+		if err := feed.readEvents(strings.NewReader(in)); err == nil {
 			t.Fatal("a stream that ends without an error", io.EOF)
 		}
 	})
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -27,46 +27,46 @@
 		{"before the clock", -time.Second, 0, 0},
 		{"in the future: the wall clock was behind", 2 * time.Hour, 0, time.Hour},
 		{"in the future, told just now", 2 * time.Hour, time.Hour, time.Hour},
-		{"told as late as may be", time.Hour - toldWithin + 2*time.Millisecond, time.Hour, time.Hour - toldWithin + 2*time.Millisecond},
-		{"told later than may be: the wall clock was ahead", time.Hour - toldWithin - time.Millisecond, time.Hour, time.Hour},
+		{"told as late as may be", time.Hour - maxNotificationDelay + 2*time.Millisecond, time.Hour, time.Hour - maxNotificationDelay + 2*time.Millisecond},
+		{"told later than may be: the wall clock was ahead", time.Hour - maxNotificationDelay - time.Millisecond, time.Hour, time.Hour},
 		{"an hour ago, told just now: the wall clock was ahead", 0, time.Hour, time.Hour},
 		{"before the clock, told just now", -time.Hour, time.Hour, time.Hour},
 		{"while the feed was away", 50 * time.Minute, 49 * time.Minute, 50 * time.Minute},
 		{"long before the feed was away", 20 * time.Minute, 49 * time.Minute, time.Hour},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := engineStarts{origin: origin}
+			s := startTimes{origin: origin}
 			synced := time.Time{}
 			if c.synced > 0 {
 				synced = origin.Add(c.synced)
 			}
 			millis := origin.Add(c.started).UnixMilli()
-			got := s.at("e", millis, synced, now)
+			got := s.startedAt("e", millis, synced, now)
 			assert.InDelta(t, c.want.Seconds(), got.Seconds(), 0.001)
 			later := now.Add(time.Minute)
-			assert.Equal(t, got, s.at("e", millis, later, later), "what was worked out for a start stays")
-			assert.Greater(t, s.at("e", later.UnixMilli(), later, later), got, "another start is another")
+			assert.Equal(t, got, s.startedAt("e", millis, later, later), "what was worked out for a start stays")
+			assert.Greater(t, s.startedAt("e", later.UnixMilli(), later, later), got, "another start is another")
 		})
 	}
-	s := engineStarts{origin: origin}
-	assert.Zero(t, s.at("e", 0, now, now), "no late start")
+	s := startTimes{origin: origin}
+	assert.Zero(t, s.startedAt("e", 0, now, now), "no late start")
 	assert.Empty(t, s.byID)
 }
 
 // What is remembered of engines that are gone is bounded, and what is listed is remembered.
 func TestEngineStartsAreForgotten(t *testing.T) {
-	s := engineStarts{origin: time.Now()}
+	s := startTimes{origin: time.Now()}
 	tell := func(id string, state decision.EngineState) {
-		c := WatchEvent{Endpoints: []Endpoint{{Endpoint: decision.Endpoint{Engine: decision.EngineID(id), State: state}, upSinceMillis: 1}}}
+		c := WatchEvent{Endpoints: []Endpoint{{Endpoint: decision.Endpoint{Engine: decision.EngineID(id), State: state}, startedUnixMillis: 1}}}
 		s.resolve(&c, time.Time{}, time.Now())
 	}
 	tell("listed", decision.Ready)
 	tell("back", decision.Removed)
 	tell("back", decision.Ready)
-	for i := range 5 * mostStarts {
+	for i := range 5 * maxStartTimes {
 		tell(fmt.Sprint(i), decision.Ready)
 		tell(fmt.Sprint(i), decision.Removed)
-		require.LessOrEqual(t, len(s.byID), mostStarts)
+		require.LessOrEqual(t, len(s.byID), maxStartTimes)
 	}
 	assert.Contains(t, s.byID, decision.EngineID("listed"))
 	assert.Contains(t, s.byID, decision.EngineID("back"))
--- a/internal/downstream/crossing_test.go
+++ b/internal/downstream/crossing_test.go
@@ -88,16 +88,16 @@
 }
 
 func frameOf(stream uint32) []byte {
-	return append(appendFrame(nil, typeStatement, stream, 2), "\x00x"...)
+	return append(appendFrame(nil, frameStatement, stream, 2), "\x00x"...)
 }
 
 func readFrame(t *testing.T, r *bufio.Reader) frame {
 	t.Helper()
-	head := make([]byte, headBytes)
+	head := make([]byte, lengthBytes)
 	_, err := io.ReadFull(r, head)
 	require.NoError(t, err)
-	raw := append(head, make([]byte, frameSize(head)-headBytes)...)
-	_, err = io.ReadFull(r, raw[headBytes:])
+	raw := append(head, make([]byte, claimedFrameSize(head)-lengthBytes)...)
+	_, err = io.ReadFull(r, raw[lengthBytes:])
 	require.NoError(t, err)
 	f, _, err := parseFrame(raw)
 	require.NoError(t, err)
@@ -155,7 +155,7 @@
 	}{
 		{"frames of no use, half its end", append(unfit(100, 0), unfit(much/512, 512)...), func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }, false},
 		{"frames of no use, a reset", append(unfit(100, 0), unfit(much/4096, 4091)...), func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, true},
-		{"frames of no use, a frame that says so", append(unfit(100, 0), unfit(much/4096, 4091)...), func(c net.Conn) { c.Write(appendFrame(nil, typeLeft, 1, 0)) }, false},
+		{"frames of no use, a frame that says so", append(unfit(100, 0), unfit(much/4096, 4091)...), func(c net.Conn) { c.Write(appendFrame(nil, frameCancel, 1, 0)) }, false},
 		{"what is no frame, half its end", lost, func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }, false},
 		{"what is no frame, a reset", lost, func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, true},
 	} {
@@ -163,7 +163,7 @@
 			t.Parallel()
 			_, k, address := serve(t)
 			unread := make(chan int, 1)
-			hears := func(c *Conn) { unread <- c.unread() }
+			hears := func(c *Conn) { unread <- c.unreadBytes() }
 			k.hears.Store(&hears)
 			client := dial(t, address)
 			_, err := client.Write(append(frameOf(1), c.sends...))
@@ -186,12 +186,12 @@
 	require.NoError(t, err)
 	conn := await(t, k.took)
 	conn.mu.Lock()
-	conn.released = time.Now()
+	conn.releasedAt = time.Now()
 	conn.mu.Unlock()
 	_, err = client.Write(frameOf(2))
 	require.NoError(t, err)
 	got := readFrame(t, bufio.NewReader(client))
-	assert.Equal(t, []any{byte(typeAnswer), uint32(2), byte(CodeRejected)}, []any{got.kind, got.stream, got.payload[0]})
+	assert.Equal(t, []any{byte(frameAnswer), uint32(2), byte(CodeRejected)}, []any{got.kind, got.stream, got.payload[0]})
 	assert.Empty(t, k.took)
 }
 
@@ -214,7 +214,7 @@
 	hears := func(*Conn) { <-gate }
 	k.hears.Store(&hears)
 	c := dial(t, address)
-	_, err = c.Write(append(frameOf(1), appendFrame(nil, typeLeft, 1, 0)...))
+	_, err = c.Write(append(frameOf(1), appendFrame(nil, frameCancel, 1, 0)...))
 	require.NoError(t, err)
 	await(t, k.took)
 	assert.Zero(t, f.PendingReads())
@@ -224,7 +224,7 @@
 	close(gate)
 	await(t, k.took)
 	assert.Zero(t, f.PendingReads())
-	for range cap(f.slots) - 1 { // all places are taken by those that may still have something on its way
+	for range cap(f.connSlots) - 1 { // all places are taken by those that may still have something on its way
 		taken := dial(t, address)
 		_, err := taken.Write(frameOf(1))
 		require.NoError(t, err)
@@ -241,7 +241,7 @@
 		leave func(c net.Conn)
 	}{
 		{"a frame that says so, behind one that is not taken yet", func(c net.Conn) {
-			c.Write(append(frameOf(40), appendFrame(nil, typeLeft, 1, 0)...))
+			c.Write(append(frameOf(40), appendFrame(nil, frameCancel, 1, 0)...))
 		}},
 		{"the end of the connection", func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
 		{"the end behind a frame", func(c net.Conn) { c.Write(frameOf(40)); c.(*net.TCPConn).CloseWrite() }},
@@ -257,21 +257,21 @@
 			require.NoError(t, err)
 			defer c.Close()
 			var frames []byte
-			for stream := range uint32(mostOpen) {
+			for stream := range uint32(maxOpenStatements) {
 				frames = append(frames, frameOf(stream+1)...)
 			}
 			_, err = c.Write(frames)
 			require.NoError(t, err)
 			var conn *Conn
-			for range mostOpen {
+			for range maxOpenStatements {
 				conn = await(t, k.took)
 			}
 			body, stalled := bytes.Repeat([]byte("row\n"), 12_000), false
-			for stream := uint32(2); stream <= mostOpen && !stalled; stream++ { // the first stays open
+			for stream := uint32(2); stream <= maxOpenStatements && !stalled; stream++ { // the first stays open
 				stalled = conn.Answer(stream, CodeCompleted, body)
 			}
 			require.True(t, stalled, "nothing is read from it any more")
-			_, err = c.Write(appendFrame(nil, typeReadyAsked, 0, 0))
+			_, err = c.Write(appendFrame(nil, frameReadinessQuery, 0, 0))
 			require.NoError(t, err)
 			await(t, k.asked) // the reader has this, and stops before the next read
 			how.leave(c)
@@ -293,17 +293,17 @@
 		conn *Conn
 		want int
 	}{
-		{"something open", &Conn{open: map[uint32]bool{1: false}, spoke: true, since: long, idle: long}, 0},
-		{"an answer not written", &Conn{out: make([]outgoing, 1), spoke: true, since: long, idle: long}, 0},
-		{"one that is being written", &Conn{writing: 1, spoke: true, since: long, idle: long}, 0},
-		{"new: its first statement may be on its way", &Conn{since: now, idle: now}, 0},
-		{"never spoke", &Conn{since: long, idle: long}, 2},
-		{"answered just now: its next statement may be on its way", &Conn{spoke: true, since: long, idle: now}, 0},
-		{"at rest", &Conn{spoke: true, since: long, idle: long}, 1},
-		{"unfit", &Conn{spoke: true, unfit: 1, since: now, idle: now}, 3},
-		{"ended", &Conn{ended: true, since: long, idle: long}, 0},
+		{"something open", &Conn{openStreams: map[uint32]bool{1: false}, hasSentFrame: true, acceptedAt: long, idleSince: long}, 0},
+		{"an answer not written", &Conn{queue: make([]queuedFrame, 1), hasSentFrame: true, acceptedAt: long, idleSince: long}, 0},
+		{"one that is being written", &Conn{framesInWrite: 1, hasSentFrame: true, acceptedAt: long, idleSince: long}, 0},
+		{"new: its first statement may be on its way", &Conn{acceptedAt: now, idleSince: now}, 0},
+		{"never spoke", &Conn{acceptedAt: long, idleSince: long}, 2},
+		{"answered just now: its next statement may be on its way", &Conn{hasSentFrame: true, acceptedAt: long, idleSince: now}, 0},
+		{"at rest", &Conn{hasSentFrame: true, acceptedAt: long, idleSince: long}, 1},
+		{"unfit", &Conn{hasSentFrame: true, invalidFrames: 1, acceptedAt: now, idleSince: now}, 3},
+		{"ended", &Conn{ended: true, acceptedAt: long, idleSince: long}, 0},
 	} {
-		assert.Equal(t, c.want, c.conn.dispensable(), c.name)
+		assert.Equal(t, c.want, c.conn.evictionRank(), c.name)
 	}
 }
 
@@ -319,14 +319,14 @@
 		k := &taker{took: make(chan *Conn, 1), left: make(chan uint32, 1)}
 		f := New(k, 10, 1<<20, flowcontrol.DeriveLimits(64, 10), zap.NewNop())
 		long := time.Now().Add(-time.Minute)
-		c := &Conn{front: f, raw: raw, wake: make(chan struct{}, 1), flow: make(chan struct{}, 1), open: map[uint32]bool{}, apart: map[uint32]bool{}, since: long, idle: long, spoke: spoke, account: f.book.OpenPeer("x")}
-		f.enter(c)
-		assert.NotZero(t, c.dispensable())
+		c := &Conn{server: f, raw: raw, writeReady: make(chan struct{}, 1), readResumed: make(chan struct{}, 1), openStreams: map[uint32]bool{}, usedOutOfOrder: map[uint32]bool{}, acceptedAt: long, idleSince: long, hasSentFrame: spoke, peer: f.flow.OpenPeer("x")}
+		f.register(c)
+		assert.NotZero(t, c.evictionRank())
 		_, err = client.Write(frameOf(1))
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return c.unread() > 0 }, patience, time.Millisecond)
-		assert.Zero(t, c.dispensable())
-		f.evict()
+		require.Eventually(t, func() bool { return c.unreadBytes() > 0 }, patience, time.Millisecond)
+		assert.Zero(t, c.evictionRank())
+		f.evictOne()
 		ended := make(chan struct{})
 		go func() { c.serve(t.Context()); close(ended) }()
 		assert.Same(t, c, await(t, k.took))
@@ -336,7 +336,7 @@
 }
 
 func TestLeftIn(t *testing.T) {
-	left := func(stream uint32) []byte { return appendFrame(nil, typeLeft, stream, 0) }
+	left := func(stream uint32) []byte { return appendFrame(nil, frameCancel, stream, 0) }
 	for _, c := range []struct {
 		name       string
 		read, next []byte
@@ -349,10 +349,10 @@
 		{"whole but for its last bytes", left(1)[:3], left(1)[3:8], nil},
 		{"in what was read", slices.Concat(left(1), left(2)[:4]), slices.Concat(left(2)[4:], frameOf(3), left(4)), []uint32{1, 2, 4}},
 		{"behind a frame that ends where what was read ends", frameOf(3), slices.Concat(frameOf(4), left(5)), []uint32{5}},
-		{"longer than may be", nil, append([]byte{0xff, 0xff, 0xff, 0xff, typeLeft, 0, 0, 0, 1}, left(1)...), nil},
+		{"longer than may be", nil, append([]byte{0xff, 0xff, 0xff, 0xff, frameCancel, 0, 0, 0, 1}, left(1)...), nil},
 		{"behind what is no frame", []byte{0, 0, 0, 1}, left(1), nil},
 	} {
-		assert.Equal(t, c.want, leftIn(c.read, c.next), c.name)
+		assert.Equal(t, c.want, cancelledStreams(c.read, c.next), c.name)
 	}
 }
 
@@ -369,13 +369,13 @@
 	require.NoError(t, err)
 	conn, body := await(t, k.took), bytes.Repeat([]byte("row\n"), 12_000)
 	conn.Answer(1, CodeCompleted, body)
-	require.Eventually(t, conn.settled, patience, time.Millisecond, "it is with the kernel")
+	require.Eventually(t, conn.flushed, patience, time.Millisecond, "it is with the kernel")
 	assert.Positive(t, f.PendingWrites())
 	rested := func() int {
 		conn.mu.Lock()
-		conn.idle = time.Now().Add(-time.Minute)
+		conn.idleSince = time.Now().Add(-time.Minute)
 		conn.mu.Unlock()
-		return conn.dispensable()
+		return conn.evictionRank()
 	}
 	assert.Zero(t, rested(), "nor is its connection closed for another")
 	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
--- a/internal/downstream/frame_test.go
+++ b/internal/downstream/frame_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestParseFrame(t *testing.T) {
-	whole := append(appendFrame(nil, typeStatement, 7, 2), "ab"...)
+	whole := append(appendFrame(nil, frameStatement, 7, 2), "ab"...)
 	length := func(n uint32) []byte { return append(binary.BigEndian.AppendUint32(nil, n), make([]byte, 16)...) }
 	for _, c := range []struct {
 		name string
@@ -30,10 +30,10 @@
 		{"nothing", nil, 0, false},
 		{"part of a length", whole[:3], 0, false},
 		{"part of a payload", whole[:10], 0, false},
-		{"too short", length(leastLength - 1), 0, true},
-		{"shortest", length(leastLength), 9, false},
-		{"longest, not whole", length(mostLength), 0, false},
-		{"too long", length(mostLength + 1), 0, true},
+		{"too short", length(minFrameLength - 1), 0, true},
+		{"shortest", length(minFrameLength), 9, false},
+		{"longest, not whole", length(maxFrameLength), 0, false},
+		{"too long", length(maxFrameLength + 1), 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, size, err := parseFrame(c.raw)
@@ -44,7 +44,7 @@
 			require.NoError(t, err)
 			assert.Equal(t, c.size, size)
 			if c.size == 11 {
-				assert.Equal(t, frame{typeStatement, 7, []byte("ab")}, f)
+				assert.Equal(t, frame{frameStatement, 7, []byte("ab")}, f)
 			}
 		})
 	}
@@ -80,26 +80,26 @@
 }
 
 func TestStreamsAreNewAndBounded(t *testing.T) {
-	c := &Conn{open: map[uint32]bool{}, apart: map[uint32]bool{}}
+	c := &Conn{openStreams: map[uint32]bool{}, usedOutOfOrder: map[uint32]bool{}}
 	for _, s := range []struct {
 		stream uint32
 		isNew  bool
 	}{{1, true}, {1, false}, {0, false}, {3, true}, {2, true}, {2, false}, {3, false}, {4_000_000_000, true}, {4, true}, {4_000_000_000, false}} {
-		_, err := c.begin(s.stream)
+		_, err := c.openStream(s.stream)
 		assert.Equal(t, s.isNew, err == nil, "stream %d", s.stream)
 	}
-	assert.Equal(t, uint32(4), c.below)
-	for i := range uint32(10 * mostApart) {
-		_, _ = c.begin(10 + 2*i)
-		require.LessOrEqual(t, len(c.apart), mostApart)
+	assert.Equal(t, uint32(4), c.usedUpTo)
+	for i := range uint32(10 * maxOutOfOrderStreams) {
+		_, _ = c.openStream(10 + 2*i)
+		require.LessOrEqual(t, len(c.usedOutOfOrder), maxOutOfOrderStreams)
 	}
-	why, err := c.begin(3_000_000_000)
+	why, err := c.openStream(3_000_000_000)
 	assert.True(t, why == "too many open statements" && err == nil, "as many open as may be: %q", why)
-	assert.Len(t, c.open, mostOpen)
+	assert.Len(t, c.openStreams, maxOpenStatements)
 }
 
 func FuzzFrame(f *testing.F) {
-	f.Add(append(appendFrame(nil, typeStatement, 1, 8), "\x01\x01c\x00\x02hi"...))
+	f.Add(append(appendFrame(nil, frameStatement, 1, 8), "\x01\x01c\x00\x02hi"...))
 	f.Add([]byte(strings.Repeat("\xff", 12)))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		fr, size, err := parseFrame(raw)
@@ -122,7 +122,7 @@
 
 // Frames that are large and have not come whole share what room there is, and give it back.
 func TestLargeFramesShareRoom(t *testing.T) {
-	const room = mostLength + 100
+	const room = maxFrameLength + 100
 	f := New(nobody{}, 10, room, flowcontrol.DeriveLimits(64, 10), zap.NewNop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -132,20 +132,20 @@
 	begin := func() net.Conn {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		require.NoError(t, err)
-		_, err = c.Write(appendFrame(nil, typeStatement, 1, mostLength-leastLength))
+		_, err = c.Write(appendFrame(nil, frameStatement, 1, maxFrameLength-minFrameLength))
 		require.NoError(t, err)
 		return c
 	}
 	first := begin()
 	defer first.Close()
-	require.Eventually(t, func() bool { return f.room.Load() < room }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.frameMemory.Load() < room }, 10*time.Second, time.Millisecond)
 	second := begin()
 	defer second.Close()
 	said, err := io.ReadAll(second)
 	require.NoError(t, err)
 	assert.Contains(t, string(said), "no memory left for the frame")
 	first.Close()
-	require.Eventually(t, func() bool { return f.room.Load() == room }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.frameMemory.Load() == room }, 10*time.Second, time.Millisecond)
 	cancel()
 	listener.Close()
 	require.NoError(t, <-ended)
--- a/internal/flowcontrol/account.go
+++ b/internal/flowcontrol/account.go
@@ -19,50 +19,50 @@
 
 // The shares that limits are derived by, and the rates and times that stand whatever the machine.
 const (
-	outShare    = 8 // of the memory: what is queued is heap, and a full heap costs more than answers are worth
-	textShare   = 6
-	leastKernel = 16 << 10
-	mostKernel  = 64 << 10 // a whole result, and the next one's beginning
-	readerRate  = 1 << 10
-	writerRate  = 16 << 10
-	grace       = 4 * time.Second
-	window      = 8 * time.Second
-	frameGrace  = 2 * time.Second
-	frameSlack  = 500 * time.Millisecond
+	answerMemoryDivisor = 8 // of the memory: what is queued is heap, and a full heap costs more than answers are worth
+	textMemoryDivisor   = 6
+	minSendBufferBytes  = 16 << 10
+	maxSendBufferBytes  = 64 << 10 // a whole result, and the next one's beginning
+	defaultMinReadRate  = 1 << 10
+	defaultMinWriteRate = 16 << 10
+	defaultReadGrace    = 4 * time.Second
+	defaultReadWindow   = 8 * time.Second
+	defaultFrameGrace   = 2 * time.Second
+	frameReadSlack      = 500 * time.Millisecond
 )
 
 // Derive works out limits for so much memory and so many connections.
 func DeriveLimits(memoryMB int64, peers int) Limits {
-	out := memoryMB << 20 / outShare
-	return Limits{AnswerBytes: out, TextBytes: memoryMB << 20 / textShare, SendBufferBytes: min(max(out/int64(max(1, peers)), leastKernel), mostKernel),
-		MinReadRate: readerRate, MinWriteRate: writerRate, ReadGrace: grace, ReadWindow: window, FrameGrace: frameGrace}
+	out := memoryMB << 20 / answerMemoryDivisor
+	return Limits{AnswerBytes: out, TextBytes: memoryMB << 20 / textMemoryDivisor, SendBufferBytes: min(max(out/int64(max(1, peers)), minSendBufferBytes), maxSendBufferBytes),
+		MinReadRate: defaultMinReadRate, MinWriteRate: defaultMinWriteRate, ReadGrace: defaultReadGrace, ReadWindow: defaultReadWindow, FrameGrace: defaultFrameGrace}
 }
 
 const (
-	reserve    = 4 // one part in so many of Out is for peers that have nothing waiting
-	trustOver  = 4 // times as much as an answer holds has to have been taken in by a peer before
-	trustMost  = 4 * mostKernel
-	firstMost  = 2 * mostKernel
-	pressure   = 4 // from one part in so many of Out, nobody is trusted that has not taken answers in before
-	stallShare = 2 // a peer stalls at one part in so many of its share
-	textLeast  = 2 // one part in so many of Texts is shared by hosts; the rest by whoever comes first
+	reserveDivisor    = 4 // one part in so many of Out is for peers that have nothing waiting
+	trustFactor       = 4 // times as much as an answer holds has to have been taken in by a peer before
+	maxTrustedBytes   = 4 * maxSendBufferBytes
+	maxUntrustedBytes = 2 * maxSendBufferBytes
+	pressureDivisor   = 4 // from one part in so many of Out, nobody is trusted that has not taken answers in before
+	stallDivisor      = 2 // a peer stalls at one part in so many of its share
+	sharedTextDivisor = 2 // one part in so many of Texts is shared by hosts; the rest by whoever comes first
 )
 
 // Book holds the accounts of all peers.
 type Controller struct {
-	limits  Limits
-	out     int64
-	texts   int64
-	waiting int // hosts with something out
-	hosts   map[string]*host
+	limits       Limits
+	answerBytes  int64
+	textBytes    int64
+	pendingHosts int // hosts with something out
+	hosts        map[string]*host
 }
 
 type host struct {
-	name    string
-	peers   int
-	out     int64
-	texts   int64
-	waiting int // peers with something out
+	name         string
+	peers        int
+	answerBytes  int64
+	textBytes    int64
+	pendingPeers int // peers with something out
 }
 
 // NewBook opens a book.
@@ -78,20 +78,20 @@
 	for _, h := range b.hosts {
 		peers += h.peers
 	}
-	return b.out, b.texts, peers
+	return b.answerBytes, b.textBytes, peers
 }
 
 // Peer is one connection's account.
 type Peer struct {
-	book    *Controller
-	host    *host
-	queued  int64 // answers not written yet
-	kernel  int64 // written and, as last seen, not yet taken in
-	texts   int64
-	took    int64     // in all
-	denied  bool      // an answer could not be kept for it; nothing more is done for it until there is room again
-	reading RateMeter // how it takes answers in
-	closed  bool
+	controller      *Controller
+	host            *host
+	queuedBytes     int64 // answers not written yet
+	sendBufferBytes int64 // written and, as last seen, not yet taken in
+	textBytes       int64
+	receivedBytes   int64     // in all
+	refused         bool      // an answer could not be kept for it; nothing more is done for it until there is room again
+	readRate        RateMeter // how it takes answers in
+	closed          bool
 }
 
 // Open opens the account of a connection from an address.
@@ -102,7 +102,7 @@
 		b.hosts[address] = h
 	}
 	h.peers++
-	return &Peer{book: b, host: h}
+	return &Peer{controller: b, host: h}
 }
 
 // Close gives back what waits for a peer, but for texts, which are given back one by one.
@@ -110,74 +110,74 @@
 	if p.closed {
 		return
 	}
-	p.add(-p.queued - p.kernel)
-	p.queued, p.kernel, p.closed = 0, 0, true
+	p.addPending(-p.queuedBytes - p.sendBufferBytes)
+	p.queuedBytes, p.sendBufferBytes, p.closed = 0, 0, true
 	p.host.peers--
-	p.tidy()
+	p.removeIdleHost()
 }
 
-func (p *Peer) tidy() {
-	if p.host.peers == 0 && p.host.texts == 0 {
-		delete(p.book.hosts, p.host.name)
+func (p *Peer) removeIdleHost() {
+	if p.host.peers == 0 && p.host.textBytes == 0 {
+		delete(p.controller.hosts, p.host.name)
 	}
 }
 
 // Out is how much waits for the peer.
-func (p *Peer) PendingBytes() int64 { return p.queued + p.kernel }
+func (p *Peer) PendingBytes() int64 { return p.queuedBytes + p.sendBufferBytes }
 
 // Kernel is what was written to it and, as last seen, not yet taken in.
-func (p *Peer) SendBufferBytes() int64 { return p.kernel }
+func (p *Peer) SendBufferBytes() int64 { return p.sendBufferBytes }
 
 // add changes what is out, here and all the way up.
-func (p *Peer) add(n int64) {
+func (p *Peer) addPending(n int64) {
 	before := p.PendingBytes()
-	h, b := p.host, p.book
-	if h.out == 0 && n > 0 {
-		b.waiting++
+	h, b := p.host, p.controller
+	if h.answerBytes == 0 && n > 0 {
+		b.pendingHosts++
 	}
 	if before == 0 && n > 0 {
-		h.waiting++
+		h.pendingPeers++
 	}
-	h.out, b.out = h.out+n, b.out+n
+	h.answerBytes, b.answerBytes = h.answerBytes+n, b.answerBytes+n
 	if before > 0 && before+n == 0 {
-		h.waiting--
+		h.pendingPeers--
 	}
-	if h.out == 0 && n < 0 {
-		b.waiting--
+	if h.answerBytes == 0 && n < 0 {
+		b.pendingHosts--
 	}
 }
 
 // share is how much may wait for one peer: what is not in reserve goes to hosts alike, and a host's part to its peers.
-func (p *Peer) share() int64 {
-	others, peers := p.book.waiting, p.host.waiting
-	if p.host.out == 0 {
+func (p *Peer) fairShare() int64 {
+	others, peers := p.controller.pendingHosts, p.host.pendingPeers
+	if p.host.answerBytes == 0 {
 		others++
 	}
 	if p.PendingBytes() == 0 {
 		peers++
 	}
-	return (p.book.limits.AnswerBytes - p.book.limits.AnswerBytes/reserve) / int64(max(1, others)) / int64(max(1, peers))
+	return (p.controller.limits.AnswerBytes - p.controller.limits.AnswerBytes/reserveDivisor) / int64(max(1, others)) / int64(max(1, peers))
 }
 
 // Queue asks whether an answer of so many bytes may wait for the peer, and books it if so. One for which nothing waits may
 // have one more, and one that has taken its answers so far a few, as long as there is memory: what waits for others, in
 // the part of it that is shared, does not count against these.
 func (p *Peer) TryQueue(now time.Duration, n int64) bool {
-	b := p.book
-	was := p.denied
-	p.denied = true
+	b := p.controller
+	was := p.refused
+	p.refused = true
 	switch {
 	case p.closed:
 		return false
-	case b.out+n > b.limits.AnswerBytes:
+	case b.answerBytes+n > b.limits.AnswerBytes:
 		return false
 	case p.PendingBytes() == 0: // one is kept for anyone
-	case p.kernel == 0 && p.took >= trustOver*n && p.queued+n <= trustMost: // for one that takes its answers, some more
-	case b.out+n <= b.limits.AnswerBytes/2 && p.PendingBytes()+n <= firstMost: // in hand when it turned out to be slow
-	case b.out+n > b.limits.AnswerBytes-b.limits.AnswerBytes/reserve || p.PendingBytes()+n > p.share():
+	case p.sendBufferBytes == 0 && p.receivedBytes >= trustFactor*n && p.queuedBytes+n <= maxTrustedBytes: // for one that takes its answers, some more
+	case b.answerBytes+n <= b.limits.AnswerBytes/2 && p.PendingBytes()+n <= maxUntrustedBytes: // in hand when it turned out to be slow
+	case b.answerBytes+n > b.limits.AnswerBytes-b.limits.AnswerBytes/reserveDivisor || p.PendingBytes()+n > p.fairShare():
 		return false
 	}
-	p.denied = was
+	p.refused = was
 	p.ForceQueue(now, n)
 	return true
 }
@@ -187,109 +187,109 @@
 	if p.closed {
 		return
 	}
-	p.add(n)
-	p.queued += n
-	p.reading.SetWaiting(now, true)
+	p.addPending(n)
+	p.queuedBytes += n
+	p.readRate.SetWaiting(now, true)
 }
 
 // MayWrite tells whether so much may be written now without the kernel holding more than it should.
 func (p *Peer) CanWrite(n int64) bool {
-	return p.kernel == 0 || p.kernel+n <= p.book.limits.SendBufferBytes
+	return p.sendBufferBytes == 0 || p.sendBufferBytes+n <= p.controller.limits.SendBufferBytes
 }
 
 // Wrote notes that so much was handed to the kernel.
 func (p *Peer) RecordWritten(n int64) {
 	if !p.closed {
-		p.queued, p.kernel = p.queued-n, p.kernel+n
+		p.queuedBytes, p.sendBufferBytes = p.queuedBytes-n, p.sendBufferBytes+n
 	}
 }
 
 // Left notes how much of what was written the peer has not taken in yet, as the kernel tells.
 func (p *Peer) RecordUnsent(now time.Duration, left int64) {
-	if p.closed || left >= p.kernel {
+	if p.closed || left >= p.sendBufferBytes {
 		return
 	}
-	taken := p.kernel - left
-	p.add(-taken)
-	p.kernel = left
-	p.took += taken
-	p.reading.Record(now, taken)
-	p.reading.SetWaiting(now, p.PendingBytes() > 0)
+	taken := p.sendBufferBytes - left
+	p.addPending(-taken)
+	p.sendBufferBytes = left
+	p.receivedBytes += taken
+	p.readRate.Record(now, taken)
+	p.readRate.SetWaiting(now, p.PendingBytes() > 0)
 }
 
 // Stalled tells whether so much waits for the peer that nothing further is taken from it, nor done for it.
 func (p *Peer) Stalled() bool {
-	b, out := p.book, p.PendingBytes()
-	if p.denied = p.denied && b.out > b.limits.AnswerBytes/2; p.denied {
+	b, out := p.controller, p.PendingBytes()
+	if p.refused = p.refused && b.answerBytes > b.limits.AnswerBytes/2; p.refused {
 		return true
 	}
-	if out > 0 && p.took >= trustOver*out {
-		return out > trustMost
+	if out > 0 && p.receivedBytes >= trustFactor*out {
+		return out > maxTrustedBytes
 	}
-	return out > p.share()/stallShare || out > 0 && (out > firstMost || b.out > b.limits.AnswerBytes/pressure)
+	return out > p.fairShare()/stallDivisor || out > 0 && (out > maxUntrustedBytes || b.answerBytes > b.limits.AnswerBytes/pressureDivisor)
 }
 
 // TooSlow tells whether the peer takes its answers in at less than the least rate. It is judged only while something
 // waits for it, and not where all that waits is taken in within the window, however little that is.
 func (p *Peer) TooSlow(now time.Duration) bool {
-	l := p.book.limits
-	moved, judged := p.reading.MovedWithin(now, l.ReadGrace, l.ReadWindow)
+	l := p.controller.limits
+	moved, judged := p.readRate.MovedWithin(now, l.ReadGrace, l.ReadWindow)
 	return judged && moved < p.PendingBytes() && moved < int64(float64(l.MinReadRate)*l.ReadWindow.Seconds())
 }
 
 // HoldText asks whether a statement's text may be held for the peer, and books it if so. Half of the room goes to
 // whoever comes first, the rest to hosts alike and within one to its peers, so that one that floods waits for itself.
 func (p *Peer) ReserveText(n int64) bool {
-	b, h := p.book, p.host
-	free := b.limits.TextBytes / textLeast
-	if b.texts+n > b.limits.TextBytes || b.texts+n > free && p.texts > 0 && p.texts+n > free/int64(max(1, len(b.hosts)))/int64(max(1, h.peers)) {
+	b, h := p.controller, p.host
+	free := b.limits.TextBytes / sharedTextDivisor
+	if b.textBytes+n > b.limits.TextBytes || b.textBytes+n > free && p.textBytes > 0 && p.textBytes+n > free/int64(max(1, len(b.hosts)))/int64(max(1, h.peers)) {
 		return false
 	}
-	b.texts, h.texts, p.texts = b.texts+n, h.texts+n, p.texts+n
+	b.textBytes, h.textBytes, p.textBytes = b.textBytes+n, h.textBytes+n, p.textBytes+n
 	return true
 }
 
 // GiveText gives back a text, also after Close.
 func (p *Peer) ReleaseText(n int64) {
-	p.book.texts, p.host.texts, p.texts = p.book.texts-n, p.host.texts-n, p.texts-n
+	p.controller.textBytes, p.host.textBytes, p.textBytes = p.controller.textBytes-n, p.host.textBytes-n, p.textBytes-n
 	if p.closed {
-		p.tidy()
+		p.removeIdleHost()
 	}
 }
 
 // meterSlots is how finely a window slides.
-const meterSlots = 16
+const rateSlots = 16
 
 // Meter measures how much moves, over a sliding window, while somebody is waited for.
 type RateMeter struct {
-	waits bool
-	since time.Duration // it is waited for
-	step  int64         // the slot last written
-	moved [meterSlots]int64
+	waiting      bool
+	waitingSince time.Duration // it is waited for
+	lastSlot     int64         // the slot last written
+	bytes        [rateSlots]int64
 }
 
 // Waits notes whether the peer is waited for from now on. What moved before a wait does not count for it.
 func (m *RateMeter) SetWaiting(now time.Duration, waits bool) {
-	if waits && !m.waits {
-		*m = RateMeter{since: now, step: -1}
+	if waits && !m.waiting {
+		*m = RateMeter{waitingSince: now, lastSlot: -1}
 	}
-	m.waits = waits
+	m.waiting = waits
 }
 
 // Moved notes that so much has moved by now. Slots are of one width for all windows.
 func (m *RateMeter) Record(now time.Duration, n int64) {
 	step := int64(now / slotWidth)
-	if m.step < 0 {
-		m.step = step
+	if m.lastSlot < 0 {
+		m.lastSlot = step
 	}
-	for ; m.step < step; m.step++ {
-		if step-m.step > meterSlots { // all of it is past
-			m.step, m.moved = step-1, [meterSlots]int64{}
+	for ; m.lastSlot < step; m.lastSlot++ {
+		if step-m.lastSlot > rateSlots { // all of it is past
+			m.lastSlot, m.bytes = step-1, [rateSlots]int64{}
 			continue
 		}
-		m.moved[(m.step+1)%meterSlots] = 0
+		m.bytes[(m.lastSlot+1)%rateSlots] = 0
 	}
-	m.moved[step%meterSlots] += n
+	m.bytes[step%rateSlots] += n
 }
 
 // slotWidth is the time that one slot of a meter stands for; so no window is longer than 15 of them.
@@ -298,12 +298,12 @@
 // Over is how much has moved over the window; judged: the peer has been waited for over the grace and the window without
 // a break.
 func (m *RateMeter) MovedWithin(now time.Duration, grace, window time.Duration) (moved int64, judged bool) {
-	if !m.waits || now-m.since < grace+window {
+	if !m.waiting || now-m.waitingSince < grace+window {
 		return 0, false
 	}
 	m.Record(now, 0)
-	for i := range min(int64(window/slotWidth), meterSlots-1) {
-		moved += m.moved[(m.step-i+2*meterSlots)%meterSlots]
+	for i := range min(int64(window/slotWidth), rateSlots-1) {
+		moved += m.bytes[(m.lastSlot-i+2*rateSlots)%rateSlots]
 	}
 	return moved, true
 }
@@ -312,5 +312,5 @@
 // come since the grace ended: from there on it has to come at the least rate, half a second's worth ahead.
 func (l Limits) FrameReadTimeout(since time.Duration, sinceGrace int64) time.Duration {
 	ahead := time.Duration(float64(sinceGrace) / float64(l.MinWriteRate) * float64(time.Second))
-	return l.FrameGrace + frameSlack + ahead - since
+	return l.FrameGrace + frameReadSlack + ahead - since
 }
--- a/internal/flowcontrol/account_test.go
+++ b/internal/flowcontrol/account_test.go
@@ -23,7 +23,7 @@
 		memory         int64
 		peers          int
 		out, k, perAll int64
-	}{{32, 85, 4 << 20, 4 << 20 / 85, 4 << 20}, {48, 170, 6 << 20, 6 << 20 / 170, 6 << 20}, {192, 341, 24 << 20, mostKernel, 22 << 20}, {32, 341, 4 << 20, leastKernel, 6 << 20}} {
+	}{{32, 85, 4 << 20, 4 << 20 / 85, 4 << 20}, {48, 170, 6 << 20, 6 << 20 / 170, 6 << 20}, {192, 341, 24 << 20, maxSendBufferBytes, 22 << 20}, {32, 341, 4 << 20, minSendBufferBytes, 6 << 20}} {
 		l := DeriveLimits(c.memory, c.peers)
 		assert.Equal(t, []int64{c.out, c.k}, []int64{l.AnswerBytes, l.SendBufferBytes})
 		assert.LessOrEqual(t, l.SendBufferBytes*int64(c.peers), c.perAll, "what the kernel may hold for all")
@@ -186,11 +186,11 @@
 
 func TestFrameWait(t *testing.T) {
 	l := DeriveLimits(48, 170)
-	assert.Equal(t, frameGrace+frameSlack, l.FrameReadTimeout(0, 0))
-	assert.Equal(t, frameSlack, l.FrameReadTimeout(frameGrace, 0))
+	assert.Equal(t, defaultFrameGrace+frameReadSlack, l.FrameReadTimeout(0, 0))
+	assert.Equal(t, frameReadSlack, l.FrameReadTimeout(defaultFrameGrace, 0))
 	assert.Negative(t, l.FrameReadTimeout(3*time.Second, 10), "a trickle ends soon after its grace")
 	for s := range 16 { // 256 KiB at the least rate come whole
-		assert.Positive(t, l.FrameReadTimeout(frameGrace+time.Duration(s)*time.Second, int64(s)*writerRate))
+		assert.Positive(t, l.FrameReadTimeout(defaultFrameGrace+time.Duration(s)*time.Second, int64(s)*defaultMinWriteRate))
 	}
 }
 
@@ -211,11 +211,11 @@
 		case 0, 1, 2:
 			p.TryQueue(now, n)
 		case 3, 4:
-			if n = min(n, p.queued); p.CanWrite(n) {
+			if n = min(n, p.queuedBytes); p.CanWrite(n) {
 				p.RecordWritten(n)
 			}
 		case 5:
-			p.RecordUnsent(now, r.Int64N(p.kernel+1))
+			p.RecordUnsent(now, r.Int64N(p.sendBufferBytes+1))
 		case 6:
 			if p.ReserveText(n) {
 				texts[p] = append(texts[p], n)
@@ -235,7 +235,7 @@
 		out, held, waiting := int64(0), int64(0), map[*host]bool{}
 		for _, p := range peers {
 			out += p.PendingBytes()
-			require.GreaterOrEqual(t, min(p.queued, p.kernel), int64(0))
+			require.GreaterOrEqual(t, min(p.queuedBytes, p.sendBufferBytes), int64(0))
 			if p.PendingBytes() > 0 {
 				waiting[p.host] = true
 			}
@@ -245,7 +245,7 @@
 				held += n
 			}
 		}
-		require.Equal(t, []int64{out, held, int64(len(waiting))}, []int64{b.out, b.texts, int64(b.waiting)})
+		require.Equal(t, []int64{out, held, int64(len(waiting))}, []int64{b.answerBytes, b.textBytes, int64(b.pendingHosts)})
 		require.LessOrEqual(t, out, b.limits.AnswerBytes)
 		require.LessOrEqual(t, held, b.limits.TextBytes)
 	}
--- a/internal/readbuffer/buffer.go
+++ b/internal/readbuffer/buffer.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	first = 4 << 10  // bytes at the start, and after something large
-	keep  = 16 << 10 // an empty buffer above this is given back
+	initialSize     = 4 << 10  // bytes at the start, and after something large
+	maxRetainedSize = 16 << 10 // an empty buffer above this is given back
 )
 
 // ErrFull tells that what is awaited is larger than the buffer may grow.
@@ -19,11 +19,11 @@
 type Buffer struct {
 	data       []byte
 	start, end int
-	most       int
+	maxSize    int
 }
 
 // New returns a buffer that grows to most bytes.
-func New(most int) *Buffer { return &Buffer{most: most} }
+func New(most int) *Buffer { return &Buffer{maxSize: most} }
 
 // Next is what was read and not yet taken; it is good until the next Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
@@ -31,7 +31,7 @@
 // Take drops the first n bytes of Next.
 func (b *Buffer) Discard(n int) {
 	if b.start += n; b.start == b.end {
-		if b.start, b.end = 0, 0; len(b.data) > keep {
+		if b.start, b.end = 0, 0; len(b.data) > maxRetainedSize {
 			b.data = nil
 		}
 	}
@@ -44,10 +44,10 @@
 		b.start = 0
 	}
 	if b.end == len(b.data) {
-		if len(b.data) >= b.most {
+		if len(b.data) >= b.maxSize {
 			return 0, ErrFull
 		}
-		grown := make([]byte, min(b.most, max(first, 2*len(b.data))))
+		grown := make([]byte, min(b.maxSize, max(initialSize, 2*len(b.data))))
 		copy(grown, b.data[:b.end])
 		b.data = grown
 	}
--- a/internal/readbuffer/buffer_test.go
+++ b/internal/readbuffer/buffer_test.go
@@ -16,9 +16,9 @@
 		take       int // bytes taken at a time, once there are as many
 		err        error
 	}{
-		{"small pieces", 10_000, first, 7, nil},
+		{"small pieces", 10_000, initialSize, 7, nil},
 		{"grows for something large", 100_000, 200_000, 100_000, nil},
-		{"compacts in place, so that what is left always fits", 90_000, first, first - 1, nil},
+		{"compacts in place, so that what is left always fits", 90_000, initialSize, initialSize - 1, nil},
 		{"larger than it may grow", 100_000, 50_000, 100_000, ErrFull},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 			}
 			require.NoError(t, c.err)
 			assert.Equal(t, want, got)
-			assert.LessOrEqual(t, len(b.data), keep, "comes back down")
+			assert.LessOrEqual(t, len(b.data), maxRetainedSize, "comes back down")
 		})
 	}
 }
