--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -46,8 +46,8 @@
 	unguarded = edit{"internal/invariant/request.go", "	return r.mayRepeat(at, now)", "	return nil"}
 )
 
-// asked is where it is kept when an engine was last asked for an execution.
-const asked = "internal/upstream/instant.go"
+// sharedTimeFile keeps when an engine was last sent a request for an attempt.
+const sharedTimeFile = "internal/upstream/shared_time.go"
 
 var (
 	allRouters = []int{0, 1, 2, 3, 4, 5, 6, 7, 8}
@@ -141,14 +141,14 @@
 		auditor: "one at a time",
 		edits: []edit{
 			{
-				file: asked,
-				old:  "i.since.Store(int64(at.Sub(origin)))",
-				new:  "i.since.Store(int64(at.Round(0).Sub(origin.Round(0))))",
+				file: sharedTimeFile,
+				old:  "t.nanosSinceOrigin.Store(int64(at.Sub(origin)))",
+				new:  "t.nanosSinceOrigin.Store(int64(at.Round(0).Sub(origin.Round(0))))",
 			},
 			{
-				file: asked,
-				old:  "return origin.Add(time.Duration(i.since.Load()))",
-				new:  "return origin.Round(0).Add(time.Duration(i.since.Load()))",
+				file: sharedTimeFile,
+				old:  "return origin.Add(time.Duration(t.nanosSinceOrigin.Load()))",
+				new:  "return origin.Round(0).Add(time.Duration(t.nanosSinceOrigin.Load()))",
 			},
 		},
 		faults: flapping,
@@ -159,9 +159,9 @@
 		auditor: "left",
 		edits: []edit{
 			{
-				file: "internal/upstream/pool.go",
-				old:  "	c.willReset()\n	p.drop(c)",
-				new:  "	p.drop(c)",
+				file: "internal/upstream/connection_pool.go",
+				old:  "	conn.resetOnClose()\n	p.close(conn)",
+				new:  "	p.close(conn)",
 			},
 		},
 		faults: heldUp,
@@ -172,9 +172,9 @@
 		auditor: "one at a time",
 		edits: []edit{
 			{
-				file: "internal/upstream/back.go",
-				old:  "forgets   = 2 * time.Second ",
-				new:  "forgets   = 2 * time.Millisecond ",
+				file: "internal/upstream/attempt_cancel.go",
+				old:  "engineRetention = 2 * time.Second",
+				new:  "engineRetention = 2 * time.Millisecond",
 			},
 		},
 		faults: []faultlab.Fault{{Kind: "crawl", At: 1, For: 6, Engines: allEngines, Amount: 8}, {Kind: "deaf", At: 2, For: 4, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 2.2, Routers: allRouters, Engines: []int{0, 1, 2, 3}}, {Kind: "reset", At: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}},
@@ -252,9 +252,9 @@
 		auditor: "harm",
 		edits: []edit{
 			{
-				file: "internal/upstream/pool.go",
-				old:  "func (p *pool) put(c *conn) {\n",
-				new:  "func (p *pool) put(c *conn) {\n	p.drop(c)\n	if c != nil {\n		return\n	}\n",
+				file: "internal/upstream/connection_pool.go",
+				old:  "func (p *connectionPool) release(conn *connection) {\n",
+				new:  "func (p *connectionPool) release(conn *connection) {\n	p.close(conn)\n	if conn != nil {\n		return\n	}\n",
 			},
 		},
 		faults: nil,
