--- a/internal/configversion/guards.go
+++ b/internal/configversion/guards.go
@@ -143,7 +143,7 @@
 	var forbidden []string
 	for _, field := range rules.Conflicts(floor, next) {
 		switch field.Name {
-		case "engines", "kept_off", "kinds":
+		case rules.FieldEngines, rules.FieldPlacementExclusions, rules.FieldAllowedMachineTypes:
 		default:
 			forbidden = append(forbidden, field.Name)
 		}
--- /dev/null
+++ b/internal/lease/recording_client_test.go
@@ -0,0 +1,174 @@
+package lease
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/internal/configversion"
+	"bankledge/internal/configversion/versiontest"
+	"bankledge/internal/rules"
+)
+
+func TestRecordedClient(t *testing.T) {
+	for seed, want := range map[uint64]string{
+		1: "034b3c15124b1cc1971ea5e0e8be8459e07bdfcf7d6a55a12caa05cd6c923f32",
+		2: "8f223230d37212f56be493dffb72e2552bbe87375b96fb543a99a5755096528e",
+		3: "10cc61adb94c26f13f5ba4983ff68674557ab60a819b4706761b2bf7271596a1",
+		4: "ff469b6b35beac5f2dc946ccebc3b002ee9efb5b6fda7af9067a1632e81fca78",
+		5: "bda9fc13e09d9c9b5d5c02fc94d2c713823a2b87a7a8b277c99bb45f3764532f",
+		6: "facfb47ab4ce4d104b403f7fc74610f00ea33129a0f0251ab6ddc130c11523ff",
+	} {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			r := newRecording(t, seed)
+			c := newClientRecording(r)
+			for range eventsPerSeed {
+				c.step(c.drawEvent())
+			}
+			assert.Equal(t, want, r.sum())
+			for _, kind := range []string{"renew", "use", "reopen", "log"} {
+				assert.Greater(t, r.counts[kind], eventsPerSeed/100, kind)
+			}
+		})
+	}
+}
+
+// clientRecording drives a client with events that are drawn from what a group may send.
+type clientRecording struct {
+	*recording
+	client       *Client
+	local        *rules.Rules
+	versions     []*configversion.Version
+	otherLineage []*configversion.Version
+	renewals     []Renewal // the last ones that were sent
+	known        int       // number of the version that the client was sent last
+	newest       int       // number of the version that was committed last
+}
+
+func newClientRecording(r *recording) *clientRecording {
+	c := &clientRecording{
+		recording:    r,
+		versions:     versiontest.Lineage(r.t, r.random, "l", 200),
+		otherLineage: versiontest.Lineage(r.t, r.random, "m", 200),
+		local:        &rules.Rules{Routers: 4, SlowStartMultiple: 2, SlowStartShare: 0.25, HealthChecksPerStatement: 2, SheddableWorkloads: []string{"a"}},
+	}
+	require.NoError(r.t, c.local.Validate())
+	lineage := ""
+	if r.chance(0.5) {
+		lineage = "l"
+	}
+	c.client = NewClient(ClientSettings{
+		Durations:    DefaultDurations(),
+		Name:         "r1",
+		Incarnation:  "x",
+		Lineage:      lineage,
+		LocalRules:   c.local,
+		Guards:       configversion.Guards{MaxRemovedShare: 0.5},
+		AddressCount: 1 + r.random.IntN(3),
+		Seed:         r.random.Uint64(),
+	})
+	c.known = r.random.IntN(2)
+	c.newest = c.known + 1
+	return c
+}
+
+// step hands the client an event and records its actions.
+func (c *clientRecording) step(event ClientEvent) {
+	for _, action := range c.client.Step(c.now, event) {
+		switch a := action.(type) {
+		case SendRenewal:
+			c.line("renew", "%d %s", a.AddressIndex, c.json(a.Renewal))
+			c.renewals = append(c.renewals, a.Renewal)
+			c.renewals = c.renewals[max(0, len(c.renewals)-12):]
+		case ApplyRules:
+			canonical := "nothing"
+			if a.Rules != nil {
+				canonical = string(a.Rules.Canonical())
+			}
+			c.line("use", "%v %d %d %s %s", a.Configuration.Leased, a.Configuration.Activated, a.Configuration.Pending, a.Configuration, canonical)
+		case ReopenStream:
+			c.line("reopen", "%d %d", a.AddressIndex, a.AfterVersion)
+		case LogMessage:
+			c.line("log", "%q", a.Text)
+		default:
+			require.Fail(c.t, "unknown action")
+		}
+	}
+	c.line("times", "%d %d", c.client.NextDeadline(), c.client.LeaseExpiry())
+}
+
+// drawEvent lets time pass and versions be committed, and returns the next event.
+func (c *clientRecording) drawEvent() ClientEvent {
+	c.advance()
+	if c.chance(0.03) && c.newest < len(c.versions) {
+		c.newest++
+	}
+	activated := uint64(max(0, c.newest-c.random.IntN(2)))
+	switch draw := c.random.IntN(100); {
+	case draw < 25:
+		if c.chance(0.5) {
+			c.now = max(c.now, c.client.NextDeadline())
+		}
+		return ClientTick{}
+	case draw < 60 && len(c.renewals) > 0:
+		return ReplyReceived{Reply: c.reply(c.renewals, uint64(c.newest), activated)}
+	case draw < 68 && len(c.renewals) > 0:
+		return RenewalFailed{Seq: c.renewals[c.random.IntN(len(c.renewals))].Seq}
+	case draw < 84:
+		c.known = min(c.newest, c.known+1)
+		if c.chance(0.1) {
+			c.known = c.newest
+		}
+		return VersionReceived{Version: c.versions[c.known-1], Activated: activated}
+	case draw < 87:
+		return VersionReceived{Version: c.unexpectedVersion(draw), Activated: activated}
+	case draw < 94:
+		return VersionActivated{Lineage: []string{"l", "l", "l", "m", ""}[c.random.IntN(5)], Number: activated}
+	case draw < 98:
+		return StreamLost{}
+	}
+	text := []string{"hash", strings.Repeat("long ", 100), "not \xff valid"}[c.random.IntN(3)]
+	return InvalidVersionReceived{Err: errors.New(text)}
+}
+
+// unexpectedVersion is one out of order, sent twice or of another lineage, or another version of a number that is taken.
+func (c *clientRecording) unexpectedVersion(draw int) *configversion.Version {
+	if draw == 86 {
+		return configversion.New(c.versions[max(0, c.newest-2)], "", c.local, nil, fmt.Sprint(c.now))
+	}
+	versions := c.versions
+	if c.chance(0.3) {
+		versions = c.otherLineage
+	}
+	return versions[c.random.IntN(c.newest)]
+}
+
+// reply answers one of the renewals, mostly as a group does.
+func (r *recording) reply(renewals []Renewal, newest, activated uint64) Reply {
+	renewal := renewals[len(renewals)-1]
+	if r.chance(0.15) {
+		renewal = renewals[r.random.IntN(len(renewals))]
+	}
+	reply := Reply{Seq: renewal.Seq, Lineage: "l", Newest: newest, Activated: activated, Granted: renewal.KnownVersion == newest}
+	switch draw := r.random.IntN(40); draw {
+	case 0:
+		reply.Seq = uint64(r.random.IntN(1000))
+	case 1:
+		reply = Reply{Seq: renewal.Seq, RejectReason: "this process does not lead the group", LeaderAddress: "h:1"}
+	case 2:
+		reply = Reply{Seq: renewal.Seq, LeaderAddress: "h:1"}
+	case 3:
+		reply = Reply{Seq: renewal.Seq, RejectReason: strings.Repeat("é", 150)}
+	case 4:
+		reply.Lineage = "m"
+	case 5:
+		reply.Granted = !reply.Granted
+	case 6:
+		reply.Newest, reply.Granted = renewal.KnownVersion, true
+	}
+	return reply
+}
--- /dev/null
+++ b/internal/lease/recording_coordinator_test.go
@@ -0,0 +1,237 @@
+package lease
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/internal/configregister"
+)
+
+func TestRecordedCoordinator(t *testing.T) {
+	for seed, want := range map[uint64]string{
+		1: "671ffd404c8f5871c3c8addd46f6142e7b1aa6e7ae557d8103fc3c91e05e8fb1",
+		2: "018a69ceef83fbe4f09c277078961df0434137aa54b3ad3de1b1b9fd3a080461",
+		3: "4b80e5151dddb915f220b76149c3d16ccede725edacec8b6ab4b940f5b344c22",
+		4: "2ae53e2e126d8acf89f95afeaa8d246241af7a52127b1f826f3623a590c40192",
+	} {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			r := newRecording(t, seed)
+			c := newCoordinatorRecording(r)
+			for i := range eventsPerSeed {
+				c.step(c.drawEvent(i == 0))
+				if r.chance(0.05) {
+					c.recordSessions()
+				}
+				if r.chance(0.002) {
+					r.now += sessionRetention + time.Minute
+				}
+			}
+			assert.Equal(t, want, r.sum())
+			for _, kind := range []string{"confirm", "answer", "append", "tell"} {
+				assert.Greater(t, r.counts[kind], eventsPerSeed/100, kind)
+			}
+		})
+	}
+}
+
+// replicated is the state that the log of the driven group has reached.
+type replicated struct {
+	newest    uint64
+	activated uint64
+	hash      string
+	written   []configregister.Entry // appended and not applied yet
+}
+
+// apply applies the oldest written entry, or some state of an older leader.
+func (s *replicated) apply(r *recording) StateApplied {
+	var outcomes []configregister.Outcome
+	if len(s.written) > 0 {
+		entry := s.written[0]
+		s.written = s.written[1:]
+		switch {
+		case entry.Kind == "settle":
+			s.activated = max(s.activated, min(entry.Number, s.newest))
+		case r.chance(0.2):
+			outcomes = append(outcomes, configregister.Outcome{ID: entry.ID, Error: "refused"})
+		default:
+			s.newest++
+			s.hash = fmt.Sprint("hash", s.newest)
+			outcomes = append(outcomes, configregister.Outcome{ID: entry.ID, Number: s.newest})
+		}
+	}
+	return StateApplied{Lineage: "l", Newest: s.newest, Activated: s.activated, Hash: s.hash, Outcomes: outcomes}
+}
+
+// coordinatorRecording drives a coordinator with events that are drawn from what routers, operators and the log may bring.
+type coordinatorRecording struct {
+	*recording
+	coordinator *Coordinator
+	state       replicated
+	tokens      []uint64 // of the confirmations that were asked for
+	callID      uint64   // of the last call
+	isLeader    bool
+}
+
+func newCoordinatorRecording(r *recording) *coordinatorRecording {
+	c := &coordinatorRecording{
+		recording:   r,
+		coordinator: NewCoordinator(DefaultDurations()),
+		state:       replicated{newest: 1, activated: 1, hash: "hash1"},
+	}
+	c.step(c.state.apply(r))
+	return c
+}
+
+// step hands the coordinator an event and records its actions.
+func (c *coordinatorRecording) step(event CoordinatorEvent) {
+	for _, action := range c.coordinator.Step(c.now, event) {
+		switch a := action.(type) {
+		case ConfirmLeadership:
+			c.line("confirm", "%d", a.Token)
+			c.tokens = append(c.tokens, a.Token)
+		case SendReply:
+			c.line("answer", "%d %s", a.CallID, c.json(a.Reply))
+		case AppendEntry:
+			c.line("append", "%s", c.json(a.Entry))
+			c.state.written = append(c.state.written, a.Entry)
+		case SendOutcome:
+			c.line("tell", "%d %s", a.CallID, c.json(a.Outcome))
+		default:
+			require.Fail(c.t, "unknown action")
+		}
+	}
+	c.line("wake", "%d", c.coordinator.NextDeadline(c.now))
+}
+
+// drawEvent lets time pass and returns the next event.
+func (c *coordinatorRecording) drawEvent(first bool) CoordinatorEvent {
+	c.advance()
+	c.callID++
+	switch draw := c.random.IntN(1000); {
+	case draw < 15 || first:
+		c.isLeader = true
+		return LeadershipGained{}
+	case draw < 20:
+		c.isLeader = false
+		c.state.written = nil
+		return LeadershipLost{}
+	case draw < 370:
+		return RenewalReceived{CallID: c.callID, Renewal: c.renewal(&c.state)}
+	case draw < 600 && len(c.tokens) > 0:
+		token := c.tokens[len(c.tokens)-1]
+		if c.chance(0.1) {
+			token = c.tokens[c.random.IntN(len(c.tokens))]
+		}
+		return LeadershipConfirmed{Token: token}
+	case draw < 680:
+		return ProposalReceived{CallID: c.callID, Entry: c.proposal(c.callID)}
+	case draw < 850:
+		return c.state.apply(c.recording)
+	case draw < 870 && len(c.state.written) > 0:
+		entry := c.state.written[0]
+		c.state.written = c.state.written[1:]
+		return AppendFailed{ProposalID: entry.ID, Err: errors.New("not written")}
+	case draw < 900:
+		return LeadershipCheckRequested{CallID: c.callID}
+	case draw < 920:
+		return CallCancelled{CallID: c.callID - uint64(c.random.IntN(20))}
+	case draw < 925 && c.isLeader:
+		return c.floodWithProposals()
+	}
+	return CoordinatorTick{}
+}
+
+// floodWithProposals hands in more proposals than are queued, and returns the last of them.
+func (c *coordinatorRecording) floodWithProposals() CoordinatorEvent {
+	for range 999 {
+		c.callID++
+		c.step(ProposalReceived{CallID: c.callID, Entry: c.proposal(c.callID)})
+	}
+	c.callID++
+	return ProposalReceived{CallID: c.callID, Entry: c.proposal(c.callID)}
+}
+
+func (c *coordinatorRecording) recordSessions() {
+	for _, s := range c.coordinator.Sessions(c.now) {
+		c.line("session", "%d %d %s", s.Expiry, s.LastRenewal, c.json(s))
+	}
+}
+
+// renewal is one that a router may send, at times one that is refused.
+func (r *recording) renewal(state *replicated) Renewal {
+	incarnation := fmt.Sprint("x", r.random.IntN(12))
+	renewal := Renewal{Name: "r" + incarnation[1:2], Incarnation: incarnation, Seq: r.random.Uint64N(1000), Lineage: "l", KnownVersion: state.newest, KnownHash: state.hash, DurationsKey: DefaultDurations().CompatibilityKey()}
+	switch r.random.IntN(30) {
+	case 0:
+		renewal.Name = strings.Repeat("x", 201)
+	case 1:
+		renewal.Incarnation = ""
+	case 2:
+		renewal.DurationsKey = "others"
+	case 3:
+		renewal.Lineage = "m"
+	case 4:
+		renewal.KnownVersion++
+	case 5:
+		renewal.KnownHash = "other"
+	case 6, 7, 8, 9:
+		renewal.KnownVersion = max(1, renewal.KnownVersion-1)
+	case 10:
+		renewal.KnownVersion, renewal.KnownHash, renewal.Lineage = 0, "", ""
+	case 11:
+		renewal.LastMessage = "a word"
+	case 12:
+		renewal.Incarnation = fmt.Sprint(r.random.Uint64())
+	}
+	return renewal
+}
+
+func (r *recording) proposal(call uint64) configregister.Entry {
+	entry := configregister.Entry{Kind: "propose", ID: fmt.Sprint("p", call), Rules: json.RawMessage(`{"routers":1}`), Note: "note"}
+	switch r.random.IntN(12) {
+	case 0:
+		entry.Kind, entry.Number, entry.Rules = "rollback", 1, nil
+	case 1:
+		entry.Kind = "settle"
+	case 2:
+		entry.ID = ""
+	case 3:
+		entry.ID = strings.Repeat("i", 201)
+	}
+	return entry
+}
+
+// TestRecordedCoordinatorLimits hands in more renewals than are kept, and hashes who is refused.
+func TestRecordedCoordinatorLimits(t *testing.T) {
+	r := newRecording(t, 5)
+	group := NewCoordinator(DefaultDurations())
+	step := func(event CoordinatorEvent) {
+		for _, action := range group.Step(r.now, event) {
+			switch a := action.(type) {
+			case SendReply:
+				r.line("answer", "%d %s", a.CallID, r.json(a.Reply))
+			case SendOutcome:
+				r.line("tell", "%d %s", a.CallID, r.json(a.Outcome))
+			case ConfirmLeadership:
+				r.line("confirm", "%d", a.Token)
+			}
+		}
+	}
+	step(StateApplied{Lineage: "l", Newest: 1, Activated: 1, Hash: "h"})
+	step(LeadershipGained{})
+	for call := range uint64(9000) {
+		step(RenewalReceived{CallID: call, Renewal: Renewal{Name: "r", Incarnation: fmt.Sprint(call), Lineage: "l", KnownVersion: 1, KnownHash: "h", DurationsKey: DefaultDurations().CompatibilityKey()}})
+	}
+	step(LeadershipCheckRequested{CallID: 9000})
+	step(LeadershipConfirmed{Token: 1})
+	step(LeadershipConfirmed{Token: 2})
+	step(RenewalReceived{CallID: 9001, Renewal: Renewal{Name: "r", Incarnation: "another"}})
+	assert.Equal(t, "a289eb778bfa5ff709302da6b2a7a865713d43ae82f9d425fafbbf0106ac8942", r.sum())
+}
--- a/internal/rules/fields.go
+++ b/internal/rules/fields.go
@@ -6,6 +6,13 @@
 	"slices"
 )
 
+// Names of the fields that list engines or choose among them.
+const (
+	FieldPlacementExclusions = "kept_off"
+	FieldAllowedMachineTypes = "kinds"
+	FieldEngines             = "engines"
+)
+
 // Consequences that several fields have in common.
 const (
 	consequenceOverload       = "the parts of all come to more than the whole: engines are overrun"
@@ -79,7 +86,7 @@
 		check: func(r *Rules) error { return checkNames(r.SheddableWorkloads) },
 	},
 	{
-		Name:        "kept_off",
+		Name:        FieldPlacementExclusions,
 		Description: "places a table group on an engine",
 		Consequence: "a load and the reads of its group meet on one engine, and stand still",
 		conflicts:   placementExclusionsConflict,
@@ -87,7 +94,7 @@
 		check:       func(r *Rules) error { return checkLists(r.PlacementExclusions) },
 	},
 	{
-		Name:        "kinds",
+		Name:        FieldAllowedMachineTypes,
 		Description: "sends a workload to a kind of machine",
 		Consequence: "a statement runs where it must not",
 		conflicts:   allowedMachineTypesConflict,
@@ -95,7 +102,7 @@
 		check:       func(r *Rules) error { return checkLists(r.AllowedMachineTypes) },
 	},
 	{
-		Name:        "engines",
+		Name:        FieldEngines,
 		Description: "sends work to an engine",
 		Consequence: "statements are lost on an engine that drains, or run where nobody looks for them",
 		conflicts:   enginesConflict,
