--- a/cmd/bankledge-control/operate.go
+++ b/cmd/bankledge-control/operate.go
@@ -16,11 +16,11 @@
 	"time"
 
 	"bankledge/internal/adminclient"
+	"bankledge/internal/configregister"
 	"bankledge/internal/configversion"
 	"bankledge/internal/controlapi"
 	"bankledge/internal/controlclient"
 	"bankledge/internal/controlserver"
-	"bankledge/internal/lease"
 	"bankledge/internal/rules"
 )
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	return send(&p.group, lease.Entry{Kind: lease.EntryPropose, Rules: r.Canonical(), ForcedGuards: p.Force, Note: p.Note}, p.Wait, p.JSON)
+	return send(&p.group, configregister.Entry{Kind: configregister.EntryPropose, Rules: r.Canonical(), ForcedGuards: p.Force, Note: p.Note}, p.Wait, p.JSON)
 }
 
 type rollback struct {
@@ -60,11 +60,11 @@
 
 // Run proposes an earlier version's rules.
 func (r *rollback) Run() error {
-	return send(&r.group, lease.Entry{Kind: lease.EntryRollback, Number: r.Number, ForcedGuards: r.Force, Note: fmt.Sprintf("rollback to %d", r.Number)}, r.Wait, r.JSON)
+	return send(&r.group, configregister.Entry{Kind: configregister.EntryRollback, Number: r.Number, ForcedGuards: r.Force, Note: fmt.Sprintf("rollback to %d", r.Number)}, r.Wait, r.JSON)
 }
 
 // send sends a proposal under an id of its own: one that is sent again because no answer came counts once.
-func send(g *group, e lease.Entry, wait, asJSON bool) error {
+func send(g *group, e configregister.Entry, wait, asJSON bool) error {
 	var id [16]byte
 	rand.Read(id[:])
 	e.ID = hex.EncodeToString(id[:])
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
+	"bankledge/internal/configregister"
 	"bankledge/internal/controlapi"
-	"bankledge/internal/lease"
 	"bankledge/internal/rules"
 )
 
@@ -45,7 +45,7 @@
 // Propose proposes a configuration version and returns its outcome, which holds its number. The entry's id makes it idempotent: however often it is sent, it
 // counts once. While an earlier version is being rolled out the proposal is retried. The error is a *RejectedError or an
 // *UnavailableError.
-func (c *Client) Propose(ctx context.Context, entry lease.Entry) (lease.Outcome, error) {
+func (c *Client) Propose(ctx context.Context, entry configregister.Entry) (configregister.Outcome, error) {
 	return call(ctx, c, http.MethodPost, controlapi.ProposalsPath, entry, outcomeError)
 }
 
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"bankledge/internal/lease"
+	"bankledge/internal/configregister"
 )
 
 var (
@@ -21,7 +21,7 @@
 // RejectedError says why the group rejected a request. Its text is the group's.
 type RejectedError struct {
 	Message string
-	Cause   error // lease.ErrRolloutInProgress: a retry may succeed; nil: it would be rejected again
+	Cause   error // configregister.ErrRolloutInProgress: a retry may succeed; nil: it would be rejected again
 }
 
 func (e *RejectedError) Error() string { return e.Message }
@@ -30,12 +30,12 @@
 func (e *RejectedError) Unwrap() error { return e.Cause }
 
 // outcomeError is the error of an outcome, which on the wire is a text only; nil for a success.
-func outcomeError(outcome lease.Outcome) error {
+func outcomeError(outcome configregister.Outcome) error {
 	switch {
 	case outcome.Error == "":
 		return nil
-	case strings.Contains(outcome.Error, lease.ErrRolloutInProgress.Error()):
-		return &RejectedError{Message: outcome.Error, Cause: lease.ErrRolloutInProgress}
+	case strings.Contains(outcome.Error, configregister.ErrRolloutInProgress.Error()):
+		return &RejectedError{Message: outcome.Error, Cause: configregister.ErrRolloutInProgress}
 	default:
 		return &RejectedError{Message: outcome.Error}
 	}
@@ -44,7 +44,7 @@
 // isFinal reports whether a retry would bring the same error.
 func isFinal(err error) bool {
 	var rejected *RejectedError
-	return errors.As(err, &rejected) && !errors.Is(err, lease.ErrRolloutInProgress)
+	return errors.As(err, &rejected) && !errors.Is(err, configregister.ErrRolloutInProgress)
 }
 
 // AddressError is the error of the last attempt at one address.
--- a/internal/controlapi/api.go
+++ b/internal/controlapi/api.go
@@ -10,11 +10,11 @@
 
 // Paths that routers and operators use, on a process's client address.
 const (
-	RenewalPath       = "/v1/term"            // POST lease.Renewal, 200 lease.Reply
+	RenewalPath       = "/v1/term"            // POST lease.Renewal, answered with lease.Reply
 	VersionStreamPath = "/v1/versions/events" // GET, a stream of VersionEvent as server-sent events
 	VersionsPath      = "/v1/versions"        // GET VersionList
-	ProposalsPath     = "/v1/proposals"       // POST lease.Entry, lease.Outcome
-	MembersPath       = "/v1/members"         // POST MembershipChange, lease.Outcome
+	ProposalsPath     = "/v1/proposals"       // POST configregister.Entry, answered with configregister.Outcome
+	MembersPath       = "/v1/members"         // POST MembershipChange, answered with configregister.Outcome
 	StatusPath        = "/v1/status"          // GET Status
 )
 
--- a/internal/controlserver/operator_api.go
+++ b/internal/controlserver/operator_api.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"bankledge/internal/configregister"
 	"bankledge/internal/configversion"
 	"bankledge/internal/controlapi"
 	"bankledge/internal/lease"
@@ -19,7 +20,7 @@
 
 // handleProposal takes a proposal and answers once it has its outcome.
 func (s *Server) handleProposal(w http.ResponseWriter, r *http.Request) {
-	var entry lease.Entry
+	var entry configregister.Entry
 	if err := readJSON(w, r, configversion.MaxEncodedBytes, &entry); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -55,7 +56,7 @@
 }
 
 // outcomeStatus is the HTTP status of an outcome. Outcomes are kept in the replicated state, where their error is a text.
-func outcomeStatus(outcome lease.Outcome) int {
+func outcomeStatus(outcome configregister.Outcome) int {
 	switch outcome.Error {
 	case "":
 		return http.StatusOK
--- a/internal/faultlab/group.go
+++ b/internal/faultlab/group.go
@@ -21,6 +21,7 @@
 	"syscall"
 
 	"bankledge/internal/adminclient"
+	"bankledge/internal/configregister"
 	"bankledge/internal/controlserver"
 	"bankledge/internal/lease"
 	"bankledge/internal/rules"
@@ -308,7 +309,7 @@
 		if err := r.Validate(); err != nil {
 			return err
 		}
-		e := lease.Entry{Kind: lease.EntryPropose, ID: fmt.Sprintf("p%d", n), Rules: r.Canonical(), ForcedGuards: []string{"floor"}}
+		e := configregister.Entry{Kind: configregister.EntryPropose, ID: fmt.Sprintf("p%d", n), Rules: r.Canonical(), ForcedGuards: []string{"floor"}}
 		due := time.Since(f.began)
 		send := func() {
 			o, err := adminclient.New(addresses, 15*time.Second).Propose(context.WithoutCancel(ctx), e)
