--- a/cmd/bankledge-faultlab/terms.go
+++ b/cmd/bankledge-faultlab/terms.go
@@ -155,7 +155,8 @@
 	coordinatorQueue    = "internal/lease/coordinator_proposals.go"
 	leaseDurations      = "internal/lease/durations.go"
 	versionRegister     = "internal/configregister/register.go"
-	process             = "internal/replica/seat.go"
+	replicaCore         = "internal/replica/replica.go"
+	replicaLog          = "internal/replica/log.go"
 )
 
 // termMutants are guards of the state machines, each taken off alone.
@@ -272,9 +273,9 @@
 		name: "nothing is saved before it is acknowledged",
 		edits: []edit{
 			{
-				file: process,
-				old:  "		if e.MustSync {\n",
-				new:  "		if e.MustSync && e.Snapshot != nil {\n",
+				file: replicaLog,
+				old:  "	if effects.MustSync {\n",
+				new:  "	if effects.MustSync && effects.Snapshot != nil {\n",
 			},
 		},
 	},
@@ -337,9 +338,9 @@
 		name: "a version is told of before it is synced",
 		edits: []edit{
 			{
-				file: process,
-				old:  "	return last(append(do, t.after(now)...))",
-				new:  "	return append(do, t.after(now)...)",
+				file: replicaCore,
+				old:  "	return publishLast(actions)\n",
+				new:  "	return actions\n",
 			},
 		},
 	},
--- /dev/null
+++ b/internal/replica/events.go
@@ -0,0 +1,68 @@
+package replica
+
+import (
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"bankledge/internal/consensus"
+	"bankledge/internal/lease"
+)
+
+// Event is an input of Replica.Step.
+type Event interface{ event() }
+
+// The events.
+type (
+	// MessageReceived is a message from another process.
+	MessageReceived struct{ Message *pb.Message }
+	// PeerUnreachable tells that a message to another process could not be delivered.
+	PeerUnreachable struct {
+		PeerID       uint64
+		SnapshotLost bool // a snapshot was among what was not delivered
+	}
+	// SnapshotDelivered tells that another process has received a snapshot completely.
+	SnapshotDelivered struct{ PeerID uint64 }
+	// LeaseRequest is an event for the lease coordinator: a renewal, a proposal, a check, or the end of such a call.
+	LeaseRequest struct{ Event lease.CoordinatorEvent }
+	// MembershipRequest asks for a process to be added or removed.
+	MembershipRequest struct {
+		CallID   uint64 // identifies the caller in the LeaseResponse
+		MemberID uint64
+		Member   Member
+		Remove   bool
+	}
+	// Tick lets time pass.
+	Tick struct{}
+)
+
+func (MessageReceived) event()   {}
+func (PeerUnreachable) event()   {}
+func (SnapshotDelivered) event() {}
+func (LeaseRequest) event()      {}
+func (MembershipRequest) event() {}
+func (Tick) event()              {}
+
+// Action is an output of Replica.Step.
+type Action interface{ action() }
+
+// The actions.
+type (
+	// Persist writes a change to disk; it has to be synced before the next action.
+	Persist struct{ State consensus.PersistentState }
+	// SendMessage sends a message to another process.
+	SendMessage struct{ Message *pb.Message }
+	// LeaseResponse answers a call of a router or an operator: lease.SendReply or lease.SendOutcome.
+	LeaseResponse struct{ Action lease.CoordinatorAction }
+	// PublishState makes the state that Register returns now visible to readers and watchers.
+	PublishState struct{}
+	// RoleChanged tells that this process leads now or no longer, or that the leader or the term has changed.
+	RoleChanged struct{ Role consensus.Role }
+	// MembershipChanged tells that processes were added or removed, or became voters.
+	MembershipChanged struct{ Members map[uint64]Member }
+)
+
+func (Persist) action()           {}
+func (SendMessage) action()       {}
+func (LeaseResponse) action()     {}
+func (PublishState) action()      {}
+func (RoleChanged) action()       {}
+func (MembershipChanged) action() {}
