--- a/internal/readbuffer/buffer.go
+++ b/internal/readbuffer/buffer.go
@@ -1,5 +1,5 @@
-// Package buffer is a connection's one read buffer: it grows as it needs, is compacted in place, and
-// comes back down after something large.
+// Package readbuffer provides a connection's one read buffer: it grows as needed, is compacted in place, and shrinks again after
+// something large.
 package readbuffer
 
 import (
@@ -8,50 +8,64 @@
 )
 
 const (
-	initialSize     = 4 << 10  // bytes at the start, and after something large
-	maxRetainedSize = 16 << 10 // an empty buffer above this is given back
+	initialSize     = 4 << 10  // bytes, at the start and after something large
+	maxRetainedSize = 16 << 10 // bytes; a larger buffer is released once it is empty
 )
 
 // ErrFull tells that what is awaited is larger than the buffer may grow.
 var ErrFull = errors.New("larger than the buffer may grow")
 
-// Buffer holds what was read and not yet taken.
+// Buffer holds what was read and not yet discarded. It is not safe for concurrent use.
 type Buffer struct {
-	data       []byte
-	start, end int
-	maxSize    int
+	data    []byte
+	start   int // of the unread part of data
+	end     int
+	maxSize int
 }
 
-// New returns a buffer that grows to most bytes.
-func New(most int) *Buffer { return &Buffer{maxSize: most} }
+// New returns a buffer that grows to maxSize bytes.
+func New(maxSize int) *Buffer { return &Buffer{maxSize: maxSize} }
 
-// Next is what was read and not yet taken; it is good until the next Fill.
+// Bytes is what was read and not yet discarded; it is valid until the next Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Take drops the first n bytes of Next.
+// Discard drops the first n of Bytes.
 func (b *Buffer) Discard(n int) {
-	if b.start += n; b.start == b.end {
-		if b.start, b.end = 0, 0; len(b.data) > maxRetainedSize {
-			b.data = nil
-		}
+	b.start += n
+	if b.start < b.end {
+		return
+	}
+	b.start = 0
+	b.end = 0
+	if len(b.data) > maxRetainedSize {
+		b.data = nil
 	}
 }
 
-// Fill reads once, after what is there already.
+// Fill reads once, behind what is there already, and returns the number of bytes read. Its error is the reader's, or ErrFull.
 func (b *Buffer) Fill(r io.Reader) (int, error) {
-	if b.start > 0 && b.end == len(b.data) {
-		b.end = copy(b.data, b.data[b.start:b.end])
-		b.start = 0
-	}
 	if b.end == len(b.data) {
-		if len(b.data) >= b.maxSize {
-			return 0, ErrFull
+		if err := b.makeRoom(); err != nil {
+			return 0, err
 		}
-		grown := make([]byte, min(b.maxSize, max(initialSize, 2*len(b.data))))
-		copy(grown, b.data[:b.end])
-		b.data = grown
 	}
 	n, err := r.Read(b.data[b.end:])
 	b.end += n
 	return n, err
 }
+
+// makeRoom compacts the buffer, or grows it where there is nothing to be gained by that.
+func (b *Buffer) makeRoom() error {
+	if b.start > 0 {
+		b.end = copy(b.data, b.data[b.start:b.end])
+		b.start = 0
+		return nil
+	}
+	if len(b.data) >= b.maxSize {
+		return ErrFull
+	}
+	grown := make([]byte, min(b.maxSize, max(initialSize, 2*len(b.data))))
+	copy(grown, b.data[:b.end])
+	b.data = grown
+	return nil
+}
--- a/internal/readbuffer/buffer_test.go
+++ b/internal/readbuffer/buffer_test.go
@@ -11,10 +11,10 @@
 
 func TestBuffer(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		size, most int
-		take       int // bytes taken at a time, once there are as many
-		err        error
+		name          string
+		size, maxSize int
+		discard       int // bytes discarded at a time, once there are as many
+		err           error
 	}{
 		{"small pieces", 10_000, initialSize, 7, nil},
 		{"grows for something large", 100_000, 200_000, 100_000, nil},
@@ -24,10 +24,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			want := bytes.Repeat([]byte("0123456789"), c.size/10)
 			in := iotest.HalfReader(bytes.NewReader(want))
-			b := New(c.most)
+			b := New(c.maxSize)
 			var got []byte
 			for len(got) < len(want) {
-				if n := min(c.take, len(want)-len(got)); len(b.Bytes()) >= n {
+				if n := min(c.discard, len(want)-len(got)); len(b.Bytes()) >= n {
 					got = append(got, b.Bytes()[:n]...)
 					b.Discard(n)
 					continue
@@ -36,11 +36,11 @@
 					require.ErrorIs(t, err, c.err)
 					return
 				}
-				require.LessOrEqual(t, len(b.data), c.most)
+				require.LessOrEqual(t, len(b.data), c.maxSize)
 			}
 			require.NoError(t, c.err)
 			assert.Equal(t, want, got)
-			assert.LessOrEqual(t, len(b.data), maxRetainedSize, "comes back down")
+			assert.LessOrEqual(t, len(b.data), maxRetainedSize, "shrinks again")
 		})
 	}
 }
