--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -278,9 +278,9 @@
 		auditor: "back",
 		edits: []edit{
 			{
-				file: "internal/discovery/feed.go",
-				old:  "silenceTimeout   = 2500 * time.Millisecond",
-				new:  "silenceTimeout   = 2500 * time.Second",
+				file: "internal/discovery/stream.go",
+				old:  "silenceTimeout = 2500 * time.Millisecond",
+				new:  "silenceTimeout = 2500 * time.Second",
 			},
 		},
 		faults: append([]faultlab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}}, lost...),
--- a/cmd/bankledge/wallclock_source_test.go
+++ b/cmd/bankledge/wallclock_source_test.go
@@ -19,8 +19,8 @@
 	wallClockMethods   = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "UTC": true, "Local": true, "In": true, "AddDate": true}
 	wallClockFunctions = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "Date": true, "Parse": true, "ParseInLocation": true}
 	wallClockAllowed   = map[string]int{
-		"internal/discovery/starts.go": 1, // the protocol tells engines' starts in Unix time
-		"internal/proxy/wallclock.go":  2, // finds steps of the wall clock
+		"internal/discovery/start_time.go": 1, // the protocol tells engines' starts in Unix time
+		"internal/proxy/wallclock.go":      2, // finds steps of the wall clock
 	}
 )
 
--- /dev/null
+++ b/internal/discovery/client.go
@@ -0,0 +1,222 @@
+// Package discovery watches the control feed: numbered changes of the endpoint list, as server-sent events.
+//
+// Client connects, requests what follows the last event that it handled, and goes on with a new connection when one ends, falls silent
+// or brings no events. liveConn decides when that is, startTimes works out when engines started.
+package discovery
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"bankledge/internal/logevent"
+)
+
+// maxEventErrors is how often an event that cannot be read is requested before it is skipped.
+const maxEventErrors = 3
+
+// Client watches the control feed at an address. One goroutine owns it while it watches; SetAddress and HasUnreadEvents are safe for
+// concurrent use.
+type Client struct {
+	Address     string
+	LastEventID int64            // number of the last event that was handled
+	OnEvent     func(WatchEvent) // called by Watch for each event that holds a list
+	Log         *zap.Logger
+
+	startTimes       startTimes
+	syncedAt         time.Time                   // when all that the feed had to tell was known; zero: never yet
+	conn             atomic.Pointer[net.TCPConn] // the connection that is read
+	reading          atomic.Bool                 // a read waits: all that was read has been handled
+	stream           *liveConn                   // conn, for the goroutine that watches
+	spare            net.Conn                    // one that is to take the place of conn; nil: none
+	emptyConnections int                         // connections in a row that brought no line
+
+	eventErrors  int  // attempts at the event that could not be read
+	gapRequested bool // what is missing was requested again already
+
+	mu               sync.Mutex
+	relocation       *relocation        // where to go on, if elsewhere
+	cancelConnection context.CancelFunc // ends the present connection, or the pause before the next
+}
+
+// relocation is where the feed is to be found, and the events that are known from elsewhere.
+type relocation struct {
+	address     string
+	knownEvents []json.RawMessage
+}
+
+// New returns a client of the control feed at an address; Watch calls onEvent for each event with a list. origin is the zero of the
+// router's clock, with a monotonic reading.
+func New(address string, origin time.Time, onEvent func(WatchEvent), log *zap.Logger) *Client {
+	return &Client{
+		Address:    address,
+		OnEvent:    onEvent,
+		Log:        log,
+		startTimes: startTimes{origin: origin},
+	}
+}
+
+// ApplyKnownEvents reads the events of the configuration, before the feed is watched: it calls apply for those that hold a list, and
+// returns the highest number. It ends at the first that is not valid.
+func (c *Client) ApplyKnownEvents(events []json.RawMessage, apply func(WatchEvent)) (last int64, err error) {
+	for _, raw := range events {
+		event, hasList, err := c.parseReceived(raw)
+		if err != nil {
+			return last, fmt.Errorf("known.events: %w", err)
+		}
+		last = max(last, event.Number)
+		if hasList {
+			apply(event)
+		}
+	}
+	c.syncedAt = time.Now() // what is not among them happens after the start
+	return last, nil
+}
+
+// parseReceived reads an event that is received now.
+func (c *Client) parseReceived(raw []byte) (event WatchEvent, hasList bool, err error) {
+	event, hasList, err = ParseEvent(raw)
+	if err == nil {
+		c.startTimes.resolve(&event, c.syncedAt, time.Now())
+	}
+	return event, hasList, err
+}
+
+// SetAddress makes the client go on at another address, from the event last handled, at once. Events that the caller knows of are
+// handled first, as far as they are new. Of several calls the last counts.
+func (c *Client) SetAddress(address string, knownEvents []json.RawMessage) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.relocation = &relocation{address: address, knownEvents: knownEvents}
+	if c.cancelConnection != nil {
+		c.cancelConnection()
+	}
+}
+
+// applyRelocation goes to another address, if one was set. The context that it returns ends when the next one is set.
+func (c *Client) applyRelocation(ctx context.Context) (connCtx context.Context, cancel context.CancelFunc, relocated bool) {
+	connCtx, cancel = context.WithCancel(ctx)
+	c.mu.Lock()
+	next := c.relocation
+	c.relocation = nil
+	c.cancelConnection = cancel
+	c.mu.Unlock()
+	if next == nil {
+		return connCtx, cancel, false
+	}
+	c.Log.Info(logevent.ControlFeedAddressChanged,
+		zap.String("address", next.address), zap.Int64("last_event_id", c.LastEventID))
+	c.Address = next.address
+	c.applyNewerEvents(next.knownEvents)
+	return connCtx, cancel, true
+}
+
+// applyNewerEvents handles what is new of a list of events, as far as it follows on what was handled without a gap. What it leaves out
+// the feed itself will send.
+func (c *Client) applyNewerEvents(events []json.RawMessage) {
+	for _, raw := range events {
+		event, hasList, err := c.parseReceived(raw)
+		if err != nil || event.Number > c.LastEventID+1 && !event.Complete {
+			return
+		}
+		if event.Number <= c.LastEventID {
+			continue
+		}
+		c.LastEventID = event.Number
+		if hasList {
+			c.OnEvent(event)
+		}
+	}
+}
+
+// Watch follows the feed until ctx ends. A connection that ends or falls silent is made anew at once, then with growing pauses while
+// nothing is received. Its error is always nil.
+func (c *Client) Watch(ctx context.Context) error {
+	defer c.closeSpare()
+	var retry backoff
+	for ctx.Err() == nil {
+		connCtx, cancel, relocated := c.applyRelocation(ctx)
+		if relocated {
+			c.closeSpare() // it leads to the old address
+			c.emptyConnections = 0
+			retry.reset()
+		}
+		lastEventID := c.LastEventID
+		began := time.Now()
+		err := c.watchOnce(connCtx)
+		replaced := errors.Is(err, errReplaced)
+		if replaced || c.LastEventID > lastEventID || time.Since(began) > initialLineTimeout/2 { // the connection came up
+			retry.reset()
+		}
+		if !replaced {
+			c.pauseBeforeRetry(connCtx, err, retry.pause)
+			retry.increase()
+		}
+		cancel()
+	}
+	return nil
+}
+
+// pauseBeforeRetry waits after a connection was lost, until ctx ends at the latest.
+func (c *Client) pauseBeforeRetry(ctx context.Context, lost error, pause time.Duration) {
+	if ctx.Err() == nil {
+		c.Log.Warn(logevent.ControlFeedLost,
+			zap.Error(lost), zap.Int64("last_event_id", c.LastEventID), logevent.Milliseconds("backoff_ms", pause))
+	}
+	select {
+	case <-time.After(pause):
+	case <-ctx.Done():
+	}
+}
+
+// handleEvent handles one event. Repeats are skipped; a gap is requested again once, and so is, a few times, an event that cannot be
+// read. An error ends the connection.
+func (c *Client) handleEvent(id, data string) error {
+	event, hasList, err := c.parseReceived([]byte(data))
+	if number, idErr := strconv.ParseInt(id, 10, 64); idErr == nil {
+		event.Number = number
+	}
+	switch {
+	case err != nil:
+		return c.handleInvalidEvent(id, event.Number, err)
+	case event.Number <= c.LastEventID:
+		return nil
+	case event.Number > c.LastEventID+1 && !c.gapRequested:
+		c.gapRequested = true
+		return &gapError{number: event.Number, last: c.LastEventID}
+	}
+	c.LastEventID = event.Number
+	c.eventErrors = 0
+	c.gapRequested = false
+	if hasList {
+		c.OnEvent(event)
+	}
+	return nil
+}
+
+// handleInvalidEvent returns an error to have the event requested again, or skips it if that was done often enough.
+func (c *Client) handleInvalidEvent(id string, number int64, cause error) error {
+	c.eventErrors++
+	if c.eventErrors < maxEventErrors {
+		return fmt.Errorf("event %q: %w", id, cause)
+	}
+	c.Log.Error(logevent.ControlFeedEventSkipped, zap.String("event_id", id), zap.Error(cause))
+	c.eventErrors = 0
+	c.LastEventID = max(c.LastEventID, number)
+	return nil
+}
+
+// gapError tells that events are missing before one.
+type gapError struct{ number, last int64 }
+
+func (e *gapError) Error() string {
+	return fmt.Sprintf("event %d after %d: asking for what is between", e.number, e.last)
+}
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/start_time_test.go
@@ -14,7 +14,7 @@
 
 // An engine's start is taken from the wall clock only where what the feed has told does not contradict it. A wall clock that is wrong by an
 // amount is one that says so of every start.
-func TestEngineStarts(t *testing.T) {
+func TestStartTimes(t *testing.T) {
 	origin := time.Now()
 	now := origin.Add(time.Hour)
 	for _, c := range []struct {
@@ -50,44 +50,39 @@
 	}
 	s := startTimes{origin: origin}
 	assert.Zero(t, s.startedAt("e", 0, now, now), "no late start")
-	assert.Empty(t, s.byID)
+	assert.Empty(t, s.byEngine)
 }
 
-// What is remembered of engines that are gone is bounded, and what is listed is remembered.
-func TestEngineStartsAreForgotten(t *testing.T) {
+// What is remembered of engines that were removed is bounded, and what is listed is remembered.
+func TestStartTimesAreForgotten(t *testing.T) {
 	s := startTimes{origin: time.Now()}
-	tell := func(id string, state decision.EngineState) {
-		c := WatchEvent{Endpoints: []Endpoint{{Endpoint: decision.Endpoint{Engine: decision.EngineID(id), State: state}, startedUnixMillis: 1}}}
-		s.resolve(&c, time.Time{}, time.Now())
+	receive := func(id string, state decision.EngineState) {
+		event := WatchEvent{Endpoints: []Endpoint{{Endpoint: decision.Endpoint{Engine: decision.EngineID(id), State: state}, startedUnixMillis: 1}}}
+		s.resolve(&event, time.Time{}, time.Now())
 	}
-	tell("listed", decision.Ready)
-	tell("back", decision.Removed)
-	tell("back", decision.Ready)
+	receive("listed", decision.Ready)
+	receive("back", decision.Removed)
+	receive("back", decision.Ready)
 	for i := range 5 * maxStartTimes {
-		tell(fmt.Sprint(i), decision.Ready)
-		tell(fmt.Sprint(i), decision.Removed)
-		require.LessOrEqual(t, len(s.byID), maxStartTimes)
+		receive(fmt.Sprint(i), decision.Ready)
+		receive(fmt.Sprint(i), decision.Removed)
+		require.LessOrEqual(t, len(s.byEngine), maxStartTimes)
 	}
-	assert.Contains(t, s.byID, decision.EngineID("listed"))
-	assert.Contains(t, s.byID, decision.EngineID("back"))
+	assert.Contains(t, s.byEngine, decision.EngineID("listed"))
+	assert.Contains(t, s.byEngine, decision.EngineID("back"))
 }
 
-// An engine that the feed tells of as new, while it is followed, has just started, whatever this host's wall clock says of that.
-func TestAnEngineThatIsToldOfIsNew(t *testing.T) {
+// An engine that the feed lists as new, while it is watched, has just started, whatever this host's wall clock says of that.
+func TestListedEngineHasJustStarted(t *testing.T) {
 	const ago = 30 * time.Minute // by a wall clock that is ahead
 	late := fmt.Sprintf(`{"n":2,"members":{"members":[{"id":"e2","host_port":"127.0.0.1:9","phase":"active","up_since_ms":%d}]}}`, time.Now().Add(-ago).UnixMilli())
-	address, _ := scripted(t, says(streamHead+":\n\nid: 2\ndata: "+late+"\n\n"))
-	took := make(chan WatchEvent, 1)
-	f := New(address, time.Now().Add(-time.Hour), func(c WatchEvent) { took <- c }, zap.NewNop())
-	_, err := f.ApplyKnownEvents(nil, func(WatchEvent) {})
+	address, _ := serveScripts(t, sends(responseHead+":\n\nid: 2\ndata: "+late+"\n\n"))
+	events := make(chan WatchEvent, 1)
+	client := New(address, time.Now().Add(-time.Hour), func(event WatchEvent) { events <- event }, zap.NewNop())
+	_, err := client.ApplyKnownEvents(nil, func(WatchEvent) {})
 	require.NoError(t, err)
-	f.LastEventID = 1
-	followed := make(chan error, 1)
-	go func() { followed <- f.Watch(t.Context()) }()
-	select {
-	case c := <-took:
-		assert.InDelta(t, time.Hour.Seconds(), c.Endpoints[0].StartedAt.Seconds(), 10)
-	case <-time.After(10 * time.Second):
-		t.Fatal("nothing was told")
-	}
+	client.LastEventID = 1
+	watch(t, client)
+	event := await(t, events)
+	assert.InDelta(t, time.Hour.Seconds(), event.Endpoints[0].StartedAt.Seconds(), 10)
 }
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"bufio"
-	"context"
 	"encoding/json"
 	"flag"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"path/filepath"
@@ -20,12 +20,12 @@
 
 var update = flag.Bool("update", false, "rewrite what the router does in testdata")
 
-// changeText writes a change as a line, without the start times that are worked out by the clock.
-func changeText(c WatchEvent) string {
-	text := fmt.Sprintf("%d revision %d complete %t", c.Number, c.Revision, c.Complete)
-	for _, m := range c.Endpoints {
-		text += fmt.Sprintf("; %q %q %q %q %d %d %s", m.Engine, m.Address, m.Zone, m.MachineType, m.Cell, m.State,
-			strconv.FormatFloat(m.Weight, 'g', -1, 64))
+// describeEvent writes an event as a line, without the start times that are worked out by the clock.
+func describeEvent(event WatchEvent) string {
+	text := fmt.Sprintf("%d revision %d complete %t", event.Number, event.Revision, event.Complete)
+	for _, e := range event.Endpoints {
+		text += fmt.Sprintf("; %q %q %q %q %d %d %s", e.Engine, e.Address, e.Zone, e.MachineType, e.Cell, e.State,
+			strconv.FormatFloat(e.Weight, 'g', -1, 64))
 	}
 	return text
 }
@@ -36,8 +36,9 @@
 	return text
 }
 
-// playLines runs a step for each line of a file; what a step returns, if not empty, is what the line has to be.
+// playLines plays a step for each line of a file; what a step returns, if not empty, is what the line has to be.
 func playLines(t *testing.T, file string, step func(line string) string) {
+	t.Helper()
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
 	lines := strings.Split(string(raw), "\n")
@@ -45,11 +46,14 @@
 		if line == "" || line[0] == '#' {
 			continue
 		}
-		if got := step(line); *update && got != "" {
-			lines[i] = got
-		} else if got != "" {
+		got := step(line)
+		if got == "" {
+			continue
+		}
+		if !*update {
 			require.Equal(t, line, got, "line %d of %s", i+1, file)
 		}
+		lines[i] = got
 	}
 	if *update {
 		require.NoError(t, os.WriteFile(file, []byte(strings.Join(lines, "\n")), 0o644))
@@ -65,14 +69,14 @@
 			raw = text
 			return ""
 		}
-		c, held, err := ParseEvent([]byte(raw))
+		event, hasList, err := ParseEvent([]byte(raw))
 		switch {
 		case err != nil:
 			return "error " + errorText(err)
-		case !held:
-			return fmt.Sprintf("no list %d", c.Number)
+		case !hasList:
+			return fmt.Sprintf("no list %d", event.Number)
 		}
-		return "change " + changeText(c)
+		return "change " + describeEvent(event)
 	})
 }
 
@@ -93,110 +97,112 @@
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			t.Parallel()
-			p := &wirePlay{t: t, took: make(chan WatchEvent, 100)}
-			for i := range p.places {
-				var err error
-				p.places[i], err = net.Listen("tcp", "127.0.0.1:0")
-				require.NoError(t, err)
-				t.Cleanup(func() { p.places[i].Close() })
-			}
-			p.feed = New(p.places[0].Addr().String(), time.Now(), func(c WatchEvent) { p.took <- c }, zap.NewNop())
-			playLines(t, file, p.step)
+			player := newWirePlayer(t)
+			playLines(t, file, player.play)
 		})
 	}
 }
 
-// wirePlay plays one transcript.
-type wirePlay struct {
-	t       *testing.T
-	feed    *Client
-	places  [2]net.Listener
-	at      int // the place where the next request is awaited
-	took    chan WatchEvent
-	conn    net.Conn
-	follows bool
-	known   string // why the last known event could not be taken
+// wirePlayer plays one transcript.
+type wirePlayer struct {
+	t          *testing.T
+	client     *Client
+	handled    chan WatchEvent
+	listeners  [2]net.Listener // of the addresses that the client watches one after another
+	current    net.Listener    // where the next request is awaited
+	conn       net.Conn        // the latest
+	watching   bool
+	knownError string // why the latest known event could not be taken
+}
+
+func newWirePlayer(t *testing.T) *wirePlayer {
+	t.Helper()
+	p := &wirePlayer{t: t, handled: make(chan WatchEvent, 100)}
+	for i := range p.listeners {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		require.NoError(t, err)
+		t.Cleanup(func() { listener.Close() })
+		p.listeners[i] = listener
+	}
+	p.current = p.listeners[0]
+	p.client = New(p.current.Addr().String(), time.Now(), p.handle, zap.NewNop())
+	return p
 }
 
-// step plays a step, and returns what the step should have been if it tells of something that the router does.
-func (p *wirePlay) step(line string) string {
-	t := p.t
-	name, rest, _ := strings.Cut(line, " ")
+func (p *wirePlayer) handle(event WatchEvent) { p.handled <- event }
+
+// play plays a step. If it is one of what the router does, it returns what the step should have been.
+func (p *wirePlayer) play(step string) string {
+	p.t.Helper()
+	name, rest, _ := strings.Cut(step, " ")
 	switch name {
 	case "last":
-		n, err := strconv.ParseInt(rest, 10, 64)
-		require.NoError(t, err)
-		p.feed.LastEventID = n
+		last, err := strconv.ParseInt(rest, 10, 64)
+		require.NoError(p.t, err)
+		p.client.LastEventID = last
 	case "known":
 		if strings.HasPrefix(rest, "error") {
-			return "known " + p.known
-		}
-		last, err := p.feed.ApplyKnownEvents([]json.RawMessage{json.RawMessage(rest)}, func(c WatchEvent) { p.took <- c })
-		p.feed.LastEventID = max(p.feed.LastEventID, last)
-		p.known = ""
-		if err != nil {
-			p.known = "error " + errorText(err)
+			return "known " + p.knownError
 		}
+		p.applyKnown(rest)
 	case "request":
-		p.follow()
 		return "request " + strconv.Quote(p.request())
 	case "write":
 		text, err := strconv.Unquote(rest)
-		require.NoError(t, err)
-		_, err = p.conn.Write([]byte(text))
-		require.NoError(t, err)
+		require.NoError(p.t, err)
+		_, err = io.WriteString(p.conn, text)
+		require.NoError(p.t, err)
 	case "close":
-		require.NoError(t, p.conn.Close())
+		require.NoError(p.t, p.conn.Close())
 	case "take":
-		select {
-		case c := <-p.took:
-			return "take " + changeText(c)
-		case <-time.After(30 * time.Second):
-			t.Fatal("no change was taken")
-		}
+		return "take " + describeEvent(await(p.t, p.handled))
 	case "move":
-		p.at = 1
-		var events []json.RawMessage
-		if rest != "" {
-			events = append(events, json.RawMessage(rest))
-		}
-		p.feed.SetAddress(p.places[1].Addr().String(), events)
+		p.move(rest)
 	default:
-		t.Fatalf("unknown step %q", line)
+		p.t.Fatalf("unknown step %q", step)
 	}
 	return ""
 }
 
-// follow begins to follow the feed, once.
-func (p *wirePlay) follow() {
-	if p.follows {
-		return
+func (p *wirePlayer) applyKnown(event string) {
+	last, err := p.client.ApplyKnownEvents([]json.RawMessage{json.RawMessage(event)}, p.handle)
+	p.client.LastEventID = max(p.client.LastEventID, last)
+	p.knownError = ""
+	if err != nil {
+		p.knownError = "error " + errorText(err)
 	}
-	p.follows = true
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- p.feed.Watch(ctx) }()
-	p.t.Cleanup(func() {
-		cancel()
-		require.NoError(p.t, <-ended)
-	})
 }
 
-// request accepts the next connection and reads its request.
-func (p *wirePlay) request() string {
-	place := p.places[p.at]
-	require.NoError(p.t, place.(*net.TCPListener).SetDeadline(time.Now().Add(30*time.Second)))
-	conn, err := place.Accept()
+func (p *wirePlayer) move(knownEvent string) {
+	var events []json.RawMessage
+	if knownEvent != "" {
+		events = append(events, json.RawMessage(knownEvent))
+	}
+	p.current = p.listeners[1]
+	p.client.SetAddress(p.current.Addr().String(), events)
+}
+
+// request accepts the next connection and reads its request. The first time the client begins to watch.
+func (p *wirePlayer) request() string {
+	p.t.Helper()
+	if !p.watching {
+		p.watching = true
+		watch(p.t, p.client)
+	}
+	deadline := time.Now().Add(testTimeout)
+	require.NoError(p.t, p.current.(*net.TCPListener).SetDeadline(deadline))
+	conn, err := p.current.Accept()
 	require.NoError(p.t, err)
 	p.t.Cleanup(func() { conn.Close() })
 	p.conn = conn
-	require.NoError(p.t, conn.SetDeadline(time.Now().Add(30*time.Second)))
-	reader, text := bufio.NewReader(conn), ""
-	for !strings.HasSuffix(text, "\r\n\r\n") {
-		line, err := reader.ReadString('\n')
+	require.NoError(p.t, conn.SetDeadline(deadline))
+	r := bufio.NewReader(conn)
+	var text strings.Builder
+	for !strings.HasSuffix(text.String(), "\r\n\r\n") {
+		line, err := r.ReadString('\n')
 		require.NoError(p.t, err)
-		text += line
+		text.WriteString(line)
 	}
-	require.Zero(p.t, reader.Buffered(), "nothing comes behind a request")
-	return strings.ReplaceAll(text, place.Addr().String(), "ADDRESS")
+	require.Zero(p.t, r.Buffered(), "nothing comes behind a request")
+	return strings.ReplaceAll(text.String(), p.current.Addr().String(), "ADDRESS")
 }
