--- /dev/null
+++ b/internal/simulation/faults.go
@@ -0,0 +1,186 @@
+package simulation
+
+import "time"
+
+const (
+	minFaults         = 3
+	maxFaults         = 12
+	earliestFault     = time.Second
+	minFaultDuration  = 50 * time.Millisecond
+	maxFaultDuration  = 4 * time.Second
+	maxSlowExtraDelay = 300 * time.Millisecond
+	maxSavesToCrash   = 3
+)
+
+// faults are what can befall the hosts and links; those that stand twice are twice as likely. Each schedules one fault from start on.
+var faults = [...]func(s *simulation, start, duration time.Duration){
+	(*simulation).isolateRouter,
+	(*simulation).isolateRouter,
+	(*simulation).partitionGroup,
+	(*simulation).pauseProcess,
+	(*simulation).pauseLeader,
+	(*simulation).crashProcess,
+	(*simulation).pauseRouter,
+	(*simulation).pauseRouter,
+	(*simulation).restartRouter,
+}
+
+// scheduleFaults draws what befalls whom and when. From quietFrom on nothing fails.
+func (s *simulation) scheduleFaults() {
+	quiet := s.quietFrom()
+	if s.oneIn(3) {
+		s.at(s.uniform(0, quiet), func() { s.network.maxExtraDelay = s.uniform(0, maxSlowExtraDelay) })
+		s.at(quiet, func() { s.network.maxExtraDelay = 0 })
+	}
+	count := minFaults + s.random.IntN(maxFaults-minFaults+1)
+	for range count {
+		start := s.uniform(earliestFault, quiet)
+		duration := min(s.uniform(minFaultDuration, maxFaultDuration), quiet-start)
+		fault := faults[s.random.IntN(len(faults))]
+		fault(s, start, duration)
+	}
+}
+
+// faultsActive tells whether faults may occur by now.
+func (s *simulation) faultsActive() bool { return !s.NoFaults && s.now < s.quietFrom() }
+
+func (s *simulation) randomRouter() *router { return s.routers[s.random.IntN(len(s.routers))] }
+
+func (s *simulation) randomProcess() *process { return s.processes[s.random.IntN(len(s.processes))] }
+
+// direction is which way a link between two hosts is cut.
+type direction int
+
+const (
+	onlyThere direction = iota
+	onlyBack
+	bothWays
+	directions // number of directions
+)
+
+func (s *simulation) randomDirection() direction { return direction(s.random.IntN(int(directions))) }
+
+// cutBetween cuts the links between two hosts for a while.
+func (s *simulation) cutBetween(start, duration time.Duration, a, b int, cut direction) {
+	if cut != onlyBack {
+		s.scheduleCut(start, duration, link{a, b})
+	}
+	if cut != onlyThere {
+		s.scheduleCut(start, duration, link{b, a})
+	}
+}
+
+func (s *simulation) scheduleCut(start, duration time.Duration, over link) {
+	s.at(start, func() { s.cutLink(over) })
+	s.at(start+duration, func() { s.restoreLink(over) })
+}
+
+// isolateRouter cuts a router off from all or some of the processes.
+func (s *simulation) isolateRouter(start, duration time.Duration) {
+	router := s.randomRouter()
+	cut := s.randomDirection()
+	fromAll := s.oneIn(2)
+	for _, process := range s.processes {
+		if !fromAll && s.oneIn(2) {
+			continue
+		}
+		s.cutBetween(start, duration, router.id, process.id, cut)
+	}
+}
+
+// partitionGroup cuts the group in two parts, with routers on either side and on both.
+func (s *simulation) partitionGroup(start, duration time.Duration) {
+	half := s.Processes / 2
+	for _, minority := range s.processes[:half] {
+		for _, majority := range s.processes[half:] {
+			s.cutBetween(start, duration, minority.id, majority.id, s.randomDirection())
+		}
+	}
+	for _, router := range s.routers {
+		var unreachable []*process
+		switch s.random.IntN(3) {
+		case 0:
+			unreachable = s.processes[:half]
+		case 1:
+			unreachable = s.processes[half:]
+		}
+		for _, process := range unreachable {
+			s.cutBetween(start, duration, router.id, process.id, bothWays)
+		}
+	}
+}
+
+func (s *simulation) pauseProcess(start, duration time.Duration) {
+	process := s.randomProcess()
+	s.at(start, func() {
+		process.pause()
+		s.record("stop %d", process.id)
+	})
+	s.at(start+duration, func() { s.resumeProcess(process) })
+}
+
+func (s *simulation) resumeProcess(process *process) {
+	process.resume()
+	s.record("wake %d", process.id)
+}
+
+// pauseLeader pauses the process that leads when the fault starts.
+func (s *simulation) pauseLeader(start, duration time.Duration) {
+	s.at(start, func() {
+		for _, process := range s.processes {
+			if process.isRunning() && process.replica.IsLeader() {
+				process.pause()
+				s.record("stop leader %d", process.id)
+				s.after(duration, func() { s.resumeProcess(process) })
+				return
+			}
+		}
+	})
+}
+
+// crashProcess kills a process at one of its next saves, or at once.
+func (s *simulation) crashProcess(start, duration time.Duration) {
+	process := s.randomProcess()
+	saves := s.random.IntN(maxSavesToCrash + 1)
+	if saves > 0 {
+		s.at(start, func() { process.savesUntilCrash = saves })
+		return
+	}
+	s.at(start, func() {
+		if !process.up {
+			return
+		}
+		s.record("kill %d", process.id)
+		process.kill()
+		s.after(duration, func() {
+			if !process.up {
+				process.start()
+			}
+		})
+	})
+}
+
+func (s *simulation) pauseRouter(start, duration time.Duration) {
+	router := s.randomRouter()
+	s.at(start, func() {
+		router.pause()
+		s.record("stop router %d", router.id)
+	})
+	s.at(start+duration, func() {
+		router.resume()
+		s.record("wake router %d", router.id)
+	})
+}
+
+// restartRouter kills a router, which comes back under its name with nothing that it knew.
+func (s *simulation) restartRouter(start, duration time.Duration) {
+	router := s.randomRouter()
+	s.at(start, func() {
+		if !router.up {
+			return
+		}
+		router.kill()
+		s.record("kill router %d", router.id)
+		s.after(s.uniform(0, duration), router.start)
+	})
+}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -4,21 +4,26 @@
 	"bytes"
 	"fmt"
 	"hash/fnv"
+	"io"
 	"regexp"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 )
 
-// spoken are the lines of a trace that hold what a router logs: its wording may change.
-var spoken = regexp.MustCompile(`(?m)^ *[0-9.]+ router \d+: .*\n`)
+// logLines are the lines of a trace that hold what a router logs: its wording may change.
+var logLines = regexp.MustCompile(`(?m)^ *[0-9.]+ router \d+: .*\n`)
 
-// histories are the sums of what commit 05e118f played: each line of the trace but the spoken ones, then the figures.
-var histories = [12]string{
+// recordedHistories are hashes of what commit 05e118f simulated: each line of the trace but the log lines, then the figures.
+var recordedHistories = [12]string{
 	"37ae295b4802d1d3", "d13c95da3f3cd7ae", "a4b691f36fba8b06", "aa20b47df42755ba", "784bd57e3aaa8b40", "58f34727a2050a89",
 	"8b60b4a0f9c69cb9", "67f9a2b0a7265211", "b0b2cfc217a6fc28", "e0651cd1a0de9a07", "c91eff911b1a6ac4", "ddb4fc52703423c5",
 }
 
+func writeFigures(w io.Writer, r Result) {
+	fmt.Fprintln(w, r.Versions, r.Activated, int64(r.LongestContradiction), r.OverBound, r.Contradictions, r.LeaseShare, int64(r.ConvergenceDelay), r.Converged)
+}
+
 // Each seed gives the history that it gave at commit 05e118f: elections, what each router acts on and when, faults, figures.
 func TestRecordedHistories(t *testing.T) {
 	for seed := range uint64(12) {
@@ -28,12 +33,12 @@
 			var trace bytes.Buffer
 			r := Run(o, &trace)
 			sum := fnv.New64a()
-			sum.Write(spoken.ReplaceAll(trace.Bytes(), nil))
-			fmt.Fprintln(sum, len(r.Violations), r.Versions, r.Activated, int64(r.LongestContradiction), r.OverBound, r.Contradictions, r.LeaseShare, int64(r.ConvergenceDelay), r.Converged)
+			sum.Write(logLines.ReplaceAll(trace.Bytes(), nil))
+			fmt.Fprint(sum, len(r.Violations), " ")
+			writeFigures(sum, r)
 			o.PlainPush = true
-			r = Run(o, nil)
-			fmt.Fprintln(sum, r.Versions, r.Activated, int64(r.LongestContradiction), r.OverBound, r.Contradictions, r.LeaseShare, int64(r.ConvergenceDelay), r.Converged)
-			assert.Equal(t, histories[seed], fmt.Sprintf("%016x", sum.Sum64()))
+			writeFigures(sum, Run(o, nil))
+			assert.Equal(t, recordedHistories[seed], fmt.Sprintf("%016x", sum.Sum64()))
 		})
 	}
 }
--- /dev/null
+++ b/internal/simulation/linearizability.go
@@ -0,0 +1,119 @@
+package simulation
+
+import (
+	"time"
+
+	"github.com/anishathalye/porcupine"
+
+	"bankledge/internal/configregister"
+	"bankledge/internal/lease"
+)
+
+const (
+	maxOperations      = 6000
+	oneReadChecked     = 4 // of so many
+	linearizableWithin = 20 * time.Second
+)
+
+// operationAudit collects the reads and writes of the newest version's number, which have to be linearizable: a write is a proposal
+// that was acknowledged, a read the reply to a renewal.
+type operationAudit struct {
+	operations   []porcupine.Operation
+	proposed     map[string]time.Duration          // when a proposal was sent first, by its id
+	acknowledged map[string]configregister.Outcome // by the proposal's id
+	renewals     map[renewalKey]time.Duration
+}
+
+// renewalKey names a renewal that was sent.
+type renewalKey struct {
+	incarnation string
+	sequence    uint64
+}
+
+func newOperationAudit() operationAudit {
+	return operationAudit{
+		proposed:     map[string]time.Duration{},
+		acknowledged: map[string]configregister.Outcome{},
+		renewals:     map[renewalKey]time.Duration{},
+	}
+}
+
+// write is the input of a write operation; a read has notWritten.
+const notWritten = uint64(0)
+
+func (o *operationAudit) addWrite(number uint64, called, returned time.Duration) {
+	o.add(number, number, called, returned)
+}
+
+func (o *operationAudit) addRead(number uint64, called, returned time.Duration) {
+	o.add(notWritten, number, called, returned)
+}
+
+func (o *operationAudit) add(input, output uint64, called, returned time.Duration) {
+	o.operations = append(o.operations, porcupine.Operation{
+		ClientId: len(o.operations),
+		Input:    input,
+		Output:   output,
+		Call:     int64(called),
+		Return:   int64(returned),
+	})
+}
+
+// observeProposal notes when a proposal is sent first.
+func (a *auditor) observeProposal(id string, sent time.Duration) {
+	if _, known := a.operations.proposed[id]; !known {
+		a.operations.proposed[id] = sent
+	}
+}
+
+func (a *auditor) observeRenewal(s *simulation, renewal lease.Renewal) {
+	a.operations.renewals[renewalKey{renewal.Incarnation, renewal.Seq}] = s.now
+}
+
+// observeReply notes some of the replies as reads.
+func (a *auditor) observeReply(s *simulation, router *router, reply lease.Reply) {
+	audit := &a.operations
+	key := renewalKey{router.leaseIncarnation(), reply.Seq}
+	sent, known := audit.renewals[key]
+	if !known || reply.RejectReason != "" || reply.LeaderAddress != "" {
+		return
+	}
+	delete(audit.renewals, key)
+	if len(audit.operations) < maxOperations && s.oneIn(oneReadChecked) {
+		audit.addRead(reply.Newest, sent, s.now)
+	}
+}
+
+// addUnacknowledged adds the versions that were written but whose outcome reached nobody: writes that may have happened at any time.
+func (o *operationAudit) addUnacknowledged(newest uint64, end time.Duration) {
+	acknowledged := map[uint64]bool{}
+	for _, outcome := range o.acknowledged {
+		acknowledged[outcome.Number] = true
+	}
+	for number := uint64(1); number <= newest; number++ {
+		if !acknowledged[number] {
+			o.addWrite(number, 0, end+1)
+		}
+	}
+}
+
+// checkLinearizable reports if no order of the operations explains what was seen. A check that takes too long counts as passed.
+func (a *auditor) checkLinearizable(s *simulation) {
+	operations := a.operations.operations
+	if porcupine.CheckOperationsTimeout(versionCounter, operations, linearizableWithin) == porcupine.Illegal {
+		a.report("linearizable", s.now, "no order of %d reads and writes explains what was seen", len(operations))
+	}
+}
+
+// versionCounter is the sequential specification: a write moves the number up by one, to its own; a read sees it.
+var versionCounter = porcupine.Model{
+	Init: func() any { return uint64(0) },
+	Step: func(state, input, output any) (bool, any) {
+		current, written, read := state.(uint64), input.(uint64), output.(uint64)
+		if written != notWritten {
+			return written == current+1, written
+		}
+		return read == current, current
+	},
+	Equal: func(a, b any) bool { return a == b },
+}
--- /dev/null
+++ b/internal/simulation/network.go
@@ -0,0 +1,58 @@
+package simulation
+
+import "time"
+
+const (
+	minMessageDelay      = 200 * time.Microsecond
+	maxMessageDelay      = time.Millisecond // without the network's extra delay
+	maxRedeliveryDelay   = 2 * time.Millisecond
+	maxDuplicateDelay    = 300 * time.Millisecond
+	oneLostOnCutLink     = 2   // of so many messages; the others are delivered once the link is restored
+	oneDuplicateDelivery = 200 // of so many messages
+)
+
+// link is one direction between two hosts, by their ids.
+type link struct{ from, to int }
+
+// network holds the state of the links.
+type network struct {
+	cut           map[link]bool
+	retransmits   map[link][]func() // messages that were sent on a cut link and are delivered once it is restored
+	maxExtraDelay time.Duration     // of each message
+}
+
+func newNetwork() network {
+	return network{cut: map[link]bool{}, retransmits: map[link][]func(){}}
+}
+
+// send delivers a message after a delay, unless the link is cut then. Now and then one is delivered twice.
+func (s *simulation) send(from, to int, deliver func()) {
+	over := link{from, to}
+	s.after(s.uniform(minMessageDelay, maxMessageDelay+s.network.maxExtraDelay), func() {
+		if s.network.cut[over] {
+			if s.oneIn(oneLostOnCutLink) {
+				s.network.retransmits[over] = append(s.network.retransmits[over], deliver)
+			}
+			return
+		}
+		deliver()
+		if !s.NoFaults && s.oneIn(oneDuplicateDelivery) {
+			s.after(s.uniform(0, maxDuplicateDelay), deliver)
+		}
+	})
+}
+
+func (s *simulation) cutLink(over link) {
+	s.network.cut[over] = true
+	s.record("cut [%d %d]", over.from, over.to)
+}
+
+func (s *simulation) restoreLink(over link) {
+	s.network.cut[over] = false
+	retransmits := s.network.retransmits[over]
+	delete(s.network.retransmits, over)
+	for _, deliver := range retransmits {
+		s.after(s.uniform(0, maxRedeliveryDelay), deliver)
+	}
+	s.record("whole [%d %d]", over.from, over.to)
+}
--- /dev/null
+++ b/internal/simulation/process.go
@@ -0,0 +1,241 @@
+package simulation
+
+import (
+	"fmt"
+	"io"
+	"log"
+	"maps"
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"bankledge/internal/configregister"
+	"bankledge/internal/configversion"
+	"bankledge/internal/consensus"
+	"bankledge/internal/lease"
+	"bankledge/internal/replica"
+)
+
+const (
+	heartbeatInterval  = 50 * time.Millisecond
+	electionTimeout    = 300 * time.Millisecond
+	compactionInterval = 40 // entries
+	maxRestartDelay    = time.Second
+	oneVersionLost     = 40 // of so many pushes to a router
+)
+
+var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+
+// process is one process of the control group.
+type process struct {
+	host
+	replica         *replica.Replica
+	disk            consensus.PersistentState // what was synced
+	savesUntilCrash int                       // 0: no crash is planned
+	lastCallID      uint64
+	calls           map[uint64]call
+	streams         map[int]*stream // by router id
+}
+
+// call is a call that waits for its answer.
+type call struct {
+	router      *router // that renews its lease; nil for an operator
+	incarnation int     // of the router
+	onOutcome   func(configregister.Outcome)
+}
+
+// stream pushes versions to a router.
+type stream struct {
+	router        *router
+	incarnation   int    // of the router
+	sentVersion   uint64 // newest version that was sent
+	sentActivated uint64 // newest version whose activation was sent
+}
+
+func (p *process) settings() replica.Settings {
+	members := map[uint64]replica.Member{}
+	for i := range p.sim.Processes {
+		address := fmt.Sprint(i)
+		members[uint64(i+1)] = replica.Member{Peer: address, Client: address, Voter: true}
+	}
+	return replica.Settings{
+		LeaseDurations:     p.sim.LeaseDurations,
+		InitialMembers:     members,
+		Lineage:            "lineage",
+		CompactionInterval: compactionInterval,
+		Guards:             configversion.Guards{MaxRemovedShare: 1},
+		Consensus: consensus.Settings{
+			ID:                uint64(p.id + 1),
+			HeartbeatInterval: heartbeatInterval,
+			ElectionTimeout:   electionTimeout,
+			Seed:              p.sim.Seed*64 + uint64(p.id*8+p.incarnation),
+			Logger:            discardLogger,
+		},
+	}
+}
+
+func (p *process) start() {
+	p.incarnation++
+	p.up = true
+	p.calls = map[uint64]call{}
+	p.streams = map[int]*stream{}
+	stored := p.disk
+	stored.Entries = slices.Clone(p.disk.Entries)
+	started, actions, err := replica.New(p.settings(), stored, p.now())
+	if err != nil {
+		p.sim.auditor.report("start", p.sim.now, "process %d: %v", p.id, err)
+		p.up = false
+		return
+	}
+	p.replica = started
+	p.carryOut(actions)
+	p.resetTimer()
+}
+
+func (p *process) resetTimer() {
+	if p.up && p.replica != nil {
+		p.setTimer(p.replica.NextDeadline(p.now()), func() { p.step(replica.Tick{}) })
+	}
+}
+
+func (p *process) step(event replica.Event) {
+	p.carryOut(p.replica.Step(p.now(), event))
+	p.resetTimer()
+}
+
+// call hands the replica a call, and keeps who waits for its answer.
+func (p *process) call(caller call, event func(callID uint64) lease.CoordinatorEvent) {
+	p.lastCallID++
+	p.calls[p.lastCallID] = caller
+	p.step(replica.LeaseRequest{Event: event(p.lastCallID)})
+}
+
+// takeCall returns a call that is answered now; its zero value if it was made to an earlier incarnation.
+func (p *process) takeCall(callID uint64) call {
+	caller := p.calls[callID]
+	delete(p.calls, callID)
+	return caller
+}
+
+// carryOut carries out the replica's actions in order, until the process crashes.
+func (p *process) carryOut(actions []replica.Action) {
+	for _, action := range actions {
+		if !p.up {
+			return
+		}
+		switch action := action.(type) {
+		case replica.Persist:
+			p.save(action.State)
+			p.countDownToCrash()
+		case replica.SendMessage:
+			p.sendMessage(action.Message)
+		case replica.LeaseResponse:
+			p.answer(action.Action)
+		case replica.PublishState:
+			p.pushAll()
+		case replica.RoleChanged:
+			role := action.Role
+			p.sim.record("process %d leads %t, leader %d, term %d", p.id, role.IsLeader, role.Leader, role.Term)
+		}
+	}
+}
+
+// save writes to a disk that keeps what was synced.
+func (p *process) save(change consensus.PersistentState) {
+	if change.HardState != nil {
+		p.disk.HardState = change.HardState
+	}
+	if change.Snapshot != nil {
+		snapshotIndex := change.Snapshot.GetMetadata().GetIndex()
+		p.disk.Snapshot = change.Snapshot
+		p.disk.Entries = slices.DeleteFunc(slices.Clone(p.disk.Entries), func(entry *pb.Entry) bool {
+			return entry.GetIndex() <= snapshotIndex
+		})
+	}
+	if len(change.Entries) > 0 {
+		firstIndex := change.Entries[0].GetIndex()
+		p.disk.Entries = slices.DeleteFunc(slices.Clone(p.disk.Entries), func(entry *pb.Entry) bool {
+			return entry.GetIndex() >= firstIndex
+		})
+		p.disk.Entries = append(p.disk.Entries, change.Entries...)
+	}
+}
+
+// countDownToCrash kills the process at the save at which its crash is planned, and has it started again.
+func (p *process) countDownToCrash() {
+	if p.savesUntilCrash == 0 {
+		return
+	}
+	p.savesUntilCrash--
+	if p.savesUntilCrash > 0 {
+		return
+	}
+	p.sim.record("crash %d", p.id)
+	p.kill()
+	p.sim.after(p.sim.uniform(0, maxRestartDelay), p.start)
+}
+
+func (p *process) sendMessage(message *pb.Message) {
+	sent := proto.Clone(message).(*pb.Message)
+	receiver := p.sim.processes[sent.GetTo()-1]
+	p.sim.send(p.id, receiver.id, func() {
+		receiver.deliver(receiver.incarnation, func() { receiver.step(replica.MessageReceived{Message: sent}) })
+	})
+}
+
+func (p *process) answer(answer lease.CoordinatorAction) {
+	switch answer := answer.(type) {
+	case lease.SendReply:
+		caller := p.takeCall(answer.CallID)
+		if caller.router != nil {
+			p.sendReply(caller, answer.Reply)
+		}
+	case lease.SendOutcome:
+		caller := p.takeCall(answer.CallID)
+		if caller.onOutcome != nil {
+			caller.onOutcome(answer.Outcome)
+		}
+	}
+}
+
+func (p *process) sendReply(caller call, reply lease.Reply) {
+	p.sim.auditor.observeReply(p.sim, caller.router, reply)
+	p.sim.send(p.id, caller.router.id, func() {
+		caller.router.deliver(caller.incarnation, func() { caller.router.step(lease.ReplyReceived{Reply: reply}) })
+	})
+}
+
+// pushAll sends what is new to the routers that follow the versions here.
+func (p *process) pushAll() {
+	for _, routerID := range slices.Sorted(maps.Keys(p.streams)) {
+		p.push(p.streams[routerID])
+	}
+}
+
+// push sends a router the versions and the activation that it has not been sent yet. Now and then a version is lost, so that the next
+// one arrives behind a gap.
+func (p *process) push(to *stream) {
+	register := p.replica.Register()
+	for _, version := range register.UpdatesAfter(to.sentVersion) {
+		raw := version.Encode()
+		activated := register.Activated
+		to.sentVersion = version.Number
+		p.sim.auditor.observeVersion(p.sim, version)
+		if p.sim.faultsActive() && p.sim.oneIn(oneVersionLost) {
+			continue
+		}
+		p.sim.send(p.id, to.router.id, func() {
+			to.router.deliver(to.incarnation, func() { to.router.receiveVersion(raw, activated) })
+		})
+	}
+	if to.sentActivated < register.Activated {
+		event := lease.VersionActivated{Lineage: register.Lineage, Number: register.Activated}
+		to.sentActivated = register.Activated
+		p.sim.send(p.id, to.router.id, func() {
+			to.router.deliver(to.incarnation, func() { to.router.step(event) })
+		})
+	}
+}
--- /dev/null
+++ b/internal/simulation/proposals.go
@@ -0,0 +1,171 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"bankledge/internal/configregister"
+	"bankledge/internal/configversion"
+	"bankledge/internal/lease"
+	"bankledge/internal/rules"
+)
+
+const (
+	initialEngines      = 8
+	firstProposalAt     = 600 * time.Millisecond
+	proposalRetryDelay  = 1500 * time.Millisecond
+	maxProposalRetries  = 12
+	proposalGracePeriod = 2 * time.Second // after the quiet time, for retries
+)
+
+// proposalIntervals are the mean paces of operators, of which each simulation has one.
+var proposalIntervals = []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second}
+
+// forcedGuards are the guards that operators override, so that all rules can be proposed.
+var forcedGuards = []string{
+	configversion.GuardShareOfEngines,
+	configversion.GuardFloor,
+	configversion.GuardAllEngines,
+	configversion.GuardNothingInBetween,
+}
+
+// quietFrom is when nothing fails any more and nobody proposes anything new.
+func (s *simulation) quietFrom() time.Duration { return s.SimulatedTime * 6 / 10 }
+
+// proposal is one change that an operator wants.
+type proposal struct {
+	entry    configregister.Entry
+	proposed time.Duration // when it was sent first
+	retries  int
+	done     bool // it has its outcome, or was sent again
+}
+
+// scheduleProposals has operators propose versions that tighten, loosen, or do both.
+func (s *simulation) scheduleProposals() {
+	current := initialRules(s.Routers)
+	s.lastEngineID = initialEngines - 1
+	count := 0
+	interval := proposalIntervals[s.random.IntN(len(proposalIntervals))]
+	var propose func()
+	propose = func() {
+		if s.now > s.quietFrom() {
+			return
+		}
+		s.changeRules(current)
+		count++
+		entry := configregister.Entry{
+			Kind:         configregister.EntryPropose,
+			ID:           fmt.Sprint("p", count),
+			Rules:        current.Canonical(),
+			ForcedGuards: forcedGuards,
+		}
+		s.propose(proposal{entry: entry, proposed: s.now})
+		s.after(s.uniform(interval/2, 2*interval), propose)
+	}
+	s.at(firstProposalAt, propose)
+}
+
+func initialRules(routers int) *rules.Rules {
+	r := localRules(routers)
+	r.SlowStartMultiple = 2
+	r.SlowStartShare = 0.2
+	r.HealthChecksPerStatement = 1
+	r.RetryBudgetShare = 0.2
+	r.WarmAfterMillis = 20000
+	r.KeyQuietPeriodMillis = 5000
+	r.RetryBudgetWindowMillis = 5000
+	r.Engines = map[string]rules.Engine{}
+	for i := range initialEngines {
+		r.Engines[engineName(i)] = newEngine(i)
+	}
+	return r
+}
+
+func engineName(i int) string { return fmt.Sprint("e", i) }
+
+func newEngine(id int) rules.Engine {
+	return rules.Engine{Phase: rules.Active, Address: fmt.Sprint("e:", id), Kind: "k"}
+}
+
+// changeRules changes one or two fields, up or down.
+func (s *simulation) changeRules(r *rules.Rules) {
+	for range 1 + s.random.IntN(2) {
+		scale := 0.8
+		if s.oneIn(2) {
+			scale = 1.25
+		}
+		switch s.random.IntN(6) {
+		case 0:
+			r.SlowStartMultiple = min(20, max(1.1, r.SlowStartMultiple*scale))
+		case 1:
+			r.RetryBudgetShare = min(5, max(0.11, r.RetryBudgetShare*scale))
+		case 2:
+			r.HealthChecksPerStatement = min(50, max(0.6, r.HealthChecksPerStatement*scale))
+		case 3:
+			r.WarmAfterMillis = min(29000, max(1000, int64(float64(r.WarmAfterMillis)*scale)))
+		default:
+			s.changeEngine(r.Engines)
+		}
+	}
+	if err := r.Validate(); err != nil {
+		panic(err)
+	}
+}
+
+// changeEngine moves one engine on: from missing to active under a new address, to leaving, to missing.
+func (s *simulation) changeEngine(engines map[string]rules.Engine) {
+	name := engineName(s.random.IntN(initialEngines))
+	engine, listed := engines[name]
+	switch {
+	case !listed:
+		s.lastEngineID++
+		engines[name] = newEngine(s.lastEngineID)
+	case engine.Phase == rules.Active:
+		engine.Phase = rules.Draining
+		engines[name] = engine
+	default:
+		delete(engines, name)
+	}
+}
+
+// propose sends a proposal to the leader, if there is one, and again as long as it has no outcome.
+func (s *simulation) propose(p proposal) {
+	to := s.leaderOrAny()
+	s.auditor.observeProposal(p.entry.ID, p.proposed)
+	s.after(proposalRetryDelay, func() { s.retryProposal(&p) })
+	to.deliver(to.incarnation, func() {
+		to.call(call{onOutcome: func(outcome configregister.Outcome) { s.receiveOutcome(&p, outcome) }}, func(callID uint64) lease.CoordinatorEvent {
+			return lease.ProposalReceived{CallID: callID, Entry: p.entry}
+		})
+	})
+}
+
+func (s *simulation) retryProposal(p *proposal) {
+	if p.done || p.retries >= maxProposalRetries || s.now >= s.quietFrom()+proposalGracePeriod {
+		return
+	}
+	p.done = true
+	s.propose(proposal{entry: p.entry, proposed: p.proposed, retries: p.retries + 1})
+}
+
+func (s *simulation) receiveOutcome(p *proposal, outcome configregister.Outcome) {
+	if outcome.Number > 0 {
+		p.done = true
+		s.auditor.observeAcknowledgement(s, outcome)
+		return
+	}
+	if outcome.Error != lease.ErrNotLeader.Error() {
+		p.done = true
+	}
+}
+
+// leaderOrAny is the process that leads, or one that is drawn.
+func (s *simulation) leaderOrAny() *process {
+	chosen := s.processes[s.random.IntN(s.Processes)]
+	for _, process := range s.processes {
+		if process.isRunning() && process.replica.IsLeader() {
+			chosen = process
+		}
+	}
+	return chosen
+}
--- /dev/null
+++ b/internal/simulation/result.go
@@ -0,0 +1,68 @@
+package simulation
+
+import "time"
+
+// maxConvergenceDelay is how long before the end the last version may have been written for the routers not to be on it yet.
+const maxConvergenceDelay = 2 * time.Second
+
+// Result is what the auditor found in one simulation.
+type Result struct {
+	Seed                 uint64
+	Violations           []Violation
+	Digest               uint64        // of the history
+	Versions             uint64        // that were written
+	Activated            uint64        // newest version in force at the end
+	LongestContradiction time.Duration // for which routers acted on contradicting rules
+	OverBound            int           // contradictions that were longer than ContradictionBound
+	Contradictions       int           // pairs of what a router acts on and a version that it contradicted
+	LeaseShare           float64       // mean share of the running routers that held a lease
+	ConvergenceDelay     time.Duration // from when nothing failed any more until all acted on the newest version
+	Converged            bool          // all acted on the newest version at the end
+}
+
+// result ends the audit.
+func (a *auditor) result(s *simulation) Result {
+	r := Result{
+		Seed:                 s.Seed,
+		Digest:               s.digest.Sum64(),
+		Versions:             uint64(len(a.versions.byNumber)),
+		LongestContradiction: a.contradictions.longest,
+		OverBound:            a.contradictions.overBound,
+		Contradictions:       len(a.contradictions.distinct),
+		LeaseShare:           a.leases.share(),
+	}
+	for _, process := range s.processes {
+		if !process.up {
+			continue
+		}
+		register := process.replica.Register()
+		r.Activated = max(r.Activated, register.Activated)
+		r.Versions = max(r.Versions, register.NewestNumber())
+		for _, version := range register.Versions {
+			a.observeVersion(s, version)
+		}
+	}
+	a.checkAcknowledged(s)
+	a.operations.addUnacknowledged(r.Versions, s.SimulatedTime)
+	if !s.PlainPush {
+		a.checkLinearizable(s)
+	}
+	r.Converged = a.converged(s)
+	r.ConvergenceDelay = max(0, a.leases.lastNotConverged-s.quietFrom())
+	a.checkQuiet(s, r.Converged)
+	r.Violations = a.violations
+	return r
+}
+
+// converged tells whether all routers acted on the newest version at the last sample, or that is so new that they need not.
+func (a *auditor) converged(s *simulation) bool {
+	return a.leases.lastNotConverged < s.now-auditInterval || a.versions.lastObserved >= s.now-maxConvergenceDelay
+}
+
+// checkQuiet reports if the routers have not converged although nothing has failed for long.
+func (a *auditor) checkQuiet(s *simulation, converged bool) {
+	stillWriting := a.versions.lastObserved >= s.now-maxConvergenceDelay
+	if !converged && !s.PlainPush && !stillWriting {
+		a.report("quiet", s.now, "nothing has failed for %v, and not all act on version %d", s.SimulatedTime-s.quietFrom(), a.versions.newest)
+	}
+}
--- /dev/null
+++ b/internal/simulation/simulation.go
@@ -0,0 +1,147 @@
+// Package simulation runs the state machines of the control group (replica) and of the routers (lease.Client) under one simulated
+// clock, on simulated disks and a simulated network, with faults drawn from a seed. An auditor observes all of them and checks what
+// the design promises. The same seed always gives the same history.
+package simulation
+
+import (
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"io"
+	"math/rand/v2"
+	"time"
+
+	"bankledge/internal/lease"
+	"bankledge/internal/timerqueue"
+)
+
+const (
+	// auditInterval is how often routers look at their clocks and the auditor compares them.
+	auditInterval = 10 * time.Millisecond
+	// clockDrift is the share by which clocks run fast or slow.
+	clockDrift = 0.05
+	// firstRouterID is the host id of the first router; those of the processes start at 0.
+	firstRouterID = 1000
+
+	maxProcessStartDelay = 100 * time.Millisecond
+	maxRouterStartDelay  = 500 * time.Millisecond
+)
+
+// Options of one simulation.
+type Options struct {
+	Seed           uint64
+	Routers        int
+	Processes      int           // of the control group
+	SimulatedTime  time.Duration // how long it runs
+	LeaseDurations lease.Durations
+	PlainPush      bool // baseline: routers act on each version as it arrives, without leases
+	NoFaults       bool
+}
+
+// OptionsForSeed returns options with a group of one, three or five processes, and clocks that drift.
+func OptionsForSeed(seed uint64, routers int) Options {
+	durations := lease.DefaultDurations()
+	durations.MaxClockDrift = clockDrift
+	return Options{
+		Seed:           seed,
+		Routers:        routers,
+		Processes:      []int{1, 3, 5}[seed%3],
+		SimulatedTime:  16 * time.Second,
+		LeaseDurations: durations,
+	}
+}
+
+// simulation is the state of one run.
+type simulation struct {
+	Options
+	now          time.Duration // true time
+	timers       timerqueue.Queue
+	random       *rand.Rand
+	network      network
+	processes    []*process
+	routers      []*router
+	auditor      *auditor
+	lastEngineID int       // of the engine addresses that were given out
+	trace        io.Writer // nil: none
+	digest       hash.Hash64
+}
+
+// Run runs one simulation and returns what the auditor found. The history is written to trace unless that is nil.
+func Run(options Options, trace io.Writer) Result {
+	s := newSimulation(options, trace)
+	for _, process := range s.processes {
+		s.at(s.uniform(0, maxProcessStartDelay), process.start)
+	}
+	for _, router := range s.routers {
+		s.at(s.uniform(0, maxRouterStartDelay), router.start)
+	}
+	s.scheduleProposals()
+	if !options.NoFaults {
+		s.scheduleFaults()
+	}
+	s.at(auditInterval, s.audit)
+	s.runTimers()
+	return s.auditor.result(s)
+}
+
+func newSimulation(options Options, trace io.Writer) *simulation {
+	s := &simulation{
+		Options: options,
+		random:  rand.New(rand.NewPCG(options.Seed, 29)),
+		network: newNetwork(),
+		auditor: newAuditor(),
+		trace:   trace,
+		digest:  fnv.New64a(),
+	}
+	for id := range options.Processes {
+		s.processes = append(s.processes, &process{host: s.newHost(id)})
+	}
+	for i := range options.Routers {
+		s.routers = append(s.routers, &router{host: s.newHost(firstRouterID + i)})
+	}
+	return s
+}
+
+// runTimers lets time pass until the end of the simulation.
+func (s *simulation) runTimers() {
+	end := s.SimulatedTime + 1
+	for {
+		next := s.timers.Next(end)
+		if next >= end {
+			return
+		}
+		s.now = next
+		s.timers.RunDue(next)
+	}
+}
+
+// audit has each router look at its clock, as it does before each batch of decisions, and the auditor compare what they act on.
+func (s *simulation) audit() {
+	for _, router := range s.routers {
+		router.checkLeaseExpiry()
+	}
+	s.auditor.compareRouters(s)
+	s.after(auditInterval, s.audit)
+}
+
+func (s *simulation) at(when time.Duration, do func()) {
+	s.timers.Schedule(max(when, s.now), do)
+}
+
+func (s *simulation) after(delay time.Duration, do func()) { s.at(s.now+delay, do) }
+
+func (s *simulation) uniform(least, most time.Duration) time.Duration {
+	return least + time.Duration(s.random.Float64()*float64(most-least))
+}
+
+// oneIn is true with a chance of one in n.
+func (s *simulation) oneIn(n int) bool { return s.random.IntN(n) == 0 }
+
+// record adds a line to the history.
+func (s *simulation) record(format string, args ...any) {
+	line := fmt.Sprintf(format, args...)
+	fmt.Fprintf(s.digest, "%d %s", s.now, line)
+	if s.trace != nil {
+		fmt.Fprintf(s.trace, "%8.3f %s\n", s.now.Seconds(), line)
+	}
+}
