--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -95,9 +95,9 @@
 		auditor: "answers",
 		edits: []edit{
 			{
-				file: "internal/downstream/front.go",
-				old:  "return c.enqueue(appendAnswer(make([]byte, 0, lengthBytes+minFrameLength+2+len(body)), frameAnswer, stream, code, body), stream)",
-				new:  "b := appendAnswer(nil, frameAnswer, stream, code, body)\n\treturn c.enqueue(append(b, b...), stream)",
+				file: "internal/downstream/answer_writer.go",
+				old:  "return c.enqueue(appendAnswer(answer, frameAnswer, stream, code, body), stream)",
+				new:  "answer = appendAnswer(answer, frameAnswer, stream, code, body)\n\treturn c.enqueue(append(answer, answer...), stream)",
 			},
 		},
 		faults: nil,
--- /dev/null
+++ b/internal/downstream/client_departure.go
@@ -0,0 +1,71 @@
+package downstream
+
+import (
+	"encoding/binary"
+	"errors"
+	"slices"
+
+	"golang.org/x/sys/unix"
+)
+
+// peekBytes bounds how much of what lies unread is searched for cancel frames.
+const peekBytes = 64 << 10
+
+// newPeekBuffer makes a buffer for peekForDeparture.
+func newPeekBuffer() any { return new([peekBytes]byte) }
+
+// peekForDeparture searches, without consuming it, what a client has sent while nothing is read from it, or less than it
+// sends: a client that does not read its answers, or that sends invalid frames, may leave like any other. Streams that it has
+// cancelled are handled. pending is what was read and not handled yet. It returns whether the connection has ended.
+func (c *Conn) peekForDeparture(pending []byte) (ended bool) {
+	scratch := c.server.peekBuffers.Get().(*[peekBytes]byte)
+	defer c.server.peekBuffers.Put(scratch)
+	n, ended := c.peek(scratch[:])
+	for _, stream := range cancelledStreams(pending, scratch[:n]) {
+		c.cancelStream(stream)
+	}
+	return ended || c.clientClosed()
+}
+
+// peek copies what lies unread without consuming it. It returns whether the connection has ended.
+func (c *Conn) peek(into []byte) (n int, ended bool) {
+	c.withDescriptor(func(fd int) {
+		received, _, err := unix.Recvfrom(fd, into, unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n = max(received, 0)
+		switch {
+		case err != nil:
+			ended = !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR)
+		case n == 0:
+			ended = true
+		}
+	})
+	return n, ended
+}
+
+// cancelledStreams lists the streams of the cancel frames in what was read and in what lies unread behind it. A frame may begin
+// in the one and end in the other; one that is not complete is left out.
+func cancelledStreams(read, unread []byte) (streams []uint32) {
+	for {
+		head := read
+		if len(head) < frameHeadBytes {
+			missing := frameHeadBytes - len(read)
+			head = slices.Concat(read, unread[:min(len(unread), missing)])
+		}
+		if len(head) < frameHeadBytes {
+			return streams
+		}
+		size := claimedFrameSize(head)
+		if size < frameHeadBytes || size > lengthBytes+maxFrameLength || size > len(read)+len(unread) {
+			return streams
+		}
+		if frameType(head[lengthBytes]) == frameCancel {
+			streams = append(streams, binary.BigEndian.Uint32(head[lengthBytes+1:]))
+		}
+		if size < len(read) {
+			read = read[size:]
+			continue
+		}
+		read = unread[size-len(read):]
+		unread = nil
+	}
+}
--- /dev/null
+++ b/internal/downstream/connection_test.go
@@ -0,0 +1,81 @@
+package downstream
+
+import (
+	"bufio"
+	"io"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/internal/invariant"
+)
+
+// A second answer on a stream is recorded and does not come to the client.
+func TestSecondAnswerIsDropped(t *testing.T) {
+	server, handler, address := serve(t)
+	client := dial(t, address)
+	r := bufio.NewReader(client)
+	write(t, client, statementFrame(1))
+	conn := await(t, handler.statements)
+	conn.Answer(1, CodeCompleted, nil)
+	assert.Equal(t, uint32(1), readFrame(t, r).stream)
+	require.Eventually(t, func() bool { return !conn.hasOpenStreams() }, eventTimeout, time.Millisecond) // its write has returned
+	assert.Zero(t, server.Violations.Total())
+	conn.Answer(1, CodeAborted, nil)
+	assert.Equal(t, int64(1), server.Violations.Recorded(invariant.OneAnswer))
+	write(t, client, appendFrame(nil, frameReadinessQuery, 0, 0)) // what comes next is the answer to that
+	assert.Equal(t, frameReadinessReply, readFrame(t, r).kind)
+}
+
+// A connection that this side closes while a statement on it is owed an answer is recorded, but not one that its client has closed.
+func TestLostStatementIsRecorded(t *testing.T) {
+	for reason, recorded := range map[closeReason]int64{closeEvicted: 1, closeIdle: 1, closeByClient: 0} {
+		t.Run(string(reason), func(t *testing.T) {
+			server, handler, address := serve(t)
+			client := dial(t, address)
+			write(t, client, statementFrame(1))
+			conn := await(t, handler.statements)
+			conn.setCloseReason(reason)
+			require.NoError(t, conn.raw.Close())
+			assert.Equal(t, uint32(1), await(t, handler.cancelled))
+			assert.Equal(t, recorded, server.Violations.Recorded(invariant.NoLostRequest))
+		})
+	}
+}
+
+// What arrives on the connection of a client that is disconnected as too slow is rejected: it was not handled, so a retry is harmless.
+func TestStatementOfSlowClientIsRejected(t *testing.T) {
+	_, handler, address := serve(t)
+	client := dial(t, address)
+	write(t, client, statementFrame(1))
+	conn := await(t, handler.statements)
+	conn.mu.Lock()
+	conn.disconnectedAt = time.Now()
+	conn.mu.Unlock()
+	write(t, client, statementFrame(2))
+	got := readFrame(t, bufio.NewReader(client))
+	assert.Equal(t, frameAnswer, got.kind)
+	assert.Equal(t, uint32(2), got.stream)
+	assert.Equal(t, CodeRejected, Code(got.payload[0]))
+	assert.Empty(t, handler.statements)
+}
+
+// Large frames that are not complete share a bounded memory, and give it back.
+func TestLargeFramesShareMemory(t *testing.T) {
+	const memory = maxFrameLength + 100
+	server := newTestServer(nopHandler{}, memory)
+	address := listenAndServe(t, server)
+	begin := appendFrame(nil, frameStatement, 1, maxFrameLength-minFrameLength)
+	first := dial(t, address)
+	write(t, first, begin)
+	require.Eventually(t, func() bool { return server.frameMemory.Load() < memory }, eventTimeout, time.Millisecond)
+	second := dial(t, address)
+	write(t, second, begin)
+	received, err := io.ReadAll(second)
+	require.NoError(t, err)
+	assert.Contains(t, string(received), errNoFrameMemory.Error())
+	first.Close()
+	require.Eventually(t, func() bool { return server.frameMemory.Load() == memory }, eventTimeout, time.Millisecond)
+}
--- a/internal/downstream/frame.go
+++ b/internal/downstream/frame.go
@@ -1,21 +1,21 @@
-// Package front speaks with clients: binary frames over TCP, and the connections that carry them.
 package downstream
 
 import (
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"slices"
 )
 
-// The types of frame, by the protocol's numbers.
+// frameType is the type byte of a frame, by the protocol's numbers.
+type frameType byte
+
 const (
-	frameReadinessQuery = 1
-	frameReadinessReply = 2
-	frameDraining       = 3
-	frameStatement      = 7
-	frameAnswer         = 8
-	frameCancel         = 9
+	frameReadinessQuery frameType = 1 // client: may statements be sent?
+	frameReadinessReply frameType = 2 // router: its answer, a code
+	frameDraining       frameType = 3 // router: send no new statements on this connection
+	frameStatement      frameType = 7 // client: a statement on a new stream
+	frameAnswer         frameType = 8 // router: the answer of a stream, or on stream 0 an error of the connection
+	frameCancel         frameType = 9 // client: the answer of a stream is not awaited any more
 )
 
 // Code is the first byte of an answer.
@@ -23,70 +23,59 @@
 
 // The codes of an answer.
 const (
-	CodeCompleted Code = 20
-	CodeRejected  Code = 50
-	CodeAborted   Code = 51
+	CodeCompleted Code = 20 // the statement ran; the body is its result
+	CodeRejected  Code = 50 // the statement never ran; the body is the reason
+	CodeAborted   Code = 51 // whether the statement ran is not known; the body is the reason
 )
 
+// A frame is its length (4 bytes, big-endian, of all that follows), its type (1 byte), its stream (4 bytes) and a payload.
 const (
-	lengthBytes    = 4 // the length
-	minFrameLength = 5 // type and stream
-	maxFrameLength = 262144
+	lengthBytes     = 4
+	frameHeadBytes  = lengthBytes + minFrameLength
+	minFrameLength  = 5 // type and stream
+	maxFrameLength  = 262144
+	answerHeadBytes = 2 // code, and the number of fields
 )
 
-// ErrFraming tells that the connection's framing is lost.
+// ErrFraming tells that a frame's length is outside the limits, after which the beginning of the next frame is not known.
 var ErrFraming = errors.New("frame length outside the limits")
 
 var errFieldsTruncated = errors.New("fields are cut short")
 
-// frame is one frame; its payload is good until the next read.
+// duplicateFieldError tells that a frame names a field twice.
+type duplicateFieldError struct{ name string }
+
+func (e *duplicateFieldError) Error() string { return fmt.Sprintf("field %q stands twice", e.name) }
+
+// frame is one frame; its payload is valid until the next read.
 type frame struct {
-	kind    byte
+	kind    frameType
 	stream  uint32
 	payload []byte
 }
 
-// parseFrame reads the first frame and tells its size; size 0: it is not whole yet.
+// parseFrame reads the first frame and returns its size in bytes; size 0: the frame is not complete yet. The only error is ErrFraming.
 func parseFrame(raw []byte) (f frame, size int, err error) {
 	if len(raw) < lengthBytes {
-		return f, 0, nil
+		return frame{}, 0, nil
 	}
 	length := binary.BigEndian.Uint32(raw)
 	if length < minFrameLength || length > maxFrameLength {
-		return f, 0, fmt.Errorf("%w: %d", ErrFraming, length)
+		return frame{}, 0, fmt.Errorf("%w: %d", ErrFraming, length)
 	}
-	if size = lengthBytes + int(length); len(raw) < size {
-		return f, 0, nil
+	size = lengthBytes + int(length)
+	if len(raw) < size {
+		return frame{}, 0, nil
 	}
-	return frame{raw[4], binary.BigEndian.Uint32(raw[5:]), raw[9:size]}, size, nil
-}
-
-// leftIn is the streams that nobody waits for any more, by the whole frames in what was read and what follows it.
-func cancelledStreams(read, next []byte) (streams []uint32) {
-	for {
-		head := read // of the frame that begins in read and may end in next
-		if len(head) < lengthBytes+minFrameLength {
-			head = slices.Concat(read, next[:min(len(next), lengthBytes+minFrameLength-len(read))])
-		}
-		size := claimedFrameSize(head)
-		if len(head) < lengthBytes+minFrameLength || size < lengthBytes+minFrameLength || size > lengthBytes+maxFrameLength || size > len(read)+len(next) {
-			return streams
-		}
-		if head[lengthBytes] == frameCancel {
-			streams = append(streams, binary.BigEndian.Uint32(head[lengthBytes+1:]))
-		}
-		if size < len(read) {
-			read = read[size:]
-		} else {
-			read, next = next[size-len(read):], nil
-		}
+	f = frame{
+		kind:    frameType(raw[lengthBytes]),
+		stream:  binary.BigEndian.Uint32(raw[lengthBytes+1:]),
+		payload: raw[frameHeadBytes:size],
 	}
+	return f, size, nil
 }
 
-// Fields are the named values of a frame.
-type Fields map[string]string
-
-// frameSize is the size of the frame that begins here, as it claims; 0: not known yet.
+// claimedFrameSize is the size in bytes of the frame that begins here, as it claims; 0: not known yet.
 func claimedFrameSize(raw []byte) int {
 	if len(raw) < lengthBytes {
 		return 0
@@ -94,38 +83,60 @@
 	return lengthBytes + int(binary.BigEndian.Uint32(raw))
 }
 
-// parseFields reads the fields at the start of a payload and returns what follows them.
-func parseFields(raw []byte) (Fields, []byte, error) {
-	if len(raw) < 1 {
+// Fields are the named values of a frame.
+type Fields map[string]string
+
+// parseFields reads the fields at the start of a payload and returns what follows them. A field is its name behind one byte
+// of length and its value behind two.
+func parseFields(payload []byte) (Fields, []byte, error) {
+	if len(payload) < 1 {
 		return nil, nil, errFieldsTruncated
 	}
-	count, raw := int(raw[0]), raw[1:]
+	count := int(payload[0])
+	rest := payload[1:]
 	fields := make(Fields, count)
 	for range count {
-		if len(raw) < 1 || len(raw) < 1+int(raw[0])+2 {
-			return nil, nil, errFieldsTruncated
-		}
-		name, rest := string(raw[1:1+int(raw[0])]), raw[1+int(raw[0]):]
-		size := int(binary.BigEndian.Uint16(rest))
-		if rest = rest[2:]; len(rest) < size {
-			return nil, nil, errFieldsTruncated
+		name, value, after, err := cutField(rest)
+		if err != nil {
+			return nil, nil, err
 		}
-		if _, twice := fields[name]; twice {
-			return nil, nil, fmt.Errorf("field %q stands twice", name)
+		if _, duplicate := fields[name]; duplicate {
+			return nil, nil, &duplicateFieldError{name}
 		}
-		fields[name], raw = string(rest[:size]), rest[size:]
+		fields[name] = value
+		rest = after
+	}
+	return fields, rest, nil
+}
+
+// cutField reads one field and returns what follows it.
+func cutField(raw []byte) (name, value string, after []byte, err error) {
+	const valueLengthBytes = 2
+	if len(raw) < 1 {
+		return "", "", nil, errFieldsTruncated
+	}
+	nameEnd := 1 + int(raw[0])
+	if len(raw) < nameEnd+valueLengthBytes {
+		return "", "", nil, errFieldsTruncated
+	}
+	valueLength := int(binary.BigEndian.Uint16(raw[nameEnd:]))
+	after = raw[nameEnd+valueLengthBytes:]
+	if len(after) < valueLength {
+		return "", "", nil, errFieldsTruncated
 	}
-	return fields, raw, nil
+	return string(raw[1:nameEnd]), string(after[:valueLength]), after[valueLength:], nil
 }
 
-// appendFrame writes a frame's length, type and stream before a payload of so many bytes.
-func appendFrame(to []byte, kind byte, stream uint32, payload int) []byte {
-	to = binary.BigEndian.AppendUint32(to, uint32(minFrameLength+payload))
-	return binary.BigEndian.AppendUint32(append(to, kind), stream)
+// appendFrame appends the length, type and stream of a frame whose payload has payloadBytes; the payload is left to the caller.
+func appendFrame(to []byte, kind frameType, stream uint32, payloadBytes int) []byte {
+	to = binary.BigEndian.AppendUint32(to, uint32(minFrameLength+payloadBytes))
+	to = append(to, byte(kind))
+	return binary.BigEndian.AppendUint32(to, stream)
 }
 
-// appendAnswer writes a code, no fields and a body.
-func appendAnswer(to []byte, kind byte, stream uint32, code Code, body []byte) []byte {
-	to = appendFrame(to, kind, stream, 2+len(body))
-	return append(append(to, byte(code), 0), body...)
+// appendAnswer appends a frame with a code, no fields and a body.
+func appendAnswer(to []byte, kind frameType, stream uint32, code Code, body []byte) []byte {
+	to = appendFrame(to, kind, stream, answerHeadBytes+len(body))
+	to = append(to, byte(code), 0)
+	return append(to, body...)
 }
--- /dev/null
+++ b/internal/downstream/harness_test.go
@@ -0,0 +1,168 @@
+package downstream
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+
+	"bankledge/internal/flowcontrol"
+)
+
+const (
+	// eventTimeout bounds what must happen; nothing takes so long when all is well.
+	eventTimeout = 10 * time.Second
+	// slowClientTimeout is the least time before a client that reads nothing is disconnected, which cancels its streams.
+	slowClientTimeout = 8 * time.Second
+
+	maxTestConnections = 10
+)
+
+// nopHandler ignores what it is told.
+type nopHandler struct{}
+
+func (nopHandler) HandleStatement(*Conn, uint32, Fields, []byte) bool { return true }
+func (nopHandler) HandleCancel(*Conn, []uint32)                       {}
+func (nopHandler) HandleBackpressure(*Conn, bool)                     {}
+func (nopHandler) AbortOpenStatements(*Conn, string)                  {}
+func (nopHandler) Ready() bool                                        { return true }
+
+// chanHandler passes what it is told to a test, which answers by hand.
+type chanHandler struct {
+	nopHandler
+	statements   chan *Conn
+	cancelled    chan uint32
+	queries      chan struct{}               // for readiness
+	beforeCancel atomic.Pointer[func(*Conn)] // called before a cancel is passed on
+}
+
+func newChanHandler() *chanHandler {
+	return &chanHandler{
+		statements: make(chan *Conn, 100),
+		cancelled:  make(chan uint32, 100),
+		queries:    make(chan struct{}, 100),
+	}
+}
+
+func (h *chanHandler) Ready() bool {
+	h.queries <- struct{}{}
+	return true
+}
+
+func (h *chanHandler) HandleStatement(c *Conn, _ uint32, _ Fields, _ []byte) bool {
+	h.statements <- c
+	return true
+}
+
+func (h *chanHandler) HandleCancel(c *Conn, streams []uint32) {
+	if hook := h.beforeCancel.Load(); hook != nil {
+		(*hook)(c)
+	}
+	for _, stream := range streams {
+		h.cancelled <- stream
+	}
+}
+
+func newTestServer(handler Handler, frameMemory int64) *Server {
+	return New(handler, maxTestConnections, frameMemory, flowcontrol.DeriveLimits(64, maxTestConnections), zap.NewNop())
+}
+
+// listenAndServe serves on a port of loopback until the test ends, and returns the address.
+func listenAndServe(t *testing.T, server *Server) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- server.Serve(ctx, listener) }()
+	t.Cleanup(func() {
+		cancel()
+		listener.Close()
+		require.NoError(t, <-ended)
+	})
+	return listener.Addr().String()
+}
+
+func serve(t *testing.T) (*Server, *chanHandler, string) {
+	t.Helper()
+	handler := newChanHandler()
+	server := newTestServer(handler, 1<<20)
+	return server, handler, listenAndServe(t, server)
+}
+
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	return dialWith(t, net.Dialer{}, address)
+}
+
+// dialSmallBuffer dials with a receive buffer so small that the kernel does not take in what the client does not read.
+func dialSmallBuffer(t *testing.T, address string) net.Conn {
+	t.Helper()
+	return dialWith(t, net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2048) })
+	}}, address)
+}
+
+func dialWith(t *testing.T, dialer net.Dialer, address string) net.Conn {
+	t.Helper()
+	conn, err := dialer.Dial("tcp", address)
+	require.NoError(t, err)
+	t.Cleanup(func() { conn.Close() })
+	require.NoError(t, conn.SetDeadline(time.Now().Add(eventTimeout)))
+	return conn
+}
+
+func await[T any](t *testing.T, events <-chan T) (event T) {
+	t.Helper()
+	select {
+	case event = <-events:
+	case <-time.After(eventTimeout):
+		t.Fatal("it did not happen")
+	}
+	return event
+}
+
+func write(t *testing.T, conn net.Conn, frames ...[]byte) {
+	t.Helper()
+	var all []byte
+	for _, frame := range frames {
+		all = append(all, frame...)
+	}
+	_, err := conn.Write(all)
+	require.NoError(t, err)
+}
+
+func statementFrame(stream uint32) []byte {
+	return append(appendFrame(nil, frameStatement, stream, 2), "\x00x"...)
+}
+
+func cancelFrame(stream uint32) []byte { return appendFrame(nil, frameCancel, stream, 0) }
+
+func readFrame(t *testing.T, r *bufio.Reader) frame {
+	t.Helper()
+	head := make([]byte, lengthBytes)
+	_, err := io.ReadFull(r, head)
+	require.NoError(t, err)
+	raw := append(head, make([]byte, claimedFrameSize(head)-lengthBytes)...)
+	_, err = io.ReadFull(r, raw[lengthBytes:])
+	require.NoError(t, err)
+	f, _, err := parseFrame(raw)
+	require.NoError(t, err)
+	return f
+}
+
+// reset closes a connection with a reset: the kernel drops what it has sent.
+func reset(conn net.Conn) {
+	conn.(*net.TCPConn).SetLinger(0)
+	conn.Close()
+}
+
+func closeWrite(conn net.Conn) { conn.(*net.TCPConn).CloseWrite() }
--- /dev/null
+++ b/internal/downstream/stream.go
@@ -0,0 +1,165 @@
+package downstream
+
+import (
+	"errors"
+	"time"
+)
+
+const (
+	maxOpenStatements    = 32   // of a connection
+	maxOutOfOrderStreams = 1024 // that are remembered of a connection
+)
+
+// streamState is whether the client still waits for an open stream's answer.
+type streamState int
+
+const (
+	streamAwaited streamState = iota
+	streamCancelled
+)
+
+// handleFrame handles a complete frame.
+func (c *Conn) handleFrame(f frame) {
+	c.mu.Lock()
+	c.hasSentFrame = true
+	c.mu.Unlock()
+	switch f.kind {
+	case frameReadinessQuery:
+		c.handleReadinessQuery(f.stream)
+	case frameCancel:
+		c.cancelStream(f.stream)
+	case frameStatement:
+		c.handleStatement(f)
+	default:
+		c.sendConnError(&frameTypeError{f.kind})
+	}
+}
+
+func (c *Conn) handleReadinessQuery(stream uint32) {
+	code := CodeRejected
+	if c.server.handler.Ready() {
+		code = CodeCompleted
+	}
+	c.enqueue(appendAnswer(nil, frameReadinessReply, stream, code, nil), 0)
+}
+
+// handleStatement opens the statement's stream and hands it to the handler. A statement whose stream is not new cannot be answered on
+// it, so that is an error of the connection; any other that is not handled is rejected.
+func (c *Conn) handleStatement(f frame) {
+	var used *streamUsedError
+	err := c.openStream(f.stream)
+	switch {
+	case errors.Is(err, errConnEnded):
+		return
+	case errors.As(err, &used):
+		c.sendConnError(err)
+		return
+	case err != nil:
+		c.countInvalidFrame()
+		c.enqueue(appendAnswer(nil, frameAnswer, f.stream, CodeRejected, []byte(err.Error())), 0)
+		return
+	}
+	fields, text, err := parseFields(f.payload)
+	if err != nil {
+		c.countInvalidFrame()
+		c.Answer(f.stream, CodeRejected, []byte(err.Error()))
+		return
+	}
+	if !c.server.handler.HandleStatement(c, f.stream, fields, text) {
+		c.countInvalidFrame()
+	}
+}
+
+// openStream opens a stream. It returns errConnEnded, a streamUsedError, or, for a stream that is new but not opened, errClientTooSlow
+// or errTooManyOpen.
+func (c *Conn) openStream(stream uint32) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.ended {
+		return errConnEnded
+	}
+	if !c.usedStreams.add(stream) {
+		return &streamUsedError{stream}
+	}
+	if !c.disconnectedAt.IsZero() { // it ends soon, but what arrives before that is owed an answer
+		return errClientTooSlow
+	}
+	if len(c.openStreams)-c.answersQueued >= maxOpenStatements { // a client may know of an answer before its write returns here
+		return errTooManyOpen
+	}
+	c.openStreams[stream] = streamAwaited
+	return nil
+}
+
+// cancelStream notes that the client does not wait for a stream any more; a second time it has no effect.
+func (c *Conn) cancelStream(stream uint32) {
+	if c.markCancelled(stream) {
+		c.server.handler.HandleCancel(c, []uint32{stream})
+	}
+}
+
+// markCancelled returns whether the stream was open and awaited.
+func (c *Conn) markCancelled(stream uint32) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, open := c.openStreams[stream]
+	if !open || state == streamCancelled {
+		return false
+	}
+	c.openStreams[stream] = streamCancelled
+	return true
+}
+
+// CloseStream ends a stream for which no answer is owed.
+func (c *Conn) CloseStream(stream uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deleteStream(stream)
+}
+
+// deleteStream is called with mu held.
+func (c *Conn) deleteStream(stream uint32) {
+	delete(c.openStreams, stream)
+	c.idleSince = time.Now()
+}
+
+func (c *Conn) hasOpenStreams() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.openStreams) > 0
+}
+
+func (c *Conn) countInvalidFrame() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.invalidFrames++
+}
+
+func (c *Conn) invalidFrameCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.invalidFrames
+}
+
+// streamSet remembers in bounded memory which streams were used. Clients use them in ascending order, more or less.
+type streamSet struct {
+	upTo       uint32          // all streams up to this one are used
+	outOfOrder map[uint32]bool // and these above it
+}
+
+// add marks a stream as used, and returns whether it was new. Stream 0 is never new.
+func (s *streamSet) add(stream uint32) (isNew bool) {
+	if stream <= s.upTo || s.outOfOrder[stream] {
+		return false
+	}
+	s.outOfOrder[stream] = true
+	if len(s.outOfOrder) > maxOutOfOrderStreams { // streams below that were left out count as used
+		clear(s.outOfOrder)
+		s.upTo = max(s.upTo, stream)
+	}
+	for s.outOfOrder[s.upTo+1] {
+		s.upTo++
+		delete(s.outOfOrder, s.upTo)
+	}
+	return true
+}
--- a/internal/downstream/wire_test.go
+++ b/internal/downstream/wire_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/binary"
 	"encoding/hex"
 	"flag"
@@ -14,31 +13,29 @@
 	"slices"
 	"strconv"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
-	"golang.org/x/sys/unix"
 
 	"bankledge/internal/flowcontrol"
 )
 
 var update = flag.Bool("update", false, "rewrite the received frames of testdata/wire")
 
-// wireEvents is a handler that hands all it is told to a transcript, as text.
-type wireEvents struct {
+// wireHandler is a handler that hands all it is told to a transcript, as text.
+type wireHandler struct {
 	events    chan string
 	conns     chan *Conn
 	ready     chan bool
 	abortOpen []uint32 // streams that an abort of what is open answers
 }
 
-func (w *wireEvents) Ready() bool { return <-w.ready }
+func (w *wireHandler) Ready() bool { return <-w.ready }
 
-func (w *wireEvents) HandleStatement(c *Conn, stream uint32, fields Fields, text []byte) bool {
+func (w *wireHandler) HandleStatement(c *Conn, stream uint32, fields Fields, text []byte) bool {
 	w.conns <- c
 	told := string(text)
 	if len(told) > 100 {
@@ -48,18 +45,18 @@
 	return string(text) != "unfit"
 }
 
-func (w *wireEvents) HandleCancel(_ *Conn, streams []uint32) {
+func (w *wireHandler) HandleCancel(_ *Conn, streams []uint32) {
 	slices.Sort(streams)
 	w.events <- fmt.Sprintf("cancel %d", streams)
 }
 
-func (w *wireEvents) HandleBackpressure(_ *Conn, stalled bool) {}
+func (w *wireHandler) HandleBackpressure(_ *Conn, stalled bool) {}
 
-func (w *wireEvents) AbortOpenStatements(c *Conn, why string) {
+func (w *wireHandler) AbortOpenStatements(c *Conn, reason string) {
 	for _, stream := range w.abortOpen {
-		c.Answer(stream, CodeAborted, []byte(why))
+		c.Answer(stream, CodeAborted, []byte(reason))
 	}
-	w.events <- "abort " + strconv.Quote(why)
+	w.events <- "abort " + strconv.Quote(reason)
 }
 
 // TestWireTranscripts plays the exchanges of testdata/wire, byte for byte. A line of a transcript is a step:
@@ -86,20 +83,24 @@
 			raw, err := os.ReadFile(file)
 			require.NoError(t, err)
 			lines := strings.Split(string(raw), "\n")
-			p := &wirePlay{t: t}
+			player := &wirePlayer{t: t}
 			for i, line := range lines {
-				step, comment, _ := strings.Cut(line, " #")
-				if step = strings.TrimSpace(step); step == "" || step[0] == '#' {
+				step, comment, commented := strings.Cut(line, " #")
+				step = strings.TrimSpace(step)
+				if step == "" || step[0] == '#' {
 					continue
 				}
-				if got := p.step(step); *update && got != "" {
-					lines[i] = got
-					if comment != "" {
-						lines[i] += " #" + comment
-					}
-				} else if got != "" {
+				got := player.play(step)
+				if got == "" {
+					continue
+				}
+				if !*update {
 					require.Equal(t, step, got, "line %d of %s", i+1, file)
 				}
+				lines[i] = got
+				if commented {
+					lines[i] += " #" + comment
+				}
 			}
 			if *update {
 				require.NoError(t, os.WriteFile(file, []byte(strings.Join(lines, "\n")), 0o644))
@@ -108,149 +109,157 @@
 	}
 }
 
-// wirePlay plays one transcript.
-type wirePlay struct {
+// wirePlayer plays one transcript.
+type wirePlayer struct {
 	t       *testing.T
 	server  *Server
-	handler *wireEvents
+	handler *wireHandler
 	address string
-	client  net.Conn
-	conn    *Conn
+	client  net.Conn // the latest
+	conn    *Conn    // of the latest statement
 }
 
-// step plays a step, and returns what the step should have been if it tells of something that the server does.
-func (p *wirePlay) step(line string) string {
-	t := p.t
-	t.Helper()
-	name, rest, _ := strings.Cut(line, " ")
+// play plays a step. If it is one of what the server does, it returns what the step should have been.
+func (p *wirePlayer) play(step string) string {
+	p.t.Helper()
+	name, rest, _ := strings.Cut(step, " ")
+	if name == "limits" {
+		p.serveWithLimits(strings.Fields(rest))
+		return ""
+	}
 	if p.server == nil {
-		limits, room := flowcontrol.DeriveLimits(64, 10), int64(1<<20)
-		if name == "limits" {
-			words := strings.Fields(rest)
-			room, limits.AnswerBytes = int64(p.number(words[0])), int64(p.number(words[1]))
-			var err error
-			limits.ReadGrace, err = time.ParseDuration(words[2])
-			require.NoError(t, err)
-			limits.ReadWindow, err = time.ParseDuration(words[3])
-			require.NoError(t, err)
-		}
-		p.serve(room, limits)
-		if name == "limits" {
-			return ""
-		}
+		p.serve(1<<20, flowcontrol.DeriveLimits(64, maxTestConnections))
 	}
 	if p.client == nil && name != "connect" {
 		p.connect(false)
 	}
-	switch words := strings.Fields(rest); name {
+	switch name {
 	case "send":
-		text, times, repeated := strings.Cut(rest, "*")
-		n := 1
-		if repeated {
-			n = p.number(times)
-		}
-		raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
-		require.NoError(t, err)
-		_, err = p.client.Write(bytes.Repeat(raw, n))
-		require.NoError(t, err)
+		p.send(rest)
 	case "receive":
 		return "receive " + p.receive()
 	case "eof":
 		n, err := p.client.Read(make([]byte, 1))
-		assert.Zero(t, n)
-		require.ErrorIs(t, err, io.EOF)
+		assert.Zero(p.t, n)
+		require.ErrorIs(p.t, err, io.EOF)
 	case "closewrite":
-		require.NoError(t, p.client.(*net.TCPConn).CloseWrite())
+		closeWrite(p.client)
 	case "connect":
 		p.connect(rest == "small")
 	case "ready":
 		p.handler.ready <- rest == "true"
 	case "event":
-		got := await(t, p.handler.events)
-		if strings.HasPrefix(got, "statement") {
-			p.conn = await(t, p.handler.conns)
-		}
-		return "event " + got
+		return "event " + p.event()
 	case "answer":
-		quoted, times, repeated := strings.Cut(strings.Join(words[2:], " "), "*")
-		body, err := strconv.Unquote(strings.TrimSpace(quoted))
-		require.NoError(t, err)
-		if repeated {
-			body = strings.Repeat(body, p.number(times))
-		}
-		p.conn.Answer(uint32(p.number(words[0])), Code(p.number(words[1])), []byte(body))
+		p.answer(rest)
 	case "closestream":
 		p.conn.CloseStream(uint32(p.number(rest)))
 	case "aborts":
-		for _, stream := range words {
+		for _, stream := range strings.Fields(rest) {
 			p.handler.abortOpen = append(p.handler.abortOpen, uint32(p.number(stream)))
 		}
 	case "drain":
 		p.server.StartDraining()
 	default:
-		t.Fatalf("unknown step %q", line)
+		p.t.Fatalf("unknown step %q", step)
 	}
 	return ""
 }
 
-func (p *wirePlay) serve(room int64, limits flowcontrol.Limits) {
-	p.handler = &wireEvents{events: make(chan string, 100), conns: make(chan *Conn, 100), ready: make(chan bool, 100)}
-	p.server = New(p.handler, 10, room, limits, zap.NewNop())
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(p.t, err)
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- p.server.Serve(ctx, listener) }()
-	p.t.Cleanup(func() {
-		cancel()
-		listener.Close()
-		require.NoError(p.t, <-ended)
-	})
-	p.address = listener.Addr().String()
+func (p *wirePlayer) serveWithLimits(words []string) {
+	limits := flowcontrol.DeriveLimits(64, maxTestConnections)
+	limits.AnswerBytes = int64(p.number(words[1]))
+	limits.ReadGrace = p.duration(words[2])
+	limits.ReadWindow = p.duration(words[3])
+	p.serve(int64(p.number(words[0])), limits)
 }
 
-func (p *wirePlay) connect(small bool) {
-	dialer := net.Dialer{}
-	if small { // else its kernel takes in what it does not read
-		dialer.Control = func(_, _ string, raw syscall.RawConn) error {
-			return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 2048) })
-		}
+func (p *wirePlayer) serve(frameMemory int64, limits flowcontrol.Limits) {
+	p.handler = &wireHandler{
+		events: make(chan string, 100),
+		conns:  make(chan *Conn, 100),
+		ready:  make(chan bool, 100),
 	}
-	client, err := dialer.Dial("tcp", p.address)
+	p.server = New(p.handler, maxTestConnections, frameMemory, limits, zap.NewNop())
+	p.address = listenAndServe(p.t, p.server)
+}
+
+func (p *wirePlayer) connect(smallBuffer bool) {
+	if smallBuffer {
+		p.client = dialSmallBuffer(p.t, p.address)
+	} else {
+		p.client = dial(p.t, p.address)
+	}
+	require.NoError(p.t, p.client.SetDeadline(time.Now().Add(6*eventTimeout)))
+}
+
+func (p *wirePlayer) send(text string) {
+	text, times := p.cutRepetition(text)
+	raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	require.NoError(p.t, err)
-	p.t.Cleanup(func() { client.Close() })
-	require.NoError(p.t, client.SetDeadline(time.Now().Add(6*patience)))
-	p.client = client
+	write(p.t, p.client, bytes.Repeat(raw, times))
+}
+
+func (p *wirePlayer) answer(text string) {
+	words := strings.SplitN(text, " ", 3)
+	quoted, times := p.cutRepetition(words[2])
+	body, err := strconv.Unquote(quoted)
+	require.NoError(p.t, err)
+	p.conn.Answer(uint32(p.number(words[0])), Code(p.number(words[1])), []byte(strings.Repeat(body, times)))
+}
+
+// event is what the handler is told next.
+func (p *wirePlayer) event() string {
+	event := await(p.t, p.handler.events)
+	if strings.HasPrefix(event, "statement") {
+		p.conn = await(p.t, p.handler.conns)
+	}
+	return event
 }
 
 // receive reads one frame and returns it in hex: its length, its type, its stream, and its payload, of which a long one is cut to
 // its beginning and its size.
-func (p *wirePlay) receive() string {
+func (p *wirePlayer) receive() string {
 	p.t.Helper()
-	raw := make([]byte, 9)
-	_, err := io.ReadFull(p.client, raw)
+	head := make([]byte, frameHeadBytes)
+	_, err := io.ReadFull(p.client, head)
 	require.NoError(p.t, err)
-	payload := make([]byte, binary.BigEndian.Uint32(raw)-5)
+	payload := make([]byte, binary.BigEndian.Uint32(head)-minFrameLength)
 	_, err = io.ReadFull(p.client, payload)
 	require.NoError(p.t, err)
-	text := fmt.Sprintf("%x %x %x", raw[:4], raw[4], raw[5:])
-	if len(payload) > 1000 {
+	text := fmt.Sprintf("%x %x %x", head[:4], head[4], head[5:])
+	switch {
+	case len(payload) > 1000:
 		for _, b := range payload[2:] {
 			require.Equal(p.t, payload[2], b)
 		}
 		return fmt.Sprintf("%s %x %x and so on, %d", text, payload[:2], payload[2:3], len(payload))
+	case len(payload) > 1:
+		return fmt.Sprintf("%s %x %x %q", text, payload[:1], payload[1:2], payload[2:])
 	}
-	if len(payload) > 0 {
-		text += fmt.Sprintf(" %x", payload[:1])
-	}
-	if len(payload) > 1 {
-		text += fmt.Sprintf(" %x %q", payload[1:2], payload[2:])
-	}
+	require.Empty(p.t, payload)
 	return text
 }
 
-func (p *wirePlay) number(text string) int {
+// cutRepetition cuts "TEXT * N" into its parts; N is 1 if it is left out.
+func (p *wirePlayer) cutRepetition(text string) (string, int) {
+	text, times, repeated := strings.Cut(text, "*")
+	if !repeated {
+		return text, 1
+	}
+	return strings.TrimSpace(text), p.number(times)
+}
+
+func (p *wirePlayer) number(text string) int {
+	p.t.Helper()
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	require.NoError(p.t, err)
 	return n
 }
+
+func (p *wirePlayer) duration(text string) time.Duration {
+	p.t.Helper()
+	d, err := time.ParseDuration(text)
+	require.NoError(p.t, err)
+	return d
+}
--- a/internal/logevent/fields.go
+++ b/internal/logevent/fields.go
@@ -1,6 +1,7 @@
 package logevent
 
 import (
+	"net"
 	"runtime/debug"
 	"time"
 
@@ -22,6 +23,7 @@
 	KeyPanic     = "panic"
 	KeyStack     = "stack"
 	KeyListen    = "listen"
+	KeyClient    = "client"
 )
 
 // RequestID is the id that the client gave its request.
@@ -39,6 +41,9 @@
 // Reason says why something was done.
 func Reason[T ~string](reason T) zap.Field { return zap.String(KeyReason, string(reason)) }
 
+// Client is the address of a client's connection.
+func Client(address net.Addr) zap.Field { return zap.Stringer(KeyClient, address) }
+
 // Outcome is how an attempt ended.
 func Outcome(outcome decision.Outcome) zap.Field { return zap.Stringer(KeyOutcome, outcome) }
 
--- a/internal/logevent/fields_test.go
+++ b/internal/logevent/fields_test.go
@@ -1,6 +1,7 @@
 package logevent
 
 import (
+	"net"
 	"testing"
 	"time"
 
@@ -26,6 +27,7 @@
 		{Outcome(decision.Completed), "outcome", "completed"},
 		{Duration(1500 * time.Microsecond), "duration_ms", 1.5},
 		{Milliseconds("left_ms", time.Second), "left_ms", 1000.0},
+		{Client(&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 9}), "client", "127.0.0.1:9"},
 		{Message("text"), "message", "text"},
 		{Panic("value"), "panic", "value"},
 	} {
