--- a/internal/fingerprint/shapes_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -12,22 +12,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trace is accesses to 300 usual shapes by Zipf, with a share of shapes that come once; usual ones are below 300.
-func trace(n int, oneOff float64) []uint64 {
-	r := rand.New(rand.NewPCG(3, 3))
-	zipf := rand.NewZipf(r, 1.1, 5, 299)
-	list := make([]uint64, n)
-	for i := range list {
-		if list[i] = zipf.Uint64(); r.Float64() < oneOff {
-			list[i] = 1000 + uint64(i)
+// usualFingerprints is how many fingerprints of a trace come again and again; they have the lowest numbers.
+const usualFingerprints = 300
+
+// newTrace returns accesses to the usual fingerprints by Zipf's law, with a share of fingerprints that come once.
+func newTrace(accesses int, oneOffShare float64) []uint64 {
+	random := rand.New(rand.NewPCG(3, 3))
+	zipf := rand.NewZipf(random, 1.1, 5, usualFingerprints-1)
+	trace := make([]uint64, accesses)
+	for i := range trace {
+		trace[i] = zipf.Uint64()
+		if random.Float64() < oneOffShare {
+			trace[i] = 1000 + uint64(i)
 		}
 	}
-	return list
+	return trace
 }
 
-func spread(shape uint64) uint64 { return (shape + 1) * 0x9E3779B97F4A7C15 }
+// hashOf spreads a trace's numbers over all bits, as fingerprints are.
+func hashOf(number uint64) uint64 { return (number + 1) * 0x9E3779B97F4A7C15 }
 
-// store is a cache to measure: it returns a shape's record, or nil, and takes a new one.
+// store is a cache to measure: it returns a fingerprint's record, or nil, and adds a new one.
 type store struct {
 	get func(uint64) *Record
 	add func(uint64)
@@ -59,47 +64,48 @@
 	}
 }
 
-// hits plays a trace and returns the share of usual shapes that were known, and those after their first sight.
-func hits(s store, trace []uint64) float64 {
-	known, usual := 0, 0
-	for _, shape := range trace {
-		k := spread(shape)
-		r := s.get(k)
-		if shape < 300 {
-			if usual++; r != nil {
-				known++
+// hitRate plays a trace and returns the share of accesses to usual fingerprints that found a record.
+func hitRate(s store, trace []uint64) float64 {
+	found, usual := 0, 0
+	for _, number := range trace {
+		fingerprint := hashOf(number)
+		record := s.get(fingerprint)
+		if number < usualFingerprints {
+			usual++
+			if record != nil {
+				found++
 			}
 		}
-		if r == nil {
-			s.add(k)
+		if record == nil {
+			s.add(fingerprint)
 		}
 	}
-	return float64(known) / float64(usual)
+	return float64(found) / float64(usual)
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// A flood of a million shapes that come once does not push out the usual ones, nor grow.
+// A flood of a million fingerprints that come once does not evict the usual ones, and does not grow the cache.
 func TestFloodOfOneOffs(t *testing.T) {
 	n := 1_250_000 // four of five are one-offs
 	if testing.Short() {
 		n /= 10
 	}
-	flood, calm := trace(n, 0.8), trace(30_000, 0)
+	flood, calm := newTrace(n, 0.8), newTrace(30_000, 0)
 	for name, open := range stores() {
-		s, before := open(), heap()
+		s, before := open(), heapBytes()
 		began := time.Now()
-		rate := hits(s, flood)
-		took, grown := time.Since(began), heap()-min(before, heap())
-		t.Logf("%-10s usual shapes known under the flood %.4f, calm %.4f, %d kB, %v an access", name, rate, hits(open(), calm), grown>>10, took/time.Duration(n))
+		rate := hitRate(s, flood)
+		took, grown := time.Since(began), heapBytes()-min(before, heapBytes())
+		t.Logf("%-10s usual fingerprints found under the flood %.4f, calm %.4f, %d kB, %v an access", name, rate, hitRate(open(), calm), grown>>10, took/time.Duration(n))
 		if name == "tinylfu" {
 			assert.GreaterOrEqual(t, rate, 0.95)
-			assert.GreaterOrEqual(t, hits(open(), calm), 0.98)
+			assert.GreaterOrEqual(t, hitRate(open(), calm), 0.98)
 			assert.Less(t, grown, uint64(3<<20/2))
 		}
 		runtime.KeepAlive(s)
@@ -108,18 +114,18 @@
 
 // What a full cache holds is what its size in bytes says.
 func TestRecordBytes(t *testing.T) {
-	before := heap()
+	before := heapBytes()
 	c := NewCache(4 << 20)
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 60 * c.Size() {
-		shape := spread(uint64(r.IntN(c.Size())))
-		c.Lookup(shape)
-		rec := c.RecordFor(shape)
+		fingerprint := hashOf(uint64(r.IntN(c.Size())))
+		c.Lookup(fingerprint)
+		rec := c.RecordFor(fingerprint)
 		rec.AddRun(0, r.IntN(3), math.Exp(r.NormFloat64()), 1)
 		rec.Memory.Add(r.NormFloat64())
 	}
-	each := float64(heap()-before) / float64(c.Size())
-	t.Logf("%.0f bytes a shape", each)
+	each := float64(heapBytes()-before) / float64(c.Size())
+	t.Logf("%.0f bytes a fingerprint", each)
 	assert.Less(t, each, float64(RecordBytes))
 	runtime.KeepAlive(c)
 }
@@ -136,7 +142,7 @@
 	}
 	assert.InDelta(t, -3, s.Quantile(0.5), 0.2)
 	assert.InDelta(t, 0.5, s.Spread(), 0.2)
-	for range 2 * generation {
+	for range 2 * generationSize {
 		s.Add(2)
 	}
 	assert.Equal(t, 2.0, s.Quantile(0.1), "what is two generations old is forgotten")
@@ -185,32 +191,32 @@
 		}
 		assert.Equal(t, []float64{16, 8, 4}, []float64{rec.Runs(time.Hour), rec.Runs(2 * time.Hour), rec.Runs(3 * time.Hour)})
 	})
-	t.Run("workloads beyond those told apart teach the shape all the same", func(t *testing.T) {
+	t.Run("workloads beyond those told apart teach the fingerprint all the same", func(t *testing.T) {
 		rec := &Record{}
-		rec.AddRun(0, mostCells, 1, 1)
+		rec.AddRun(0, maxWorkloads, 1, 1)
 		rec.AddRun(0, 1<<30, math.Inf(1), 0)
-		assert.Nil(t, rec.RunTimesOf(mostCells))
+		assert.Nil(t, rec.RunTimesOf(maxWorkloads))
 		assert.Equal(t, 1.0, rec.Run.N())
 	})
 }
 
-func BenchmarkMet(b *testing.B) {
-	calm := trace(30_000, 0)
+func BenchmarkLookup(b *testing.B) {
+	calm := newTrace(30_000, 0)
 	for name, open := range stores() {
 		b.Run(name, func(b *testing.B) {
 			s := open()
-			hits(s, calm)
+			hitRate(s, calm)
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				s.get(spread(calm[i%len(calm)]))
+				s.get(hashOf(calm[i%len(calm)]))
 				i++
 			}
 		})
 	}
 }
 
-func BenchmarkRan(b *testing.B) {
+func BenchmarkAddRun(b *testing.B) {
 	r, rec := rand.New(rand.NewPCG(1, 1)), &Record{}
 	b.ReportAllocs()
 	for b.Loop() {
