--- a/cmd/bankledge-faultlab/crowd.go
+++ b/cmd/bankledge-faultlab/crowd.go
@@ -38,7 +38,7 @@
 	}
 	ctx, cancel := interrupted()
 	defer cancel()
-	f, err := faultlab.Crowd{Control: program, Members: c.Members, Routers: c.Routers, Seconds: c.Seconds, Every: c.Every, Dir: dir}.Run(ctx)
+	f, err := faultlab.ControlBenchmark{Program: program, Members: c.Members, Routers: c.Routers, Seconds: c.Seconds, VersionInterval: c.Every, Dir: dir}.Run(ctx)
 	if err != nil {
 		return err
 	}
@@ -46,11 +46,11 @@
 		return json.NewEncoder(os.Stdout).Encode(f)
 	}
 	fmt.Printf("%d routers, a group of %d, %d versions\n", f.Routers, c.Members, f.Versions)
-	fmt.Printf("from propose to its number: p50 %v, p99 %v\n", f.WrittenP50, f.WrittenP99)
-	fmt.Printf("until a router acts on it in force: p50 %v, p99 %v; until the last one does: p50 %v, p99 %v\n", f.ActsP50, f.ActsP99, f.AllP50, f.AllP99)
+	fmt.Printf("from propose to its number: p50 %v, p99 %v\n", f.CommitP50, f.CommitP99)
+	fmt.Printf("until a router acts on it in force: p50 %v, p99 %v; until the last one does: p50 %v, p99 %v\n", f.ApplyP50, f.ApplyP99, f.ConvergeP50, f.ConvergeP99)
 	fmt.Printf("the leader takes %.3f of a core idle, %.3f with a version each %v; %.0f MB resident\n", f.IdleCPU, f.BusyCPU, c.Every, f.ResidentMB)
 	fmt.Printf("bytes a second and router, read and written by the group's calls: %.0f idle, %.0f with versions\n", f.IdleBytes, f.BusyBytes)
-	fmt.Printf("leader killed: no proposal for %v, %.2f of the routers had a term then\n", f.Outage.Round(time.Millisecond), f.TermsMeanwhile)
-	fmt.Printf("all processes killed and started again once no router had a term: all have one %v later\n", f.Back.Round(time.Millisecond))
+	fmt.Printf("leader killed: no proposal for %v, %.2f of the routers had a term then\n", f.Outage.Round(time.Millisecond), f.LeasedDuringOutage)
+	fmt.Printf("all processes killed and started again once no router had a term: all have one %v later\n", f.RecoveryTime.Round(time.Millisecond))
 	return nil
 }
--- a/cmd/bankledge-faultlab/group.go
+++ b/cmd/bankledge-faultlab/group.go
@@ -52,7 +52,7 @@
 		drop()
 		return o, nil, fmt.Errorf("the control service does not build: %s", strings.TrimSpace(string(out)))
 	}
-	return faultlab.Options{Program: router, Control: control}, drop, nil
+	return faultlab.Options{RouterProgram: router, ControlProgram: control}, drop, nil
 }
 
 // groupSums is what came of all schedules.
@@ -83,13 +83,13 @@
 	ctx, cancel := interrupted()
 	defer cancel()
 	var mu sync.Mutex
-	sum := groupSums{T: faultlab.GroupSpans.MaxContradiction()}
+	sum := groupSums{T: faultlab.GroupDurations.MaxContradiction()}
 	var longest plotter.Values
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(1, c.Parallel))
 	for i := range c.Count {
 		g.Go(func() error {
-			s, with := faultlab.DrawGroup(c.From+i, c.Seconds), o
+			s, with := faultlab.GenerateGroupSchedule(c.From+i, c.Seconds), o
 			if c.Logs != "" {
 				with.Dir = filepath.Join(c.Logs, strings.ReplaceAll(s.Name, " ", "-"))
 			}
@@ -97,14 +97,14 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", s.Name, err)
 			}
-			a := faultlab.Agreement(h)
+			a := faultlab.CheckConsistency(h)
 			mu.Lock()
 			defer mu.Unlock()
 			sum.Schedules++
-			sum.Worst, sum.Loosened, sum.Pairs, sum.Versions, sum.Terms = max(sum.Worst, a.Worst), max(sum.Loosened, a.Loosened), sum.Pairs+a.Pairs, sum.Versions+a.Versions, sum.Terms+a.Terms
-			longest = append(longest, a.Worst.Seconds())
+			sum.Worst, sum.Loosened, sum.Pairs, sum.Versions, sum.Terms = max(sum.Worst, a.LongestContradiction), max(sum.Loosened, a.LongestEarlyLoosening), sum.Pairs+a.Contradictions, sum.Versions+a.Versions, sum.Terms+a.LeasedShare
+			longest = append(longest, a.LongestContradiction.Seconds())
 			over := false
-			for _, b := range a.Breaches {
+			for _, b := range a.Violations {
 				over = over || b.Auditor == "contradiction"
 				sum.Breaches = append(sum.Breaches, fmt.Sprintf("%s: %s at %v: %s", s.Name, b.Auditor, b.At, b.Text))
 			}
--- a/cmd/bankledge-faultlab/group_test.go
+++ b/cmd/bankledge-faultlab/group_test.go
@@ -19,18 +19,18 @@
 	control := filepath.Join(t.TempDir(), "bankledge-control")
 	out, err := exec.Command("go", "build", "-o", control, "../bankledge-control").CombinedOutput()
 	require.NoError(t, err, string(out))
-	return faultlab.Options{Program: router(t), Control: control}
+	return faultlab.Options{RouterProgram: router(t), ControlProgram: control}
 }
 
 const atOnce = 3 // plays of a control group: they ask for little of the machine
 
 // playGroup plays a schedule with processes of the control service and of the router, and has the auditors of agreement judge.
-func playGroup(t *testing.T, o faultlab.Options, s *faultlab.Schedule) faultlab.Contradictions {
+func playGroup(t *testing.T, o faultlab.Options, s *faultlab.Schedule) faultlab.ConsistencyReport {
 	h, err := faultlab.Play(context.Background(), s, o)
 	require.NoError(t, err)
-	c := faultlab.Agreement(h)
-	t.Logf("%d versions, longest contradiction %v of T %v (looser %v), %d pairs, terms %.2f, %v", c.Versions, c.Worst, faultlab.GroupSpans.MaxContradiction(), c.Loosened, c.Pairs, c.Terms, s.Faults)
-	for _, b := range c.Breaches {
+	c := faultlab.CheckConsistency(h)
+	t.Logf("%d versions, longest contradiction %v of T %v (looser %v), %d pairs, terms %.2f, %v", c.Versions, c.LongestContradiction, faultlab.GroupDurations.MaxContradiction(), c.LongestEarlyLoosening, c.Contradictions, c.LeasedShare, s.Faults)
+	for _, b := range c.Violations {
 		t.Errorf("%s, at %v: %s", b.Auditor, b.At, b.Text)
 	}
 	for _, b := range faultlab.Audit(h) {
@@ -47,7 +47,7 @@
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	o, turn := programs(t), make(chan struct{}, atOnce)
 	for seed := range uint64(n) {
-		s := faultlab.DrawGroup(seed+1, 7)
+		s := faultlab.GenerateGroupSchedule(seed+1, 7)
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
 			turn <- struct{}{}
@@ -90,11 +90,11 @@
 			t.Parallel()
 			turn <- struct{}{}
 			defer func() { <-turn }()
-			s := &faultlab.Schedule{Name: name, Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, Busiest: 1, Control: 3, Every: c.every, Faults: c.faults}
+			s := &faultlab.Schedule{Name: name, Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, BusiestFactor: 1, ControlMembers: 3, VersionInterval: c.every, Faults: c.faults}
 			got := playGroup(t, o, s)
 			assert.Greater(t, got.Versions, 5)
-			assert.GreaterOrEqual(t, got.Terms, c.terms)
-			assert.NotZero(t, got.Pairs, "there was something to bound")
+			assert.GreaterOrEqual(t, got.LeasedShare, c.terms)
+			assert.NotZero(t, got.Contradictions, "there was something to bound")
 		})
 	}
 }
@@ -110,11 +110,11 @@
 	o, drop, err := buildAll(pushEdits)
 	require.NoError(t, err)
 	defer drop()
-	s := &faultlab.Schedule{Name: "push", Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, Busiest: 1, Control: 3, Every: 0.2,
+	s := &faultlab.Schedule{Name: "push", Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, BusiestFactor: 1, ControlMembers: 3, VersionInterval: 0.2,
 		Faults: []faultlab.Fault{{Kind: "group-cut", At: 2, For: 3.5, Routers: []int{0, 1}, Members: []int{0, 1, 2}}}}
 	h, err := faultlab.Play(context.Background(), s, o)
 	require.NoError(t, err)
-	c := faultlab.Agreement(h)
-	assert.Greater(t, c.Worst, faultlab.GroupSpans.MaxContradiction())
-	assert.NotEmpty(t, c.Breaches)
+	c := faultlab.CheckConsistency(h)
+	assert.Greater(t, c.LongestContradiction, faultlab.GroupDurations.MaxContradiction())
+	assert.NotEmpty(t, c.Violations)
 }
--- a/cmd/bankledge-faultlab/main.go
+++ b/cmd/bankledge-faultlab/main.go
@@ -63,7 +63,7 @@
 
 // play plays one schedule.
 func (c *common) play(ctx context.Context, program, label string, s *faultlab.Schedule) (faultlab.Outcome, error) {
-	o := faultlab.Options{Program: program}
+	o := faultlab.Options{RouterProgram: program}
 	if c.Logs != "" {
 		o.Dir = filepath.Join(c.Logs, label, strings.ReplaceAll(s.Name, " ", "-"))
 	}
@@ -82,7 +82,7 @@
 			return faultlab.Outcome{}, err
 		}
 	}
-	return faultlab.Outcome{Label: label, Schedule: s, Figures: faultlab.Measure(h), Breaches: faultlab.Audit(h)}, nil
+	return faultlab.Outcome{Label: label, Schedule: s, Metrics: faultlab.Measure(h), Violations: faultlab.Audit(h)}, nil
 }
 
 func interrupted() (context.Context, context.CancelFunc) {
@@ -99,7 +99,7 @@
 		fmt.Print(faultlab.Markdown(outcomes))
 	}
 	for _, o := range outcomes {
-		if len(o.Breaches) > 0 {
+		if len(o.Violations) > 0 {
 			return errBreach
 		}
 	}
@@ -114,7 +114,7 @@
 
 func (s seeds) schedules() (list []*faultlab.Schedule) {
 	for i := range s.Count {
-		list = append(list, faultlab.Draw(s.From+i, s.Seconds))
+		list = append(list, faultlab.GenerateSchedule(s.From+i, s.Seconds))
 	}
 	return list
 }
@@ -149,11 +149,11 @@
 	defer drop()
 	var outcomes []faultlab.Outcome
 	for seed := s.From; seed < s.From+s.Count; seed++ {
-		o, err := s.play(ctx, program, "soak", faultlab.DrawSoak(seed, s.Seconds))
+		o, err := s.play(ctx, program, "soak", faultlab.GenerateSoakSchedule(seed, s.Seconds))
 		if err != nil {
 			return err
 		}
-		o.Breaches = slices.DeleteFunc(o.Breaches, func(b faultlab.Breach) bool { return !faultlab.IsInvariant(b.Auditor) })
+		o.Violations = slices.DeleteFunc(o.Violations, func(b faultlab.Violation) bool { return !faultlab.IsInvariant(b.Auditor) })
 		outcomes = append(outcomes, o)
 	}
 	return s.say(outcomes)
@@ -220,7 +220,7 @@
 
 // Run plays a schedule from a file.
 func (r *replay) Run() error {
-	s, err := faultlab.Load(r.File)
+	s, err := faultlab.LoadSchedule(r.File)
 	if err != nil {
 		return err
 	}
@@ -241,7 +241,7 @@
 
 // Run cuts a schedule down.
 func (r *shrink) Run() error {
-	s, err := faultlab.Load(r.File)
+	s, err := faultlab.LoadSchedule(r.File)
 	if err != nil {
 		return err
 	}
@@ -255,7 +255,7 @@
 	fails := func(s *faultlab.Schedule) bool {
 		for range r.Tries {
 			o, err := r.play(ctx, program, "shrink", s)
-			for _, b := range o.Breaches {
+			for _, b := range o.Violations {
 				if err == nil && (r.Auditor == "" || b.Auditor == r.Auditor) {
 					return true
 				}
@@ -276,12 +276,12 @@
 // Run lists what there is.
 func (kinds) Run() error {
 	fmt.Println("Faults:")
-	for _, line := range faultlab.Kinds() {
+	for _, line := range faultlab.FaultKinds() {
 		fmt.Println("  " + line)
 	}
 	fmt.Println("Auditors:")
 	for _, a := range faultlab.Auditors {
-		fmt.Printf("  %s: %s\n", a.Name, a.What)
+		fmt.Printf("  %s: %s\n", a.Name, a.Description)
 	}
 	return nil
 }
--- a/cmd/bankledge-faultlab/main_test.go
+++ b/cmd/bankledge-faultlab/main_test.go
@@ -39,9 +39,9 @@
 	defer goleak.VerifyNone(t)
 	program := router(t)
 	for seed := range uint64(n) {
-		s := faultlab.Draw(seed+1, 7)
+		s := faultlab.GenerateSchedule(seed+1, 7)
 		t.Run(s.Name, func(t *testing.T) {
-			h, err := faultlab.Play(context.Background(), s, faultlab.Options{Program: program})
+			h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
 			require.NoError(t, err)
 			f := faultlab.Measure(h)
 			t.Logf("%d statements, %.3f in time, %v", f.Statements, f.InTime, s.Faults)
@@ -79,17 +79,17 @@
 			{Kind: "kill", At: 3, For: 1, Routers: []int{2, 3}}, {Kind: "cut-there", At: 2.5, For: 1.5, Routers: []int{4, 5}, Engines: half}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &faultlab.Schedule{Name: name, Seed: 1, Routers: 9, Engines: 8, Seconds: 7, Load: c.load, Tries: 2, Busiest: 1, Faults: c.faults}
-			h, err := faultlab.Play(context.Background(), s, faultlab.Options{Program: program})
+			s := &faultlab.Schedule{Name: name, Seed: 1, Routers: 9, Engines: 8, Seconds: 7, Load: c.load, Retries: 2, BusiestFactor: 1, Faults: c.faults}
+			h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
 			require.NoError(t, err)
 			killed, woken, back := 0, 0, 0
 			for _, e := range h.Events {
 				switch {
-				case e.What == faultlab.Down && e.Text == "kill":
+				case e.Kind == faultlab.RouterDown && e.Text == "kill":
 					killed++
-				case e.What == faultlab.Up && e.Text == "stop":
+				case e.Kind == faultlab.RouterUp && e.Text == "stop":
 					woken++
-				case e.What == faultlab.Up:
+				case e.Kind == faultlab.RouterUp:
 					back++
 				}
 			}
@@ -112,8 +112,8 @@
 	defer goleak.VerifyNone(t)
 	program := router(t)
 	for seed := range uint64((n + 1) / 2) {
-		s := faultlab.DrawSoak(602+seed, 15) // without the mends of the incident of wall-clock steps, 602 broke a rule
-		h, err := faultlab.Play(context.Background(), s, faultlab.Options{Program: program})
+		s := faultlab.GenerateSoakSchedule(602+seed, 15) // without the mends of the incident of wall-clock steps, 602 broke a rule
+		h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
 		require.NoError(t, err)
 		assert.Greater(t, faultlab.Measure(h).InTime, 0.2, s.Name)
 		for _, b := range faultlab.Audit(h) {
--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -309,16 +309,16 @@
 		}
 		found := ""
 		for i := range c.Times {
-			s := &faultlab.Schedule{Name: m.name, Seed: uint64(i + 1), Routers: 9, Engines: 8, Seconds: 12, Load: m.load, Tries: 2, Busiest: 1, Faults: m.faults}
+			s := &faultlab.Schedule{Name: m.name, Seed: uint64(i + 1), Routers: 9, Engines: 8, Seconds: 12, Load: m.load, Retries: 2, BusiestFactor: 1, Faults: m.faults}
 			if m.auditor == "one at a time" || m.auditor == "left" {
-				s.Work, s.Patience, s.Leavers = mutantWork, mutantPatience, 0.2
+				s.WorkFactor, s.PatienceFactor, s.CancelShare = mutantWork, mutantPatience, 0.2
 			}
 			o, err := c.play(ctx, program, "mutant", s)
 			if err != nil {
 				drop()
 				return err
 			}
-			for _, b := range o.Breaches {
+			for _, b := range o.Violations {
 				if b.Auditor == m.auditor && found == "" {
 					found = fmt.Sprintf("seed %d, at %v: %s", s.Seed, b.At, b.Text)
 				}
--- a/cmd/bankledge/main_test.go
+++ b/cmd/bankledge/main_test.go
@@ -49,8 +49,8 @@
 type step = fakes.Step
 
 var (
-	says, done, pages, raw, after = fakes.Says, fakes.Done, fakes.Pages, fakes.Raw, fakes.After
-	breaks, silent                = step(fakes.Breaks), step(fakes.Silent)
+	says, done, pages, raw, after = fakes.Respond, fakes.RespondResult, fakes.RespondPage, fakes.RespondRaw, fakes.RespondAfter
+	breaks, silent                = step(fakes.ResetConnection), step(fakes.Hang)
 )
 
 func newEngine(t *testing.T, id string, script map[string][]step) *engine {
@@ -63,7 +63,7 @@
 	t.Helper()
 	for late := time.After(patience); ; {
 		select {
-		case heard := <-e.Heard():
+		case heard := <-e.Calls():
 			if strings.HasPrefix(heard, call) {
 				return heard
 			}
@@ -78,8 +78,8 @@
 	copies = good + "X-Batches: 1\r\nContent-Length: 4\r\n\r\none\n" + good + "X-Batches: 1\r\nContent-Length: 4\r\n\r\none\n"
 )
 
-func newControl(t *testing.T) *fakes.Control {
-	f := fakes.NewControl()
+func newControl(t *testing.T) *fakes.ControlFeed {
+	f := fakes.NewControlFeed()
 	t.Cleanup(f.Close)
 	return f
 }
@@ -124,7 +124,7 @@
 	"feedback":{"fields":["concurrent","load_share"],"via":"inline"},"guarantees":{"drainGrace":1000000},
 	"machineTypes":["k"],"orgs":[{"name":"acme","quotaPerS":100}],"tick":1000,"zone":"z"}`
 
-func writeConfig(t *testing.T, f *fakes.Control, sockets int, engines ...*engine) string {
+func writeConfig(t *testing.T, f *fakes.ControlFeed, sockets int, engines ...*engine) string {
 	var members []string
 	for _, e := range engines {
 		members = append(members, member(e, "active"))
@@ -135,7 +135,7 @@
 }
 
 // start starts the program and waits until it is ready. Its address comes from its log.
-func start(t *testing.T, f *fakes.Control, sockets int, engines ...*engine) *router {
+func start(t *testing.T, f *fakes.ControlFeed, sockets int, engines ...*engine) *router {
 	r := &router{cmd: exec.Command(program, "serve"), config: writeConfig(t, f, sockets, engines...), log: &lockedLog{}, ended: make(chan error, 1)}
 	r.cmd.Env = append(os.Environ(), "LB_CONFIG="+r.config)
 	r.run(t)
@@ -308,7 +308,7 @@
 				conn.send(7, n, statement(c.workload, int(n), "h", strconv.Itoa(int(10*n))))
 				_, stream, code, body := conn.read()
 				require.Equal(t, n, stream)
-				if one.Count("POST") == 0 && n < 50 {
+				if one.CallCount("POST") == 0 && n < 50 {
 					require.Equal(t, byte(20), code)
 					continue
 				}
@@ -316,10 +316,10 @@
 				break
 			}
 			if c.posts >= 0 {
-				assert.Equal(t, c.posts, one.Count("POST"))
+				assert.Equal(t, c.posts, one.CallCount("POST"))
 			}
 			if c.deletes >= 0 {
-				assert.Equal(t, c.deletes, one.Count("DELETE"))
+				assert.Equal(t, c.deletes, one.CallCount("DELETE"))
 			}
 		})
 	}
@@ -373,7 +373,7 @@
 			conn = dial(t, r)
 			conn.send(7, 1, statement("lookup", 2))
 			conn.answer(1, 20, "next\n")
-			assert.Equal(t, 2, e.Count("POST"))
+			assert.Equal(t, 2, e.CallCount("POST"))
 		})
 	}
 }
@@ -439,19 +439,19 @@
 	three := newEngine(t, "three", map[string][]step{"POST": {done("three\n")}})
 	f := newControl(t)
 	c := dial(t, start(t, f, 256, one, two))
-	assert.Equal(t, "1", <-f.Asked)
+	assert.Equal(t, "1", <-f.LastEventIDs)
 	f.Events <- "id: 2\ndata: {\"n\":2,\ndata: \"members\":{\"members\":[" + member(one, "leaving") + "]}}\n\n"
 	f.Events <- ""
-	assert.Equal(t, "2", <-f.Asked, "asks on from the last")
+	assert.Equal(t, "2", <-f.LastEventIDs, "asks on from the last")
 	f.Events <- fmt.Sprintf("id: 3\ndata: {\"n\":3,\"members\":{\"members\":[%s,%s]}}\n\n", member(two, "left"), member(three, "active"))
 	f.Events <- ""
-	assert.Equal(t, "3", <-f.Asked)
-	before := one.Count("POST") + two.Count("POST")
+	assert.Equal(t, "3", <-f.LastEventIDs)
+	before := one.CallCount("POST") + two.CallCount("POST")
 	for n := range uint32(20) {
 		c.send(7, n+1, statement("lookup", int(n)))
 		c.answer(n+1, 20, "three\n")
 	}
-	assert.Equal(t, before, one.Count("POST")+two.Count("POST"), "nothing new goes to what drains or is gone")
+	assert.Equal(t, before, one.CallCount("POST")+two.CallCount("POST"), "nothing new goes to what drains or is gone")
 }
 
 // SIGHUP: the feed is followed at its new place from the number last taken, and nothing else is touched; a file
@@ -462,13 +462,13 @@
 	two := newEngine(t, "two", map[string][]step{"POST": {done("two\n")}})
 	before, now := newControl(t), newControl(t)
 	r := start(t, before, 256, one)
-	assert.Equal(t, "1", <-before.Asked)
+	assert.Equal(t, "1", <-before.LastEventIDs)
 	c := dial(t, r)
 	c.send(7, 1, statement("load", 1))
 	one.await(t, "GET 0")
 	before.Events <- "id: 2\ndata: {\"n\":2,\"members\":{\"members\":[" + member(one, "leaving") + "]}}\n\n"
 	before.Events <- ""
-	assert.Equal(t, "2", <-before.Asked)
+	assert.Equal(t, "2", <-before.LastEventIDs)
 
 	reload := func(path string, edit ...string) {
 		raw, err := os.ReadFile(path)
@@ -478,7 +478,7 @@
 	}
 	moved := writeConfig(t, now, 256, one)
 	reload(moved)
-	assert.Equal(t, "2", <-now.Asked, "goes on where it was")
+	assert.Equal(t, "2", <-now.LastEventIDs, "goes on where it was")
 	reload(moved, `"seed":"`, `"seed":"x`)
 	require.Eventually(t, func() bool { return strings.Contains(r.log.String(), "unfit") }, patience, time.Millisecond)
 	assert.Contains(t, r.log.String(), "seed: ")
--- a/cmd/bankledge/memory_test.go
+++ b/cmd/bankledge/memory_test.go
@@ -24,8 +24,8 @@
 		t.Skip("by hand: BANKLEDGE_BINARIES names programs to compare")
 	}
 	for _, binary := range strings.Split(binaries, ":") {
-		e := fakes.NewModel(64, func(string, string) (time.Duration, int) { return 100 * time.Microsecond, 1 })
-		feed := fakes.NewControl()
+		e := fakes.NewSimulatedEngine(64, func(string, string) (time.Duration, int) { return 100 * time.Microsecond, 1 })
+		feed := fakes.NewControlFeed()
 		config := filepath.Join(t.TempDir(), "config.json")
 		require.NoError(t, os.WriteFile(config, fakes.Config(feed.Server.Listener.Addr().String(), fakes.Settings, 32, 256,
 			fakes.Member("e", e.Server.Listener.Addr().String(), "active")), 0o600))
--- a/cmd/bankledge/slow_test.go
+++ b/cmd/bankledge/slow_test.go
@@ -28,7 +28,7 @@
 func startSlowBed(t *testing.T, binary string) *slowBed {
 	var members []string
 	for i := range 2 {
-		e := fakes.NewModel(64, func(string, string) (time.Duration, int) { return 2 * time.Millisecond, 1 })
+		e := fakes.NewSimulatedEngine(64, func(string, string) (time.Duration, int) { return 2 * time.Millisecond, 1 })
 		e.Rows = func(workload string) int {
 			if workload == "report" {
 				return 800
@@ -140,7 +140,7 @@
 		t.Logf("resident before %s, peak %d kB; %s", before, peak, figures)
 		ends, whole, answers, all := 0, 0, map[byte]int{}, 0
 		for _, s := range slow { // those that the router has ended have its last words on the way behind what they have not read
-			s.Rate(1 << 30)
+			s.SetRate(1 << 30)
 		}
 		late := time.After(2 * time.Second)
 		for _, s := range slow {
@@ -185,12 +185,12 @@
 	slow, silent, honest, pausing := group(4, 200), group(2, 0), group(2, 50_000), group(2, 50_000)
 	time.AfterFunc(time.Second, func() {
 		for _, s := range pausing {
-			s.Rate(0)
+			s.SetRate(0)
 		}
 	})
 	time.AfterFunc(4*time.Second, func() {
 		for _, s := range pausing {
-			s.Rate(50_000)
+			s.SetRate(50_000)
 		}
 	})
 	stop := make(chan struct{})
@@ -207,7 +207,7 @@
 	close(stop)
 	fast.Wait()
 	for _, s := range append(slow, silent...) { // what is on its way is read; then the connection is seen to have ended
-		s.Rate(1 << 30)
+		s.SetRate(1 << 30)
 		select {
 		case <-s.Ended():
 		case <-time.After(patience):
--- a/cmd/bankledge/stop_test.go
+++ b/cmd/bankledge/stop_test.go
@@ -32,7 +32,7 @@
 }
 
 // startOn is the same with engines as the control feed told of them.
-func startOn(t *testing.T, f *fakes.Control, settings string, members ...string) *router {
+func startOn(t *testing.T, f *fakes.ControlFeed, settings string, members ...string) *router {
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, fakes.Config(f.Server.Listener.Addr().String(), settings, 64, 256, members...), 0o600))
 	r := &router{cmd: exec.Command(program, "serve"), config: path, log: &lockedLog{}, ended: make(chan error, 1)}
@@ -72,7 +72,7 @@
 	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
 	r := startWith(t, shortest, e)
 	go func() { // it is heard thousands of times
-		for range e.Heard() {
+		for range e.Calls() {
 		}
 	}()
 	var wait sync.WaitGroup
@@ -136,9 +136,9 @@
 	}
 	for out := 0; out < 2; { // some are out at either
 		select {
-		case <-hung.Heard():
+		case <-hung.Calls():
 			out++
-		case <-well.Heard():
+		case <-well.Calls():
 			out++
 		case <-time.After(patience):
 			t.Fatal("nothing is sent")
@@ -262,7 +262,7 @@
 		codes[stream] = code
 	}
 	assert.Equal(t, map[uint32]byte{2: 50, 3: 20}, codes)
-	assert.Equal(t, 2, e.Count("POST"))
+	assert.Equal(t, 2, e.CallCount("POST"))
 	r.stop(t)
 	r.awaitEnd(t)
 }
@@ -279,9 +279,9 @@
 	const n = 30
 	for round := range uint32(3) {
 		r.holdUp(t)
-		phases, before := []string{"leaving", "active"}, drains.Count("POST")
+		phases, before := []string{"leaving", "active"}, drains.CallCount("POST")
 		if round == 1 {
-			phases, before = []string{"active", "leaving"}, well.Count("POST")
+			phases, before = []string{"active", "leaving"}, well.CallCount("POST")
 		}
 		members := []string{member(drains, phases[0]), member(well, phases[1])}
 		for i := range 500 { // which takes its time to read
@@ -299,9 +299,9 @@
 			_, _, code, body := c.read()
 			require.Equal(t, []any{byte(20), "fine\n"}, []any{code, body})
 		}
-		after := drains.Count("POST")
+		after := drains.CallCount("POST")
 		if round == 1 {
-			after = well.Count("POST")
+			after = well.CallCount("POST")
 		}
 		assert.Equal(t, before, after, "nothing new goes to the one that drains")
 	}
@@ -309,7 +309,7 @@
 
 // A connection comes up while the router stands, and its engine begins to drain: what waited for it is not sent there.
 func TestAConnectionThatCameUpWhileTheRouterStood(t *testing.T) {
-	listener, accept, err := fakes.NotUp()
+	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
 	defer listener.Close()
 	f, well := newControl(t), newEngine(t, "well", map[string][]step{"POST": {done("fine\n")}})
--- a/cmd/bankledge/wallclock_test.go
+++ b/cmd/bankledge/wallclock_test.go
@@ -23,7 +23,7 @@
 	dir := t.TempDir()
 	library, err := faultinject.Build(dir)
 	require.NoError(t, err)
-	host, err := faultinject.New(library, dir, "router")
+	host, err := faultinject.NewHost(library, dir, "router")
 	require.NoError(t, err)
 	r := &router{cmd: exec.Command(program, "serve"), config: writeConfig(t, newControl(t), 256, engines...), log: &lockedLog{}, ended: make(chan error, 1)}
 	r.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+r.config, "LB_LOG_LEVEL=debug"), host.Environment(false)...)
@@ -85,7 +85,7 @@
 			first := await(t, f.began)
 			host.StepWallClock(by)
 			await(t, f.second)
-			assert.Positive(t, first.Count("DELETE"), "the first engine was not told to give it up")
+			assert.Positive(t, first.CallCount("DELETE"), "the first engine was not told to give it up")
 			c.answer(1, 20, "one\n")
 		})
 	}
--- a/internal/classify/mix_test.go
+++ b/internal/classify/mix_test.go
@@ -40,7 +40,7 @@
 		sight := new(Observation)
 		v := c.Classify(now, item.Declared, item.Estimate, item.MemoryMB, &built, sight)
 		after, _ := c.shapes.Counts()
-		t.confusion[item.True][v.Workload]++
+		t.confusion[item.Actual][v.Workload]++
 		warm := item.Shape >= 0 && seen[item.Shape] >= 20
 		if item.Shape >= 0 {
 			if seen[item.Shape] > 0 {
@@ -54,21 +54,21 @@
 			if warm {
 				t.warmTreated++
 			}
-			if v.Workload == item.True {
+			if v.Workload == item.Actual {
 				t.right++
 				if warm {
 					t.warmHit++
 				}
 			}
 		}
-		if item.Declared != item.True {
+		if item.Declared != item.Actual {
 			t.mislabelled++
 			if warm {
 				t.warmMis++
-				if v.Workload == item.True {
+				if v.Workload == item.Actual {
 					t.warmRight++
 				} else {
-					t.missed[fmt.Sprint(fakes.Workloads()[item.True].Name, " declared ", fakes.Workloads()[item.Declared].Name, ": ", v.Reason)]++
+					t.missed[fmt.Sprint(fakes.Workloads()[item.Actual].Name, " declared ", fakes.Workloads()[item.Declared].Name, ": ", v.Reason)]++
 				}
 			}
 		}
@@ -86,7 +86,7 @@
 		sums[item.Declared], counts[item.Declared] = sums[item.Declared]+item.Work.Seconds(), counts[item.Declared]+1
 		if learns { // engines are up to twice as slow for a while, and noisy
 			slow := 1.5 + 0.5*math.Sin(float64(i)/3000)
-			took := item.Work.Seconds() / float64(c.workloads[item.True].threads) * slow * math.Exp(0.15*r.NormFloat64())
+			took := item.Work.Seconds() / float64(c.workloads[item.Actual].threads) * slow * math.Exp(0.15*r.NormFloat64())
 			c.RecordEnd(now, sight, time.Duration(took*float64(time.Second)), true, 0)
 		}
 	}
@@ -161,7 +161,7 @@
 	bed, mix := newBed(), fakes.NewMix(11, fakes.MixOptions{Shapes: 300, EstimateOff: 1})
 	var texts [][]byte
 	for len(texts) < 20_000 {
-		if item := mix.Next(); item.True == fakes.Lookup {
+		if item := mix.Next(); item.Actual == fakes.Lookup {
 			texts = append(texts, item.Text)
 		}
 	}
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -54,7 +54,7 @@
 
 // Client is a connection that has many statements open at once.
 type Client struct {
-	Again func(stream uint32) // hears of a second answer; nil: nobody does
+	OnDuplicate func(stream uint32) // hears of a second answer; nil: nobody does
 
 	conn   net.Conn
 	mu     sync.Mutex
@@ -115,8 +115,8 @@
 			s.answer <- Answer{Code: downstream.Code(code), Body: body, Took: time.Since(s.at)}
 		} else if kind == typeAnswer && c.left[stream] {
 			delete(c.left, stream)
-		} else if kind == typeAnswer && stream > 0 && c.Again != nil {
-			c.Again(stream)
+		} else if kind == typeAnswer && stream > 0 && c.OnDuplicate != nil {
+			c.OnDuplicate(stream)
 		}
 		c.mu.Unlock()
 	}
@@ -134,7 +134,7 @@
 }
 
 // Leave says that nobody waits for a stream any more. No answer comes through its channel.
-func (c *Client) Leave(stream uint32) {
+func (c *Client) Cancel(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, open := c.open[stream]; open {
--- a/internal/fakes/control.go
+++ b/internal/fakes/control.go
@@ -11,18 +11,18 @@
 )
 
 // Control is a control feed.
-type Control struct {
-	Server *httptest.Server
-	Events chan string // to be told, as they are; "" ends the connection
-	Asked  chan string // Last-Event-ID of each connection
-	ended  chan struct{}
+type ControlFeed struct {
+	Server       *httptest.Server
+	Events       chan string // to be told, as they are; "" ends the connection
+	LastEventIDs chan string // Last-Event-ID of each connection
+	ended        chan struct{}
 }
 
 // NewControl starts one; it tells nothing but a comment each second until it is given events. Close ends it.
-func NewControl() *Control {
-	f := &Control{Events: make(chan string, 10), Asked: make(chan string, 100), ended: make(chan struct{})}
+func NewControlFeed() *ControlFeed {
+	f := &ControlFeed{Events: make(chan string, 10), LastEventIDs: make(chan string, 100), ended: make(chan struct{})}
 	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.Asked <- r.Header.Get("Last-Event-ID")
+		f.LastEventIDs <- r.Header.Get("Last-Event-ID")
 		for {
 			event := ":\n"
 			select {
@@ -44,7 +44,7 @@
 }
 
 // Close ends the feed and its connections, also one that a router makes anew meanwhile.
-func (f *Control) Close() {
+func (f *ControlFeed) Close() {
 	close(f.ended)
 	f.Server.CloseClientConnections()
 	f.Server.Close()
--- a/internal/fakes/engine.go
+++ b/internal/fakes/engine.go
@@ -71,7 +71,7 @@
 }
 
 // Count is how often a call has come.
-func (e *Engine) Count(call string) (n int) {
+func (e *Engine) CallCount(call string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.calls {
@@ -83,10 +83,10 @@
 }
 
 // Heard tells each call as it comes, with its workload and text.
-func (e *Engine) Heard() <-chan string { return e.heard }
+func (e *Engine) Calls() <-chan string { return e.heard }
 
 // Says answers with a status, a body and fields, which are pairs.
-func Says(status int, body string, fields ...string) Step {
+func Respond(status int, body string, fields ...string) Step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for i := 0; i < len(fields); i += 2 {
 			w.Header().Set(fields[i], fields[i+1])
@@ -97,19 +97,19 @@
 }
 
 // Done answers with a result of one page.
-func Done(body string) Step {
-	return Says(200, body, "X-Batches", "1", "X-Gauges", "inflight:1;util:0.1")
+func RespondResult(body string) Step {
+	return Respond(200, body, "X-Batches", "1", "X-Gauges", "inflight:1;util:0.1")
 }
 
 // Pages answers any page with its number.
-func Pages(body string) Step {
+func RespondPage(body string) Step {
 	return func(w http.ResponseWriter, r *http.Request) {
-		Says(200, body, "X-Batch", r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:])(w, r)
+		Respond(200, body, "X-Batch", r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:])(w, r)
 	}
 }
 
 // Raw writes bytes as they are and closes the connection.
-func Raw(bytes string) Step {
+func RespondRaw(bytes string) Step {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			io.WriteString(c, bytes)
@@ -119,7 +119,7 @@
 }
 
 // Breaks resets the connection.
-func Breaks(w http.ResponseWriter, _ *http.Request) {
+func ResetConnection(w http.ResponseWriter, _ *http.Request) {
 	if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
@@ -127,10 +127,10 @@
 }
 
 // Silent says nothing until the other side gives up the connection.
-func Silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+func Hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 // After answers once a channel is closed; until then there is no news.
-func After(open <-chan struct{}, then Step) Step {
+func RespondAfter(open <-chan struct{}, then Step) Step {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-open:
@@ -142,22 +142,22 @@
 }
 
 // Costs tells what a statement takes: work on one thread, and threads.
-type Costs func(workload, text string) (work time.Duration, threads int)
+type StatementCost func(workload, text string) (work time.Duration, threads int)
 
 // Model is an engine whose statements share its cores, each at most its threads, as costs say. Past so many threads a
 // core all of them slow down further. It answers when a statement has had its work.
-type Model struct {
-	Server *httptest.Server
-	Cores  float64
-	Thrash float64                   // threads a core beyond which work is lost to switching
-	Rows   func(workload string) int // of 60 bytes each, in a result; nil: one short row
-	Tell   func(ModelEvent)          // hears what happens there; nil: nobody does
-	Cold   Coldness                  // how it starts; the zero value: warm
-
-	Progress bool          // it tells the share done
-	Drop     time.Duration // what was not asked for so long is dropped; 0: nothing is
-
-	costs Costs
+type SimulatedEngine struct {
+	Server         *httptest.Server
+	Cores          float64
+	ThreadsPerCore float64                   // threads a core beyond which work is lost to switching
+	Rows           func(workload string) int // of 60 bytes each, in a result; nil: one short row
+	OnEvent        func(EngineEvent)         // hears what happens there; nil: nobody does
+	SlowStart      SlowStart                 // how it starts; the zero value: warm
+
+	ReportProgress bool          // it tells the share done
+	AbandonAfter   time.Duration // what was not asked for so long is dropped; 0: nothing is
+
+	costs StatementCost
 	mu    sync.Mutex
 	runs  map[string]*run
 	at    time.Time // up to which work is booked
@@ -172,21 +172,21 @@
 
 // Coldness is how an engine starts: with a share of its cores, all of them once it is warm. Sent more work in a window than so many
 // times what it can do then, it falls over and stays down.
-type Coldness struct {
-	Share, Multiple float64
-	Warm, Window    time.Duration
+type SlowStart struct {
+	InitialShare, MaxLoadFactor float64
+	WarmUpTime, Window          time.Duration
 }
 
 // ModelEvent is something that happened at a modelled engine: "start", "end", "cancel" or "drop" (of what had
 // no end), "probe" or "fell".
-type ModelEvent struct {
-	What, ID, Workload, Peer string        // Peer: the address that the call came from
+type EngineEvent struct {
+	Kind, ID, Workload, Peer string        // Peer: the address that the call came from
 	Work                     time.Duration // of a start, on one thread
-	Of                       float64       // of a start at a cold engine: work sent in the window over what it bears
+	ColdLoad                 float64       // of a start at a cold engine: work sent in the window over what it bears
 }
 
 // Slow has all that runs there take so many times as long from now on; errs has all that comes end with an error.
-func (m *Model) Slow(times float64, errs bool) {
+func (m *SimulatedEngine) Slow(times float64, errs bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.book()
@@ -195,31 +195,31 @@
 }
 
 // warmth is the share of its cores that it has.
-func (m *Model) warmth(now time.Time) float64 {
-	if m.Cold.Warm == 0 {
+func (m *SimulatedEngine) warmth(now time.Time) float64 {
+	if m.SlowStart.WarmUpTime == 0 {
 		return 1
 	}
-	return min(1, m.Cold.Share+(1-m.Cold.Share)*now.Sub(m.born).Seconds()/m.Cold.Warm.Seconds())
+	return min(1, m.SlowStart.InitialShare+(1-m.SlowStart.InitialShare)*now.Sub(m.born).Seconds()/m.SlowStart.WarmUpTime.Seconds())
 }
 
-func (m *Model) tell(e ModelEvent) {
-	if m.Tell != nil {
-		m.Tell(e)
+func (m *SimulatedEngine) tell(e EngineEvent) {
+	if m.OnEvent != nil {
+		m.OnEvent(e)
 	}
 }
 
 // falls tells how much work has been sent in the window, over what a cold engine bears; at more than one it falls over.
-func (m *Model) falls(work time.Duration) float64 {
+func (m *SimulatedEngine) falls(work time.Duration) float64 {
 	now := time.Now()
-	if m.warmth(now) >= 1 || m.Cold.Window == 0 {
+	if m.warmth(now) >= 1 || m.SlowStart.Window == 0 {
 		return 0
 	}
 	at := now.Sub(m.born)
 	m.sent.Add(at, work.Seconds())
-	of := m.sent.Since(at-m.Cold.Window) / (m.Cold.Multiple * m.warmth(now) * m.Cores * m.Cold.Window.Seconds())
+	of := m.sent.Since(at-m.SlowStart.Window) / (m.SlowStart.MaxLoadFactor * m.warmth(now) * m.Cores * m.SlowStart.Window.Seconds())
 	if of > 1 && !m.fell {
 		m.fell = true
-		m.tell(ModelEvent{What: "fell", Of: of})
+		m.tell(EngineEvent{Kind: "fell", ColdLoad: of})
 		go m.Close()
 	}
 	return of
@@ -252,22 +252,22 @@
 }
 
 // NewModel starts one. Close ends it.
-func NewModel(cores float64, costs Costs) *Model {
-	m := &Model{Cores: cores, Thrash: 2, costs: costs, runs: map[string]*run{}, at: time.Now(), born: time.Now()}
+func NewSimulatedEngine(cores float64, costs StatementCost) *SimulatedEngine {
+	m := &SimulatedEngine{Cores: cores, ThreadsPerCore: 2, costs: costs, runs: map[string]*run{}, at: time.Now(), born: time.Now()}
 	m.timer = time.AfterFunc(time.Hour, m.wake)
 	m.Server = httptest.NewServer(m)
 	return m
 }
 
 // Close ends the engine and its connections.
-func (m *Model) Close() {
+func (m *SimulatedEngine) Close() {
 	m.timer.Stop()
 	m.Server.CloseClientConnections()
 	m.Server.Close()
 }
 
 // Most is how many statements ran at once at most.
-func (m *Model) Most() int {
+func (m *SimulatedEngine) PeakConcurrency() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.most
@@ -279,7 +279,7 @@
 )
 
 // ServeHTTP answers one call.
-func (m *Model) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *SimulatedEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	text, _ := io.ReadAll(r.Body)
 	parts := strings.Split(r.URL.Path, "/")
 	switch {
@@ -290,7 +290,7 @@
 		m.book()
 		if x := m.runs[parts[2]]; x != nil {
 			if !x.ended {
-				m.tell(ModelEvent{What: "cancel", ID: parts[2], Workload: x.workload, Peer: r.RemoteAddr})
+				m.tell(EngineEvent{Kind: "cancel", ID: parts[2], Workload: x.workload, Peer: r.RemoteAddr})
 			}
 			x.ended = true
 			delete(m.runs, parts[2])
@@ -311,12 +311,12 @@
 		}
 		m.await(w, x)
 	default:
-		m.tell(ModelEvent{What: "probe", Peer: r.RemoteAddr})
+		m.tell(EngineEvent{Kind: "probe", Peer: r.RemoteAddr})
 		w.Header().Set("X-Gauges", m.gauges())
 	}
 }
 
-func (m *Model) await(w http.ResponseWriter, x *run) {
+func (m *SimulatedEngine) await(w http.ResponseWriter, x *run) {
 	if x == nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -344,7 +344,7 @@
 		io.WriteString(w, body)
 	case <-time.After(pollHeld):
 		w.Header().Set("X-Gauges", m.gauges())
-		if m.Progress {
+		if m.ReportProgress {
 			m.mu.Lock()
 			m.book()
 			w.Header().Set("X-How", "done")
@@ -355,7 +355,7 @@
 	}
 }
 
-func (m *Model) start(id, workload, text, peer string) *run {
+func (m *SimulatedEngine) start(id, workload, text, peer string) *run {
 	work, threads := m.costs(workload, text)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -364,7 +364,7 @@
 	if m.Rows != nil {
 		rows = m.Rows(workload)
 	}
-	m.tell(ModelEvent{What: "start", ID: id, Workload: workload, Peer: peer, Work: work, Of: m.falls(work)})
+	m.tell(EngineEvent{Kind: "start", ID: id, Workload: workload, Peer: peer, Work: work, ColdLoad: m.falls(work)})
 	x := &run{workload: workload, erred: m.errs, asked: m.at, work: max(work.Seconds(), 1e-9), left: work.Seconds(), rows: rows, threads: float64(threads), done: make(chan struct{})}
 	if x.erred {
 		x.left = 0
@@ -375,7 +375,7 @@
 }
 
 // book takes off the work done since the last change.
-func (m *Model) book() {
+func (m *SimulatedEngine) book() {
 	now := time.Now()
 	past, speed := now.Sub(m.at).Seconds(), m.speed()
 	m.at = now
@@ -387,7 +387,7 @@
 }
 
 // speed is the part of a core that each thread has.
-func (m *Model) speed() float64 {
+func (m *SimulatedEngine) speed() float64 {
 	threads := 0.0
 	for _, x := range m.runs {
 		if !x.ended {
@@ -398,27 +398,27 @@
 	if threads <= cores {
 		return 1 / slow
 	}
-	return cores / threads / max(1, threads/(cores*m.Thrash)) / slow
+	return cores / threads / max(1, threads/(cores*m.ThreadsPerCore)) / slow
 }
 
 // plan ends what has had its work, and wakes when the next one will have.
-func (m *Model) plan() {
+func (m *SimulatedEngine) plan() {
 	for id, x := range m.runs {
 		if !x.ended && x.left <= 1e-6 {
 			x.ended = true
-			m.tell(ModelEvent{What: "end", ID: id, Workload: x.workload})
+			m.tell(EngineEvent{Kind: "end", ID: id, Workload: x.workload})
 			close(x.done)
 			time.AfterFunc(2*time.Second, func() { m.forget(id, x) })
 		}
 	}
 	next, open, speed := time.Hour, 0, m.speed()
 	for id, x := range m.runs {
-		if m.Drop > 0 && !x.ended && x.asking == 0 {
-			next = min(next, x.asked.Add(m.Drop+time.Millisecond).Sub(m.at))
-			if m.at.Sub(x.asked) >= m.Drop {
+		if m.AbandonAfter > 0 && !x.ended && x.asking == 0 {
+			next = min(next, x.asked.Add(m.AbandonAfter+time.Millisecond).Sub(m.at))
+			if m.at.Sub(x.asked) >= m.AbandonAfter {
 				x.ended = true
 				delete(m.runs, id)
-				m.tell(ModelEvent{What: "drop", ID: id, Workload: x.workload})
+				m.tell(EngineEvent{Kind: "drop", ID: id, Workload: x.workload})
 			}
 		}
 	}
@@ -435,14 +435,14 @@
 	m.timer.Reset(next)
 }
 
-func (m *Model) wake() {
+func (m *SimulatedEngine) wake() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.book()
 	m.plan()
 }
 
-func (m *Model) forget(id string, x *run) {
+func (m *SimulatedEngine) forget(id string, x *run) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.runs[id] == x {
@@ -450,7 +450,7 @@
 	}
 }
 
-func (m *Model) gauges() string {
+func (m *SimulatedEngine) gauges() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	open, threads := 0, 0.0
--- a/internal/fakes/mix.go
+++ b/internal/fakes/mix.go
@@ -33,12 +33,12 @@
 
 // Item is one statement of a mix.
 type Item struct {
-	Declared, True decision.WorkloadID
-	Shape          int           // its number; -1: a shape of its own
-	Work           time.Duration // on one thread
-	Estimate       time.Duration // as declared
-	MemoryMB       float64       // as declared
-	Text           []byte
+	Declared, Actual decision.WorkloadID
+	Shape            int           // its number; -1: a shape of its own
+	Work             time.Duration // on one thread
+	Estimate         time.Duration // as declared
+	MemoryMB         float64       // as declared
+	Text             []byte
 }
 
 // MixOptions say how a mix is made.
@@ -190,7 +190,7 @@
 	if m.o.Bimodal && m.r.IntN(2) == 0 {
 		log += math.Log(bimodalFactor)
 	}
-	item := Item{Declared: s.workload, True: s.workload, Shape: n, Work: seconds(math.Exp(log)), MemoryMB: math.Exp(4 + 0.5*log + 0.3*m.normal.Rand()),
+	item := Item{Declared: s.workload, Actual: s.workload, Shape: n, Work: seconds(math.Exp(log)), MemoryMB: math.Exp(4 + 0.5*log + 0.3*m.normal.Rand()),
 		Estimate: seconds(math.Exp(log+estimateSpread*m.normal.Rand()) * max(s.off, 1e-3))}
 	if m.o.EstimateOff == 0 {
 		item.Estimate = seconds(math.Exp(log + estimateSpread*m.normal.Rand()))
@@ -201,7 +201,7 @@
 			item.Declared = Lookup
 		}
 	}
-	if m.o.Lies && item.Declared != item.True {
+	if m.o.Lies && item.Declared != item.Actual {
 		item.Estimate = seconds(mixMedian[item.Declared] * math.Exp(betweenShapes*m.normal.Rand()))
 	}
 	item.Text = m.literals(s.text)
--- a/internal/fakes/slow.go
+++ b/internal/fakes/slow.go
@@ -36,7 +36,7 @@
 }
 
 // Rate sets the bytes a second from now on.
-func (s *SlowReader) Rate(rate int64) { s.rate.Store(rate) }
+func (s *SlowReader) SetRate(rate int64) { s.rate.Store(rate) }
 
 // Send sends a statement on a stream.
 func (s *SlowReader) Send(stream uint32, fields map[string]string, text string) error {
--- a/internal/faultinject/hostfault.go
+++ b/internal/faultinject/hostfault.go
@@ -66,7 +66,7 @@
 }
 
 // New prepares a host whose control file lies in a folder. name sets it apart from others there.
-func New(library, dir, name string) (*Host, error) {
+func NewHost(library, dir, name string) (*Host, error) {
 	path := filepath.Join(dir, name+".hostfault")
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/faultinject/hostfault_test.go
+++ b/internal/faultinject/hostfault_test.go
@@ -79,7 +79,7 @@
 	dir := t.TempDir()
 	library, err := Build(dir)
 	require.NoError(t, err)
-	h, err := New(library, dir, "host")
+	h, err := NewHost(library, dir, "host")
 	require.NoError(t, err)
 	t.Cleanup(func() { h.Close() })
 	return h
--- a/internal/faultlab/agreed.go
+++ b/internal/faultlab/agreed.go
@@ -9,13 +9,13 @@
 )
 
 // Contradictions is what the auditors of agreement find in a history.
-type Contradictions struct {
-	Worst    time.Duration // that one router did what another, with a term, held to be forbidden
-	Pairs    int           // of rules that contradicted each other at some time
-	Loosened time.Duration // the longest that a router acted on something looser while another had a term on what came before
-	Versions int
-	Terms    float64 // share of the routers' time with a term, once the first version is in force
-	Breaches []Breach
+type ConsistencyReport struct {
+	LongestContradiction  time.Duration // that one router did what another, with a term, held to be forbidden
+	Contradictions        int           // of rules that contradicted each other at some time
+	LongestEarlyLoosening time.Duration // the longest that a router acted on something looser while another had a term on what came before
+	Versions              int
+	LeasedShare           float64 // share of the routers' time with a term, once the first version is in force
+	Violations            []Violation
 
 	since map[pair]time.Duration // something loosened early
 }
@@ -42,7 +42,7 @@
 )
 
 // Agreement goes through a history and compares, at each change, what all routers act on with what those that have a term go by.
-func Agreement(h *History) (c Contradictions) {
+func CheckConsistency(h *History) (c ConsistencyReport) {
 	c.since = map[pair]time.Duration{}
 	by := map[uint64]*configversion.Version{}
 	for _, v := range h.Versions {
@@ -108,16 +108,16 @@
 	}
 	for _, e := range h.Events {
 		switch {
-		case e.What == Acts:
+		case e.Kind == RulesApplied:
 			look(e.At)
 			s := &sides[e.Router]
-			s.settled, s.pending, s.term, s.blind = e.Settled, e.Version, e.Term, 0
-		case e.What == Down && e.Text != "term":
+			s.settled, s.pending, s.term, s.blind = e.Activated, e.Version, e.Leased, 0
+		case e.Kind == RouterDown && e.Text != "term":
 			look(e.At)
 			sides[e.Router].up, sides[e.Router].dead = false, sides[e.Router].dead || e.Text == "kill"
-		case e.What == Up && e.Text == "stop" && sides[e.Router].dead:
+		case e.Kind == RouterUp && e.Text == "stop" && sides[e.Router].dead:
 			continue
-		case e.What == Up:
+		case e.Kind == RouterUp:
 			look(e.At)
 			if sides[e.Router].up = true; e.Text != "stop" { // a new process knows nothing
 				sides[e.Router] = side{up: true}
@@ -134,24 +134,24 @@
 			c.end(last-since, what[p].acts, what[p].by, last, offence(what[p].acts, what[p].by))
 		}
 	}
-	c.Pairs, c.Versions = len(seen), len(h.Versions)
+	c.Contradictions, c.Versions = len(seen), len(h.Versions)
 	if total > 0 {
-		c.Terms = held / total
+		c.LeasedShare = held / total
 	}
 	c.acknowledged(h, by)
 	return c
 }
 
 // end takes a contradiction that is over.
-func (c *Contradictions) end(long time.Duration, a side, by uint64, at time.Duration, text string) {
-	c.Worst = max(c.Worst, long)
-	if long > GroupSpans.MaxContradiction()+slack {
-		c.Breaches = append(c.Breaches, Breach{Auditor: "contradiction", At: at, Text: fmt.Sprintf("for %v a router acted on versions %d and %d while another went by %d: %s", long, a.settled, a.pending, by, text)})
+func (c *ConsistencyReport) end(long time.Duration, a side, by uint64, at time.Duration, text string) {
+	c.LongestContradiction = max(c.LongestContradiction, long)
+	if long > GroupDurations.MaxContradiction()+slack {
+		c.Violations = append(c.Violations, Violation{Auditor: "contradiction", At: at, Text: fmt.Sprintf("for %v a router acted on versions %d and %d while another went by %d: %s", long, a.settled, a.pending, by, text)})
 	}
 }
 
 // looser follows how long one acts on something looser than what another, which is behind, still goes by.
-func (c *Contradictions) looser(p pair, is bool, now time.Duration, at contradiction, text string) {
+func (c *ConsistencyReport) looser(p pair, is bool, now time.Duration, at contradiction, text string) {
 	since, goes := c.since[p]
 	switch {
 	case is && !goes:
@@ -159,15 +159,15 @@
 	case !is && goes:
 		delete(c.since, p)
 	case is:
-		if c.Loosened = max(c.Loosened, now-since); now-since > slack {
-			c.Breaches = append(c.Breaches, Breach{Auditor: "loosened", At: now, Text: fmt.Sprintf("for %v a router acted on version %d while another had a term on %d: %s", now-since, at.acts.settled, at.by, text)})
+		if c.LongestEarlyLoosening = max(c.LongestEarlyLoosening, now-since); now-since > slack {
+			c.Violations = append(c.Violations, Violation{Auditor: "loosened", At: now, Text: fmt.Sprintf("for %v a router acted on version %d while another had a term on %d: %s", now-since, at.acts.settled, at.by, text)})
 			c.since[p] = now
 		}
 	}
 }
 
 // acknowledged finds proposals that were told a number and are not there, or two that got one.
-func (c *Contradictions) acknowledged(h *History, by map[uint64]*configversion.Version) {
+func (c *ConsistencyReport) acknowledged(h *History, by map[uint64]*configversion.Version) {
 	got, newest, oldest := map[uint64]string{}, uint64(0), uint64(0)
 	for n := range by {
 		newest = max(newest, n)
@@ -176,14 +176,14 @@
 		}
 	}
 	for _, e := range h.Events {
-		if e.What != Written {
+		if e.Kind != VersionAcknowledged {
 			continue
 		}
 		if other := got[e.Version]; other != "" && other != e.Statement {
-			c.Breaches = append(c.Breaches, Breach{Auditor: "acknowledged", At: e.At, Text: fmt.Sprintf("proposals %s and %s both got version %d", other, e.Statement, e.Version)})
+			c.Violations = append(c.Violations, Violation{Auditor: "acknowledged", At: e.At, Text: fmt.Sprintf("proposals %s and %s both got version %d", other, e.Statement, e.Version)})
 		}
 		if got[e.Version] = e.Statement; e.Version > newest || e.Version >= oldest && by[e.Version] == nil {
-			c.Breaches = append(c.Breaches, Breach{Auditor: "acknowledged", At: e.At, Text: fmt.Sprintf("proposal %s was told that it is version %d, and nobody has it", e.Statement, e.Version)})
+			c.Violations = append(c.Violations, Violation{Auditor: "acknowledged", At: e.At, Text: fmt.Sprintf("proposal %s was told that it is version %d, and nobody has it", e.Statement, e.Version)})
 		}
 	}
 }
--- a/internal/faultlab/audit.go
+++ b/internal/faultlab/audit.go
@@ -11,7 +11,7 @@
 )
 
 // Breach is something that must not be, found in a history.
-type Breach struct {
+type Violation struct {
 	Auditor string        `json:"auditor"`
 	At      time.Duration `json:"at"`
 	Text    string        `json:"text"`
@@ -20,9 +20,9 @@
 // Auditor looks through a history for one kind of breach. It knows nothing of the routers but what clients, engines, links and
 // the control feed saw.
 type Auditor struct {
-	Name string
-	What string
-	Find func(*History) []Breach
+	Name        string
+	Description string
+	Find        func(*History) []Violation
 }
 
 // Auditors are all of them.
@@ -43,7 +43,7 @@
 func IsInvariant(auditor string) bool { return auditor != "harm" && auditor != "back" }
 
 // Audit has all auditors look.
-func Audit(h *History) (found []Breach) {
+func Audit(h *History) (found []Violation) {
 	for _, a := range Auditors {
 		for _, b := range a.Find(h) {
 			b.Auditor = a.Name
@@ -72,10 +72,10 @@
 	lapses := map[int][]lapse{}
 	for _, e := range h.Events {
 		l := lapses[e.Router]
-		switch e.What {
-		case Down:
+		switch e.Kind {
+		case RouterDown:
 			lapses[e.Router] = append(l, lapse{e.At, time.Hour, e.Text})
-		case Up:
+		case RouterUp:
 			if n := len(l); n > 0 && l[n-1].to == time.Hour {
 				l[n-1].to = e.At
 			}
@@ -96,48 +96,48 @@
 }
 
 // answers: every statement that a living router took has one final answer, before its client's time is up.
-func answers(h *History) (found []Breach) {
+func answers(h *History) (found []Violation) {
 	lapses, sent, done := down(h), map[string]Event{}, map[string]bool{}
 	over := h.Events[len(h.Events)-1].At
 	for _, e := range h.Events {
-		switch e.What {
-		case Sent:
+		switch e.Kind {
+		case StatementSent:
 			sent[e.Statement] = e
-		case Again:
-			found = append(found, Breach{At: e.At, Text: "a second answer for " + e.Statement})
-		case Left:
+		case DuplicateAnswer:
+			found = append(found, Violation{At: e.At, Text: "a second answer for " + e.Statement})
+		case ClientLeft:
 			done[e.Statement] = true
-		case Answered, Broken:
+		case StatementAnswered, ClientConnectionLost:
 			s := sent[e.Statement]
 			done[e.Statement] = true
 			if excused(lapses[s.Router], s.At, e.At) {
 				continue
 			}
-			if late := e.At - s.At - s.Budget; e.What == Broken || late > lateSlack {
-				found = append(found, Breach{At: e.At, Text: fmt.Sprintf("%s %s at router %d %v after its client's time was up (%s)", s.Workload, e.Statement, s.Router, late, e.What)})
+			if late := e.At - s.At - s.Budget; e.Kind == ClientConnectionLost || late > lateSlack {
+				found = append(found, Violation{At: e.At, Text: fmt.Sprintf("%s %s at router %d %v after its client's time was up (%s)", s.Workload, e.Statement, s.Router, late, e.Kind)})
 			}
 		}
 	}
 	for id, s := range sent {
 		if end := s.At + s.Budget + lateSlack; !done[id] && end < over && !excused(lapses[s.Router], s.At, end) {
-			found = append(found, Breach{At: end, Text: fmt.Sprintf("%s %s at router %d has no answer", s.Workload, id, s.Router)})
+			found = append(found, Violation{At: end, Text: fmt.Sprintf("%s %s at router %d has no answer", s.Workload, id, s.Router)})
 		}
 	}
-	slices.SortFunc(found, func(a, b Breach) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Text, b.Text)) })
+	slices.SortFunc(found, func(a, b Violation) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Text, b.Text)) })
 	return found
 }
 
 // left: no execution starts for a client that has left, but for what is on its way.
-func left(h *History) (found []Breach) {
+func left(h *History) (found []Violation) {
 	lapses, gone := down(h), map[string]Event{}
 	for _, e := range h.Events {
-		switch e.What {
-		case Left:
+		switch e.Kind {
+		case ClientLeft:
 			gone[e.Statement] = e
-		case Started:
+		case AttemptStarted:
 			l, ok := gone[e.Statement]
 			if ok && e.At > l.At+leftSlack && !excused(lapses[l.Router], l.At, e.At) {
-				found = append(found, Breach{At: e.At, Text: fmt.Sprintf("%s starts on %s %v after its client left", e.Statement, e.Engine, e.At-l.At)})
+				found = append(found, Violation{At: e.At, Text: fmt.Sprintf("%s starts on %s %v after its client left", e.Statement, e.Engine, e.At-l.At)})
 			}
 		}
 	}
@@ -145,25 +145,25 @@
 }
 
 // guards: no router's own check has found anything.
-func guards(h *History) (found []Breach) {
+func guards(h *History) (found []Violation) {
 	for _, e := range h.Events {
-		if e.What == Violated {
-			found = append(found, Breach{At: e.At, Text: fmt.Sprintf("router %d: %s", e.Router, e.Text)})
+		if e.Kind == InvariantViolated {
+			found = append(found, Violation{At: e.At, Text: fmt.Sprintf("router %d: %s", e.Router, e.Text)})
 		}
 	}
 	return found
 }
 
 // once: what must not run twice is started at most once by all routers.
-func once(h *History) (found []Breach) {
+func once(h *History) (found []Violation) {
 	at := map[string]Event{}
 	for _, e := range h.Events {
 		w := workloadOf(e.Workload)
-		if e.What != Started || w == nil || !w.once {
+		if e.Kind != AttemptStarted || w == nil || !w.once {
 			continue
 		}
 		if first, twice := at[e.Statement]; twice {
-			found = append(found, Breach{At: e.At, Text: fmt.Sprintf("%s ran on %s at %v and on %s", e.Statement, first.Engine, first.At, e.Engine)})
+			found = append(found, Violation{At: e.At, Text: fmt.Sprintf("%s ran on %s at %v and on %s", e.Statement, first.Engine, first.At, e.Engine)})
 		}
 		at[e.Statement] = e
 	}
@@ -171,20 +171,20 @@
 }
 
 // oneAtATime: no statement runs on two engines at once.
-func oneAtATime(h *History) (found []Breach) {
+func oneAtATime(h *History) (found []Violation) {
 	running := map[string]Event{}
 	for _, e := range h.Events {
-		switch e.What {
-		case Started:
+		switch e.Kind {
+		case AttemptStarted:
 			if first, two := running[e.Statement]; two && first.Engine != e.Engine {
-				found = append(found, Breach{At: e.At, Text: fmt.Sprintf("%s (%s) runs on %s since %v and on %s", e.Statement, e.Workload, first.Engine, first.At, e.Engine)})
+				found = append(found, Violation{At: e.At, Text: fmt.Sprintf("%s (%s) runs on %s since %v and on %s", e.Statement, e.Workload, first.Engine, first.At, e.Engine)})
 			}
 			running[e.Statement] = e
-		case Ended, Called, Dropped:
+		case AttemptEnded, AttemptCancelled, AttemptDropped:
 			if running[e.Statement].Engine == e.Engine {
 				delete(running, e.Statement)
 			}
-		case Gone:
+		case EngineGone:
 			for id, s := range running {
 				if s.Engine == e.Engine {
 					delete(running, id)
@@ -196,7 +196,7 @@
 }
 
 // drains: nothing new comes to an engine from a router that has been told for the rule's time that it drains or is gone.
-func drains(h *History) (found []Breach) {
+func drains(h *History) (found []Violation) {
 	type link struct {
 		router int
 		engine string
@@ -206,65 +206,65 @@
 		l := link{e.Router, e.Engine}
 		since, known := told[l]
 		switch {
-		case e.What == Told && e.Text != "active" && !known:
+		case e.Kind == EndpointNotified && e.Text != "active" && !known:
 			told[l] = e.At
-		case e.What == Down: // what it does when it wakes is on its way already, or it starts anew and is told anew
+		case e.Kind == RouterDown: // what it does when it wakes is on its way already, or it starts anew and is told anew
 			for other := range told {
 				if other.router == e.Router {
 					told[other] = time.Hour
 				}
 			}
-		case e.What == Up:
+		case e.Kind == RouterUp:
 			for other := range told {
 				if other.router == e.Router {
 					told[other] = e.At
 				}
 			}
-		case e.What == Started && known && e.At > since+drainGrace+drainSlack:
-			found = append(found, Breach{At: e.At, Text: fmt.Sprintf("router %d starts %s on %s, of which it heard at %v", e.Router, e.Statement, e.Engine, since)})
+		case e.Kind == AttemptStarted && known && e.At > since+drainGrace+drainSlack:
+			found = append(found, Violation{At: e.At, Text: fmt.Sprintf("router %d starts %s on %s, of which it heard at %v", e.Router, e.Statement, e.Engine, since)})
 		}
 	}
 	return found
 }
 
 // cold: no cold engine is sent more than it bears by all routers together.
-func cold(h *History) (found []Breach) {
+func cold(h *History) (found []Violation) {
 	for _, e := range h.Events {
-		if e.What == Fell {
-			found = append(found, Breach{At: e.At, Text: fmt.Sprintf("%s was sent %.2f of what it bears", e.Engine, e.Of)})
+		if e.Kind == EngineCollapsed {
+			found = append(found, Violation{At: e.At, Text: fmt.Sprintf("%s was sent %.2f of what it bears", e.Engine, e.ColdLoad)})
 		}
 	}
 	return found
 }
 
 // harms: all routers' extra work keeps the fleet's bounds, in any span of the ledger.
-func harms(h *History) (found []Breach) {
-	ledger, firsts := observer.New(Harm), map[string]bool{}
+func harms(h *History) (found []Violation) {
+	ledger, firsts := observer.New(ExtraWorkBounds), map[string]bool{}
 	ledger.Allowance[retrybudget.Handshake] = float64(h.Schedule.Routers * h.Schedule.Engines) // one on each link, to begin with
 	for _, e := range h.Events {
-		switch e.What {
-		case Sent:
+		switch e.Kind {
+		case StatementSent:
 			ledger.RecordAdmitted(e.At)
-		case Answered:
+		case StatementAnswered:
 			if e.Code == codeCompleted {
 				ledger.RecordCompleted(e.At)
 			}
-		case Started:
+		case AttemptStarted:
 			if firsts[e.Statement] {
 				ledger.RecordExtraWork(e.At, retrybudget.AdditionalAttempt)
 			}
 			firsts[e.Statement] = true
-		case Called:
+		case AttemptCancelled:
 			ledger.RecordExtraWork(e.At, retrybudget.Cancellation)
-		case Probed:
+		case HealthChecked:
 			ledger.RecordExtraWork(e.At, retrybudget.HealthCheck)
-		case Dialled:
+		case EngineConnected:
 			ledger.RecordExtraWork(e.At, retrybudget.Handshake)
 		default:
 			continue
 		}
 		for _, over := range ledger.Violations(e.At) {
-			found = append(found, Breach{At: e.At, Text: over})
+			found = append(found, Violation{At: e.At, Text: over})
 		}
 	}
 	return found
@@ -278,9 +278,9 @@
 )
 
 // back: when the last fault is over the fleet serves nine tenths of what it served before, soon.
-func back(h *History) (found []Breach) {
-	if f := Measure(h); f.Back > backWithin {
-		found = append(found, Breach{At: f.Quiet + f.Back, Text: fmt.Sprintf("%.2f in time before the first fault, not back to nine tenths of that within %v of the last (%v)", f.Before, backWithin, f.Back)})
+func back(h *History) (found []Violation) {
+	if f := Measure(h); f.RecoveryTime > backWithin {
+		found = append(found, Violation{At: f.FaultsEnd + f.RecoveryTime, Text: fmt.Sprintf("%.2f in time before the first fault, not back to nine tenths of that within %v of the last (%v)", f.InTimeBefore, backWithin, f.RecoveryTime)})
 	}
 	return found
 }
--- a/internal/faultlab/audit_test.go
+++ b/internal/faultlab/audit_test.go
@@ -12,17 +12,17 @@
 
 // Each auditor finds what must not be, and lets pass what may.
 func TestAuditors(t *testing.T) {
-	sent := Event{At: sec, What: Sent, Statement: "a0", Workload: "lookup", Budget: 2 * sec}
-	load := Event{At: sec, What: Started, Statement: "l0", Workload: "price-load", Engine: "e1"}
-	read := Event{At: sec, What: Started, Statement: "r0", Workload: "report", Engine: "e1"}
-	told := Event{At: sec, What: Told, Engine: "e1", Text: "leaving"}
-	end := Event{At: 20 * sec, What: Mended, Router: -1}
+	sent := Event{At: sec, Kind: StatementSent, Statement: "a0", Workload: "lookup", Budget: 2 * sec}
+	load := Event{At: sec, Kind: AttemptStarted, Statement: "l0", Workload: "price-load", Engine: "e1"}
+	read := Event{At: sec, Kind: AttemptStarted, Statement: "r0", Workload: "report", Engine: "e1"}
+	told := Event{At: sec, Kind: EndpointNotified, Engine: "e1", Text: "leaving"}
+	end := Event{At: 20 * sec, Kind: FaultEnded, Router: -1}
 	at := func(when time.Duration, e Event) Event { e.At = when; return e }
-	with := func(what What, e Event) Event { e.What = what; return e }
+	with := func(what EventKind, e Event) Event { e.Kind = what; return e }
 	on := func(engine string, e Event) Event { e.Engine = engine; return e }
-	answered := with(Answered, sent)
-	down := func(when time.Duration, kind string) Event { return Event{At: when, What: Down, Text: kind} }
-	up := func(when time.Duration) Event { return Event{At: when, What: Up} }
+	answered := with(StatementAnswered, sent)
+	down := func(when time.Duration, kind string) Event { return Event{At: when, Kind: RouterDown, Text: kind} }
+	up := func(when time.Duration) Event { return Event{At: when, Kind: RouterUp} }
 	for _, c := range []struct {
 		name, auditor string
 		events        []Event
@@ -31,37 +31,37 @@
 		{"an answer in time", "answers", []Event{sent, at(2*sec, answered)}, false},
 		{"an answer too late", "answers", []Event{sent, at(3*sec+lateSlack+1, answered)}, true},
 		{"no answer", "answers", []Event{sent}, true},
-		{"two answers", "answers", []Event{sent, at(2*sec, answered), at(2*sec, with(Again, sent))}, true},
-		{"a broken connection", "answers", []Event{sent, at(2*sec, with(Broken, sent))}, true},
-		{"a broken connection to a router that was killed", "answers", []Event{sent, down(2*sec, "kill"), at(2*sec, with(Broken, sent))}, false},
-		{"the same long after it came back", "answers", []Event{down(0, "kill"), up(sec / 2), at(5*sec, sent), at(6*sec, with(Broken, sent))}, true},
-		{"taken before SIGTERM and lost", "answers", []Event{sent, down(sec+sec/2, "term"), at(2*sec, with(Broken, sent))}, true},
-		{"sent long after SIGTERM and lost", "answers", []Event{down(0, "term"), at(sec, sent), at(2*sec, with(Broken, sent))}, false},
+		{"two answers", "answers", []Event{sent, at(2*sec, answered), at(2*sec, with(DuplicateAnswer, sent))}, true},
+		{"a broken connection", "answers", []Event{sent, at(2*sec, with(ClientConnectionLost, sent))}, true},
+		{"a broken connection to a router that was killed", "answers", []Event{sent, down(2*sec, "kill"), at(2*sec, with(ClientConnectionLost, sent))}, false},
+		{"the same long after it came back", "answers", []Event{down(0, "kill"), up(sec / 2), at(5*sec, sent), at(6*sec, with(ClientConnectionLost, sent))}, true},
+		{"taken before SIGTERM and lost", "answers", []Event{sent, down(sec+sec/2, "term"), at(2*sec, with(ClientConnectionLost, sent))}, true},
+		{"sent long after SIGTERM and lost", "answers", []Event{down(0, "term"), at(sec, sent), at(2*sec, with(ClientConnectionLost, sent))}, false},
 		{"late at a router that was stopped", "answers", []Event{sent, down(2*sec, "stop"), up(4 * sec), at(4*sec, answered)}, false},
 		{"a load once", "once", []Event{load}, false},
 		{"a load twice", "once", []Event{load, at(9*sec, on("e2", load))}, true},
-		{"a report twice, one after the other", "one at a time", []Event{read, at(2*sec, with(Called, read)), at(2*sec, on("e2", read))}, false},
+		{"a report twice, one after the other", "one at a time", []Event{read, at(2*sec, with(AttemptCancelled, read)), at(2*sec, on("e2", read))}, false},
 		{"a report twice at once", "one at a time", []Event{read, at(2*sec, on("e2", read))}, true},
-		{"its first engine has died", "one at a time", []Event{read, at(2*sec, Event{What: Gone, Engine: "e1"}), at(2*sec, on("e2", read))}, false},
-		{"another one dies", "one at a time", []Event{read, at(2*sec, Event{What: Gone, Engine: "e3"}), at(2*sec, on("e2", read))}, true},
-		{"a start right after its client left", "left", []Event{with(Left, read), at(sec+leftSlack, read)}, false},
-		{"a start long after its client left", "left", []Event{with(Left, read), at(sec+leftSlack+1, read)}, true},
-		{"the same at a router that was stopped", "left", []Event{with(Left, read), down(sec+sec/2, "stop"), up(3 * sec), at(3*sec, read)}, false},
-		{"a client that left has no answer", "answers", []Event{sent, at(2*sec, with(Left, sent))}, false},
+		{"its first engine has died", "one at a time", []Event{read, at(2*sec, Event{Kind: EngineGone, Engine: "e1"}), at(2*sec, on("e2", read))}, false},
+		{"another one dies", "one at a time", []Event{read, at(2*sec, Event{Kind: EngineGone, Engine: "e3"}), at(2*sec, on("e2", read))}, true},
+		{"a start right after its client left", "left", []Event{with(ClientLeft, read), at(sec+leftSlack, read)}, false},
+		{"a start long after its client left", "left", []Event{with(ClientLeft, read), at(sec+leftSlack+1, read)}, true},
+		{"the same at a router that was stopped", "left", []Event{with(ClientLeft, read), down(sec+sec/2, "stop"), up(3 * sec), at(3*sec, read)}, false},
+		{"a client that left has no answer", "answers", []Event{sent, at(2*sec, with(ClientLeft, sent))}, false},
 		{"a router that finds nothing", "guard", []Event{read}, false},
-		{"a router that finds a rule broken", "guard", []Event{{At: sec, What: Violated}}, true},
+		{"a router that finds a rule broken", "guard", []Event{{At: sec, Kind: InvariantViolated}}, true},
 		{"a start within the grace", "drains", []Event{told, at(2*sec, read)}, false},
 		{"a start after it", "drains", []Event{told, at(2*sec+drainSlack+1, read)}, true},
-		{"a router that was not told", "drains", []Event{told, at(9*sec, Event{What: Started, Router: 1, Engine: "e1"})}, false},
+		{"a router that was not told", "drains", []Event{told, at(9*sec, Event{Kind: AttemptStarted, Router: 1, Engine: "e1"})}, false},
 		{"a router that was away, just back", "drains", []Event{told, down(sec, "stop"), up(5 * sec), at(5*sec+sec/2, read)}, false},
 		{"a router that was away, long back", "drains", []Event{told, down(sec, "stop"), up(5 * sec), at(8*sec, read)}, true},
 		{"a cold engine stands", "cold", []Event{read}, false},
-		{"a cold engine falls", "cold", []Event{at(2*sec, with(Fell, read))}, true},
-		{"few call-offs", "harm", append(many(100, Sent), many(4, Called)...), false},
-		{"many call-offs", "harm", append(many(100, Sent), many(100, Called)...), true},
-		{"many probes", "harm", append(many(100, Sent), many(200, Probed)...), true},
-		{"many connections", "harm", append(many(100, Sent), many(300, Dialled)...), true},
-		{"many further executions", "harm", append(many(100, Sent), many(100, Started)...), true},
+		{"a cold engine falls", "cold", []Event{at(2*sec, with(EngineCollapsed, read))}, true},
+		{"few call-offs", "harm", append(many(100, StatementSent), many(4, AttemptCancelled)...), false},
+		{"many call-offs", "harm", append(many(100, StatementSent), many(100, AttemptCancelled)...), true},
+		{"many probes", "harm", append(many(100, StatementSent), many(200, HealthChecked)...), true},
+		{"many connections", "harm", append(many(100, StatementSent), many(300, EngineConnected)...), true},
+		{"many further executions", "harm", append(many(100, StatementSent), many(100, AttemptStarted)...), true},
 	} {
 		t.Run(c.auditor+": "+c.name, func(t *testing.T) {
 			h := &History{Schedule: &Schedule{Seconds: 20, Engines: 1, Routers: 2}, Events: append(c.events, end)}
@@ -76,9 +76,9 @@
 }
 
 // many events of a kind within a second, all of one statement.
-func many(n int, what What) (list []Event) {
+func many(n int, what EventKind) (list []Event) {
 	for i := range n {
-		list = append(list, Event{At: sec + time.Duration(i)*time.Millisecond, What: what, Statement: fmt.Sprintf("%s0", map[bool]string{true: "x", false: fmt.Sprint(i)}[what == Started]), Workload: "lookup", Budget: 2 * sec})
+		list = append(list, Event{At: sec + time.Duration(i)*time.Millisecond, Kind: what, Statement: fmt.Sprintf("%s0", map[bool]string{true: "x", false: fmt.Sprint(i)}[what == AttemptStarted]), Workload: "lookup", Budget: 2 * sec})
 	}
 	return list
 }
@@ -88,9 +88,9 @@
 		h := &History{Schedule: &Schedule{Seconds: 20, Engines: 1, Faults: []Fault{{Kind: "reset", At: 5}, {Kind: "stop", At: 5, For: 2}}}}
 		for i := range 20 {
 			for j := range 10 {
-				s := Event{At: time.Duration(i)*sec + time.Duration(j)*100*time.Millisecond, What: Sent, Statement: fmt.Sprintf("%d-%d-0", i, j), Workload: "lookup", Budget: 2 * sec}
+				s := Event{At: time.Duration(i)*sec + time.Duration(j)*100*time.Millisecond, Kind: StatementSent, Statement: fmt.Sprintf("%d-%d-0", i, j), Workload: "lookup", Budget: 2 * sec}
 				a := s
-				a.What, a.Code, a.At = Answered, codeCompleted, s.At+50*time.Millisecond
+				a.Kind, a.Code, a.At = StatementAnswered, codeCompleted, s.At+50*time.Millisecond
 				if !serves(i) {
 					a.Code = codeRejected
 				}
@@ -101,7 +101,7 @@
 		return h
 	}
 	at := func(second int) time.Duration {
-		return Measure(play(func(i int) bool { return i < 5 || i >= second })).Back
+		return Measure(play(func(i int) bool { return i < 5 || i >= second })).RecoveryTime
 	}
 	assert.Zero(t, at(0))
 	assert.Equal(t, 3*sec, at(10))
--- a/internal/faultlab/crowd.go
+++ b/internal/faultlab/crowd.go
@@ -23,33 +23,33 @@
 
 // Crowd is a measurement of the control service: a group of real processes, and router sides that are as the router's, with its link, many
 // to a process.
-type Crowd struct {
-	Control string // program
-	Members int
-	Routers int
-	Seconds float64 // of each part
-	Every   time.Duration
-	Dir     string
+type ControlBenchmark struct {
+	Program         string // program
+	Members         int
+	Routers         int
+	Seconds         float64 // of each part
+	VersionInterval time.Duration
+	Dir             string
 }
 
 // CrowdFigures is what came of it.
-type CrowdFigures struct {
-	Routers        int           `json:"routers"`
-	Versions       int           `json:"versions"`
-	WrittenP50     time.Duration `json:"written_p50_ns"` // from propose to its number
-	WrittenP99     time.Duration `json:"written_p99_ns"`
-	ActsP50        time.Duration `json:"acts_p50_ns"` // from propose until a router acts on it in force, each router
-	ActsP99        time.Duration `json:"acts_p99_ns"`
-	AllP50         time.Duration `json:"all_p50_ns"` // until the last router does
-	AllP99         time.Duration `json:"all_p99_ns"`
-	IdleCPU        float64       `json:"idle_cpu"` // seconds a second, of the leader
-	BusyCPU        float64       `json:"busy_cpu"` // with a version each so often
-	ResidentMB     float64       `json:"resident_mb"`
-	IdleBytes      float64       `json:"idle_bytes"` // a second and router, both ways
-	BusyBytes      float64       `json:"busy_bytes"`
-	Outage         time.Duration `json:"outage_ns"` // of proposals, when the leader is killed
-	Back           time.Duration `json:"back_ns"`   // until all have a term again, when all processes are started anew
-	TermsMeanwhile float64       `json:"terms_meanwhile"`
+type ControlMetrics struct {
+	Routers            int           `json:"routers"`
+	Versions           int           `json:"versions"`
+	CommitP50          time.Duration `json:"written_p50_ns"` // from propose to its number
+	CommitP99          time.Duration `json:"written_p99_ns"`
+	ApplyP50           time.Duration `json:"acts_p50_ns"` // from propose until a router acts on it in force, each router
+	ApplyP99           time.Duration `json:"acts_p99_ns"`
+	ConvergeP50        time.Duration `json:"all_p50_ns"` // until the last router does
+	ConvergeP99        time.Duration `json:"all_p99_ns"`
+	IdleCPU            float64       `json:"idle_cpu"` // seconds a second, of the leader
+	BusyCPU            float64       `json:"busy_cpu"` // with a version each so often
+	ResidentMB         float64       `json:"resident_mb"`
+	IdleBytes          float64       `json:"idle_bytes"` // a second and router, both ways
+	BusyBytes          float64       `json:"busy_bytes"`
+	Outage             time.Duration `json:"outage_ns"` // of proposals, when the leader is killed
+	RecoveryTime       time.Duration `json:"back_ns"`   // until all have a term again, when all processes are started anew
+	LeasedDuringOutage float64       `json:"terms_meanwhile"`
 }
 
 // crowdRouter is one router's side.
@@ -101,9 +101,9 @@
 }
 
 // Run measures.
-func (c Crowd) Run(ctx context.Context) (f CrowdFigures, err error) {
+func (c ControlBenchmark) Run(ctx context.Context) (f ControlMetrics, err error) {
 	f.Routers = c.Routers
-	fld := &field{s: &Schedule{Routers: 1, Control: c.Members}, o: Options{Control: c.Control}, dir: c.Dir, versions: map[uint64]*configversion.Version{}, began: time.Now()}
+	fld := &field{s: &Schedule{Routers: 1, ControlMembers: c.Members}, o: Options{ControlProgram: c.Program}, dir: c.Dir, versions: map[uint64]*configversion.Version{}, began: time.Now()}
 	defer fld.close()
 	if err := fld.startGroup(ctx); err != nil {
 		return f, err
@@ -120,8 +120,8 @@
 	var all []*crowdRouter
 	for i := range c.Routers {
 		r := &crowdRouter{acts: map[uint64]time.Time{}, origin: time.Now().Add(-time.Hour), wake: make(chan struct{}, 1)}
-		r.core = lease.NewClient(lease.ClientSettings{Durations: GroupSpans, Name: fmt.Sprint("r", i), Incarnation: fmt.Sprint("x", i), LocalRules: own, Guards: configversion.Guards{MaxRemovedShare: 1}, AddressCount: len(addresses), Seed: uint64(i)})
-		r.link = controlclient.NewTransport(addresses, GroupSpans, r.post, zap.NewNop())
+		r.core = lease.NewClient(lease.ClientSettings{Durations: GroupDurations, Name: fmt.Sprint("r", i), Incarnation: fmt.Sprint("x", i), LocalRules: own, Guards: configversion.Guards{MaxRemovedShare: 1}, AddressCount: len(addresses), Seed: uint64(i)})
+		r.link = controlclient.NewTransport(addresses, GroupDurations, r.post, zap.NewNop())
 		all = append(all, r)
 		g.Go(func() error {
 			defer r.link.Close()
@@ -175,7 +175,7 @@
 		}
 		last.RecordValue(int64(latest))
 		f.Versions++
-		wait(ctx, c.Every-time.Since(at))
+		wait(ctx, c.VersionInterval-time.Since(at))
 	}
 	passed := time.Since(began).Seconds()
 	f.BusyCPU, f.BusyBytes = (usage(fld.members[lead])-cpu)/passed, (bytesOf(fld.members)-wire)/passed/float64(c.Routers)
@@ -183,7 +183,7 @@
 	for _, x := range []struct {
 		of       *hdrhistogram.Histogram
 		p50, p99 *time.Duration
-	}{{written, &f.WrittenP50, &f.WrittenP99}, {acts, &f.ActsP50, &f.ActsP99}, {last, &f.AllP50, &f.AllP99}} {
+	}{{written, &f.CommitP50, &f.CommitP99}, {acts, &f.ApplyP50, &f.ApplyP99}, {last, &f.ConvergeP50, &f.ConvergeP99}} {
 		*x.p50, *x.p99 = time.Duration(x.of.ValueAtQuantile(50)), time.Duration(x.of.ValueAtQuantile(99))
 	}
 	if c.Members >= 3 { // an outage of proposals
@@ -196,7 +196,7 @@
 			return f, err
 		}
 		f.Outage = time.Since(began)
-		f.TermsMeanwhile = float64(withTerm(all)) / float64(len(all))
+		f.LeasedDuringOutage = float64(withTerm(all)) / float64(len(all))
 		if err := fld.members[lead].start(ctx); err != nil {
 			return f, err
 		}
@@ -218,7 +218,7 @@
 	if err := await(ctx, 30*time.Second, func() bool { return withTerm(all) == len(all) }); err != nil {
 		return f, fmt.Errorf("after a restart of all: %d of %d routers have a term", withTerm(all), len(all))
 	}
-	f.Back = time.Since(began)
+	f.RecoveryTime = time.Since(began)
 	return f, nil
 }
 
--- a/internal/faultlab/field.go
+++ b/internal/faultlab/field.go
@@ -25,11 +25,11 @@
 
 // Options say with what a schedule is played.
 type Options struct {
-	Program  string             // the router's, built
-	Control  string             // the control service's, built; nothing: schedules with a group can't be played
-	Dir      string             // for the processes' logs; nothing: a folder of the system's that is removed
-	Progress func(part float64) // of the play; nil: nobody looks
-	Env      map[string]string  // of the routers, beside what the platform gives
+	RouterProgram  string             // the router's, built
+	ControlProgram string             // the control service's, built; nothing: schedules with a group can't be played
+	Dir            string             // for the processes' logs; nothing: a folder of the system's that is removed
+	Progress       func(part float64) // of the play; nil: nobody looks
+	Env            map[string]string  // of the routers, beside what the platform gives
 }
 
 const (
@@ -42,7 +42,7 @@
 
 // fleetSettings are a router's: the rules are those of the users' fleet with its spans a third as long.
 func fleetSettings(s *Schedule, me int) string {
-	says := s.Says
+	says := s.ConfiguredRouters
 	if says == 0 {
 		says = s.Routers
 	}
@@ -58,11 +58,11 @@
 		"writesTables":[false,false,false],"tellsEvery":300000,"onShortage":"page"},
 	"feedback":{"fields":["concurrent","load_share"],"via":"inline"},
 	"guarantees":{"drainGrace":1000000,"coldShare":%v,"warmAfter":%d,"overloadFactor":%v,"fall":%d},
-	"machineTypes":["k"],"tick":1000,"zone":"z","me":%d,"replicasOfMe":%d}`, append(times, engineCores, coldness.Share, coldness.Warm.Microseconds(),
-		coldness.Multiple, coldness.Window.Microseconds(), me, says)...)
+	"machineTypes":["k"],"tick":1000,"zone":"z","me":%d,"replicasOfMe":%d}`, append(times, engineCores, coldness.InitialShare, coldness.WarmUpTime.Microseconds(),
+		coldness.MaxLoadFactor, coldness.Window.Microseconds(), me, says)...)
 }
 
-var coldness = fakes.Coldness{Share: 0.31, Multiple: 4, Warm: 5 * time.Second, Window: time.Second}
+var coldness = fakes.SlowStart{InitialShare: 0.31, MaxLoadFactor: 4, WarmUpTime: 5 * time.Second, Window: time.Second}
 
 // field is one play: the processes, the links between them, and the history that they leave.
 type field struct {
@@ -84,7 +84,7 @@
 
 // Play plays a schedule and returns its history, in order of time. Everything that it starts has ended when it returns.
 func Play(ctx context.Context, s *Schedule, o Options) (*History, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	f := &field{s: s, o: o, dir: o.Dir, versions: map[uint64]*configversion.Version{}}
@@ -172,7 +172,7 @@
 		f.library = library
 	}
 	for i := range f.s.Engines {
-		f.engines = append(f.engines, f.newEngine(i, fakes.Coldness{}))
+		f.engines = append(f.engines, f.newEngine(i, fakes.SlowStart{}))
 	}
 	if err := f.startGroup(ctx); err != nil {
 		return err
@@ -213,29 +213,29 @@
 type engine struct {
 	id    string
 	place int
-	model *fakes.Model
+	model *fakes.SimulatedEngine
 	gone  bool
 }
 
-func (f *field) newEngine(place int, cold fakes.Coldness) *engine {
+func (f *field) newEngine(place int, cold fakes.SlowStart) *engine {
 	f.mu.Lock()
 	f.born++
 	e := &engine{id: fmt.Sprintf("e%02d", f.born), place: place}
 	f.mu.Unlock()
-	m := fakes.NewModel(engineCores, func(_, text string) (time.Duration, int) { return costs(text) })
-	m.Cold, m.Progress, m.Drop = cold, true, 2*time.Second
-	m.Tell = func(x fakes.ModelEvent) {
+	m := fakes.NewSimulatedEngine(engineCores, func(_, text string) (time.Duration, int) { return costs(text) })
+	m.SlowStart, m.ReportProgress, m.AbandonAfter = cold, true, 2*time.Second
+	m.OnEvent = func(x fakes.EngineEvent) {
 		from := -1
 		if r, ok := f.sources.Load(x.Peer); ok {
 			from = r.(int)
 		}
-		f.note(Event{What: modelEvents[x.What], Statement: x.ID, Workload: x.Workload, Router: from, Engine: e.id, Work: x.Work.Seconds(), Of: x.Of})
+		f.note(Event{Kind: modelEvents[x.Kind], Statement: x.ID, Workload: x.Workload, Router: from, Engine: e.id, Work: x.Work.Seconds(), ColdLoad: x.ColdLoad})
 	}
 	e.model = m
 	return e
 }
 
-var modelEvents = map[string]What{"start": Started, "end": Ended, "cancel": Called, "drop": Dropped, "probe": Probed, "fell": Fell}
+var modelEvents = map[string]EventKind{"start": AttemptStarted, "end": AttemptEnded, "cancel": AttemptCancelled, "drop": AttemptDropped, "probe": HealthChecked, "fell": EngineCollapsed}
 
 // costs reads what a statement takes from its text, where the lab wrote it.
 func costs(text string) (time.Duration, int) {
@@ -259,7 +259,7 @@
 	for i, w := range workloads {
 		mean, weights[i] = mean+w.share*w.mean, w.share
 	}
-	times := cmp.Or(f.s.Work, 1)
+	times := cmp.Or(f.s.WorkFactor, 1)
 	rate := f.s.Load * engineCores * float64(f.s.Engines) / (mean * times)
 	gap, kind := distuv.Exponential{Rate: rate, Src: r}, distuv.NewCategorical(weights, r)
 	spread := distuv.LogNormal{Mu: -0.18, Sigma: 0.6, Src: r} // of mean one
@@ -267,7 +267,7 @@
 	for i := range at {
 		at[i] = 1
 	}
-	at[0] = max(1, f.s.Busiest)
+	at[0] = max(1, f.s.BusiestFactor)
 	where := distuv.NewCategorical(at, r)
 	thin := distuv.Uniform{Min: 0, Max: mostRush, Src: r}
 	for now, n := 0.0, 0; ; n++ {
@@ -286,7 +286,7 @@
 		case <-time.After(time.Until(f.began.Add(seconds(now)))):
 		}
 		leave := time.Duration(0)
-		if leaving.Float64() < f.s.Leavers {
+		if leaving.Float64() < f.s.CancelShare {
 			leave = time.Duration(leaving.Int64N(int64(f.s.patient(w.budget))))
 		}
 		f.tries.Add(1)
@@ -317,7 +317,7 @@
 	budget := f.s.patient(w.budget)
 	for try := 0; ; try++ {
 		id := fmt.Sprintf("%s%x", id, try)
-		f.note(Event{At: due, What: Sent, Statement: id, Workload: w.name, Router: router, Budget: budget, Try: try, Work: work})
+		f.note(Event{At: due, Kind: StatementSent, Statement: id, Workload: w.name, Router: router, Budget: budget, Retry: try, Work: work})
 		estimate := fmt.Sprint(max(1, int(work*1000)))
 		fields := map[string]string{"i": id, "c": w.name, "d": fmt.Sprint(max(1, (budget - (time.Since(f.began) - due)).Milliseconds())), "h": estimate, "heap_mb": "8"}
 		if try > 0 {
@@ -328,14 +328,14 @@
 			verb = "update sales_%d.orders set total = 0 where cost = %s.%d"
 		}
 		a := f.routers[router].send(ctx, budget+tail, leave, fields, fmt.Sprintf(verb, table, estimate, w.threads))
-		e := Event{What: Answered, Statement: id, Workload: w.name, Router: router, Code: byte(a.Code)}
+		e := Event{Kind: StatementAnswered, Statement: id, Workload: w.name, Router: router, Code: byte(a.Code)}
 		if errors.Is(a.Err, errLeft) {
-			e.What = Left
+			e.Kind = ClientLeft
 		} else if a.Err != nil {
-			e.What, e.Text = Broken, a.Err.Error()
+			e.Kind, e.Text = ClientConnectionLost, a.Err.Error()
 		}
 		f.note(e)
-		if a.Err != nil || a.Code != downstream.CodeRejected || try >= f.s.Tries || ctx.Err() != nil {
+		if a.Err != nil || a.Code != downstream.CodeRejected || try >= f.s.Retries || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(clientPause)
@@ -356,23 +356,23 @@
 		}
 	}
 	await(x.At)
-	f.note(Event{What: Befell, Router: -1, Text: x.Kind})
+	f.note(Event{Kind: FaultStarted, Router: -1, Text: x.Kind})
 	mend, err := f.begin(ctx, x)
 	if err == nil && mend != nil {
 		await(x.At + x.For)
 		err = mend()
 	}
-	f.note(Event{What: Mended, Router: -1, Text: x.Kind})
+	f.note(Event{Kind: FaultEnded, Router: -1, Text: x.Kind})
 	return err
 }
 
 // begin has a fault begin; what it returns ends it.
 func (f *field) begin(ctx context.Context, x Fault) (mend func() error, err error) {
-	cut, late, slow := Way{Cut: true}, Way{Delay: seconds(x.Amount)}, Way{Slow: true}
-	ways := map[string][2]Way{"cut": {cut, cut}, "cut-there": {cut, {}}, "cut-back": {{}, cut}, "delay": {{}, late}, "slow": {{}, slow}}
+	cut, late, slow := Impairment{Blocked: true}, Impairment{Delay: seconds(x.Amount)}, Impairment{Throttled: true}
+	ways := map[string][2]Impairment{"cut": {cut, cut}, "cut-there": {cut, {}}, "cut-back": {{}, cut}, "delay": {{}, late}, "slow": {{}, slow}}
 	if w, ok := ways[x.Kind]; ok {
-		f.links(x, func(l *Link) { l.Set(w[0], w[1]) })
-		return func() error { f.links(x, func(l *Link) { l.Set(Way{}, Way{}) }); return nil }, nil
+		f.links(x, func(l *Link) { l.Impair(w[0], w[1]) })
+		return func() error { f.links(x, func(l *Link) { l.Impair(Impairment{}, Impairment{}) }); return nil }, nil
 	}
 	each := func(do func(*router) error) error {
 		var g errgroup.Group
@@ -391,14 +391,16 @@
 	case "reset":
 		f.links(x, (*Link).Reset)
 	case "deaf":
-		f.links(Fault{Routers: f.all(), Engines: x.Engines}, func(l *Link) { l.Refuse(true) })
+		f.links(Fault{Routers: f.all(), Engines: x.Engines}, func(l *Link) { l.RefuseConnections(true) })
 		return func() error {
-			f.links(Fault{Routers: f.all(), Engines: x.Engines}, func(l *Link) { l.Refuse(false) })
+			f.links(Fault{Routers: f.all(), Engines: x.Engines}, func(l *Link) { l.RefuseConnections(false) })
 			return nil
 		}, nil
 	case "feed":
-		each(func(r *router) error { r.feedLink.Set(cut, cut); return nil })
-		return func() error { return each(func(r *router) error { r.feedLink.Set(Way{}, Way{}); return nil }) }, nil
+		each(func(r *router) error { r.feedLink.Impair(cut, cut); return nil })
+		return func() error {
+			return each(func(r *router) error { r.feedLink.Impair(Impairment{}, Impairment{}); return nil })
+		}, nil
 	case "kill", "term":
 		return func() error { return each(func(r *router) error { return r.start(ctx) }) },
 			each(func(r *router) error { return r.end(x.Kind == "kill") })
@@ -487,12 +489,12 @@
 	for _, e := range list {
 		for _, r := range f.routers {
 			if l := r.linkTo(e.id); l != nil {
-				l.Refuse(true)
+				l.RefuseConnections(true)
 				l.Reset()
 			}
 		}
 		e.model.Close()
-		f.note(Event{What: Gone, Router: -1, Engine: e.id})
+		f.note(Event{Kind: EngineGone, Router: -1, Engine: e.id})
 	}
 }
 
--- a/internal/faultlab/group.go
+++ b/internal/faultlab/group.go
@@ -63,7 +63,7 @@
 
 // startGroup starts the processes of the control group.
 func (f *field) startGroup(ctx context.Context) error {
-	for i := range f.s.Control {
+	for i := range f.s.ControlMembers {
 		m := &member{f: f, n: i}
 		var err error
 		if m.peer, err = freeAddress(); err != nil {
@@ -72,8 +72,8 @@
 		if m.client, err = freeAddress(); err != nil {
 			return err
 		}
-		for j := range max(f.s.Control, f.s.Routers) {
-			if j < f.s.Control {
+		for j := range max(f.s.ControlMembers, f.s.Routers) {
+			if j < f.s.ControlMembers {
 				l, err := NewLink(m.peer)
 				if err != nil {
 					return err
@@ -99,7 +99,7 @@
 }
 
 // Spans of a play with a control group: shorter than usual, so that it takes seconds.
-var GroupSpans = lease.Durations{LeaseDuration: time.Second, RenewInterval: 200 * time.Millisecond, ReplyTimeout: 200 * time.Millisecond, MaxClockDrift: 0.01, MaxBatch: 50 * time.Millisecond, MaxPause: 50 * time.Millisecond}
+var GroupDurations = lease.Durations{LeaseDuration: time.Second, RenewInterval: 200 * time.Millisecond, ReplyTimeout: 200 * time.Millisecond, MaxClockDrift: 0.01, MaxBatch: 50 * time.Millisecond, MaxPause: 50 * time.Millisecond}
 
 // start starts the process: it finds the others by links of its own.
 func (m *member) start(ctx context.Context) error {
@@ -116,7 +116,7 @@
 		}
 		members[strconv.Itoa(o.n+1)] = at
 	}
-	s := GroupSpans
+	s := GroupDurations
 	file := filepath.Join(m.f.dir, fmt.Sprintf("member-%d.json", m.n))
 	raw, err := json.Marshal(controlserver.Settings{ID: uint64(m.n + 1), DataDir: fmt.Sprintf("member-%d", m.n), Members: members, LeaseMillis: s.LeaseDuration.Milliseconds(), RenewIntervalMillis: s.RenewInterval.Milliseconds(),
 		ReplyTimeoutMillis: s.ReplyTimeout.Milliseconds(), MaxBatchMillis: s.MaxBatch.Milliseconds(), MaxPauseMillis: s.MaxPause.Milliseconds(), MaxClockDrift: &s.MaxClockDrift, HeartbeatMillis: 50, ElectionTimeoutMillis: 400, MaxRemovedShare: 1, CompactionInterval: 50})
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(m.f.o.Control, "serve", file)
+	cmd := exec.Command(m.f.o.ControlProgram, "serve", file)
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -222,8 +222,8 @@
 // beginGroup has a fault of the control group begin; what it returns ends it.
 func (f *field) beginGroup(ctx context.Context, x Fault) (mend func() error, err error) {
 	members := f.named(x)
-	cut := Way{Cut: true}
-	ways := map[string][2]Way{"group-cut": {cut, cut}, "group-cut-there": {cut, {}}, "group-cut-back": {{}, cut}, "group-delay": {{}, {Delay: seconds(x.Amount)}}}
+	cut := Impairment{Blocked: true}
+	ways := map[string][2]Impairment{"group-cut": {cut, cut}, "group-cut-there": {cut, {}}, "group-cut-back": {{}, cut}, "group-delay": {{}, {Delay: seconds(x.Amount)}}}
 	links := func(do func(*Link)) {
 		for _, m := range members {
 			for _, r := range x.Routers {
@@ -232,8 +232,8 @@
 		}
 	}
 	if w, ok := ways[x.Kind]; ok {
-		links(func(l *Link) { l.Set(w[0], w[1]) })
-		return func() error { links(func(l *Link) { l.Set(Way{}, Way{}) }); return nil }, nil
+		links(func(l *Link) { l.Impair(w[0], w[1]) })
+		return func() error { links(func(l *Link) { l.Impair(Impairment{}, Impairment{}) }); return nil }, nil
 	}
 	each := func(do func(*member) error) (err error) {
 		for _, m := range members {
@@ -241,13 +241,13 @@
 		}
 		return err
 	}
-	apart := func(w Way) func() error {
+	apart := func(w Impairment) func() error {
 		return func() error {
 			for _, m := range members {
 				for _, o := range f.members {
 					if !slices.Contains(members, o) {
-						m.peers[o.n].Set(w, w)
-						o.peers[m.n].Set(w, w)
+						m.peers[o.n].Impair(w, w)
+						o.peers[m.n].Impair(w, w)
 					}
 				}
 			}
@@ -258,7 +258,7 @@
 	case "group-reset":
 		links((*Link).Reset)
 	case "apart":
-		return apart(Way{}), apart(cut)()
+		return apart(Impairment{}), apart(cut)()
 	case "member-kill":
 		return func() error { return each(func(m *member) error { return m.start(ctx) }) }, each((*member).kill)
 	case "member-lose":
@@ -274,8 +274,8 @@
 
 // groupRules are what operators begin with: looser than the routers' own.
 func groupRules(f *field) *rules.Rules {
-	r := &rules.Rules{Routers: f.s.Routers, PriorityWeights: map[string]float64{}, OverQuotaFactor: 1, RetryBudgetShare: 1, RetryBudgetFree: 10, HealthChecksPerStatement: 2, SlowStartShare: coldness.Share,
-		SlowStartMultiple: coldness.Multiple, WarmAfterMillis: coldness.Warm.Milliseconds(), DrainGraceMillis: 1000}
+	r := &rules.Rules{Routers: f.s.Routers, PriorityWeights: map[string]float64{}, OverQuotaFactor: 1, RetryBudgetShare: 1, RetryBudgetFree: 10, HealthChecksPerStatement: 2, SlowStartShare: coldness.InitialShare,
+		SlowStartMultiple: coldness.MaxLoadFactor, WarmAfterMillis: coldness.WarmUpTime.Milliseconds(), DrainGraceMillis: 1000}
 	for _, w := range workloads {
 		r.PriorityWeights[w.name] = w.importance
 		r.SheddableWorkloads = append(r.SheddableWorkloads, w.name)
@@ -285,7 +285,7 @@
 
 // operate proposes versions until three quarters of the play are over: each tightens something, loosens something, or does both.
 func (f *field) operate(ctx context.Context) error {
-	if f.s.Control == 0 || f.s.Every == 0 {
+	if f.s.ControlMembers == 0 || f.s.VersionInterval == 0 {
 		return nil
 	}
 	r, chance := groupRules(f), rand.New(rand.NewPCG(f.s.Seed, 31))
@@ -301,7 +301,7 @@
 			return ctx.Err()
 		case <-time.After(time.Until(f.began.Add(seconds(at)))):
 		}
-		at += f.s.Every * (0.5 + chance.Float64())
+		at += f.s.VersionInterval * (0.5 + chance.Float64())
 		if n > 0 {
 			changeRules(r, chance, n)
 		}
@@ -313,8 +313,8 @@
 		send := func() {
 			o, err := controlserver.NewClient(addresses, 15*time.Second).Propose(e)
 			if err == nil {
-				f.note(Event{At: due, What: Wanted, Router: -1, Statement: e.ID, Version: o.Number})
-				f.note(Event{What: Written, Router: -1, Statement: e.ID, Version: o.Number})
+				f.note(Event{At: due, Kind: VersionProposed, Router: -1, Statement: e.ID, Version: o.Number})
+				f.note(Event{Kind: VersionAcknowledged, Router: -1, Statement: e.ID, Version: o.Number})
 			}
 		}
 		if n == 0 { // all that follow change it
@@ -364,7 +364,7 @@
 
 // keepVersions takes down what the group has written by the end.
 func (f *field) keepVersions(h *History) error {
-	if f.s.Control == 0 {
+	if f.s.ControlMembers == 0 {
 		return nil
 	}
 	var addresses []string
@@ -420,18 +420,18 @@
 		return
 	}
 	at := l.TS.Sub(r.f.began.Round(0)) // both by the machine's clock
-	r.f.note(Event{At: max(at, 1), What: Acts, Router: r.n, Term: l.Term, Settled: l.Settled, Version: l.Pending})
+	r.f.note(Event{At: max(at, 1), Kind: RulesApplied, Router: r.n, Leased: l.Term, Activated: l.Settled, Version: l.Pending})
 }
 
 // DrawGroup makes a schedule of a control group's troubles from a seed: five routers, a group of three (one in four: of one or five), a
 // version each so often, one to four faults, over by three quarters of the time.
-func DrawGroup(seed uint64, length float64) *Schedule {
+func GenerateGroupSchedule(seed uint64, length float64) *Schedule {
 	r := rand.New(rand.NewPCG(seed, 30))
-	s := &Schedule{Name: fmt.Sprintf("group seed %d", seed), Seed: seed, Routers: 5, Engines: 2, Seconds: length, Load: 0.15, Busiest: 1, Control: 3}
+	s := &Schedule{Name: fmt.Sprintf("group seed %d", seed), Seed: seed, Routers: 5, Engines: 2, Seconds: length, Load: 0.15, BusiestFactor: 1, ControlMembers: 3}
 	if seed%4 == 0 {
-		s.Control = []int{1, 5}[r.IntN(2)]
+		s.ControlMembers = []int{1, 5}[r.IntN(2)]
 	}
-	s.Every = []float64{0.05, 0.4, 1.2}[r.IntN(3)]
+	s.VersionInterval = []float64{0.05, 0.4, 1.2}[r.IntN(3)]
 	kinds := []string{"group-cut", "group-cut-there", "group-cut-back", "group-delay", "group-reset", "apart", "member-kill", "member-stop", "member-stop", "kill", "stop", "stop"}
 	for range 1 + r.IntN(4) {
 		f := Fault{Kind: kinds[r.IntN(len(kinds))], At: (0.15 + 0.35*r.Float64()) * length, Amount: 0.05 + r.Float64()}
@@ -443,7 +443,7 @@
 			f.Routers = some(r, s.Routers, 1+r.IntN(s.Routers-1))
 		}
 		if k.members {
-			f.Members = some(r, s.Control, 1+r.IntN(max(1, s.Control-1)))
+			f.Members = some(r, s.ControlMembers, 1+r.IntN(max(1, s.ControlMembers-1)))
 			if r.IntN(3) == 0 {
 				f.Members = []int{-1}
 			}
--- a/internal/faultlab/history.go
+++ b/internal/faultlab/history.go
@@ -12,49 +12,49 @@
 // Event is one line of a history: what happened where, by one clock, from the start of the traffic.
 type Event struct {
 	At        time.Duration `json:"at"`
-	What      What          `json:"what"`
+	Kind      EventKind     `json:"what"`
 	Statement string        `json:"statement,omitempty"`
 	Workload  string        `json:"workload,omitempty"`
 	Router    int           `json:"router"`           // -1: none
 	Engine    string        `json:"engine,omitempty"` // its id
 	Code      byte          `json:"code,omitempty"`   // of an answer, as on the wire
 	Work      float64       `json:"work,omitempty"`   // seconds on one thread, of a statement
-	Of        float64       `json:"of,omitempty"`     // of a start: work sent in the rule's window over what a cold engine bears
+	ColdLoad  float64       `json:"of,omitempty"`     // of a start: work sent in the rule's window over what a cold engine bears
 	Budget    time.Duration `json:"budget,omitempty"` // of a sent statement: how long its client waits
-	Try       int           `json:"try,omitempty"`    // of a sent statement: how many came before it, as rejected ones
+	Retry     int           `json:"try,omitempty"`    // of a sent statement: how many came before it, as rejected ones
 	Text      string        `json:"text,omitempty"`
 	Version   uint64        `json:"version,omitempty"` // of an act: the newer one that is known and not in force
-	Settled   uint64        `json:"settled,omitempty"` // of an act: the one in force
-	Term      bool          `json:"term,omitempty"`    // of an act: a term runs
+	Activated uint64        `json:"settled,omitempty"` // of an act: the one in force
+	Leased    bool          `json:"term,omitempty"`    // of an act: a term runs
 }
 
 // What is a kind of event.
-type What string
+type EventKind string
 
 // Kinds of events. Sent counts from when the statement was due, also where the lab was late with it.
 const (
-	Sent     What = "sent"     // a client has sent a statement
-	Answered What = "answered" // and has its answer
-	Again    What = "again"    // a second answer came
-	Broken   What = "broken"   // its connection ended first
-	Left     What = "left"     // the client waits no more
-	Violated What = "violated" // a router's own checks have found something: text is its log's line
-	Started  What = "started"  // an execution at an engine
-	Ended    What = "ended"    // it had its work done
-	Called   What = "called"   // it was called off
-	Dropped  What = "dropped"  // the engine dropped it, since nobody asked
-	Probed   What = "probed"   // a probe came to an engine
-	Fell     What = "fell"     // a cold engine was pushed over
-	Gone     What = "gone"     // an engine has ended, with all that ran there
-	Told     What = "told"     // the control feed's news has come to a router: text is the engine's new state
-	Dialled  What = "dialled"  // a connection from a router to an engine
-	Befell   What = "befell"   // a fault begins: text is its kind
-	Mended   What = "mended"   // and ends
-	Down     What = "down"     // a router's process is stopped, told to end, or gone
-	Up       What = "up"       // it serves again
-	Acts     What = "acts"     // a router acts on other rules from here on
-	Wanted   What = "wanted"   // a version was proposed, which got its number later
-	Written  What = "written"  // and the number was told
+	StatementSent        EventKind = "sent"     // a client has sent a statement
+	StatementAnswered    EventKind = "answered" // and has its answer
+	DuplicateAnswer      EventKind = "again"    // a second answer came
+	ClientConnectionLost EventKind = "broken"   // its connection ended first
+	ClientLeft           EventKind = "left"     // the client waits no more
+	InvariantViolated    EventKind = "violated" // a router's own checks have found something: text is its log's line
+	AttemptStarted       EventKind = "started"  // an execution at an engine
+	AttemptEnded         EventKind = "ended"    // it had its work done
+	AttemptCancelled     EventKind = "called"   // it was called off
+	AttemptDropped       EventKind = "dropped"  // the engine dropped it, since nobody asked
+	HealthChecked        EventKind = "probed"   // a probe came to an engine
+	EngineCollapsed      EventKind = "fell"     // a cold engine was pushed over
+	EngineGone           EventKind = "gone"     // an engine has ended, with all that ran there
+	EndpointNotified     EventKind = "told"     // the control feed's news has come to a router: text is the engine's new state
+	EngineConnected      EventKind = "dialled"  // a connection from a router to an engine
+	FaultStarted         EventKind = "befell"   // a fault begins: text is its kind
+	FaultEnded           EventKind = "mended"   // and ends
+	RouterDown           EventKind = "down"     // a router's process is stopped, told to end, or gone
+	RouterUp             EventKind = "up"       // it serves again
+	RulesApplied         EventKind = "acts"     // a router acts on other rules from here on
+	VersionProposed      EventKind = "wanted"   // a version was proposed, which got its number later
+	VersionAcknowledged  EventKind = "written"  // and the number was told
 )
 
 // History is what one play of a schedule left.
--- a/internal/faultlab/link.go
+++ b/internal/faultlab/link.go
@@ -10,10 +10,10 @@
 )
 
 // Way is what befalls one direction of a link.
-type Way struct {
-	Cut   bool          // nothing passes; what was on its way comes when the link is whole again, as with a retransmission
-	Delay time.Duration // of every piece
-	Slow  bool          // a byte a tick
+type Impairment struct {
+	Blocked   bool          // nothing passes; what was on its way comes when the link is whole again, as with a retransmission
+	Delay     time.Duration // of every piece
+	Throttled bool          // a byte a tick
 }
 
 const (
@@ -25,15 +25,15 @@
 
 // Link is a relay of TCP connections from an address of its own to a target. Whatever fails between two processes fails here.
 type Link struct {
-	Heard  func(back []byte)   // hears what has passed from the target to who connected; nil: nobody does
-	Joined func(source string) // hears the address from which the target sees a connection, before anything passes; nil: nobody does
+	OnDelivered func(back []byte)   // hears what has passed from the target to who connected; nil: nobody does
+	OnConnect   func(source string) // hears the address from which the target sees a connection, before anything passes; nil: nobody does
 
 	mu       sync.Mutex
 	address  string
 	listener net.Listener
 	target   string
-	there    Way // from who connected to the target
-	back     Way
+	there    Impairment // from who connected to the target
+	back     Impairment
 	changed  chan struct{} // closed at a change of the ways
 	conns    map[net.Conn]net.Conn
 	dialled  int
@@ -58,20 +58,20 @@
 func (l *Link) Address() string { return l.address }
 
 // Dialled is how many connections were made through the link.
-func (l *Link) Dialled() int {
+func (l *Link) Connections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dialled
 }
 
 // Held is how many pieces have been read and neither passed nor dropped.
-func (l *Link) Held() int { return int(l.held.Load()) }
+func (l *Link) InFlight() int { return int(l.held.Load()) }
 
 // Resets is how often a sender has reset a connection.
 func (l *Link) Resets() int { return int(l.resets.Load()) }
 
 // Set has both directions behave so from now on.
-func (l *Link) Set(there, back Way) {
+func (l *Link) Impair(there, back Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.there, l.back = there, back
@@ -80,7 +80,7 @@
 }
 
 // Target names another target for connections to come.
-func (l *Link) Target(address string) {
+func (l *Link) SetTarget(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = address
@@ -105,7 +105,7 @@
 }
 
 // Refuse has new connections refused, or taken again at the same address; those that stand go on.
-func (l *Link) Refuse(on bool) error {
+func (l *Link) RefuseConnections(on bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || on == (l.listener == nil) {
@@ -159,8 +159,8 @@
 		return
 	}
 	defer to.Close()
-	if l.Joined != nil {
-		l.Joined(to.LocalAddr().String())
+	if l.OnConnect != nil {
+		l.OnConnect(to.LocalAddr().String())
 	}
 	l.mu.Lock()
 	l.conns[from] = to
@@ -169,8 +169,8 @@
 	}
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(from, to, func() Way { return l.there }, nil) })
-	both.Go(func() { l.pass(to, from, func() Way { return l.back }, l.Heard) })
+	both.Go(func() { l.pass(from, to, func() Impairment { return l.there }, nil) })
+	both.Go(func() { l.pass(to, from, func() Impairment { return l.back }, l.OnDelivered) })
 	both.Wait()
 	l.mu.Lock()
 	delete(l.conns, from)
@@ -183,7 +183,7 @@
 }
 
 // pass carries one direction; way is called with the lock held.
-func (l *Link) pass(from, to net.Conn, way func() Way, heard func([]byte)) {
+func (l *Link) pass(from, to net.Conn, way func() Impairment, heard func([]byte)) {
 	queue, gone := make(chan onItsWay, pieces), make(chan struct{})
 	var broken atomic.Bool // the sender has reset the connection: what it sent and has not passed never will
 	go func() {
@@ -233,10 +233,10 @@
 }
 
 // write passes a piece on, whole or a byte a tick. false: nothing more passes.
-func (l *Link) write(from, to net.Conn, piece []byte, way func() Way, heard func([]byte)) bool {
+func (l *Link) write(from, to net.Conn, piece []byte, way func() Impairment, heard func([]byte)) bool {
 	for step := len(piece); len(piece) > 0; piece = piece[step:] {
 		l.mu.Lock()
-		if step = len(piece); way().Slow {
+		if step = len(piece); way().Throttled {
 			step = 1
 		}
 		l.mu.Unlock()
@@ -255,7 +255,7 @@
 }
 
 // await waits until a piece may pass; false: the link is closed.
-func (l *Link) await(read time.Time, way func() Way) bool {
+func (l *Link) await(read time.Time, way func() Impairment) bool {
 	for {
 		l.mu.Lock()
 		w, changed, closed := way(), l.changed, l.closed
@@ -264,9 +264,9 @@
 		switch {
 		case closed:
 			return false
-		case !w.Cut && due <= 0:
+		case !w.Blocked && due <= 0:
 			return true
-		case w.Cut:
+		case w.Blocked:
 			<-changed
 		default:
 			select {
--- a/internal/faultlab/link_test.go
+++ b/internal/faultlab/link_test.go
@@ -57,40 +57,40 @@
 	require.NoError(t, err)
 	assert.Equal(t, "one", got)
 
-	for name, ways := range map[string][2]Way{"cut there": {{Cut: true}, {}}, "cut back": {{}, {Cut: true}}, "cut both ways": {{Cut: true}, {Cut: true}}} {
-		l.Set(ways[0], ways[1])
+	for name, ways := range map[string][2]Impairment{"cut there": {{Blocked: true}, {}}, "cut back": {{}, {Blocked: true}}, "cut both ways": {{Blocked: true}, {Blocked: true}}} {
+		l.Impair(ways[0], ways[1])
 		say("two")
 		_, err = hear(1, 50*time.Millisecond)
 		assert.Error(t, err, name)
-		l.Set(Way{}, Way{})
+		l.Impair(Impairment{}, Impairment{})
 		got, err = hear(3, patience)
 		assert.NoError(t, err, name)
 		assert.Equal(t, "two", got, "what was on its way comes when the link is whole")
 	}
 
-	l.Set(Way{}, Way{Delay: 80 * time.Millisecond})
+	l.Impair(Impairment{}, Impairment{Delay: 80 * time.Millisecond})
 	began := time.Now()
 	say("three")
 	_, err = hear(5, patience)
 	assert.NoError(t, err)
 	assert.GreaterOrEqual(t, time.Since(began), 80*time.Millisecond)
 
-	l.Set(Way{}, Way{Slow: true})
+	l.Impair(Impairment{}, Impairment{Throttled: true})
 	began = time.Now()
 	say("four")
 	_, err = hear(4, patience)
 	assert.NoError(t, err)
 	assert.GreaterOrEqual(t, time.Since(began), 3*slowTick)
-	l.Set(Way{}, Way{})
+	l.Impair(Impairment{}, Impairment{})
 
-	require.NoError(t, l.Refuse(true))
+	require.NoError(t, l.RefuseConnections(true))
 	_, err = net.Dial("tcp", l.Address())
 	assert.Error(t, err, "refused")
 	say("five")
 	got, err = hear(4, patience)
 	assert.NoError(t, err, "what stands goes on")
 	assert.Equal(t, "five", got)
-	require.NoError(t, l.Refuse(false))
+	require.NoError(t, l.RefuseConnections(false))
 	again, err := net.Dial("tcp", l.Address())
 	require.NoError(t, err)
 	again.Close()
@@ -98,7 +98,7 @@
 	l.Reset()
 	_, err = hear(1, patience)
 	assert.ErrorContains(t, err, "reset")
-	assert.Positive(t, l.Dialled())
+	assert.Positive(t, l.Connections())
 }
 
 // What its sender has reset never comes, even if it was on its way when the link was cut.
@@ -115,13 +115,13 @@
 	to, err := server.Accept()
 	require.NoError(t, err)
 	defer to.Close()
-	l.Set(Way{Cut: true}, Way{Cut: true})
+	l.Impair(Impairment{Blocked: true}, Impairment{Blocked: true})
 	c.Write([]byte("late"))
 	time.Sleep(20 * time.Millisecond) // for the link to have read it
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 	time.Sleep(20 * time.Millisecond)
-	l.Set(Way{}, Way{})
+	l.Impair(Impairment{}, Impairment{})
 	to.SetReadDeadline(time.Now().Add(patience))
 	n, err := to.Read(make([]byte, 10))
 	assert.Zero(t, n)
--- a/internal/faultlab/measure.go
+++ b/internal/faultlab/measure.go
@@ -10,7 +10,7 @@
 )
 
 // Harm is the fleet's bound for each kind of extra work, as the lab audits it.
-var Harm = retrybudget.Bounds{Window: 5 * time.Second, ByKind: [retrybudget.NumWorkKinds]retrybudget.Bound{
+var ExtraWorkBounds = retrybudget.Bounds{Window: 5 * time.Second, ByKind: [retrybudget.NumWorkKinds]retrybudget.Bound{
 	retrybudget.AdditionalAttempt: {PerCompleted: 0.5, PerAdmitted: 0.1},
 	retrybudget.Cancellation:      {PerCompleted: 0.5, PerAdmitted: 0.1},
 	retrybudget.HealthCheck:       {PerCompleted: 0.5, PerAdmitted: 0.5},
@@ -18,26 +18,26 @@
 }}
 
 // Figures are what a history comes to.
-type Figures struct {
-	Statements int     `json:"statements"`
-	InTime     float64 `json:"in_time"` // importance answered in time, of all importance
-	Rejected   float64 `json:"rejected"`
-	Wasted     float64 `json:"wasted"`   // engines' work that no answer came of, of all work begun
-	Probes     float64 `json:"probes"`   // an engine and second
-	Further    float64 `json:"further"`  // executions beyond a statement's first, an engine and second
-	CallOffs   float64 `json:"calloffs"` // of executions
-	Dials      float64 `json:"dials"`    // of executions
-	P50, P99   time.Duration
-	Before     float64       `json:"before"` // importance in time before the first fault, of that asked
-	Quiet      time.Duration `json:"quiet"`  // when the last fault was over
-	Back       time.Duration `json:"back"`   // from then to nine tenths of before; 0: at once
-	ColdMost   float64       `json:"cold_most"`
+type Metrics struct {
+	Statements         int     `json:"statements"`
+	InTime             float64 `json:"in_time"` // importance answered in time, of all importance
+	Rejected           float64 `json:"rejected"`
+	Wasted             float64 `json:"wasted"`   // engines' work that no answer came of, of all work begun
+	HealthChecks       float64 `json:"probes"`   // an engine and second
+	AdditionalAttempts float64 `json:"further"`  // executions beyond a statement's first, an engine and second
+	Cancellations      float64 `json:"calloffs"` // of executions
+	Handshakes         float64 `json:"dials"`    // of executions
+	P50, P99           time.Duration
+	InTimeBefore       float64       `json:"before"` // importance in time before the first fault, of that asked
+	FaultsEnd          time.Duration `json:"quiet"`  // when the last fault was over
+	RecoveryTime       time.Duration `json:"back"`   // from then to nine tenths of before; 0: at once
+	PeakColdLoad       float64       `json:"cold_most"`
 }
 
 // Measure works the figures out. Times count from when a statement was due, so that a lab or a router that was late hides nothing.
-func Measure(h *History) Figures {
+func Measure(h *History) Metrics {
 	s := h.Schedule
-	f := Figures{Quiet: seconds(s.Quiet())}
+	f := Metrics{FaultsEnd: seconds(s.FaultsEnd())}
 	first := seconds(s.Seconds)
 	for _, x := range s.Faults {
 		first = min(first, seconds(x.At))
@@ -48,15 +48,15 @@
 	bySecond := map[time.Duration][2]float64{} // asked, in time
 	for _, e := range h.Events {
 		w := workloadOf(e.Workload)
-		switch e.What {
-		case Sent:
+		switch e.Kind {
+		case StatementSent:
 			sent[e.Statement] = e
-			if e.Try == 0 {
+			if e.Retry == 0 {
 				f.Statements++
 				asked += w.importance
 				add(bySecond, e.At, 0, w.importance)
 			}
-		case Answered:
+		case StatementAnswered:
 			q, due := sent[e.Statement], sent[firstTry(e.Statement)].At
 			times.RecordValue(max(1, (e.At - q.At).Milliseconds()))
 			if e.Code == codeRejected {
@@ -66,31 +66,31 @@
 				good += workloadOf(q.Workload).importance
 				add(bySecond, due, 1, workloadOf(q.Workload).importance)
 			}
-		case Started:
+		case AttemptStarted:
 			executions++
 			work += e.Work
 			if ran[e.Statement] {
-				f.Further++
+				f.AdditionalAttempts++
 			}
 			ran[e.Statement], begun[e.Statement] = true, e
-			f.ColdMost = max(f.ColdMost, e.Of)
-		case Called, Dropped: // it had at most run since its start, and at most all of its work
-			f.CallOffs++
+			f.PeakColdLoad = max(f.PeakColdLoad, e.ColdLoad)
+		case AttemptCancelled, AttemptDropped: // it had at most run since its start, and at most all of its work
+			f.Cancellations++
 			if b, ok := begun[e.Statement]; ok {
 				wasted += min(b.Work, (e.At-b.At).Seconds()*float64(workloadOf(b.Workload).threads))
 			}
-		case Probed:
-			f.Probes++
-		case Dialled:
-			f.Dials++
+		case HealthChecked:
+			f.HealthChecks++
+		case EngineConnected:
+			f.Handshakes++
 		}
 	}
 	perEngine := float64(s.Engines) * s.Seconds
 	f.InTime, f.Rejected, f.Wasted = part(good, asked), part(float64(rejected), float64(len(sent))), part(wasted, work)
-	f.Probes, f.Further = f.Probes/perEngine, f.Further/perEngine
-	f.CallOffs, f.Dials = part(f.CallOffs, executions), part(f.Dials, executions)
+	f.HealthChecks, f.AdditionalAttempts = f.HealthChecks/perEngine, f.AdditionalAttempts/perEngine
+	f.Cancellations, f.Handshakes = part(f.Cancellations, executions), part(f.Handshakes, executions)
 	f.P50, f.P99 = time.Duration(times.ValueAtQuantile(50))*time.Millisecond, time.Duration(times.ValueAtQuantile(99))*time.Millisecond
-	f.Before, f.Back = normal(bySecond, first, f.Quiet, seconds(s.Seconds))
+	f.InTimeBefore, f.RecoveryTime = normal(bySecond, first, f.FaultsEnd, seconds(s.Seconds))
 	return f
 }
 
--- a/internal/faultlab/router.go
+++ b/internal/faultlab/router.go
@@ -46,7 +46,7 @@
 	r := &router{f: f, n: n, links: map[string]*Link{}, open: map[*fakes.Client]int{}}
 	var err error
 	if f.library != "" {
-		if r.host, err = faultinject.New(f.library, f.dir, fmt.Sprintf("router-%d", n)); err != nil {
+		if r.host, err = faultinject.NewHost(f.library, f.dir, fmt.Sprintf("router-%d", n)); err != nil {
 			return nil, err
 		}
 	}
@@ -57,9 +57,9 @@
 	if r.feedLink, err = NewLink(r.feed.server.Listener.Addr().String()); err != nil {
 		return nil, err
 	}
-	r.feedLink.Heard = r.feed.heard(func(e told) {
+	r.feedLink.OnDelivered = r.feed.heard(func(e told) {
 		for _, id := range e.engines {
-			f.note(Event{What: Told, Router: n, Engine: id, Text: e.phase})
+			f.note(Event{Kind: EndpointNotified, Router: n, Engine: id, Text: e.phase})
 		}
 	})
 	for _, e := range f.engines {
@@ -77,9 +77,9 @@
 	if err != nil {
 		return err
 	}
-	l.Joined = func(source string) {
+	l.OnConnect = func(source string) {
 		r.f.sources.Store(source, r.n)
-		r.f.note(Event{What: Dialled, Router: r.n, Engine: e.id})
+		r.f.note(Event{Kind: EngineConnected, Router: r.n, Engine: e.id})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +98,7 @@
 	var members, ids []string
 	for _, e := range list {
 		since := int64(0)
-		if e.model.Cold.Warm > 0 {
+		if e.model.SlowStart.WarmUpTime > 0 {
 			since = time.Now().UnixMilli()
 		}
 		members = append(members, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"k","phase":%q,"size":%v,"up_since_ms":%d}`,
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(r.f.o.Program, "serve")
+	cmd := exec.Command(r.f.o.RouterProgram, "serve")
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+file, "GOMAXPROCS=1")
 	if len(r.f.members) > 0 {
 		control, err := r.controlFile()
@@ -167,7 +167,7 @@
 	}()
 	select {
 	case to := <-address:
-		r.door.Target(to)
+		r.door.SetTarget(to)
 	case <-ended:
 		return fmt.Errorf("router %d does not start: see %s", r.n, log.Name())
 	case <-time.After(readyIn):
@@ -183,20 +183,20 @@
 	if err := c.AwaitReady(readyIn); err != nil {
 		return fmt.Errorf("router %d: %w", r.n, err)
 	}
-	r.f.note(Event{What: Up, Router: r.n})
+	r.f.note(Event{Kind: RouterUp, Router: r.n})
 	return nil
 }
 
 // confesses notes what the router's own checks have found: a rule that it would have broken, or a panic.
 func (r *router) confesses(line []byte) {
 	if bytes.Contains(line, []byte(invariant.ViolationMessage)) || bytes.Contains(line, []byte(`"panic"`)) || bytes.HasPrefix(line, []byte("panic:")) {
-		r.f.note(Event{What: Violated, Router: r.n, Text: string(line)})
+		r.f.note(Event{Kind: InvariantViolated, Router: r.n, Text: string(line)})
 	}
 }
 
 // controlFile writes where the control group is: by links of this router's own.
 func (r *router) controlFile() (string, error) {
-	s := GroupSpans
+	s := GroupDurations
 	file := controlclient.Config{LeaseMillis: s.LeaseDuration.Milliseconds(), RenewIntervalMillis: s.RenewInterval.Milliseconds(), ReplyTimeoutMillis: s.ReplyTimeout.Milliseconds(), MaxBatchMillis: s.MaxBatch.Milliseconds(),
 		MaxPauseMillis: s.MaxPause.Milliseconds(), MaxClockDrift: s.MaxClockDrift, MaxRemovedShare: 1}
 	for _, m := range r.f.members {
@@ -216,18 +216,18 @@
 	if kill {
 		sign, text = syscall.SIGKILL, "kill"
 	}
-	r.f.note(Event{What: Down, Router: r.n, Text: text})
+	r.f.note(Event{Kind: RouterDown, Router: r.n, Text: text})
 	return r.signal(sign)
 }
 
 func (r *router) stop() error {
-	r.f.note(Event{What: Down, Router: r.n, Text: "stop"})
+	r.f.note(Event{Kind: RouterDown, Router: r.n, Text: "stop"})
 	return r.signal(syscall.SIGSTOP)
 }
 
 func (r *router) wake() error {
 	err := r.signal(syscall.SIGCONT)
-	r.f.note(Event{What: Up, Router: r.n, Text: "stop"})
+	r.f.note(Event{Kind: RouterUp, Router: r.n, Text: "stop"})
 	return err
 }
 
@@ -288,7 +288,7 @@
 	case a := <-answer:
 		return a
 	case <-leaves:
-		c.Leave(stream)
+		c.Cancel(stream)
 		return fakes.Answer{Err: errLeft}
 	case <-time.After(within):
 		return fakes.Answer{Err: errors.New("no answer")}
@@ -316,7 +316,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Again = func(uint32) { r.f.note(Event{What: Again, Router: r.n}) }
+	c.OnDuplicate = func(uint32) { r.f.note(Event{Kind: DuplicateAnswer, Router: r.n}) }
 	r.clients = append(r.clients, c)
 	r.open[c] = 1
 	return c, nil
--- a/internal/faultlab/schedule.go
+++ b/internal/faultlab/schedule.go
@@ -17,21 +17,21 @@
 // Schedule is an experiment: a fleet, its traffic, and what befalls it when. The same schedule gives the same statements at the
 // same times and the same faults; what processes and their machine make of them differs from play to play.
 type Schedule struct {
-	Name     string  `json:"name"`
-	Seed     uint64  `json:"seed"`
-	Routers  int     `json:"routers"`
-	Engines  int     `json:"engines"`
-	Seconds  float64 `json:"seconds"`
-	Load     float64 `json:"load"`  // of the engines' cores, when all are well
-	Tries    int     `json:"tries"` // further ones of a client whose statement was rejected
-	Says     int     `json:"says"`  // routers, as the settings have it; 0: as many as there are
-	Busiest  float64 `json:"busiest"`
-	Work     float64 `json:"work"`     // of a statement, times the usual; 0: as usual
-	Patience float64 `json:"patience"` // of clients, times the usual: SLO times and statement timeouts; 0: as usual
-	Leavers  float64 `json:"leavers"`  // share of the clients that stop waiting before their time
-	Control  int     `json:"control"`  // processes of a control group, 0: there is none
-	Every    float64 `json:"every"`    // seconds between two versions that are proposed
-	Faults   []Fault `json:"faults"`
+	Name              string  `json:"name"`
+	Seed              uint64  `json:"seed"`
+	Routers           int     `json:"routers"`
+	Engines           int     `json:"engines"`
+	Seconds           float64 `json:"seconds"`
+	Load              float64 `json:"load"`  // of the engines' cores, when all are well
+	Retries           int     `json:"tries"` // further ones of a client whose statement was rejected
+	ConfiguredRouters int     `json:"says"`  // routers, as the settings have it; 0: as many as there are
+	BusiestFactor     float64 `json:"busiest"`
+	WorkFactor        float64 `json:"work"`     // of a statement, times the usual; 0: as usual
+	PatienceFactor    float64 `json:"patience"` // of clients, times the usual: SLO times and statement timeouts; 0: as usual
+	CancelShare       float64 `json:"leavers"`  // share of the clients that stop waiting before their time
+	ControlMembers    int     `json:"control"`  // processes of a control group, 0: there is none
+	VersionInterval   float64 `json:"every"`    // seconds between two versions that are proposed
+	Faults            []Fault `json:"faults"`
 }
 
 // Fault is one thing that befalls some of the fleet at a time.
@@ -92,7 +92,7 @@
 }
 
 // Kinds lists the kinds of faults and what they do.
-func Kinds() (lines []string) {
+func FaultKinds() (lines []string) {
 	for k, f := range faultKinds {
 		lines = append(lines, k+": "+f.what)
 	}
@@ -104,17 +104,17 @@
 
 // patient is a time of a client's, with the schedule's patience.
 func (s *Schedule) patient(usual time.Duration) time.Duration {
-	return time.Duration(cmp.Or(s.Patience, 1) * float64(usual))
+	return time.Duration(cmp.Or(s.PatienceFactor, 1) * float64(usual))
 }
 
 // Check tells what is wrong with a schedule, by field.
-func (s *Schedule) Check() error {
+func (s *Schedule) Validate() error {
 	for _, f := range []struct {
 		name       string
 		value      float64
 		least, top float64
 	}{{"routers", float64(s.Routers), 1, mostProcesses}, {"engines", float64(s.Engines), 1, mostProcesses}, {"seconds", s.Seconds, 1, mostSeconds},
-		{"load", s.Load, 0.01, 10}, {"tries", float64(s.Tries), 0, 10}, {"says", float64(s.Says), 0, 1e6}, {"control", float64(s.Control), 0, 7}, {"every", s.Every, 0, mostSeconds}, {"busiest", s.Busiest, 0, 100}, {"leavers", s.Leavers, 0, 1}, {"work", s.Work, 0, 100}, {"patience", s.Patience, 0, 10}} {
+		{"load", s.Load, 0.01, 10}, {"tries", float64(s.Retries), 0, 10}, {"says", float64(s.ConfiguredRouters), 0, 1e6}, {"control", float64(s.ControlMembers), 0, 7}, {"every", s.VersionInterval, 0, mostSeconds}, {"busiest", s.BusiestFactor, 0, 100}, {"leavers", s.CancelShare, 0, 1}, {"work", s.WorkFactor, 0, 100}, {"patience", s.PatienceFactor, 0, 10}} {
 		if !(f.value >= f.least && f.value <= f.top) {
 			return fmt.Errorf("%s: %v is not from %v to %v", f.name, f.value, f.least, f.top)
 		}
@@ -139,8 +139,8 @@
 			return fmt.Errorf("%s.routers: none", at)
 		case k.members && len(f.Members) == 0:
 			return fmt.Errorf("%s.members: none", at)
-		case slices.ContainsFunc(f.Members, func(m int) bool { return m < -1 || m >= s.Control }):
-			return fmt.Errorf("%s.members: one is not from 0 to %d, nor -1", at, s.Control-1)
+		case slices.ContainsFunc(f.Members, func(m int) bool { return m < -1 || m >= s.ControlMembers }):
+			return fmt.Errorf("%s.members: one is not from 0 to %d, nor -1", at, s.ControlMembers-1)
 		case k.engines && len(f.Engines) == 0:
 			return fmt.Errorf("%s.engines: none", at)
 		case slices.ContainsFunc(f.Routers, func(r int) bool { return r < 0 || r >= s.Routers }):
@@ -153,7 +153,7 @@
 }
 
 // Load reads a schedule, Jsonnet or JSON; an error names the field.
-func Load(path string) (*Schedule, error) {
+func LoadSchedule(path string) (*Schedule, error) {
 	vm := jsonnet.MakeVM()
 	vm.MaxStack = 200
 	text, err := vm.EvaluateFile(path)
@@ -164,7 +164,7 @@
 	if err := json.Unmarshal([]byte(text), s); err != nil {
 		return nil, fmt.Errorf("schedule: %w", err)
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 // Save writes a schedule where Load finds it.
@@ -177,7 +177,7 @@
 }
 
 // Quiet is the end of the last fault, in seconds.
-func (s *Schedule) Quiet() (end float64) {
+func (s *Schedule) FaultsEnd() (end float64) {
 	for _, f := range s.Faults {
 		end = max(end, f.At+f.For)
 	}
@@ -186,11 +186,11 @@
 
 // Draw makes a schedule from a seed: nine routers, eight engines, one to three troubles of the kinds that a fleet sees, over by
 // two thirds of the time.
-func Draw(seed uint64, seconds float64) *Schedule {
+func GenerateSchedule(seed uint64, seconds float64) *Schedule {
 	r := rand.New(rand.NewPCG(seed, 28))
-	s := &Schedule{Name: fmt.Sprintf("seed %d", seed), Seed: seed, Routers: 9, Engines: 8, Seconds: seconds, Tries: 2}
+	s := &Schedule{Name: fmt.Sprintf("seed %d", seed), Seed: seed, Routers: 9, Engines: 8, Seconds: seconds, Retries: 2}
 	s.Load = distuv.Uniform{Min: 0.35, Max: 0.7, Src: r}.Rand()
-	s.Busiest = distuv.Uniform{Min: 1, Max: 4, Src: r}.Rand()
+	s.BusiestFactor = distuv.Uniform{Min: 1, Max: 4, Src: r}.Rand()
 	kinds := []string{"cut", "cut-there", "cut-back", "delay", "slow", "reset", "deaf", "feed", "kill", "stop", "term", "replace", "lose", "crawl", "err", "rush"}
 	for range 1 + r.IntN(3) {
 		f := Fault{Kind: kinds[r.IntN(len(kinds))], At: distuv.Uniform{Min: 0.2, Max: 0.4, Src: r}.Rand() * seconds}
@@ -235,7 +235,7 @@
 	for smaller := true; smaller; {
 		smaller = false
 		for _, c := range cuts(least) {
-			if c.Check() == nil && fails(c) {
+			if c.Validate() == nil && fails(c) {
 				least, smaller = c, true
 				break
 			}
@@ -272,8 +272,8 @@
 			with(func(c *Schedule) { c.Faults[i].For /= 2 })
 		}
 	}
-	if s.Tries > 0 {
-		with(func(c *Schedule) { c.Tries = 0 })
+	if s.Retries > 0 {
+		with(func(c *Schedule) { c.Retries = 0 })
 	}
 	return list
 }
--- a/internal/faultlab/schedule_test.go
+++ b/internal/faultlab/schedule_test.go
@@ -33,46 +33,46 @@
 	} {
 		path := filepath.Join(t.TempDir(), "s.jsonnet")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := Load(path)
+		_, err := LoadSchedule(path)
 		if says == "" {
 			assert.NoError(t, err, text)
 		} else if assert.Error(t, err, text) {
 			assert.Contains(t, err.Error(), says)
 		}
 	}
-	_, err := Load("no/such/file")
+	_, err := LoadSchedule("no/such/file")
 	assert.Error(t, err)
 }
 
 func TestASeedGivesTheSameSchedule(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(200) {
-		s := Draw(seed, 12)
-		require.NoError(t, s.Check())
-		require.Equal(t, s, Draw(seed, 12))
-		assert.Less(t, s.Quiet(), 8.0, "faults are over by two thirds of the time")
-		g := DrawGroup(seed, 12)
-		require.NoError(t, g.Check())
-		require.Equal(t, g, DrawGroup(seed, 12))
-		soak := DrawSoak(seed, 12)
-		require.NoError(t, soak.Check())
-		require.Equal(t, soak, DrawSoak(seed, 12))
+		s := GenerateSchedule(seed, 12)
+		require.NoError(t, s.Validate())
+		require.Equal(t, s, GenerateSchedule(seed, 12))
+		assert.Less(t, s.FaultsEnd(), 8.0, "faults are over by two thirds of the time")
+		g := GenerateGroupSchedule(seed, 12)
+		require.NoError(t, g.Validate())
+		require.Equal(t, g, GenerateGroupSchedule(seed, 12))
+		soak := GenerateSoakSchedule(seed, 12)
+		require.NoError(t, soak.Validate())
+		require.Equal(t, soak, GenerateSoakSchedule(seed, 12))
 		for _, f := range slices.Concat(s.Faults, g.Faults, soak.Faults) {
 			seen[f.Kind] = true
 		}
 	}
 	seen["member-lose"] = true // for good, so never drawn
 	assert.Len(t, seen, len(faultKinds), "all kinds are drawn")
-	assert.Len(t, Kinds(), len(faultKinds))
+	assert.Len(t, FaultKinds(), len(faultKinds))
 	path := filepath.Join(t.TempDir(), "s.json")
-	require.NoError(t, Draw(7, 12).Save(path))
-	again, err := Load(path)
+	require.NoError(t, GenerateSchedule(7, 12).Save(path))
+	again, err := LoadSchedule(path)
 	require.NoError(t, err)
-	assert.Equal(t, Draw(7, 12), again)
+	assert.Equal(t, GenerateSchedule(7, 12), again)
 }
 
 func TestShrinkLeavesOnlyWhatFails(t *testing.T) {
-	s := &Schedule{Routers: 9, Engines: 8, Seconds: 12, Load: 0.5, Tries: 2, Faults: []Fault{
+	s := &Schedule{Routers: 9, Engines: 8, Seconds: 12, Load: 0.5, Retries: 2, Faults: []Fault{
 		{Kind: "stop", At: 1, For: 2, Routers: []int{0, 1, 2, 3}}, {Kind: "cut", At: 2, For: 3, Routers: []int{1, 4, 5}, Engines: []int{0, 3, 6}}, {Kind: "feed", At: 2, For: 1, Routers: []int{8}}}}
 	plays := 0
 	least := Shrink(s, func(c *Schedule) bool { // fails where router 4 is cut from engine 3 for a second
@@ -92,7 +92,7 @@
 	})
 	require.Len(t, least.Faults, 1)
 	assert.Equal(t, Fault{Kind: "cut", At: 2, For: 1.5, Routers: []int{4}, Engines: []int{3}}, least.Faults[0])
-	assert.Zero(t, least.Tries)
+	assert.Zero(t, least.Retries)
 	assert.Len(t, s.Faults, 3, "the schedule itself is left as it is")
 	assert.Less(t, plays, 60)
 }
--- a/internal/faultlab/soak.go
+++ b/internal/faultlab/soak.go
@@ -29,12 +29,12 @@
 
 // DrawSoak makes a schedule from a seed whose faults overlap in time: 10 to 24 routers, six to fourteen faults of all kinds, clients that
 // leave, clocks that step by seconds or an hour either way, also before routers start anew.
-func DrawSoak(seed uint64, seconds float64) *Schedule {
+func GenerateSoakSchedule(seed uint64, seconds float64) *Schedule {
 	r := rand.New(rand.NewPCG(seed, 39))
 	between := func(least, most float64) float64 { return distuv.Uniform{Min: least, Max: most, Src: r}.Rand() }
 	s := &Schedule{Name: fmt.Sprintf("soak seed %d", seed), Seed: seed, Routers: leastSoakRouters + r.IntN(mostSoakRouters-leastSoakRouters+1),
-		Engines: 8, Seconds: seconds, Tries: r.IntN(3), Load: between(0.3, 0.6), Busiest: between(1, 4), Leavers: between(0, 0.2),
-		Work: between(1, mostSoakWork), Patience: between(1, mostSoakPatience)}
+		Engines: 8, Seconds: seconds, Retries: r.IntN(3), Load: between(0.3, 0.6), BusiestFactor: between(1, 4), CancelShare: between(0, 0.2),
+		WorkFactor: between(1, mostSoakWork), PatienceFactor: between(1, mostSoakPatience)}
 	for range leastSoakFaults + r.IntN(mostSoakFaults-leastSoakFaults+1) {
 		f := Fault{Kind: soakFaults[r.IntN(len(soakFaults))], At: between(0, 1-soakQuiet) * seconds}
 		k := faultKinds[f.Kind]
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -74,16 +74,16 @@
 	}
 	places := map[string]func(t *testing.T, clients int) (r *running, wait func(), open func() *fakes.Engine){
 		"held, since no engine is ready": func(t *testing.T, clients int) (*running, func(), func() *fakes.Engine) {
-			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.Done("fine\n")}}), fakes.NewControl()
+			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.RespondResult("fine\n")}}), fakes.NewControlFeed()
 			t.Cleanup(func() { f.Close(); e.Close() })
 			r := run(t, fakes.Config(f.Server.Listener.Addr().String(), fakes.Settings, 64, 256, at(e, "leaving")))
 			return r, func() { r.await(t, "all are held", func() bool { return r.figures.open.Load() == int64(clients) }) },
 				func() *fakes.Engine { f.Events <- change(2, at(e, "active")); return e }
 		},
 		"its connection is coming up": func(t *testing.T, clients int) (*running, func(), func() *fakes.Engine) {
-			listener, accept, err := fakes.NotUp()
+			listener, accept, err := fakes.ListenWithFullBacklog()
 			require.NoError(t, err)
-			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.Done("fine\n")}}), fakes.NewControl()
+			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.RespondResult("fine\n")}}), fakes.NewControlFeed()
 			t.Cleanup(func() { f.Close(); e.Close(); listener.Close() })
 			slow := strings.Replace(fakes.Settings, `"connectTimeout":250000`, `"connectTimeout":20000000`, 1)
 			r := run(t, fakes.Config(f.Server.Listener.Addr().String(), slow, 64, 256, fakes.Member("slow", listener.Addr().String(), "active")))
@@ -105,25 +105,25 @@
 							}()
 						}
 					}()
-					<-f.Asked
+					<-f.LastEventIDs
 					f.Events <- change(2, fakes.Member("slow", listener.Addr().String(), "leaving"), at(e, "active"))
 					f.Events <- "" // asked on from there: it was taken, before what is sent now
-					require.Equal(t, "2", <-f.Asked)
+					require.Equal(t, "2", <-f.LastEventIDs)
 					return e
 				}
 		},
 		"held again, after an execution that failed": func(t *testing.T, clients int) (*running, func(), func() *fakes.Engine) {
 			fail := make(chan struct{})
-			bad := fakes.NewEngine("bad", map[string][]fakes.Step{"POST": {fakes.Says(202, "")}, "GET 0": {fakes.After(fail, fakes.Says(500, ""))}})
-			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.Done("fine\n")}}), fakes.NewControl()
+			bad := fakes.NewEngine("bad", map[string][]fakes.Step{"POST": {fakes.Respond(202, "")}, "GET 0": {fakes.RespondAfter(fail, fakes.Respond(500, ""))}})
+			e, f := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.RespondResult("fine\n")}}), fakes.NewControlFeed()
 			t.Cleanup(func() { f.Close(); e.Close(); bad.Close() })
 			r := run(t, fakes.Config(f.Server.Listener.Addr().String(), fakes.Settings, 64, 256, at(bad, "active")))
 			return r, func() {
-				r.await(t, "some are out", func() bool { return bad.Count("POST") >= min(clients, 4) })
+				r.await(t, "some are out", func() bool { return bad.CallCount("POST") >= min(clients, 4) })
 				f.Events <- change(2, at(bad, "leaving"))
-				<-f.Asked
+				<-f.LastEventIDs
 				f.Events <- "" // asked on from there: it was taken
-				require.Equal(t, "2", <-f.Asked)
+				require.Equal(t, "2", <-f.LastEventIDs)
 				close(fail)
 				r.await(t, "they failed", func() bool { return r.figures.outcomes[decision.Errored].Load() >= int64(min(clients, 4)) })
 			}, func() *fakes.Engine { f.Events <- change(3, at(e, "active")); return e }
@@ -149,12 +149,12 @@
 					_, err := io.ReadFull(c, make([]byte, 9))
 					require.NoError(t, err)
 					select {
-					case heard := <-e.Heard():
+					case heard := <-e.Calls():
 						require.Contains(t, heard, "id = 999")
 					case <-time.After(patience):
 						t.Fatal("nothing is sent")
 					}
-					assert.Equal(t, 1, e.Count("POST"), "nothing else was sent")
+					assert.Equal(t, 1, e.CallCount("POST"), "nothing else was sent")
 					c.Close()
 					r.await(t, "all is given back", func() bool {
 						_, out, texts := r.front.FlowControlStats()
@@ -169,23 +169,23 @@
 // A deduplicated statement that may have run goes to another engine only while its first execution is remembered: where the connection
 // there comes up later than that, nothing is sent, and its client hears so when the time is over.
 func TestARepeatIsNotSentAfterItsWindow(t *testing.T) {
-	listener, accept, err := fakes.NotUp()
+	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
 	defer listener.Close()
 	fail := make(chan struct{})
-	first := fakes.NewEngine("first", map[string][]fakes.Step{"POST": {fakes.Says(202, "")}, "GET 0": {fakes.After(fail, fakes.Says(500, ""))}})
-	f := fakes.NewControl()
+	first := fakes.NewEngine("first", map[string][]fakes.Step{"POST": {fakes.Respond(202, "")}, "GET 0": {fakes.RespondAfter(fail, fakes.Respond(500, ""))}})
+	f := fakes.NewControlFeed()
 	t.Cleanup(func() { f.Close(); first.Close() })
 	settings := strings.NewReplacer(`"connectTimeout":250000`, `"connectTimeout":20000000`,
 		`"name":"lookup","idempotency":"idempotent"`, `"name":"lookup","idempotency":"deduplicated","group":"all","window":700000`).Replace(fakes.Settings)
 	require.Contains(t, settings, "700000")
 	r := run(t, fakes.Config(f.Server.Listener.Addr().String(), settings, 64, 256, at(first, "active")))
 	c := r.sends(t, "lookup", "1")
-	r.await(t, "it is out", func() bool { return first.Count("POST") == 1 })
+	r.await(t, "it is out", func() bool { return first.CallCount("POST") == 1 })
 	f.Events <- change(2, at(first, "leaving"), fakes.Member("slow", listener.Addr().String(), "active"))
-	<-f.Asked
+	<-f.LastEventIDs
 	f.Events <- "" // asked on from there: it was taken
-	require.Equal(t, "2", <-f.Asked)
+	require.Equal(t, "2", <-f.LastEventIDs)
 	close(fail)
 	r.await(t, "it goes again", func() bool { return r.figures.executions.Load() == 2 })
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(patience/3))) // well before its client gives up
--- a/internal/proxy/looks_test.go
+++ b/internal/proxy/looks_test.go
@@ -26,7 +26,7 @@
 type arm struct {
 	gateway *Router
 	clients []*fakes.Client
-	engines []*fakes.Model
+	engines []*fakes.SimulatedEngine
 	mu      sync.Mutex
 	took    [3][]time.Duration // by true workload, of what completed
 	answers map[downstream.Code]int
@@ -39,7 +39,7 @@
 	a := &arm{answers: map[downstream.Code]int{}}
 	var members []string
 	for i := range 2 {
-		e := fakes.NewModel(8, func(_, text string) (time.Duration, int) { // the text tells the true work
+		e := fakes.NewSimulatedEngine(8, func(_, text string) (time.Duration, int) { // the text tells the true work
 			var us int64
 			threads := 1
 			if i := strings.Index(text, "/*w"); i >= 0 {
@@ -51,7 +51,7 @@
 		a.engines = append(a.engines, e)
 		members = append(members, fakes.Member(fmt.Sprint("e", i), e.Server.Listener.Addr().String(), "active"))
 	}
-	feed := fakes.NewControl()
+	feed := fakes.NewControlFeed()
 	t.Cleanup(feed.Close)
 	cfg, err := settings.ParseConfig(fakes.Config(feed.Server.Listener.Addr().String(), fakes.Settings, 192, 1024, members...))
 	require.NoError(t, err)
@@ -73,7 +73,7 @@
 }
 
 func (a *arm) ask(n int, item fakes.Item, wait *sync.WaitGroup) {
-	w := fakes.Workloads()[item.True]
+	w := fakes.Workloads()[item.Actual]
 	text := fmt.Sprintf("%s /*w %d %d*/", item.Text, (item.Work / faster).Microseconds(), w.Threads)
 	answer := a.clients[n%len(a.clients)].Send(map[string]string{"c": fakes.Workloads()[item.Declared].Name, "i": fmt.Sprintf("%016x", n),
 		"d": strconv.Itoa(int(fakes.Workloads()[item.Declared].StatementTimeout.Milliseconds())), "t": "x",
@@ -87,7 +87,7 @@
 			return
 		}
 		if a.answers[got.Code]++; got.Code == downstream.CodeCompleted {
-			a.took[item.True] = append(a.took[item.True], got.Took)
+			a.took[item.Actual] = append(a.took[item.Actual], got.Took)
 		}
 	})
 }
@@ -115,7 +115,7 @@
 			n++
 			off.ask(n, item, &wait)
 			on.ask(n, item, &wait)
-			item.Declared, item.Estimate = item.True, item.Work
+			item.Declared, item.Estimate = item.Actual, item.Work
 			plain.ask(n, item, &wait)
 			honest.ask(n, item, &wait)
 			at += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -71,7 +71,7 @@
 }
 
 func play(t *testing.T, d deployment) *bench {
-	e, f := fakes.NewEngine("e", nil), fakes.NewControl()
+	e, f := fakes.NewEngine("e", nil), fakes.NewControlFeed()
 	t.Cleanup(func() { f.Close(); e.Close() })
 	member := fmt.Sprintf(`{"id":"e","host_port":%q,"locality":%q,"flavor":%q,"phase":"active","size":8}`, e.Server.Listener.Addr(), d.zone, d.kind)
 	router := run(t, fakes.Config(f.Server.Listener.Addr().String(), d.settings(), d.memory, d.sockets, member))
@@ -86,13 +86,13 @@
 func (b *bench) ask(t *testing.T, workload, group string, script ...fakes.Step) {
 	b.stream++
 	b.e.Script(map[string][]fakes.Step{"POST": script})
-	before := b.e.Count("POST")
+	before := b.e.CallCount("POST")
 	fields := map[string]string{"c": workload, "i": fmt.Sprintf("%016x", b.stream), "d": "3000", "t": group, "h": "5", "heap_mb": "8"}
 	_, err := b.conn.Write(fakes.Frame(7, b.stream, fakes.Payload(fields, fmt.Sprintf("select a from sales_%d.b where id = 1", b.stream))))
 	require.NoError(t, err)
 	_, stream, code, body, err := fakes.ReadFrame(b.r)
 	require.NoError(t, err)
-	b.said = append(b.said, fmt.Sprintf("%s of %s: %d %q on %d, sent on %d times", workload, group, code, body, stream, b.e.Count("POST")-before))
+	b.said = append(b.said, fmt.Sprintf("%s of %s: %d %q on %d, sent on %d times", workload, group, code, body, stream, b.e.CallCount("POST")-before))
 }
 
 // script is the same for all: each workload of each group completes, and meets an error; then names that are others'.
@@ -100,8 +100,8 @@
 	for i := range 9 {
 		steps = append(steps, func(t *testing.T, b *bench, other deployment) {
 			w, g := b.d.workloads[i%len(b.d.workloads)], b.d.groups[i%len(b.d.groups)]
-			b.ask(t, w.name, g, fakes.Done(fmt.Sprint("row ", i, "\n")))
-			b.ask(t, w.name, g, fakes.Says(500, ""), fakes.Done("again\n"))
+			b.ask(t, w.name, g, fakes.RespondResult(fmt.Sprint("row ", i, "\n")))
+			b.ask(t, w.name, g, fakes.Respond(500, ""), fakes.RespondResult("again\n"))
 			want := `20 "again\n" on %d, sent on 2 times`
 			if w.effect != "idempotent" {
 				want = `51 "" on %d, sent on 1 times`
@@ -154,7 +154,7 @@
 
 // The engines of the configuration are all gone: what the feed tells of instead makes the router ready.
 func TestReadyByEnginesThatCameLater(t *testing.T) {
-	e, f := fakes.NewEngine("e", nil), fakes.NewControl()
+	e, f := fakes.NewEngine("e", nil), fakes.NewControlFeed()
 	t.Cleanup(func() { f.Close(); e.Close() })
 	r := run(t, fakes.Config(f.Server.Listener.Addr().String(), fakes.Settings, 64, 256, fakes.Member("gone", "127.0.0.1:1", "active")))
 	f.Events <- change(2, fakes.Member("gone", "", "left"), at(e, "active"))
--- a/internal/upstream/proof_test.go
+++ b/internal/upstream/proof_test.go
@@ -283,13 +283,13 @@
 	b.UpdateEngine("e", link.Address(), true)
 	x := b.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: time.Now().Add(time.Minute)})
 	await(t, started)
-	link.Set(faultlab.Way{Delay: late}, faultlab.Way{})
+	link.Impair(faultlab.Impairment{Delay: late}, faultlab.Impairment{})
 	close(polls)
 	e.await(t, "POST")
-	polled := func() bool { return link.Dialled() == 2 && link.Held() > 0 } // the start's answer came sooner than one may, so the poll has a connection of its own
+	polled := func() bool { return link.Connections() == 2 && link.InFlight() > 0 } // the start's answer came sooner than one may, so the poll has a connection of its own
 	require.Eventually(t, polled, patience, time.Millisecond)
-	link.Set(faultlab.Way{Delay: late}, faultlab.Way{Cut: true})
-	require.NoError(t, link.Refuse(true))
+	link.Impair(faultlab.Impairment{Delay: late}, faultlab.Impairment{Blocked: true})
+	require.NoError(t, link.RefuseConnections(true))
 	x.Cancel()
 	e.await(t, "GET")
 	assert.Equal(t, decision.Cancelled, await(t, ended).Outcome)
