--- a/internal/consensus/effects.go
+++ b/internal/consensus/effects.go
@@ -20,7 +20,7 @@
 	RoleChange       *Role // nil: unchanged
 }
 
-// HasWork tells whether there is anything to do.
+// HasWork reports whether there is anything to do.
 func (e *Effects) HasWork() bool {
 	return e.Persist.HardState != nil ||
 		e.Persist.Snapshot != nil ||
@@ -31,7 +31,7 @@
 		e.RoleChange != nil
 }
 
-// ConfirmedRead tells that this process still led after RequestReadConfirmation was called with the token. A read is linearizable
+// ConfirmedRead reports that this process still led after RequestReadConfirmation was called with the token. A read is linearizable
 // once the log is applied up to Index.
 type ConfirmedRead struct {
 	Token uint64
@@ -98,7 +98,7 @@
 	return effects
 }
 
-// Advance tells that the last effects were carried out.
+// Advance reports that the last effects were carried out.
 func (n *Node) Advance() {
 	if !n.effectsOpen {
 		return
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -66,10 +66,10 @@
 	n.electionDeadline = now + timeout + time.Duration(n.random.Float64()*float64(timeout))
 }
 
-// isVoter tells whether this process may vote: a learner or a removed process calls no election.
+// isVoter reports whether this process may vote: a learner or a removed process calls no election.
 func (n *Node) isVoter() bool { return slices.Contains(n.confState.GetVoters(), n.settings.ID) }
 
-// hasLiveLeader tells whether this process leads or has heard from the leader within an election timeout. Then it does not help to
+// hasLiveLeader reports whether this process leads or has heard from the leader within an election timeout. Then it does not help to
 // replace the leader, so that a process behind a broken link can't depose it.
 func (n *Node) hasLiveLeader(now time.Duration) bool {
 	return n.role.IsLeader || now < n.lastLeaderContact+n.settings.ElectionTimeout
@@ -82,7 +82,7 @@
 	n.silenced = (n.silenced || graceOver) && !n.hasQuorumContact(now)
 }
 
-// hasQuorumContact tells whether a majority of the voters, this process included, has responded to this leader lately.
+// hasQuorumContact reports whether a majority of the voters, this process included, has responded to this leader lately.
 func (n *Node) hasQuorumContact(now time.Duration) bool {
 	voters := n.confState.GetVoters()
 	responsive := 0
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -132,10 +132,10 @@
 	return n.rawNode.Step(message)
 }
 
-// ReportUnreachable tells that a message to another process could not be delivered.
+// ReportUnreachable reports that a message to another process could not be delivered.
 func (n *Node) ReportUnreachable(id uint64) { n.rawNode.ReportUnreachable(id) }
 
-// ReportSnapshot tells whether a snapshot was delivered to another process.
+// ReportSnapshot reports whether a snapshot was delivered to another process.
 func (n *Node) ReportSnapshot(id uint64, delivered bool) {
 	status := raft.SnapshotFinish
 	if !delivered {
--- /dev/null
+++ b/internal/consensus/node_test.go
@@ -0,0 +1,200 @@
+package consensus
+
+import (
+	"io"
+	"log"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+const (
+	testHeartbeat = 20 * time.Millisecond
+	testElection  = 150 * time.Millisecond
+)
+
+func testSettings(id uint64, voters ...uint64) Settings {
+	return Settings{
+		ID:                id,
+		Voters:            voters,
+		HeartbeatInterval: testHeartbeat,
+		ElectionTimeout:   testElection,
+		Seed:              id,
+		Logger:            &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
+	}
+}
+
+func TestSettingsValidate(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		settings Settings
+		want     string // "" if valid
+	}{
+		{"valid", Settings{ID: 1, HeartbeatInterval: 1, ElectionTimeout: 3}, ""},
+		{"no id", Settings{HeartbeatInterval: 1, ElectionTimeout: 3}, "id: missing"},
+		{"no heartbeat", Settings{ID: 1, ElectionTimeout: 3}, "heartbeat: not above 0"},
+		{"short election", Settings{ID: 1, HeartbeatInterval: time.Second, ElectionTimeout: 2 * time.Second}, "election: 2s is under three heartbeats"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			err := c.settings.Validate()
+			if c.want == "" {
+				assert.NoError(t, err)
+				return
+			}
+			assert.EqualError(t, err, c.want)
+		})
+	}
+}
+
+func storedSnapshot(index uint64) *pb.Snapshot {
+	return &pb.Snapshot{Metadata: &pb.SnapshotMetadata{
+		Index:     proto.Uint64(index),
+		Term:      proto.Uint64(1),
+		ConfState: &pb.ConfState{Voters: []uint64{1}},
+	}}
+}
+
+func storedHardState(commit uint64) *pb.HardState {
+	return &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(1), Commit: proto.Uint64(commit)}
+}
+
+func TestNewRejectsTruncatedLog(t *testing.T) {
+	_, err := New(testSettings(1), PersistentState{Snapshot: storedSnapshot(5), HardState: storedHardState(7)}, 5, 0)
+	var truncated *TruncatedLogError
+	require.ErrorAs(t, err, &truncated)
+	assert.Equal(t, TruncatedLogError{LastIndex: 5, CommitIndex: 7}, *truncated)
+	assert.EqualError(t, err, "the log ends at 5, and 7 was committed: it is damaged")
+}
+
+// A snapshot may have been synced after the commit index was.
+func TestNewCommitsWhatTheSnapshotHolds(t *testing.T) {
+	n, err := New(testSettings(1), PersistentState{Snapshot: storedSnapshot(5), HardState: storedHardState(3)}, 5, 0)
+	require.NoError(t, err)
+	assert.Equal(t, uint64(5), n.InitialState().HardState.GetCommit())
+	assert.Equal(t, uint64(5), n.AppliedIndex())
+}
+
+func TestReceiveMisdirected(t *testing.T) {
+	n, err := New(testSettings(1, 1, 2, 3), PersistentState{}, 0, 0)
+	require.NoError(t, err)
+	for _, c := range []struct {
+		name     string
+		kind     pb.MessageType
+		from, to uint64
+	}{
+		{"to another process", pb.MsgHeartbeat, 2, 3},
+		{"from itself", pb.MsgHeartbeat, 1, 1},
+		{"local kind", pb.MsgHup, 2, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			message := &pb.Message{Type: c.kind.Enum(), From: proto.Uint64(c.from), To: proto.Uint64(c.to)}
+			assert.ErrorIs(t, n.Receive(0, message), ErrMisdirected)
+		})
+	}
+}
+
+// cluster runs processes under one clock, with a network that delivers at once or not at all.
+type cluster struct {
+	t        *testing.T
+	now      time.Duration
+	nodes    map[uint64]*Node
+	isolated map[uint64]bool
+	sent     map[uint64]int // messages by their sender
+}
+
+func newCluster(t *testing.T) *cluster {
+	t.Helper()
+	c := &cluster{t: t, nodes: map[uint64]*Node{}, isolated: map[uint64]bool{}, sent: map[uint64]int{}}
+	for id := uint64(1); id <= 3; id++ {
+		n, err := New(testSettings(id, 1, 2, 3), PersistentState{}, 0, 0)
+		require.NoError(t, err)
+		c.nodes[id] = n
+	}
+	return c
+}
+
+// run lets time pass.
+func (c *cluster) run(duration time.Duration) {
+	c.t.Helper()
+	for end := c.now + duration; c.now < end; c.now += time.Millisecond {
+		for id := uint64(1); id <= 3; id++ {
+			if c.now >= c.nodes[id].NextDeadline() {
+				c.nodes[id].Tick(c.now)
+			}
+			c.carryOut(id)
+		}
+	}
+}
+
+func (c *cluster) carryOut(id uint64) {
+	n := c.nodes[id]
+	for effects := n.Effects(c.now); effects.HasWork(); effects = n.Effects(c.now) {
+		n.Advance()
+		c.sent[id] += len(effects.Messages)
+		for _, message := range effects.Messages {
+			receiver := message.GetTo()
+			if c.isolated[id] || c.isolated[receiver] {
+				continue
+			}
+			if c.nodes[receiver].Receive(c.now, proto.Clone(message).(*pb.Message)) == nil {
+				c.carryOut(receiver)
+			}
+		}
+	}
+	n.Advance()
+}
+
+// leaders lists the processes that lead.
+func (c *cluster) leaders() []uint64 {
+	var list []uint64
+	for id := uint64(1); id <= 3; id++ {
+		if c.nodes[id].Role().IsLeader {
+			list = append(list, id)
+		}
+	}
+	return list
+}
+
+// A leader that is cut off is silenced and replaced; once it is heard again it follows.
+func TestIsolatedLeader(t *testing.T) {
+	c := newCluster(t)
+	c.run(time.Second)
+	require.Len(t, c.leaders(), 1)
+	first := c.leaders()[0]
+
+	c.isolated[first] = true
+	c.run(time.Second)
+	require.Len(t, c.leaders(), 1)
+	second := c.leaders()[0]
+	assert.NotEqual(t, first, second)
+	assert.ErrorIs(t, c.nodes[first].Propose([]byte("x")), raft.ErrProposalDropped)
+	before := c.sent[first]
+	c.run(time.Second)
+	assert.Equal(t, before, c.sent[first], "a silenced leader sends nothing")
+
+	c.isolated[first] = false
+	c.run(time.Second)
+	assert.Equal(t, []uint64{second}, c.leaders())
+	assert.Equal(t, Role{Leader: second, Term: c.nodes[second].Role().Term}, c.nodes[first].Role())
+}
+
+// A process that was cut off calls elections, but the others hear their leader and keep it.
+func TestIsolatedFollowerDoesNotDepose(t *testing.T) {
+	c := newCluster(t)
+	c.run(time.Second)
+	require.Len(t, c.leaders(), 1)
+	leader := c.leaders()[0]
+	role := c.nodes[leader].Role()
+	follower := leader%3 + 1
+	c.isolated[follower] = true
+	c.run(2 * time.Second)
+	c.isolated[follower] = false
+	c.run(time.Second)
+	assert.Equal(t, role, c.nodes[leader].Role())
+	assert.Equal(t, leader, c.nodes[follower].Role().Leader)
+}
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -23,7 +23,7 @@
 	Entries   []*pb.Entry
 }
 
-// isEmpty tells whether nothing was ever stored.
+// isEmpty reports whether nothing was ever stored.
 func (s *PersistentState) isEmpty() bool {
 	return s.HardState == nil && s.Snapshot == nil && len(s.Entries) == 0
 }
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// loadsWithFile tells whether a copy of a stored folder can be loaded after one of its files was replaced. What is loaded has to be
+// loadsWithFile reports whether a copy of a stored folder can be loaded after one of its files was replaced. What is loaded has to be
 // what was stored: entries 2 to 60.
 func loadsWithFile(t *testing.T, dir, name string, content []byte) bool {
 	t.Helper()
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -14,12 +14,12 @@
 type (
 	// MessageReceived is a message from another process.
 	MessageReceived struct{ Message *pb.Message }
-	// PeerUnreachable tells that a message to another process could not be delivered.
+	// PeerUnreachable reports that a message to another process could not be delivered.
 	PeerUnreachable struct {
 		PeerID       uint64
 		SnapshotLost bool // a snapshot was among what was not delivered
 	}
-	// SnapshotDelivered tells that another process has received a snapshot completely.
+	// SnapshotDelivered reports that another process has received a snapshot completely.
 	SnapshotDelivered struct{ PeerID uint64 }
 	// LeaseRequest is an event for the lease coordinator: a renewal, a proposal, a check, or the end of such a call.
 	LeaseRequest struct{ Event lease.CoordinatorEvent }
@@ -54,9 +54,9 @@
 	LeaseResponse struct{ Action lease.CoordinatorAction }
 	// PublishState makes the state that Register returns now visible to readers and watchers.
 	PublishState struct{}
-	// RoleChanged tells that this process leads now or no longer, or that the leader or the term has changed.
+	// RoleChanged reports that this process leads now or no longer, or that the leader or the term has changed.
 	RoleChanged struct{ Role consensus.Role }
-	// MembershipChanged tells that processes were added or removed, or became voters.
+	// MembershipChanged reports that processes were added or removed, or became voters.
 	MembershipChanged struct{ Members map[uint64]Member }
 )
 
--- a/internal/replica/harness_test.go
+++ b/internal/replica/harness_test.go
@@ -146,7 +146,7 @@
 	return 0
 }
 
-// allActivated tells whether a version is in force on each process.
+// allActivated reports whether a version is in force on each process.
 func (g *storedGroup) allActivated(number uint64) bool {
 	for _, replica := range g.replicas {
 		if replica.Register().Activated < number {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -143,7 +143,7 @@
 // Members are the processes of the group by id. The caller must not change them.
 func (r *Replica) Members() map[uint64]Member { return r.members }
 
-// IsLeader tells whether this process leads and grants leases.
+// IsLeader reports whether this process leads and grants leases.
 func (r *Replica) IsLeader() bool { return r.isLeader }
 
 // Role is this process's role in the consensus protocol. Its IsLeader precedes that of the replica, which has to apply what earlier
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// faultsActive tells whether faults may occur by now.
+// faultsActive reports whether faults may occur by now.
 func (s *simulation) faultsActive() bool { return !s.NoFaults && s.now < s.quietFrom() }
 
 func (s *simulation) randomRouter() *router { return s.routers[s.random.IntN(len(s.routers))] }
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// write is the input of a write operation; a read has notWritten.
+// notWritten is the input of a read; that of a write is its number.
 const notWritten = uint64(0)
 
 func (o *operationAudit) addWrite(number uint64, called, returned time.Duration) {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -54,7 +54,7 @@
 	return r
 }
 
-// converged tells whether all routers acted on the newest version at the last sample, or that is so new that they need not.
+// converged reports whether all routers acted on the newest version at the last sample, or that is so new that they need not.
 func (a *auditor) converged(s *simulation) bool {
 	return a.leases.lastNotConverged < s.now-auditInterval || a.versions.lastObserved >= s.now-maxConvergenceDelay
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -137,7 +137,7 @@
 // oneIn is true with a chance of one in n.
 func (s *simulation) oneIn(n int) bool { return s.random.IntN(n) == 0 }
 
-// record adds a line to the history.
+// record adds a line to the history. Its wording is part of the recorded histories of the tests.
 func (s *simulation) record(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	fmt.Fprintf(s.digest, "%d %s", s.now, line)
