--- a/internal/controlapi/api.go
+++ b/internal/controlapi/api.go
@@ -1,6 +1,6 @@
 // Package controlapi defines the HTTP interface of the control group: paths, headers and the JSON messages that its processes, the
 // operators' client and the routers exchange. It imports neither the replica nor its storage, so a router can use it. Renewals and
-// their replies, proposals and their outcomes are defined in package lease.
+// their replies are defined in package lease, proposals and their outcomes in package configregister.
 package controlapi
 
 import (
--- /dev/null
+++ b/internal/controlclient/config.go
@@ -0,0 +1,96 @@
+package controlclient
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"bankledge/internal/configversion"
+	"bankledge/internal/lease"
+	"bankledge/internal/settings"
+)
+
+const (
+	maxAddresses           = 16
+	defaultMaxRemovedShare = 0.34
+)
+
+// Config is a router's control file: where the control group is, and the durations that the router and the group have in common. A
+// field that is missing or 0 has its default.
+type Config struct {
+	Addresses           []string `json:"addresses"` // of the group's processes, for routers
+	Lineage             string   `json:"lineage"`   // the only one to follow; "": the first one that the router hears of
+	LeaseMillis         int64    `json:"term_ms"`
+	RenewIntervalMillis int64    `json:"renew_ms"`
+	ReplyTimeoutMillis  int64    `json:"answer_ms"`
+	MaxBatchMillis      int64    `json:"batch_ms"`
+	MaxPauseMillis      int64    `json:"pause_ms"`
+	MaxClockDrift       float64  `json:"drift"`     // a share: 0.01 is one percent
+	MaxRemovedShare     float64  `json:"most_gone"` // of the engines, that one version may take away
+}
+
+// LoadConfig reads a control file, which is JSON. An error names the field.
+func LoadConfig(path string) (*Config, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("control: %w", err)
+	}
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	config := new(Config)
+	if err := decoder.Decode(config); err != nil {
+		return nil, fmt.Errorf("control: %w", err)
+	}
+	if err := config.Validate(); err != nil {
+		return nil, fmt.Errorf("control: %w", err)
+	}
+	return config, nil
+}
+
+// LeaseDurations are the durations that the router and the group have in common.
+func (c *Config) LeaseDurations() lease.Durations {
+	durations := lease.DefaultDurations()
+	setMillis(&durations.LeaseDuration, c.LeaseMillis)
+	setMillis(&durations.RenewInterval, c.RenewIntervalMillis)
+	setMillis(&durations.ReplyTimeout, c.ReplyTimeoutMillis)
+	setMillis(&durations.MaxBatch, c.MaxBatchMillis)
+	setMillis(&durations.MaxPause, c.MaxPauseMillis)
+	if c.MaxClockDrift != 0 {
+		durations.MaxClockDrift = c.MaxClockDrift
+	}
+	return durations
+}
+
+// setMillis sets a duration unless the file leaves it at its default.
+func setMillis(duration *time.Duration, millis int64) {
+	if millis != 0 {
+		*duration = time.Duration(millis) * time.Millisecond
+	}
+}
+
+// Guards are the guards by which this router checks versions, beside the group.
+func (c *Config) Guards() configversion.Guards {
+	if c.MaxRemovedShare == 0 {
+		return configversion.Guards{MaxRemovedShare: defaultMaxRemovedShare}
+	}
+	return configversion.Guards{MaxRemovedShare: c.MaxRemovedShare}
+}
+
+// Validate says what is wrong; an error names the field.
+func (c *Config) Validate() error {
+	if len(c.Addresses) == 0 || len(c.Addresses) > maxAddresses {
+		return fmt.Errorf("addresses: %d, not from 1 to %d", len(c.Addresses), maxAddresses)
+	}
+	for _, address := range c.Addresses {
+		if err := settings.ValidateAddress(address); err != nil {
+			return fmt.Errorf("addresses: %w", err)
+		}
+	}
+	if !(c.MaxRemovedShare >= 0 && c.MaxRemovedShare <= 1) { // so that NaN fails
+		return errors.New("most_gone: not from 0 to 1")
+	}
+	return c.LeaseDurations().Validate()
+}
--- /dev/null
+++ b/internal/controlclient/version_stream.go
@@ -0,0 +1,108 @@
+package controlclient
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"bankledge/internal/configversion"
+	"bankledge/internal/controlapi"
+	"bankledge/internal/http1"
+	"bankledge/internal/lease"
+	"bankledge/internal/logevent"
+	"bankledge/internal/sse"
+)
+
+const (
+	// streamSilence is after how long without a byte a stream is dead: the group sends a comment each second.
+	streamSilence = 2500 * time.Millisecond
+
+	// maxEventBytes leaves room for the fields of an event beside its version.
+	maxEventBytes = configversion.MaxEncodedBytes + 4<<10
+)
+
+// followStream follows the stream of versions until it ends, and delivers that it has, unless ctx ended it.
+func (t *Transport) followStream(ctx context.Context, reopening lease.ReopenStream) {
+	address := t.address(reopening.AddressIndex)
+	err := t.readStream(ctx, address, reopening.AfterVersion)
+	if ctx.Err() != nil {
+		return
+	}
+	t.log.Debug(logevent.VersionStreamEnded, zap.String("address", address), zap.Error(err))
+	t.deliver(lease.StreamLost{})
+}
+
+// readStream opens the stream after a version and delivers its events. It returns an error in any case.
+func (t *Transport) readStream(ctx context.Context, address string, after uint64) error {
+	conn, err := dial(ctx, address)
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stop()
+	conn.SetDeadline(time.Now().Add(streamSilence))
+	const form = "GET " + controlapi.VersionStreamPath + " HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\n" + controlapi.LastEventIDHeader + ": %d\r\n\r\n"
+	if _, err := fmt.Fprintf(conn, form, address, after); err != nil {
+		return err
+	}
+	reader := http1.NewReader(silenceLimitedConn{conn})
+	header, err := reader.ReadHeader()
+	if err != nil {
+		return err
+	}
+	if header.Status != http.StatusOK {
+		return &statusError{status: header.Status}
+	}
+	handler := sse.Handler{OnEvent: func(event sse.Event) error { return t.deliverEvent(ctx, event) }}
+	return sse.Read(reader.BodyReader(header), maxEventBytes, handler)
+}
+
+// deliverEvent delivers an event of the stream. One that can't be read is delivered as invalid and ends the stream; the next stream
+// brings it again.
+func (t *Transport) deliverEvent(ctx context.Context, event sse.Event) error {
+	clientEvent, err := decodeVersionEvent([]byte(event.Data))
+	if ctx.Err() != nil {
+		return io.EOF
+	}
+	if err != nil {
+		t.deliver(lease.InvalidVersionReceived{Err: err})
+		return err
+	}
+	t.deliver(clientEvent)
+	return nil
+}
+
+// decodeVersionEvent decodes a controlapi.VersionEvent, whose version is checked as strictly as any.
+func decodeVersionEvent(data []byte) (lease.ClientEvent, error) {
+	var event struct {
+		Lineage   string          `json:"lineage"`
+		Activated uint64          `json:"settled"`
+		Version   json.RawMessage `json:"version"`
+	}
+	if err := json.Unmarshal(data, &event); err != nil {
+		return nil, err
+	}
+	if len(event.Version) == 0 {
+		return lease.VersionActivated{Lineage: event.Lineage, Number: event.Activated}, nil
+	}
+	version, err := configversion.Decode(event.Version)
+	if err != nil {
+		return nil, err
+	}
+	return lease.VersionReceived{Version: version, Activated: event.Activated}, nil
+}
+
+// silenceLimitedConn fails when nothing comes for streamSilence.
+type silenceLimitedConn struct{ net.Conn }
+
+func (c silenceLimitedConn) Read(p []byte) (int, error) {
+	c.SetReadDeadline(time.Now().Add(streamSilence))
+	return c.Conn.Read(p)
+}
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse reads server-sent events: lines that end with CR LF, LF or CR, a byte order mark, comments, events of several lines.
-// Every size has a limit.
+// Package sse reads a stream of server-sent events (the text/event-stream of the HTML standard): lines that end with CR LF, LF or CR, a
+// byte order mark, comments, events whose data has several lines. The size of a line and of an event is limited.
 package sse
 
 import (
@@ -10,57 +10,39 @@
 	"strings"
 )
 
-// Event is one event; a field that was not sent is empty.
-type Event struct{ ID, Name, Data string }
+const (
+	byteOrderMark     = "\ufeff"
+	initialBufferSize = 4 << 10 // bytes; it grows up to the limit
+)
 
-// ErrTooLarge tells of an event beyond the limit.
+// ErrTooLarge is returned for an event whose data is beyond the limit. A line beyond it is bufio.ErrTooLong.
 var ErrTooLarge = errors.New("event too large")
 
-// Handler hears what a stream brings.
+// Event is one event; a field that was not sent is empty.
+type Event struct{ ID, Name, Data string }
+
+// Handler takes what a stream brings.
 type Handler struct {
 	OnEvent   func(Event) error // an error ends the reading
-	OnComment func()            // nil: comments are passed over
+	OnComment func()            // nil: comments are ignored
 }
 
-// Read hands out a stream until it ends (io.EOF), breaks, brings an event of over most bytes, or the handler returns an error.
-func Read(body io.Reader, most int, handler Handler) error {
+// Read hands a stream to the handler until the stream ends (io.EOF) or fails, an event or a line has more than maxBytes, or OnEvent
+// returns an error. It never returns nil.
+func Read(body io.Reader, maxBytes int, handler Handler) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, min(most, 4<<10)), most)
-	lines.Split(split)
-	var data []string
-	var e Event
-	size, begun := 0, true
+	lines.Buffer(make([]byte, 0, min(maxBytes, initialBufferSize)), maxBytes)
+	lines.Split(splitLine)
+	parser := parser{handler: handler, maxBytes: maxBytes}
+	firstLine := true
 	for lines.Scan() {
 		line := lines.Text()
-		if begun {
-			line, begun = strings.TrimPrefix(line, "\ufeff"), false
-		}
-		if line == "" {
-			if len(data) > 0 {
-				e.Data = strings.Join(data, "\n")
-				if err := handler.OnEvent(e); err != nil {
-					return err
-				}
-			}
-			data, e, size = nil, Event{}, 0
-			continue
+		if firstLine {
+			line = strings.TrimPrefix(line, byteOrderMark)
+			firstLine = false
 		}
-		field, value, _ := strings.Cut(line, ":")
-		value = strings.TrimPrefix(value, " ")
-		switch field {
-		case "data":
-			if size += len(value); size > most {
-				return ErrTooLarge
-			}
-			data = append(data, value)
-		case "id":
-			e.ID = value
-		case "event":
-			e.Name = value
-		case "":
-			if handler.OnComment != nil {
-				handler.OnComment()
-			}
+		if err := parser.takeLine(line); err != nil {
+			return err
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -69,20 +51,72 @@
 	return io.EOF
 }
 
-// split splits at CR LF, LF or CR. A CR at the end of what was read waits for what follows.
-func split(data []byte, atEOF bool) (advance int, token []byte, err error) {
-	i := bytes.IndexAny(data, "\r\n")
+// parser collects the lines of one event.
+type parser struct {
+	handler  Handler
+	maxBytes int
+	event    Event
+	data     []string
+	size     int // of data, in bytes
+}
+
+// takeLine takes a line without its end; an empty one ends the event.
+func (p *parser) takeLine(line string) error {
+	if line == "" {
+		return p.endEvent()
+	}
+	field, value, _ := strings.Cut(line, ":")
+	value = strings.TrimPrefix(value, " ")
+	switch field {
+	case "data":
+		p.size += len(value)
+		if p.size > p.maxBytes {
+			return ErrTooLarge
+		}
+		p.data = append(p.data, value)
+	case "id":
+		p.event.ID = value
+	case "event":
+		p.event.Name = value
+	case "": // a comment
+		if p.handler.OnComment != nil {
+			p.handler.OnComment()
+		}
+	}
+	return nil
+}
+
+// endEvent hands out the event, unless it has no data.
+func (p *parser) endEvent() error {
+	event := p.event
+	data := p.data
+	p.event = Event{}
+	p.data = nil
+	p.size = 0
+	if len(data) == 0 {
+		return nil
+	}
+	event.Data = strings.Join(data, "\n")
+	return p.handler.OnEvent(event)
+}
+
+// splitLine is a bufio.SplitFunc for lines that end with CR LF, LF or CR. A CR at the end of what was read waits for what follows.
+func splitLine(data []byte, atEOF bool) (advance int, token []byte, err error) {
+	end := bytes.IndexAny(data, "\r\n")
 	switch {
-	case i < 0 && atEOF && len(data) > 0:
+	case end < 0 && atEOF && len(data) > 0:
 		return len(data), data, nil
-	case i < 0:
+	case end < 0:
 		return 0, nil, nil
-	case data[i] == '\n':
-		return i + 1, data[:i], nil
-	case i+1 < len(data) && data[i+1] == '\n':
-		return i + 2, data[:i], nil
-	case i+1 == len(data) && !atEOF:
+	case data[end] == '\n':
+		return end + 1, data[:end], nil
+	}
+	next := end + 1
+	switch {
+	case next < len(data) && data[next] == '\n':
+		return next + 1, data[:end], nil
+	case next == len(data) && !atEOF:
 		return 0, nil, nil
 	}
-	return i + 1, data[:i], nil
+	return next, data[:end], nil
 }
