--- /dev/null
+++ b/internal/classify/reason.go
@@ -0,0 +1,35 @@
+package classify
+
+// Reason is why a statement is classified as it is.
+type Reason int
+
+// The reasons. Up to ReasonRunsMatchLabel the declared workload stands.
+const (
+	ReasonUnknownFingerprint  Reason = iota // the fingerprint is new or was seen too seldom
+	ReasonTextTooLarge                      // the text exceeds what the analyser reads
+	ReasonInconsistentRuns                  // runs of the fingerprint vary too much
+	ReasonLabelMoreReliable                 // labels tell more than fingerprints or structure here
+	ReasonRunsMatchLabel                    // runs of the fingerprint are as the declared workload's are
+	ReasonBulkWrite                         // many rows are written under the label of a workload that reads
+	ReasonReadOnly                          // nothing is written under the label of a bulk load
+	ReasonTextStructure                     // the text is built like a heavy statement, and its fingerprint is unknown
+	ReasonRunsMatchOther                    // runs of the fingerprint are as another workload's are
+	ReasonLabelRunsMatchOther               // the same of runs with this label alone
+	NumReasons
+)
+
+var reasonTexts = [...]string{
+	ReasonUnknownFingerprint:  "unknown",
+	ReasonTextTooLarge:        "large",
+	ReasonInconsistentRuns:    "mixed",
+	ReasonLabelMoreReliable:   "labelled",
+	ReasonRunsMatchLabel:      "confirmed",
+	ReasonBulkWrite:           "writes",
+	ReasonReadOnly:            "reads",
+	ReasonTextStructure:       "built",
+	ReasonRunsMatchOther:      "shape",
+	ReasonLabelRunsMatchOther: "shown",
+}
+
+// String returns the reason's word in logs and in the output of the explain command.
+func (r Reason) String() string { return reasonTexts[r] }
--- a/internal/classify/recorded_test.go
+++ b/internal/classify/recorded_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"bankledge/decision"
 	"bankledge/internal/fakes"
 	"bankledge/internal/sqltext"
 )
@@ -37,7 +38,11 @@
 		classifier.RecordEnd(now, seen, time.Duration(took*float64(time.Second)), random.IntN(20) > 0, float64(random.IntN(8)/7)*40)
 	}
 	counts := classifier.Counts()
-	fmt.Fprintln(sum, counts.Hits, counts.Misses, counts.ByReason, counts.Reclassified, counts.ChangedFingerprints)
+	reclassified := map[[2]decision.WorkloadID]int64{} // in the recorded form
+	for change, n := range counts.Reclassified {
+		reclassified[[2]decision.WorkloadID{change.Declared, change.TreatedAs}] = n
+	}
+	fmt.Fprintln(sum, counts.Hits, counts.Misses, counts.ByReason, reclassified, counts.ChangedFingerprints)
 	return hex.EncodeToString(sum.Sum(nil))[:32]
 }
 
--- a/internal/proxy/look.go
+++ b/internal/proxy/look.go
@@ -69,7 +69,7 @@
 		}
 	}
 	for pair, n := range counts.Reclassified {
-		treated[g.cfg.Module.Workloads[pair[0]].Name+" as "+g.cfg.Module.Workloads[pair[1]].Name] = n
+		treated[g.cfg.Module.Workloads[pair.Declared].Name+" as "+g.cfg.Module.Workloads[pair.TreatedAs].Name] = n
 	}
 	g.log.Info("looks", zap.Int64("shapes_known", counts.Hits), zap.Int64("shapes_unknown", counts.Misses),
 		zap.Any("reasons", reasons), zap.Any("treated", treated), zap.Int64("shapes_changed", counts.ChangedFingerprints),
