--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -26,13 +26,13 @@
 // Client watches the control feed at an address. One goroutine owns it while it watches; SetAddress and HasUnreadEvents are safe for
 // concurrent use.
 type Client struct {
-	Address     string
+	address     string
 	LastEventID int64            // number of the last event that was handled
-	OnEvent     func(WatchEvent) // called by Watch for each event that holds a list
-	Log         *zap.Logger
+	onEvent     func(WatchEvent) // called by Watch for each event that holds a list
+	log         *zap.Logger
 
 	startTimes       startTimes
-	syncedAt         time.Time                   // when all that the feed had to tell was known; zero: never yet
+	syncedAt         time.Time                   // when all events of the feed were known; zero: never yet
 	conn             atomic.Pointer[net.TCPConn] // the connection that is read
 	reading          atomic.Bool                 // a read waits: all that was read has been handled
 	stream           *liveConn                   // conn, for the goroutine that watches
@@ -57,9 +57,9 @@
 // router's clock, with a monotonic reading.
 func New(address string, origin time.Time, onEvent func(WatchEvent), log *zap.Logger) *Client {
 	return &Client{
-		Address:    address,
-		OnEvent:    onEvent,
-		Log:        log,
+		address:    address,
+		onEvent:    onEvent,
+		log:        log,
 		startTimes: startTimes{origin: origin},
 	}
 }
@@ -112,9 +112,9 @@
 	if next == nil {
 		return connCtx, cancel, false
 	}
-	c.Log.Info(logevent.ControlFeedAddressChanged,
+	c.log.Info(logevent.ControlFeedAddressChanged,
 		zap.String("address", next.address), zap.Int64("last_event_id", c.LastEventID))
-	c.Address = next.address
+	c.address = next.address
 	c.applyNewerEvents(next.knownEvents)
 	return connCtx, cancel, true
 }
@@ -132,7 +132,7 @@
 		}
 		c.LastEventID = event.Number
 		if hasList {
-			c.OnEvent(event)
+			c.onEvent(event)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 // pauseBeforeRetry waits after a connection was lost, until ctx ends at the latest.
 func (c *Client) pauseBeforeRetry(ctx context.Context, lost error, pause time.Duration) {
 	if ctx.Err() == nil {
-		c.Log.Warn(logevent.ControlFeedLost,
+		c.log.Warn(logevent.ControlFeedLost,
 			zap.Error(lost), zap.Int64("last_event_id", c.LastEventID), logevent.Milliseconds("backoff_ms", pause))
 	}
 	select {
@@ -197,7 +197,7 @@
 	c.eventErrors = 0
 	c.gapRequested = false
 	if hasList {
-		c.OnEvent(event)
+		c.onEvent(event)
 	}
 	return nil
 }
@@ -208,13 +208,13 @@
 	if c.eventErrors < maxEventErrors {
 		return fmt.Errorf("event %q: %w", id, cause)
 	}
-	c.Log.Error(logevent.ControlFeedEventSkipped, zap.String("event_id", id), zap.Error(cause))
+	c.log.Error(logevent.ControlFeedEventSkipped, zap.String("event_id", id), zap.Error(cause))
 	c.eventErrors = 0
 	c.LastEventID = max(c.LastEventID, number)
 	return nil
 }
 
-// gapError tells that events are missing before one.
+// gapError is an event before which others are missing.
 type gapError struct{ number, last int64 }
 
 func (e *gapError) Error() string {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -39,8 +39,8 @@
 			var handled []int64
 			client := &Client{
 				LastEventID: 4,
-				Log:         zap.NewNop(),
-				OnEvent:     func(event WatchEvent) { handled = append(handled, event.Number) },
+				log:         zap.NewNop(),
+				onEvent:     func(event WatchEvent) { handled = append(handled, event.Number) },
 			}
 			var err error
 			for range c.connections {
@@ -57,7 +57,7 @@
 	f.Add(eventText("5", "5"))
 	f.Add("\ufeffid: 1\r\rdata\n\n:x\n")
 	f.Fuzz(func(t *testing.T, in string) {
-		client := &Client{Log: zap.NewNop(), OnEvent: func(WatchEvent) {}}
+		client := &Client{log: zap.NewNop(), onEvent: func(WatchEvent) {}}
 		if err := client.readEvents(strings.NewReader(in)); err == nil {
 			t.Fatal("a stream that ends without an error", io.EOF)
 		}
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -20,7 +20,7 @@
 	statusOK       = 200     // of HTTP
 )
 
-// statusError tells that the control feed answered with another status than 200.
+// statusError is a response of the control feed with another status than 200.
 type statusError struct{ status int }
 
 func (e *statusError) Error() string { return fmt.Sprintf("control feed answered %d", e.status) }
@@ -78,13 +78,13 @@
 func (c *Client) connect(ctx context.Context) (net.Conn, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	conn, err := (&net.Dialer{}).DialContext(dialCtx, "tcp", c.Address)
+	conn, err := (&net.Dialer{}).DialContext(dialCtx, "tcp", c.address)
 	if err != nil {
 		return nil, err
 	}
 	conn.SetDeadline(time.Now().Add(initialLineTimeout))
 	request := "GET /v1/events HTTP/1.1\r\n" +
-		"Host: " + c.Address + "\r\n" +
+		"Host: " + c.address + "\r\n" +
 		"Accept: text/event-stream\r\n" +
 		"Last-Event-ID: " + strconv.FormatInt(c.LastEventID, 10) + "\r\n\r\n"
 	if _, err := io.WriteString(conn, request); err != nil {
@@ -127,8 +127,8 @@
 	return c.readEvents(reader.BodyReader(header))
 }
 
-// readEvents reads server-sent events until the stream ends or one requires a new connection. A comment tells that the feed has
-// nothing more to tell by then.
+// readEvents reads server-sent events until the stream ends or one requires a new connection. A comment means that the feed has no
+// other event by then.
 func (c *Client) readEvents(body io.Reader) error {
 	return sse.Read(body, maxEventBytes, sse.Handler{
 		OnEvent: func(event sse.Event) error {
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -24,7 +24,7 @@
 	Endpoints []Endpoint
 }
 
-// engineStates are the control feed's words for an engine's phase.
+// engineStates maps the control feed's names of an engine's phase.
 var engineStates = map[string]decision.EngineState{
 	"active":  decision.Ready,
 	"leaving": decision.Draining,
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -31,10 +31,10 @@
 func newTestClient(address string, lastEventID int64) (*Client, <-chan int64) {
 	handled := make(chan int64, 10)
 	return &Client{
-		Address:     address,
+		address:     address,
 		LastEventID: lastEventID,
-		Log:         zap.NewNop(),
-		OnEvent:     func(event WatchEvent) { handled <- event.Number },
+		log:         zap.NewNop(),
+		onEvent:     func(event WatchEvent) { handled <- event.Number },
 	}, handled
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// serveScripts is a control feed of which each connection follows the next script, and the last one ever again. It returns its
+// serveScripts is a control feed of which each connection follows the next script, and the last one from then on. It returns its
 // address and the Last-Event-ID of each request.
 func serveScripts(t *testing.T, scripts ...script) (address string, requested <-chan string) {
 	t.Helper()
--- a/internal/discovery/start_time.go
+++ b/internal/discovery/start_time.go
@@ -14,9 +14,9 @@
 	maxStartTimes = 8192
 )
 
-// startTimes works out when engines started, on the router's clock. The control feed gives that in Unix time, and the wall clock of
+// startTimes works out when engines started, on the router's clock. The control feed sends that in Unix time, and the wall clock of
 // this host may be wrong by seconds or hours. Too great an age would have an engine that is warming up sent what only a warm one can
-// serve, so an age that contradicts what the feed has told is not believed: the engine has started just now. It is not safe for
+// serve, so an age that contradicts the events received so far is not believed: the engine has started just now. It is not safe for
 // concurrent use.
 type startTimes struct {
 	origin   time.Time // of the router's clock, with a monotonic reading; Unix times are compared with its wall clock reading
@@ -29,8 +29,8 @@
 	removed    bool          // from the endpoint list; it may come back
 }
 
-// resolve sets StartedAt of an event's endpoints; the event was received now. Nothing in it can have been told before syncedAt, when all
-// that the feed had to tell was known; zero: nothing is known of that.
+// resolve sets StartedAt of an event's endpoints; the event was received now. Nothing in it can have been published before syncedAt,
+// when all events of the feed were known; zero: nothing is known of that.
 func (s *startTimes) resolve(event *WatchEvent, syncedAt, now time.Time) {
 	for i := range event.Endpoints {
 		endpoint := &event.Endpoints[i]
--- a/internal/discovery/start_time_test.go
+++ b/internal/discovery/start_time_test.go
@@ -12,7 +12,7 @@
 	"bankledge/decision"
 )
 
-// An engine's start is taken from the wall clock only where what the feed has told does not contradict it. A wall clock that is wrong by an
+// An engine's start is taken from the wall clock only where the events received so far do not contradict it. A wall clock that is wrong by an
 // amount is one that says so of every start.
 func TestStartTimes(t *testing.T) {
 	origin := time.Now()
@@ -20,17 +20,17 @@
 	for _, c := range []struct {
 		name    string
 		started time.Duration // on the router's clock, as the wall clock has it
-		synced  time.Duration // when all was known that had been told; 0: never
+		synced  time.Duration // when all events were known; 0: never
 		want    time.Duration
 	}{
 		{"a while ago, as far as is known", 10 * time.Minute, 0, 10 * time.Minute},
 		{"before the clock", -time.Second, 0, 0},
 		{"in the future: the wall clock was behind", 2 * time.Hour, 0, time.Hour},
-		{"in the future, told just now", 2 * time.Hour, time.Hour, time.Hour},
-		{"told as late as may be", time.Hour - maxNotificationDelay + 2*time.Millisecond, time.Hour, time.Hour - maxNotificationDelay + 2*time.Millisecond},
-		{"told later than may be: the wall clock was ahead", time.Hour - maxNotificationDelay - time.Millisecond, time.Hour, time.Hour},
-		{"an hour ago, told just now: the wall clock was ahead", 0, time.Hour, time.Hour},
-		{"before the clock, told just now", -time.Hour, time.Hour, time.Hour},
+		{"in the future, published just now", 2 * time.Hour, time.Hour, time.Hour},
+		{"published as late as may be", time.Hour - maxNotificationDelay + 2*time.Millisecond, time.Hour, time.Hour - maxNotificationDelay + 2*time.Millisecond},
+		{"published later than may be: the wall clock was ahead", time.Hour - maxNotificationDelay - time.Millisecond, time.Hour, time.Hour},
+		{"an hour ago, published just now: the wall clock was ahead", 0, time.Hour, time.Hour},
+		{"before the clock, published just now", -time.Hour, time.Hour, time.Hour},
 		{"while the feed was away", 50 * time.Minute, 49 * time.Minute, 50 * time.Minute},
 		{"long before the feed was away", 20 * time.Minute, 49 * time.Minute, time.Hour},
 	} {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -20,7 +20,7 @@
 	eventTimeout = 4 * time.Second
 )
 
-// errReplaced tells that another connection has taken this one's place.
+// errReplaced is returned when another connection has taken the place of the one that was read.
 var errReplaced = errors.New("another connection has taken its place")
 
 // liveConn is a connection of which a read fails when it makes no progress for long. Not every byte is progress: a line that arrives a
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -85,7 +85,7 @@
 	}()
 	go func() { io.WriteString(in, ":\n") }() // what arrives meanwhile is read
 	require.NoError(t, await(t, read))
-	_, err := conn.Read(make([]byte, 10)) // no other connection is to be had at first, then one is
+	_, err := conn.Read(make([]byte, 10)) // no other connection can be made at first, then one can
 	require.ErrorIs(t, err, errReplaced)
 	assert.Equal(t, 2, attempts)
 }
--- a/internal/downstream/errors.go
+++ b/internal/downstream/errors.go
@@ -15,12 +15,12 @@
 	errTooManyInvalid = errors.New("too many frames that cannot be used")
 )
 
-// streamUsedError tells that a statement came on a stream that is not new.
+// streamUsedError is a statement on a stream that is not new.
 type streamUsedError struct{ stream uint32 }
 
 func (e *streamUsedError) Error() string { return fmt.Sprintf("stream %d is not new", e.stream) }
 
-// frameTypeError tells of a frame type that clients do not send.
+// frameTypeError is a frame of a type that clients do not send.
 type frameTypeError struct{ kind frameType }
 
 func (e *frameTypeError) Error() string {
--- a/internal/downstream/flow.go
+++ b/internal/downstream/flow.go
@@ -22,24 +22,24 @@
 	c.withPeer(func(now time.Duration, peer *flowcontrol.Peer) { peer.RecordUnsent(now, int64(unsent)) })
 }
 
-// tryQueue asks for room for an answer in the client's queue.
+// tryQueue reserves memory for an answer in the client's queue, if it may have it.
 func (c *Conn) tryQueue(bytes int) (queued bool) {
 	c.withPeer(func(now time.Duration, peer *flowcontrol.Peer) { queued = peer.TryQueue(now, int64(bytes)) })
 	return queued
 }
 
-// forceQueue takes room in the client's queue whatever waits; a negative number gives room back.
+// forceQueue reserves memory in the client's queue whatever waits; a negative number releases it.
 func (c *Conn) forceQueue(bytes int) {
 	c.withPeer(func(now time.Duration, peer *flowcontrol.Peer) { peer.ForceQueue(now, int64(bytes)) })
 }
 
-// ReserveText asks whether a statement's text of so many bytes may be held for this client; if so, ReleaseText gives the room back.
+// ReserveText reserves memory for a statement's text of so many bytes, if this client may have it. ReleaseText releases it.
 func (c *Conn) ReserveText(bytes int) (reserved bool) {
 	c.withPeer(func(_ time.Duration, peer *flowcontrol.Peer) { reserved = peer.ReserveText(int64(bytes)) })
 	return reserved
 }
 
-// ReleaseText gives back the room of a text, also once the connection has ended.
+// ReleaseText releases the memory of a text; it may be called after the connection has ended.
 func (c *Conn) ReleaseText(bytes int) {
 	c.withPeer(func(_ time.Duration, peer *flowcontrol.Peer) { peer.ReleaseText(int64(bytes)) })
 }
--- a/internal/downstream/frame.go
+++ b/internal/downstream/frame.go
@@ -37,12 +37,12 @@
 	answerHeadBytes = 2 // code, and the number of fields
 )
 
-// ErrFraming tells that a frame's length is outside the limits, after which the beginning of the next frame is not known.
-var ErrFraming = errors.New("frame length outside the limits")
+// errFraming is returned for a frame length outside the limits; the beginning of the next frame is not known then.
+var errFraming = errors.New("frame length outside the limits")
 
 var errFieldsTruncated = errors.New("fields are cut short")
 
-// duplicateFieldError tells that a frame names a field twice.
+// duplicateFieldError is a frame that names a field twice.
 type duplicateFieldError struct{ name string }
 
 func (e *duplicateFieldError) Error() string { return fmt.Sprintf("field %q stands twice", e.name) }
@@ -54,14 +54,14 @@
 	payload []byte
 }
 
-// parseFrame reads the first frame and returns its size in bytes; size 0: the frame is not complete yet. The only error is ErrFraming.
+// parseFrame reads the first frame and returns its size in bytes; size 0: the frame is not complete yet. The only error is errFraming.
 func parseFrame(raw []byte) (f frame, size int, err error) {
 	if len(raw) < lengthBytes {
 		return frame{}, 0, nil
 	}
 	length := binary.BigEndian.Uint32(raw)
 	if length < minFrameLength || length > maxFrameLength {
-		return frame{}, 0, fmt.Errorf("%w: %d", ErrFraming, length)
+		return frame{}, 0, fmt.Errorf("%w: %d", errFraming, length)
 	}
 	size = lengthBytes + int(length)
 	if len(raw) < size {
--- a/internal/downstream/frame_test.go
+++ b/internal/downstream/frame_test.go
@@ -31,7 +31,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f, size, err := parseFrame(c.raw)
 			if c.invalid {
-				require.ErrorIs(t, err, ErrFraming)
+				require.ErrorIs(t, err, errFraming)
 				return
 			}
 			require.NoError(t, err)
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -26,7 +26,7 @@
 	maxTestConnections = 10
 )
 
-// nopHandler ignores what it is told.
+// nopHandler ignores all calls.
 type nopHandler struct{}
 
 func (nopHandler) HandleStatement(*Conn, uint32, Fields, []byte) bool { return true }
@@ -35,7 +35,7 @@
 func (nopHandler) AbortOpenStatements(*Conn, string)                  {}
 func (nopHandler) Ready() bool                                        { return true }
 
-// chanHandler passes what it is told to a test, which answers by hand.
+// chanHandler passes its calls to a test, which answers by hand.
 type chanHandler struct {
 	nopHandler
 	statements   chan *Conn
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -29,9 +29,9 @@
 	// HandleStatement takes a statement, which is then owed one Answer on its stream, or none after HandleCancel. It returns
 	// whether the statement was valid; an invalid one has been answered already.
 	HandleStatement(c *Conn, stream uint32, fields Fields, text []byte) (valid bool)
-	// HandleCancel is told that the client does not wait for these streams any more.
+	// HandleCancel is called when the client does not wait for these streams any more.
 	HandleCancel(c *Conn, streams []uint32)
-	// HandleBackpressure is told that so much waits for a client that nothing is read from it any more, or that this is over.
+	// HandleBackpressure is called when so much waits for a client that nothing is read from it any more, and when this is over.
 	HandleBackpressure(c *Conn, stalled bool)
 	// AbortOpenStatements has to answer all open statements of a connection: its client is disconnected for the reason given.
 	AbortOpenStatements(c *Conn, reason string)
@@ -52,7 +52,7 @@
 
 	awaitingSlot atomic.Int64 // connections that were accepted and wait for a slot
 
-	clockStart time.Time  // of the time that flow is told
+	clockStart time.Time  // zero of the clock that flow uses
 	flowMu     sync.Mutex // guards flow; innermost
 	flow       *flowcontrol.Controller
 
@@ -166,7 +166,7 @@
 	}
 }
 
-// register adds a connection; while the server drains, the connection is told so.
+// register adds a connection. While the server drains, the client is notified.
 func (s *Server) register(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -1,6 +1,6 @@
 package downstream
 
-// StartDraining tells every client, now and later, to send no new statement on its connection. Those that come all the same
+// StartDraining notifies every client, now and later, to send no new statement on its connection. Those that arrive all the same
 // are still handled.
 func (s *Server) StartDraining() {
 	s.mu.Lock()
--- a/internal/downstream/socket.go
+++ b/internal/downstream/socket.go
@@ -45,7 +45,7 @@
 	raw.Control(func(fd uintptr) { do(int(fd)) })
 }
 
-// unsentBytes is how much the kernel holds that the client has not acknowledged; ok is false where it cannot be told.
+// unsentBytes is how much the kernel holds that the client has not acknowledged; ok is false where the kernel cannot be asked.
 func (c *Conn) unsentBytes() (unsent int, ok bool) {
 	c.withDescriptor(func(fd int) {
 		n, err := unix.IoctlGetInt(fd, unix.TIOCOUTQ)
--- a/internal/downstream/wire_test.go
+++ b/internal/downstream/wire_test.go
@@ -25,7 +25,7 @@
 
 var update = flag.Bool("update", false, "rewrite the received frames of testdata/wire")
 
-// wireHandler is a handler that hands all it is told to a transcript, as text.
+// wireHandler is a handler that passes its calls to a transcript, as text.
 type wireHandler struct {
 	events    chan string
 	conns     chan *Conn
@@ -67,7 +67,7 @@
 //	closewrite           the client ends its direction of the connection
 //	connect, small       the client makes another connection; small: with a small receive buffer
 //	ready BOOL           what the next question for readiness is answered
-//	event TEXT           what the handler is told next
+//	event TEXT           the next call of the handler
 //	answer N CODE BODY   the handler answers a stream of the latest connection; BODY is a quoted string, and *N repeats it
 //	closestream N        the handler ends a stream for which no answer is owed
 //	aborts N...          streams that the handler aborts when it is asked to abort what is open
@@ -208,7 +208,7 @@
 	p.conn.Answer(uint32(p.number(words[0])), Code(p.number(words[1])), []byte(strings.Repeat(body, times)))
 }
 
-// event is what the handler is told next.
+// event returns the next call of the handler.
 func (p *wirePlayer) event() string {
 	event := await(p.t, p.handler.events)
 	if strings.HasPrefix(event, "statement") {
--- a/internal/flowcontrol/controller.go
+++ b/internal/flowcontrol/controller.go
@@ -1,6 +1,6 @@
 // Package flowcontrol accounts for what waits on behalf of each peer, and decides when it is too much or moves too slowly. A peer
-// is one connection; all connections of one address make up a host; one Controller accounts for all. It is told of bytes and times
-// and answers with verdicts: no I/O, no clock, no goroutines. Nothing in it is safe for concurrent use; its owner locks.
+// is one connection; all connections of one address make up a host; one Controller accounts for all. It records bytes and times
+// and returns decisions: no I/O, no clock, no goroutines. Nothing in it is safe for concurrent use; its owner locks.
 //
 // Times are durations on one monotonic clock of the owner's.
 package flowcontrol
--- a/internal/flowcontrol/peer.go
+++ b/internal/flowcontrol/peer.go
@@ -9,7 +9,7 @@
 	maxUntrustedBytes = 2 * maxSendBufferBytes
 	pressureDivisor   = 4 // from one part in so many of Limits.AnswerBytes, no peer is trusted that has not read answers before
 	stallDivisor      = 2 // a peer stalls at one part in so many of its fair share
-	sharedTextDivisor = 2 // one part in so many of Limits.TextBytes is shared by hosts; the rest goes to whoever comes first
+	sharedTextDivisor = 2 // one part in so many of Limits.TextBytes is shared by hosts; the rest is first come, first served
 )
 
 // Peer is one connection's account.
@@ -21,11 +21,11 @@
 	textBytes       int64
 	receivedBytes   int64 // acknowledged in all
 	refused         bool  // an answer could not be kept for it; nothing more is done for it until there is room again
-	readRate        RateMeter
+	readRate        rateMeter
 	closed          bool
 }
 
-// Close gives back what waits for a peer, but for texts, which are given back one by one.
+// Close releases what waits for a peer, but for texts, which ReleaseText releases one by one.
 func (p *Peer) Close() {
 	if p.closed {
 		return
@@ -118,14 +118,14 @@
 }
 
 // ForceQueue accounts for what has to be sent whatever waits: the short frames that end a statement or a connection. A negative
-// number gives back what was queued and is not sent.
+// number releases what was queued and is not sent.
 func (p *Peer) ForceQueue(now time.Duration, bytes int64) {
 	if p.closed {
 		return
 	}
 	p.addPending(bytes)
 	p.queuedBytes += bytes
-	p.readRate.SetWaiting(now, true)
+	p.readRate.setWaiting(now, true)
 }
 
 // CanWrite returns whether so much may be written now without the kernel holding more than it should.
@@ -142,7 +142,7 @@
 	p.sendBufferBytes += bytes
 }
 
-// RecordUnsent records how much of what was written the peer has not acknowledged yet, as the kernel tells.
+// RecordUnsent records how much of what was written the peer has not acknowledged yet, by the kernel's count.
 func (p *Peer) RecordUnsent(now time.Duration, unsent int64) {
 	if p.closed || unsent >= p.sendBufferBytes {
 		return
@@ -151,8 +151,8 @@
 	p.addPending(-received)
 	p.sendBufferBytes = unsent
 	p.receivedBytes += received
-	p.readRate.Record(now, received)
-	p.readRate.SetWaiting(now, p.PendingBytes() > 0)
+	p.readRate.record(now, received)
+	p.readRate.setWaiting(now, p.PendingBytes() > 0)
 }
 
 // Stalled returns whether so much waits for the peer that nothing further is read from it, nor done for it.
@@ -175,13 +175,13 @@
 // it, and not where all that waits is read within the window, however little that is.
 func (p *Peer) TooSlow(now time.Duration) bool {
 	limits := p.controller.limits
-	moved, judged := p.readRate.MovedWithin(now, limits.ReadGrace, limits.ReadWindow)
+	moved, judged := p.readRate.movedWithin(now, limits.ReadGrace, limits.ReadWindow)
 	required := int64(float64(limits.MinReadRate) * limits.ReadWindow.Seconds())
 	return judged && moved < p.PendingBytes() && moved < required
 }
 
-// ReserveText asks whether a statement's text may be held for the peer, and accounts for it if so. Half of the room goes to
-// whoever comes first, the rest is divided among hosts and within one among its peers, so that one that floods waits for itself.
+// ReserveText asks whether a statement's text may be held for the peer, and accounts for it if so. Half of the memory is first come,
+// first served; the rest is divided among hosts and within one among its peers, so that one that floods only limits itself.
 func (p *Peer) ReserveText(bytes int64) bool {
 	c := p.controller
 	total := c.textBytes + bytes
@@ -202,7 +202,7 @@
 	return shared / int64(max(1, len(p.controller.hosts))) / int64(max(1, p.host.peers))
 }
 
-// ReleaseText gives back a text, also after Close.
+// ReleaseText releases a text; it may be called after Close.
 func (p *Peer) ReleaseText(bytes int64) {
 	p.addText(-bytes)
 	if p.closed {
--- a/internal/flowcontrol/rate_meter.go
+++ b/internal/flowcontrol/rate_meter.go
@@ -9,24 +9,24 @@
 	slotWidth = time.Second
 )
 
-// RateMeter measures how many bytes move over a sliding window, while they are waited for. The zero value is ready to use.
-type RateMeter struct {
+// rateMeter measures how many bytes move over a sliding window, while they are waited for. The zero value is ready to use.
+type rateMeter struct {
 	waiting      bool
 	waitingSince time.Duration
 	lastSlot     int64 // the one last written, counted from time 0; -1: none
 	bytes        [rateSlots]int64
 }
 
-// SetWaiting records whether bytes are waited for from now on. What moved before a wait does not count for it.
-func (m *RateMeter) SetWaiting(now time.Duration, waiting bool) {
+// setWaiting records whether bytes are waited for from now on. What moved before a wait does not count for it.
+func (m *rateMeter) setWaiting(now time.Duration, waiting bool) {
 	if waiting && !m.waiting {
-		*m = RateMeter{waitingSince: now, lastSlot: -1}
+		*m = rateMeter{waitingSince: now, lastSlot: -1}
 	}
 	m.waiting = waiting
 }
 
-// Record records that so many bytes have moved by now.
-func (m *RateMeter) Record(now time.Duration, bytes int64) {
+// record records that so many bytes have moved by now.
+func (m *rateMeter) record(now time.Duration, bytes int64) {
 	slot := int64(now / slotWidth)
 	if m.lastSlot < 0 {
 		m.lastSlot = slot
@@ -42,13 +42,13 @@
 	m.bytes[slot%rateSlots] += bytes
 }
 
-// MovedWithin is how many bytes have moved within the window; judged: they have been waited for over the grace and the window
+// movedWithin is how many bytes have moved within the window; judged: they have been waited for over the grace and the window
 // without a break.
-func (m *RateMeter) MovedWithin(now time.Duration, grace, window time.Duration) (moved int64, judged bool) {
+func (m *rateMeter) movedWithin(now time.Duration, grace, window time.Duration) (moved int64, judged bool) {
 	if !m.waiting || now-m.waitingSince < grace+window {
 		return 0, false
 	}
-	m.Record(now, 0)
+	m.record(now, 0)
 	for i := range min(int64(window/slotWidth), rateSlots-1) {
 		moved += m.bytes[(m.lastSlot-i+2*rateSlots)%rateSlots]
 	}
--- a/internal/readbuffer/buffer.go
+++ b/internal/readbuffer/buffer.go
@@ -12,7 +12,7 @@
 	maxRetainedSize = 16 << 10 // bytes; a larger buffer is released once it is empty
 )
 
-// ErrFull tells that what is awaited is larger than the buffer may grow.
+// ErrFull is returned when what is awaited is larger than the buffer may grow.
 var ErrFull = errors.New("larger than the buffer may grow")
 
 // Buffer holds what was read and not yet discarded. It is not safe for concurrent use.
