--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -116,7 +116,7 @@
 		})
 		t.Run("its connection is being established, "+name, func(t *testing.T) {
 			t.Parallel()
-			listener, accept, err := fakes.NotUp()
+			listener, accept, err := fakes.ListenWithFullBacklog()
 			require.NoError(t, err)
 			ends := make(endRecorder, 1)
 			client := newTestClient(t.Context(), ends, 4, patience, listener.Addr().String())
@@ -149,7 +149,7 @@
 		assert.Empty(t, requests)
 	})
 	t.Run("its connection is being established", func(t *testing.T) {
-		listener, accept, err := fakes.NotUp()
+		listener, accept, err := fakes.ListenWithFullBacklog()
 		require.NoError(t, err)
 		ends := make(endRecorder, 1)
 		client := newTestClient(t.Context(), ends, 1, patience, listener.Addr().String())
