--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -11,7 +11,8 @@
 	}
 }
 
-// sendDraining queues the frame that asks for no new statements.
+// sendDraining queues the frame that asks for no new statements. It is called with Server.mu held, which enqueue would lock to count a
+// slow client; a frame as short as this one never makes a client count as slow.
 func (c *Conn) sendDraining() {
 	c.enqueue(appendFrame(nil, frameDraining, 0, 0), 0)
 }
