--- a/cmd/bankledge/endpoints_test.go
+++ b/cmd/bankledge/endpoints_test.go
@@ -21,19 +21,19 @@
 	three := newEngine(t, "three", map[string][]step{"POST": {done("three\n")}})
 	f := newControl(t)
 	c := dial(t, startRouter(t, patientConfig(f, one, two)))
-	assert.Equal(t, "1", <-f.Asked)
+	assert.Equal(t, "1", <-f.LastEventIDs)
 	f.Events <- "id: 2\ndata: {\"n\":2,\ndata: \"members\":{\"members\":[" + member(one, "leaving") + "]}}\n\n"
 	f.Events <- ""
-	assert.Equal(t, "2", <-f.Asked, "asks on from the last")
+	assert.Equal(t, "2", <-f.LastEventIDs, "asks on from the last")
 	f.Events <- watchEvent(3, member(two, "left"), member(three, "active"))
 	f.Events <- ""
-	assert.Equal(t, "3", <-f.Asked)
-	before := one.Count("POST") + two.Count("POST")
+	assert.Equal(t, "3", <-f.LastEventIDs)
+	before := one.CallCount("POST") + two.CallCount("POST")
 	for n := range uint32(20) {
 		c.send(frameStatement, n+1, statement("lookup", int(n)))
 		c.expect(answer(n+1, codeCompleted, "three\n"))
 	}
-	assert.Equal(t, before, one.Count("POST")+two.Count("POST"), "nothing new goes to what drains or is gone")
+	assert.Equal(t, before, one.CallCount("POST")+two.CallCount("POST"), "nothing new goes to what drains or is gone")
 }
 
 // SIGHUP: the feed is followed at its new place from the number last taken, and nothing else is touched; a file
@@ -44,13 +44,13 @@
 	two := newEngine(t, "two", map[string][]step{"POST": {done("two\n")}})
 	before, now := newControl(t), newControl(t)
 	r := startRouter(t, patientConfig(before, one))
-	assert.Equal(t, "1", <-before.Asked)
+	assert.Equal(t, "1", <-before.LastEventIDs)
 	c := dial(t, r)
 	c.send(frameStatement, 1, statement("load", 1))
 	one.await(t, "GET 0")
 	before.Events <- watchEvent(2, member(one, "leaving"))
 	before.Events <- ""
-	assert.Equal(t, "2", <-before.Asked)
+	assert.Equal(t, "2", <-before.LastEventIDs)
 
 	reload := func(path string, edit ...string) {
 		raw, err := os.ReadFile(path)
@@ -60,7 +60,7 @@
 	}
 	moved := patientConfig(now, one).write(t)
 	reload(moved)
-	assert.Equal(t, "2", <-now.Asked, "goes on where it was")
+	assert.Equal(t, "2", <-now.LastEventIDs, "goes on where it was")
 	reload(moved, `"seed":"`, `"seed":"x`)
 	require.Eventually(t, func() bool { return r.log.hasEvent(logevent.ConfigurationRejected) }, testTimeout, time.Millisecond)
 	assert.Contains(t, r.log.String(), "seed: ")
--- a/cmd/bankledge/memory_test.go
+++ b/cmd/bankledge/memory_test.go
@@ -23,8 +23,8 @@
 		t.Skip("by hand: BANKLEDGE_BINARIES names programs to compare")
 	}
 	for _, binary := range strings.Split(binaries, ":") {
-		e := fakes.NewModel(64, func(string, string) (time.Duration, int) { return 100 * time.Microsecond, 1 })
-		feed := fakes.NewControl()
+		e := fakes.NewSimulatedEngine(64, func(string, string) (time.Duration, int) { return 100 * time.Microsecond, 1 })
+		feed := fakes.NewControlFeed()
 		config := routerConfig{feed: feed, settings: fakes.Settings, memoryMB: 32, sockets: 256,
 			members: []string{fakes.Member("e", e.Server.Listener.Addr().String(), "active")}}
 		began := time.Now()
--- a/cmd/bankledge/peers_test.go
+++ b/cmd/bankledge/peers_test.go
@@ -37,8 +37,8 @@
 type step = fakes.Step
 
 var (
-	says, done, pages, raw, after = fakes.Says, fakes.Done, fakes.Pages, fakes.Raw, fakes.After
-	breaks, silent                = step(fakes.Breaks), step(fakes.Silent)
+	says, done, pages, raw, after = fakes.Respond, fakes.RespondResult, fakes.RespondPage, fakes.RespondRaw, fakes.RespondAfter
+	breaks, silent                = step(fakes.ResetConnection), step(fakes.Hang)
 )
 
 func newEngine(t *testing.T, id string, script map[string][]step) *engine {
@@ -53,7 +53,7 @@
 	t.Helper()
 	for late := time.After(testTimeout); ; {
 		select {
-		case heard := <-e.Heard():
+		case heard := <-e.Calls():
 			if strings.HasPrefix(heard, call) {
 				return heard
 			}
@@ -67,7 +67,7 @@
 func (e *engine) hasStarted() bool {
 	for {
 		select {
-		case call := <-e.Heard():
+		case call := <-e.Calls():
 			if strings.HasPrefix(call, "POST") {
 				return true
 			}
@@ -88,9 +88,9 @@
 	return members
 }
 
-func newControl(t *testing.T) *fakes.Control {
+func newControl(t *testing.T) *fakes.ControlFeed {
 	t.Helper()
-	feed := fakes.NewControl()
+	feed := fakes.NewControlFeed()
 	t.Cleanup(feed.Close)
 	return feed
 }
--- a/cmd/bankledge/process_test.go
+++ b/cmd/bankledge/process_test.go
@@ -56,7 +56,7 @@
 
 // routerConfig is what a test configures of a router.
 type routerConfig struct {
-	feed     *fakes.Control
+	feed     *fakes.ControlFeed
 	settings string
 	memoryMB int
 	sockets  int
@@ -64,12 +64,12 @@
 }
 
 // patientConfig has patientSettings and these engines.
-func patientConfig(feed *fakes.Control, engines ...*engine) routerConfig {
+func patientConfig(feed *fakes.ControlFeed, engines ...*engine) routerConfig {
 	return routerConfig{feed: feed, settings: patientSettings, memoryMB: 192, sockets: 256, members: activeMembers(engines)}
 }
 
 // smallConfig has settings of one's own and a small machine.
-func smallConfig(feed *fakes.Control, settings string, members ...string) routerConfig {
+func smallConfig(feed *fakes.ControlFeed, settings string, members ...string) routerConfig {
 	return routerConfig{feed: feed, settings: settings, memoryMB: 64, sockets: 256, members: members}
 }
 
--- a/cmd/bankledge/requests_test.go
+++ b/cmd/bankledge/requests_test.go
@@ -86,7 +86,7 @@
 				conn.send(frameStatement, n, statement(c.workload, int(n), "h", strconv.Itoa(int(10*n))))
 				got := conn.read()
 				require.Equal(t, n, got.stream)
-				if one.Count("POST") == 0 && n < 50 {
+				if one.CallCount("POST") == 0 && n < 50 {
 					require.Equal(t, codeCompleted, got.code)
 					continue
 				}
@@ -95,10 +95,10 @@
 				break
 			}
 			if c.posts >= 0 {
-				assert.Equal(t, c.posts, one.Count("POST"))
+				assert.Equal(t, c.posts, one.CallCount("POST"))
 			}
 			if c.deletes >= 0 {
-				assert.Equal(t, c.deletes, one.Count("DELETE"))
+				assert.Equal(t, c.deletes, one.CallCount("DELETE"))
 			}
 		})
 	}
@@ -154,7 +154,7 @@
 			conn = dial(t, r)
 			conn.send(frameStatement, 1, statement("lookup", 2))
 			conn.expect(answer(1, codeCompleted, "next\n"))
-			assert.Equal(t, 2, e.Count("POST"))
+			assert.Equal(t, 2, e.CallCount("POST"))
 		})
 	}
 }
--- a/cmd/bankledge/shutdown_test.go
+++ b/cmd/bankledge/shutdown_test.go
@@ -68,7 +68,7 @@
 	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
 	r := startRouter(t, smallConfig(newControl(t), shortest, member(e, "active")))
 	go func() { // it is heard thousands of times
-		for range e.Heard() {
+		for range e.Calls() {
 		}
 	}()
 	var wait sync.WaitGroup
@@ -141,9 +141,9 @@
 	}
 	for out := 0; out < 2; { // some are out at either
 		select {
-		case <-hung.Heard():
+		case <-hung.Calls():
 			out++
-		case <-well.Heard():
+		case <-well.Calls():
 			out++
 		case <-time.After(testTimeout):
 			t.Fatal("nothing is sent")
--- a/cmd/bankledge/suspension_test.go
+++ b/cmd/bankledge/suspension_test.go
@@ -35,7 +35,7 @@
 		codes[f.stream] = f.code
 	}
 	assert.Equal(t, map[uint32]byte{2: codeRejected, 3: codeCompleted}, codes)
-	assert.Equal(t, 2, e.Count("POST"))
+	assert.Equal(t, 2, e.CallCount("POST"))
 	r.stop(t)
 	r.awaitEnd(t)
 }
@@ -52,9 +52,9 @@
 	const n = 30
 	for round := range uint32(3) {
 		r.suspend(t)
-		phases, before := []string{"leaving", "active"}, drains.Count("POST")
+		phases, before := []string{"leaving", "active"}, drains.CallCount("POST")
 		if round == 1 {
-			phases, before = []string{"active", "leaving"}, well.Count("POST")
+			phases, before = []string{"active", "leaving"}, well.CallCount("POST")
 		}
 		members := []string{member(drains, phases[0]), member(well, phases[1])}
 		for i := range 500 { // which takes its time to read
@@ -72,9 +72,9 @@
 			got := c.read()
 			require.Equal(t, answer(got.stream, codeCompleted, "fine\n"), got)
 		}
-		after := drains.Count("POST")
+		after := drains.CallCount("POST")
 		if round == 1 {
-			after = well.Count("POST")
+			after = well.CallCount("POST")
 		}
 		assert.Equal(t, before, after, "nothing new goes to the one that drains")
 	}
@@ -82,7 +82,7 @@
 
 // A connection comes up during a suspension, and its engine begins to drain: what waited for it is not sent there.
 func TestConnectionThatCameUpDuringASuspension(t *testing.T) {
-	listener, accept, err := fakes.NotUp()
+	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
 	defer listener.Close()
 	f, well := newControl(t), newEngine(t, "well", map[string][]step{"POST": {done("fine\n")}})
--- a/cmd/bankledge/wall_clock_test.go
+++ b/cmd/bankledge/wall_clock_test.go
@@ -22,7 +22,7 @@
 	dir := t.TempDir()
 	library, err := faultinject.Build(dir)
 	require.NoError(t, err)
-	host, err := faultinject.New(library, dir, "router")
+	host, err := faultinject.NewHost(library, dir, "router")
 	require.NoError(t, err)
 	environment := append([]string{"LB_LOG_LEVEL=debug"}, host.Environment(false)...)
 	r := startProcess(t, exec.Command(builtProgram, "serve"), patientConfig(newControl(t), engines...), environment...)
@@ -81,7 +81,7 @@
 			first := await(t, f.began)
 			host.StepWallClock(by)
 			await(t, f.second)
-			assert.Positive(t, first.Count("DELETE"), "the first engine was not told to cancel it")
+			assert.Positive(t, first.CallCount("DELETE"), "the first engine was not told to cancel it")
 			c.expect(answer(1, codeCompleted, "one\n"))
 		})
 	}
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -30,10 +30,10 @@
 	"queued again, after an attempt that failed": queueAfterFailure,
 }
 
-func newEngineAndFeed(t *testing.T) (*fakes.Engine, *fakes.Control) {
+func newEngineAndFeed(t *testing.T) (*fakes.Engine, *fakes.ControlFeed) {
 	t.Helper()
-	engine := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.Done("fine\n")}})
-	feed := fakes.NewControl()
+	engine := fakes.NewEngine("e", map[string][]fakes.Step{"POST": {fakes.RespondResult("fine\n")}})
+	feed := fakes.NewControlFeed()
 	t.Cleanup(func() {
 		feed.Close()
 		engine.Close()
@@ -41,15 +41,15 @@
 	return engine, feed
 }
 
-func feedAddress(feed *fakes.Control) string { return feed.Server.Listener.Addr().String() }
+func feedAddress(feed *fakes.ControlFeed) string { return feed.Server.Listener.Addr().String() }
 
 // publish sends a watch event and waits until the router has received it: it asks on from there when its connection ends.
-func publish(t *testing.T, feed *fakes.Control, n int, members ...string) {
+func publish(t *testing.T, feed *fakes.ControlFeed, n int, members ...string) {
 	t.Helper()
-	<-feed.Asked
+	<-feed.LastEventIDs
 	feed.Events <- watchEvent(n, members...)
 	feed.Events <- ""
-	require.Equal(t, fmt.Sprint(n), <-feed.Asked)
+	require.Equal(t, fmt.Sprint(n), <-feed.LastEventIDs)
 }
 
 func queueWithoutEngine(t *testing.T, clients int) waitingRequests {
@@ -68,7 +68,7 @@
 }
 
 func queueForConnection(t *testing.T, clients int) waitingRequests {
-	listener, accept, err := fakes.NotUp()
+	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
 	engine, feed := newEngineAndFeed(t)
 	t.Cleanup(func() { listener.Close() })
@@ -107,8 +107,8 @@
 func queueAfterFailure(t *testing.T, clients int) waitingRequests {
 	fail := make(chan struct{})
 	failing := fakes.NewEngine("bad", map[string][]fakes.Step{
-		"POST":  {fakes.Says(202, "")},
-		"GET 0": {fakes.After(fail, fakes.Says(500, ""))},
+		"POST":  {fakes.Respond(202, "")},
+		"GET 0": {fakes.RespondAfter(fail, fakes.Respond(500, ""))},
 	})
 	engine, feed := newEngineAndFeed(t)
 	t.Cleanup(failing.Close)
@@ -117,7 +117,7 @@
 		router: r,
 		awaitQueued: func() {
 			some := min(clients, 4)
-			r.await(t, "some are in flight", func() bool { return failing.Count("POST") >= some })
+			r.await(t, "some are in flight", func() bool { return failing.CallCount("POST") >= some })
 			publish(t, feed, 2, member(failing, "leaving"))
 			close(fail)
 			r.await(t, "they failed", func() bool { return r.metrics.outcomes.count(decision.Errored) >= int64(some) })
@@ -171,12 +171,12 @@
 	_, err := io.ReadFull(conn, make([]byte, 9))
 	require.NoError(t, err)
 	select {
-	case heard := <-engine.Heard():
+	case heard := <-engine.Calls():
 		require.Contains(t, heard, "id = 999")
 	case <-time.After(testTimeout):
 		t.Fatal("nothing is sent")
 	}
-	assert.Equal(t, 1, engine.Count("POST"), "nothing else was sent")
+	assert.Equal(t, 1, engine.CallCount("POST"), "nothing else was sent")
 	conn.Close()
 	r.await(t, "all is released", func() bool {
 		_, answerBytes, textBytes := r.downstream.FlowControlStats()
@@ -187,15 +187,15 @@
 // A deduplicated request that may have run goes to another engine only while its first attempt is remembered: where the connection
 // there comes up later than that, nothing is sent, and its client hears so when the time is over.
 func TestRetryIsNotSentAfterDeduplicationWindow(t *testing.T) {
-	listener, accept, err := fakes.NotUp()
+	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
 	defer listener.Close()
 	fail := make(chan struct{})
 	first := fakes.NewEngine("first", map[string][]fakes.Step{
-		"POST":  {fakes.Says(202, "")},
-		"GET 0": {fakes.After(fail, fakes.Says(500, ""))},
+		"POST":  {fakes.Respond(202, "")},
+		"GET 0": {fakes.RespondAfter(fail, fakes.Respond(500, ""))},
 	})
-	feed := fakes.NewControl()
+	feed := fakes.NewControlFeed()
 	t.Cleanup(func() {
 		feed.Close()
 		first.Close()
@@ -205,7 +205,7 @@
 	require.Contains(t, deduplicated, "700000")
 	r := startRouter(t, fakes.Config(feedAddress(feed), deduplicated, 64, 256, member(first, "active")))
 	conn := r.send(t, "lookup", "1")
-	r.await(t, "it is in flight", func() bool { return first.Count("POST") == 1 })
+	r.await(t, "it is in flight", func() bool { return first.CallCount("POST") == 1 })
 	publish(t, feed, 2, member(first, "leaving"), fakes.Member("slow", listener.Addr().String(), "active"))
 	close(fail)
 	r.await(t, "it is attempted again", func() bool { return r.metrics.attempts.Load() == 2 })
--- a/internal/proxy/classification_test.go
+++ b/internal/proxy/classification_test.go
@@ -50,11 +50,11 @@
 	r := &comparedRouter{answers: map[downstream.Code]int{}}
 	var members []string
 	for i := range 2 {
-		engine := fakes.NewModel(8, trueCost)
+		engine := fakes.NewSimulatedEngine(8, trueCost)
 		t.Cleanup(engine.Close)
 		members = append(members, fakes.Member(fmt.Sprint("e", i), engine.Server.Listener.Addr().String(), "active"))
 	}
-	feed := fakes.NewControl()
+	feed := fakes.NewControlFeed()
 	t.Cleanup(feed.Close)
 	cfg, err := settings.ParseConfig(fakes.Config(feedAddress(feed), fakes.Settings, 192, 1024, members...))
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 // send sends one item of the mix; wait hears when it is answered.
 func (r *comparedRouter) send(n int, item fakes.Item, wait *sync.WaitGroup) {
 	declared := fakes.Workloads()[item.Declared]
-	text := fmt.Sprintf("%s /*w %d %d*/", item.Text, (item.Work / speedUp).Microseconds(), fakes.Workloads()[item.True].Threads)
+	text := fmt.Sprintf("%s /*w %d %d*/", item.Text, (item.Work / speedUp).Microseconds(), fakes.Workloads()[item.Actual].Threads)
 	answer := r.clients[n%len(r.clients)].Send(map[string]string{"c": declared.Name, "i": fmt.Sprintf("%016x", n),
 		"d": strconv.Itoa(int(declared.StatementTimeout.Milliseconds())), "t": "x",
 		"h": strconv.FormatFloat((item.Estimate/speedUp).Seconds()*1000, 'f', 3, 64), "heap_mb": "50"}, text)
@@ -98,7 +98,7 @@
 	}
 	r.answers[got.Code]++
 	if got.Code == downstream.CodeCompleted {
-		r.took[item.True] = append(r.took[item.True], got.Took)
+		r.took[item.Actual] = append(r.took[item.Actual], got.Took)
 	}
 }
 
@@ -135,7 +135,7 @@
 			n++
 			off.send(n, item, &wait)
 			on.send(n, item, &wait)
-			item.Declared = item.True
+			item.Declared = item.Actual
 			item.Estimate = item.Work
 			offHonest.send(n, item, &wait)
 			onHonest.send(n, item, &wait)
--- a/internal/proxy/deployments_test.go
+++ b/internal/proxy/deployments_test.go
@@ -74,7 +74,7 @@
 func startScenario(t *testing.T, d deployment) *scenarioRun {
 	t.Helper()
 	engine := fakes.NewEngine("e", nil)
-	feed := fakes.NewControl()
+	feed := fakes.NewControlFeed()
 	t.Cleanup(func() {
 		feed.Close()
 		engine.Close()
@@ -93,13 +93,13 @@
 	t.Helper()
 	r.stream++
 	r.engine.Script(map[string][]fakes.Step{"POST": script})
-	before := r.engine.Count("POST")
+	before := r.engine.CallCount("POST")
 	fields := map[string]string{"c": workload, "i": fmt.Sprintf("%016x", r.stream), "d": "3000", "t": tenant, "h": "5", "heap_mb": "8"}
 	_, err := r.conn.Write(fakes.Frame(7, r.stream, fakes.Payload(fields, fmt.Sprintf("select a from sales_%d.b where id = 1", r.stream))))
 	require.NoError(t, err)
 	_, stream, code, body, err := fakes.ReadFrame(r.reader)
 	require.NoError(t, err)
-	r.log = append(r.log, fmt.Sprintf("%s of %s: %d %q on %d, forwarded %d times", workload, tenant, code, body, stream, r.engine.Count("POST")-before))
+	r.log = append(r.log, fmt.Sprintf("%s of %s: %d %q on %d, forwarded %d times", workload, tenant, code, body, stream, r.engine.CallCount("POST")-before))
 }
 
 func (r *scenarioRun) last() string { return r.log[len(r.log)-1] }
@@ -111,8 +111,8 @@
 	t.Helper()
 	workload := r.deployment.workloads[n%len(r.deployment.workloads)]
 	tenant := r.deployment.groups[n%len(r.deployment.groups)]
-	r.ask(t, workload.name, tenant, fakes.Done(fmt.Sprint("row ", n, "\n")))
-	r.ask(t, workload.name, tenant, fakes.Says(500, ""), fakes.Done("again\n"))
+	r.ask(t, workload.name, tenant, fakes.RespondResult(fmt.Sprint("row ", n, "\n")))
+	r.ask(t, workload.name, tenant, fakes.Respond(500, ""), fakes.RespondResult("again\n"))
 	want := `20 "again\n" on %d, forwarded 2 times`
 	if workload.effect != "idempotent" {
 		want = `51 "" on %d, forwarded 1 times`
--- a/internal/proxy/router_test.go
+++ b/internal/proxy/router_test.go
@@ -85,7 +85,7 @@
 // The engines of the configuration are all gone: what the control feed lists instead makes the router ready.
 func TestReadyByEnginesThatCameLater(t *testing.T) {
 	engine := fakes.NewEngine("e", nil)
-	feed := fakes.NewControl()
+	feed := fakes.NewControlFeed()
 	t.Cleanup(func() {
 		feed.Close()
 		engine.Close()
