--- a/cmd/bankledge-control/main_test.go
+++ b/cmd/bankledge-control/main_test.go
@@ -255,7 +255,7 @@
 		assert.FileExists(t, "../../deploy/"+file+".jsonnet")
 	}
 	assert.Contains(t, b.run(0, "check", "../../deploy/group.jsonnet"), "T = 2.1s")
-	r, err := fileRules("../../deploy/rules.jsonnet")
+	r, err := readRules("../../deploy/rules.jsonnet")
 	require.NoError(t, err)
 	assert.Nil(t, r.Engines)
 	assert.Contains(t, b.run(1, "status"), "does not answer")
--- /dev/null
+++ b/cmd/bankledge-control/members.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"os"
+
+	"bankledge/internal/controlapi"
+)
+
+type membersCommand struct {
+	List   listMembersCommand  `cmd:"" help:"List the processes of the group."`
+	Add    addMemberCommand    `cmd:"" help:"Add a process: it listens first, and votes once it has caught up."`
+	Remove removeMemberCommand `cmd:"" help:"Remove a process."`
+}
+
+type listMembersCommand struct {
+	groupFlags
+	JSON bool `help:"Write them as JSON."`
+}
+
+// Run lists the processes.
+func (c *listMembersCommand) Run(ctx context.Context) error {
+	status, err := c.client().Status(ctx)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(os.Stdout).Encode(status.Members)
+	}
+	status.Sessions = nil
+	writeStatus(status)
+	return nil
+}
+
+type addMemberCommand struct {
+	groupFlags
+	ID     uint64 `arg:"" help:"Its id: one that no process of this group has ever had."`
+	Peer   string `arg:"" help:"Its address for the other processes."`
+	Client string `arg:"" help:"Its address for routers and operators."`
+}
+
+// Run adds a process.
+func (c *addMemberCommand) Run(ctx context.Context) error {
+	member := controlapi.Member{Peer: c.Peer, Client: c.Client}
+	return c.client().ChangeMembership(ctx, controlapi.MembershipChange{MemberID: c.ID, Member: member})
+}
+
+type removeMemberCommand struct {
+	groupFlags
+	ID uint64 `arg:"" help:"Its id."`
+}
+
+// Run removes a process.
+func (c *removeMemberCommand) Run(ctx context.Context) error {
+	return c.client().ChangeMembership(ctx, controlapi.MembershipChange{MemberID: c.ID, Remove: true})
+}
--- /dev/null
+++ b/cmd/bankledge-control/router_config.go
@@ -0,0 +1,30 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"bankledge/internal/controlclient"
+	"bankledge/internal/controlserver"
+)
+
+type routerConfigCommand struct {
+	Template string `arg:"" help:"The operator's file for routers, Jsonnet (deploy/control.jsonnet)."`
+}
+
+// Run writes the file that a router reads, so that a router need not evaluate templates.
+func (c *routerConfigCommand) Run() error {
+	var config controlclient.Config
+	if err := controlserver.EvaluateJsonnet(c.Template, &config); err != nil {
+		return fmt.Errorf("%s: %w", c.Template, err)
+	}
+	if err := config.Validate(); err != nil {
+		return fmt.Errorf("%s: %w", c.Template, err)
+	}
+	raw, err := json.MarshalIndent(config, "", "  ")
+	if err != nil {
+		return err
+	}
+	fmt.Println(string(raw))
+	return nil
+}
--- /dev/null
+++ b/cmd/bankledge-control/serve.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+
+	"bankledge/internal/controlserver"
+)
+
+type serveCommand struct {
+	Settings string        `arg:"" optional:"" help:"Settings, Jsonnet or JSON. None: one process alone, in the folder bankledge-control."`
+	Level    zapcore.Level `env:"LB_LOG_LEVEL" default:"info" help:"Lowest level of the log lines: debug, info, warn, error."`
+}
+
+// Run serves until SIGTERM or an interrupt. It returns an error when the storage fails.
+func (c *serveCommand) Run(ctx context.Context) error {
+	settings, err := controlserver.LoadSettings(c.Settings)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
+	defer cancel()
+	signal.Ignore(syscall.SIGHUP, syscall.SIGPIPE)
+	server, err := controlserver.New(settings, newLogger(c.Level))
+	if err != nil {
+		return err
+	}
+	return server.Run(ctx)
+}
+
+// newLogger writes JSON lines to standard error.
+func newLogger(level zapcore.Level) *zap.Logger {
+	encoding := zap.NewProductionEncoderConfig()
+	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
+	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoding), zapcore.Lock(os.Stderr), level))
+}
+
+type checkCommand struct {
+	Settings string `arg:"" help:"Settings, Jsonnet or JSON."`
+}
+
+// Run prints what follows from the settings.
+func (c *checkCommand) Run() error {
+	settings, err := controlserver.LoadSettings(c.Settings)
+	if err != nil {
+		return err
+	}
+	durations := settings.LeaseDurations()
+	members := len(settings.Members)
+	quorum := members/2 + 1
+	fmt.Printf("%s: fit to serve as process %d of %d, for routers on %s\n", c.Settings, settings.ID, members, settings.ClientAddress)
+	fmt.Printf("T = %v: no two routers act on contradicting rules for longer, whatever fails\n", durations.MaxContradiction())
+	fmt.Printf("  term %v + longest batch %v + longest pause that a router cannot see %v\n", durations.LeaseDuration, durations.MaxBatch, durations.MaxPause)
+	fmt.Printf("  clocks may drift by %v: a router holds a term for %v of its clock, the group owes it %v of its own\n",
+		durations.MaxClockDrift, durations.ClientLease(), durations.CoordinatorLease())
+	fmt.Printf("a version is in force everywhere within %v of its commit, if no leader changes meanwhile\n", durations.MaxActivation().Round(time.Millisecond))
+	fmt.Printf("the group goes on while %d of %d processes live\n", quorum, members)
+	return nil
+}
--- /dev/null
+++ b/cmd/bankledge-control/status.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"bankledge/internal/controlapi"
+	"bankledge/internal/lease"
+)
+
+// watchInterval is the time between two looks of status --watch.
+const watchInterval = time.Second
+
+type statusCommand struct {
+	groupFlags
+	Watch bool `help:"Say it again each second."`
+	JSON  bool `help:"Write it as JSON, a line each time."`
+}
+
+// Run prints the status of the group, once or until it is stopped. While it watches, a group that does not answer is no reason to end.
+func (c *statusCommand) Run(ctx context.Context) error {
+	if !c.Watch {
+		return c.print(ctx)
+	}
+	for {
+		status, err := c.client().Status(ctx)
+		if err != nil {
+			printError(err)
+		} else if err := c.write(status); err != nil {
+			return err
+		}
+		time.Sleep(watchInterval)
+	}
+}
+
+func (c *statusCommand) print(ctx context.Context) error {
+	status, err := c.client().Status(ctx)
+	if err != nil {
+		return err
+	}
+	return c.write(status)
+}
+
+func (c *statusCommand) write(status *controlapi.Status) error {
+	if c.JSON {
+		return json.NewEncoder(os.Stdout).Encode(status)
+	}
+	writeStatus(status)
+	return nil
+}
+
+func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0) }
+
+// writeStatus prints a status as tables of the processes and of the routers.
+func writeStatus(status *controlapi.Status) {
+	table := newTable()
+	defer table.Flush()
+	if !status.IsLeader {
+		fmt.Fprintf(table, "NO LEADER: %s. Versions can't change; routers without a term go on, on the cautious side.\n", status.Error)
+	}
+	fmt.Fprintf(table, "lineage %s\tnewest version %d\tin force %d\tT %v\n", status.Lineage, status.NewestVersion, status.Activated, milliseconds(status.MaxContradictionMillis))
+	writeMembers(table, status)
+	if !status.IsLeader {
+		return
+	}
+	fmt.Fprintln(table, "router\tversion\tterm\theard ago\tlast word")
+	for _, session := range status.Sessions {
+		writeSession(table, session)
+	}
+}
+
+func writeMembers(table io.Writer, status *controlapi.Status) {
+	fmt.Fprintln(table, "process\tpeer\tclient\tvotes\tleads")
+	for _, id := range slices.Sorted(maps.Keys(status.Members)) {
+		member := status.Members[id]
+		leads := status.IsLeader && id == status.Leader
+		fmt.Fprintf(table, "%d\t%s\t%s\t%v\t%v\n", id, member.Peer, member.Client, member.Voter, leads)
+	}
+}
+
+func writeSession(table io.Writer, session lease.Session) {
+	term := "none: it acts on the cautious side"
+	if session.RemainingMillis > 0 {
+		term = milliseconds(session.RemainingMillis).String()
+	}
+	message := session.LastMessage
+	if session.DuplicateName {
+		message = strings.TrimSpace("ANOTHER PROCESS HAS THIS NAME. " + message)
+	}
+	fmt.Fprintf(table, "%s\t%d\t%s\t%v\t%s\n", session.Name, session.KnownVersion, term, milliseconds(session.SilentMillis), message)
+}
+
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
