--- a/internal/configregister/register.go
+++ b/internal/configregister/register.go
@@ -77,6 +77,12 @@
 	return updates
 }
 
+// Clone returns a copy that stays as it is while r changes. The two share their versions and outcomes, to which r only appends.
+func (r *Register) Clone() *Register {
+	clone := *r
+	return &clone
+}
+
 // Apply applies an encoded log entry. It returns the outcome and true if the entry was a proposal. It never fails: the error of a
 // proposal is its outcome, and an entry that can't be read is skipped, as no version of this program has written it.
 func (r *Register) Apply(raw []byte) (Outcome, bool) {
--- a/internal/configregister/register_test.go
+++ b/internal/configregister/register_test.go
@@ -87,6 +87,17 @@
 	assert.Contains(t, f.apply(Entry{Kind: EntryRollback, ID: "h", Number: 77}).Error, "not kept")
 }
 
+func TestRegisterClone(t *testing.T) {
+	f := newFixture(t)
+	f.apply(Entry{Kind: EntryFound, Lineage: "l"})
+	f.propose("a", 2)
+	before := f.Snapshot()
+	clone := f.Clone()
+	f.activateUpTo(1)
+	f.propose("b", 3)
+	assert.Equal(t, string(before), string(clone.Snapshot()))
+}
+
 func TestRegisterSnapshots(t *testing.T) {
 	f := newFixture(t)
 	f.apply(Entry{Kind: EntryFound, Lineage: "l"})
--- a/internal/controlserver/operator_api.go
+++ b/internal/controlserver/operator_api.go
@@ -69,7 +69,7 @@
 
 func (s *Server) handleVersions(w http.ResponseWriter, _ *http.Request) {
 	view := s.state.load()
-	writeJSON(w, http.StatusOK, controlapi.VersionList{Lineage: view.lineage, Activated: view.activated, Versions: view.versions})
+	writeJSON(w, http.StatusOK, controlapi.VersionList{Lineage: view.register.Lineage, Activated: view.register.Activated, Versions: view.register.Versions})
 }
 
 // handleStatus answers with the state of the group. A process calls itself the leader only once a quorum has confirmed it, so a
@@ -101,13 +101,13 @@
 		ID:                     s.settings.ID,
 		Leader:                 view.leader,
 		Term:                   view.term,
-		Lineage:                view.lineage,
-		Activated:              view.activated,
+		Lineage:                view.register.Lineage,
+		Activated:              view.register.Activated,
 		MaxContradictionMillis: s.durations.MaxContradiction().Milliseconds(),
 		StorageBytes:           s.storage.Size(),
 		Members:                view.members,
 	}
-	if newest := view.newest(); newest != nil {
+	if newest := view.register.Newest(); newest != nil {
 		status.NewestVersion = newest.Number
 		status.NewestHash = newest.Hash
 	}
--- a/internal/controlserver/peer_api.go
+++ b/internal/controlserver/peer_api.go
@@ -24,7 +24,7 @@
 // handlePeerMessages takes messages of the replicated log from another process. Those of another lineage are rejected: they come from
 // a group that had this process's address before.
 func (s *Server) handlePeerMessages(w http.ResponseWriter, r *http.Request) {
-	lineage := s.state.load().lineage
+	lineage := s.state.load().register.Lineage
 	theirs := r.Header.Get(controlapi.LineageHeader)
 	if lineage != "" && theirs != "" && lineage != theirs {
 		http.Error(w, "another group: its lineage is "+lineage, http.StatusConflict)
--- a/internal/controlserver/peer_transport.go
+++ b/internal/controlserver/peer_transport.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	request.Header.Set(controlapi.LineageHeader, view.lineage)
+	request.Header.Set(controlapi.LineageHeader, view.register.Lineage)
 	response, err := t.http.Do(request)
 	if err != nil {
 		return err
--- a/internal/controlserver/router_api.go
+++ b/internal/controlserver/router_api.go
@@ -115,14 +115,14 @@
 // advance returns the events that bring the follower up to the view, "" if there are none.
 func (c *streamCursor) advance(view *stateView) string {
 	var text strings.Builder
-	for _, version := range view.updatesAfter(c.known) {
+	for _, version := range view.register.UpdatesAfter(c.known) {
 		c.known = version.Number
-		c.activated = view.activated
-		text.WriteString(formatEvent(version.Number, controlapi.VersionEvent{Lineage: view.lineage, Activated: view.activated, Version: version}))
+		c.activated = view.register.Activated
+		text.WriteString(formatEvent(version.Number, controlapi.VersionEvent{Lineage: view.register.Lineage, Activated: view.register.Activated, Version: version}))
 	}
-	if view.activated > c.activated {
-		c.activated = view.activated
-		text.WriteString(formatEvent(0, controlapi.VersionEvent{Lineage: view.lineage, Activated: view.activated}))
+	if view.register.Activated > c.activated {
+		c.activated = view.register.Activated
+		text.WriteString(formatEvent(0, controlapi.VersionEvent{Lineage: view.register.Lineage, Activated: view.register.Activated}))
 	}
 	return text.String()
 }
--- a/internal/controlserver/state.go
+++ b/internal/controlserver/state.go
@@ -1,13 +1,12 @@
 package controlserver
 
 import (
-	"slices"
 	"sync"
 	"sync/atomic"
 
 	"go.uber.org/zap"
 
-	"bankledge/internal/configversion"
+	"bankledge/internal/configregister"
 	"bankledge/internal/controlapi"
 	"bankledge/internal/replica"
 )
@@ -17,24 +16,19 @@
 
 // stateView is what this process knew at one moment. It is never changed, so that handlers read it without a lock.
 type stateView struct {
-	lineage   string
-	activated uint64                   // all versions up to this number are in force
-	versions  []*configversion.Version // oldest first
-	members   map[uint64]controlapi.Member
-	leader    uint64 // 0: none is known
-	term      uint64 // of the replicated log
+	register *configregister.Register // a copy
+	members  map[uint64]controlapi.Member
+	leader   uint64 // 0: none is known
+	term     uint64 // of the replicated log
 }
 
 func newStateView(node *replica.Replica) *stateView {
-	register := node.Register()
 	role := node.Role()
 	view := &stateView{
-		lineage:   register.Lineage,
-		activated: register.Activated,
-		versions:  append([]*configversion.Version(nil), register.Versions...), // null on the wire while there is none
-		members:   map[uint64]controlapi.Member{},
-		leader:    role.Leader,
-		term:      role.Term,
+		register: node.Register().Clone(),
+		members:  map[uint64]controlapi.Member{},
+		leader:   role.Leader,
+		term:     role.Term,
 	}
 	for id, member := range node.Members() {
 		view.members[id] = controlapi.Member(member)
@@ -42,30 +36,6 @@
 	return view
 }
 
-// newest is the newest version, nil if there is none.
-func (v *stateView) newest() *configversion.Version {
-	if len(v.versions) == 0 {
-		return nil
-	}
-	return v.versions[len(v.versions)-1]
-}
-
-// newestNumber is 0 if there is no version.
-func (v *stateView) newestNumber() uint64 {
-	if newest := v.newest(); newest != nil {
-		return newest.Number
-	}
-	return 0
-}
-
-// updatesAfter lists the versions to send to a router whose newest one is known: those that are not in force yet, and the newest one
-// that is.
-func (v *stateView) updatesAfter(known uint64) []*configversion.Version {
-	return slices.DeleteFunc(slices.Clone(v.versions), func(version *configversion.Version) bool {
-		return version.Number <= known || version.Number < v.activated
-	})
-}
-
 // publishedState is the newest stateView, and wakes those that wait for the next one.
 type publishedState struct {
 	log     *zap.Logger
@@ -104,12 +74,12 @@
 	if before == nil {
 		return
 	}
-	if before.newestNumber() < after.newestNumber() {
-		version := after.newest()
+	if before.register.NewestNumber() < after.register.NewestNumber() {
+		version := after.register.Newest()
 		s.log.Info(eventVersionCommitted, zap.Uint64("version", version.Number), zap.String("hash", version.Hash[:loggedHashLength]),
 			zap.Strings("forced_guards", version.ForcedGuards), zap.String("note", version.Note))
 	}
-	if before.activated < after.activated {
-		s.log.Info(eventVersionActivated, zap.Uint64("version", after.activated))
+	if before.register.Activated < after.register.Activated {
+		s.log.Info(eventVersionActivated, zap.Uint64("version", after.register.Activated))
 	}
 }
