--- a/internal/upstream/attempt_cancel_test.go
+++ b/internal/upstream/attempt_cancel_test.go
@@ -97,14 +97,14 @@
 	client := newTestClient(t.Context(), ends, 4, time.Second, link.Address())
 	attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
 	receive(t, startReceived)
-	link.Set(faultlab.Way{Delay: delay}, faultlab.Way{})
+	link.Impair(faultlab.Impairment{Delay: delay}, faultlab.Impairment{})
 	close(answerStart)
 	engine.awaitRequest(t, http.MethodPost)
 	// The start's response was not held, so the poll goes on a connection of its own.
-	polled := func() bool { return link.Dialled() == 2 && link.Held() > 0 }
+	polled := func() bool { return link.Connections() == 2 && link.InFlight() > 0 }
 	require.Eventually(t, polled, patience, time.Millisecond)
-	link.Set(faultlab.Way{Delay: delay}, faultlab.Way{Cut: true})
-	require.NoError(t, link.Refuse(true))
+	link.Impair(faultlab.Impairment{Delay: delay}, faultlab.Impairment{Blocked: true})
+	require.NoError(t, link.RefuseConnections(true))
 	attempt.Cancel()
 	engine.awaitRequest(t, http.MethodGet)
 	assert.Equal(t, decision.Cancelled, receive(t, ends).Outcome)
