--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -38,12 +38,12 @@
 var roomy = edit{"policy/capacity.go", "	others := m.othersOn(e)\n	if !m.priorities.isLight(s, m.now)", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.priorities.isLight(s, m.now)"}
 
 // noBackstop has the router leave open what the module has forgotten.
-var noBackstop = edit{"internal/proxy/route.go", "if !s.over && now.After(s.ends) {", "if false {"}
+var noBackstop = edit{"internal/proxy/event_loop.go", "if !req.finished && now.After(req.deadline) {", "if false {"}
 
 // repeats has the module take every repeat for harmless; unguarded has the run-time guard do so, too.
 var (
 	repeats   = edit{"policy/rules.go", "	if " + repeatGuard, "	if true || " + repeatGuard}
-	unguarded = edit{"internal/invariant/request.go", "	return r.mayRepeat(at, now)", "	return nil"}
+	unguarded = edit{"internal/invariant/request.go", "	return r.checkRepeat(location, now)", "	return nil"}
 )
 
 // sharedTimeFile keeps when an engine was last sent a request for an attempt.
