--- a/internal/replica/harness_test.go
+++ b/internal/replica/harness_test.go
@@ -156,16 +156,22 @@
 	return true
 }
 
-func (g *storedGroup) propose(further float64) uint64 {
+// propose proposes rules and returns the number of the version once it is in force on all processes.
+func (g *storedGroup) propose(retryBudgetFree float64) uint64 {
 	g.t.Helper()
-	r := &rules.Rules{Routers: 2, SlowStartMultiple: 3, RetryBudgetFree: further}
+	r := &rules.Rules{Routers: 2, SlowStartMultiple: 3, RetryBudgetFree: retryBudgetFree}
 	r.Engines = map[string]rules.Engine{}
 	for i, name := range []string{"a", "b", "c"} {
 		r.Engines[name] = rules.Engine{Phase: rules.Active, Address: fmt.Sprint("h:", i+1)}
 	}
 	require.NoError(g.t, r.Validate())
 	g.outcomes = nil
-	g.step(g.leader(), LeaseRequest{Event: lease.ProposalReceived{CallID: 1, Entry: configregister.Entry{Kind: configregister.EntryPropose, ID: fmt.Sprint("id", further), Rules: r.Canonical()}}})
+	entry := configregister.Entry{
+		Kind:  configregister.EntryPropose,
+		ID:    fmt.Sprint("id", retryBudgetFree),
+		Rules: r.Canonical(),
+	}
+	g.step(g.leader(), LeaseRequest{Event: lease.ProposalReceived{CallID: 1, Entry: entry}})
 	g.runUntil(func() bool { return len(g.outcomes) > 0 })
 	require.Empty(g.t, g.outcomes[0].Error)
 	g.runUntil(func() bool { return g.allActivated(g.outcomes[0].Number) })
--- a/internal/replica/stored_data_test.go
+++ b/internal/replica/stored_data_test.go
@@ -19,6 +19,22 @@
 // "trio3" by a group of three after 26 versions and a fourth member that never ran. Both compact each 20 entries. Beside them
 // stand the versions and the status that the group served last.
 
+// readRecording reads the versions and members that a group served last.
+func readRecording(t *testing.T, name string) (versions string, members map[uint64]Member) {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", name+".versions.json"))
+	require.NoError(t, err)
+	versions = string(raw)
+	raw, err = os.ReadFile(filepath.Join("testdata", name+".status.json"))
+	require.NoError(t, err)
+	var status struct {
+		Members map[uint64]Member `json:"members"`
+	}
+	require.NoError(t, json.Unmarshal(raw, &status))
+	return versions, status.Members
+}
+
+// A group opens what it had stored, serves the same versions and members, goes on past another snapshot, and opens that again.
 func TestOpensStoredFolders(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -29,27 +45,20 @@
 		{"trio", []string{"trio1", "trio2", "trio3"}, 26},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			recorded, err := os.ReadFile(filepath.Join("testdata", c.name+".versions.json"))
-			require.NoError(t, err)
-			var status struct {
-				Members map[uint64]Member `json:"members"`
-			}
-			raw, err := os.ReadFile(filepath.Join("testdata", c.name+".status.json"))
-			require.NoError(t, err)
-			require.NoError(t, json.Unmarshal(raw, &status))
-			members, err := json.Marshal(status.Members)
+			recordedVersions, recordedMembers := readRecording(t, c.name)
+			members, err := json.Marshal(recordedMembers)
 			require.NoError(t, err)
-
 			ids := []uint64{1, 2, 3}[:len(c.folders)]
 			g := &storedGroup{t: t, folders: copyFolders(t, ids, c.folders...), initial: map[uint64]Member{}}
 			for _, id := range ids {
-				g.initial[id] = status.Members[id]
+				g.initial[id] = recordedMembers[id]
 			}
+
 			g.open()
 			g.runUntil(func() bool { return g.leader() != 0 && g.allActivated(c.newest) })
 			for id := range g.replicas {
 				servedVersions, servedMembers := g.served(id)
-				assert.JSONEq(t, string(recorded), servedVersions)
+				assert.JSONEq(t, recordedVersions, servedVersions)
 				assert.JSONEq(t, string(members), servedMembers)
 			}
 			for i := range 25 { // past another snapshot
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -44,9 +44,11 @@
 // faultsActive reports whether faults may occur by now.
 func (s *simulation) faultsActive() bool { return !s.NoFaults && s.now < s.quietFrom() }
 
-func (s *simulation) randomRouter() *router { return s.routers[s.random.IntN(len(s.routers))] }
+func (s *simulation) randomRouter() *routerHost { return s.routers[s.random.IntN(len(s.routers))] }
 
-func (s *simulation) randomProcess() *process { return s.processes[s.random.IntN(len(s.processes))] }
+func (s *simulation) randomProcess() *processHost {
+	return s.processes[s.random.IntN(len(s.processes))]
+}
 
 // direction is which way a link between two hosts is cut.
 type direction int
@@ -97,7 +99,7 @@
 		}
 	}
 	for _, router := range s.routers {
-		var unreachable []*process
+		var unreachable []*processHost
 		switch s.random.IntN(3) {
 		case 0:
 			unreachable = s.processes[:half]
@@ -119,7 +121,7 @@
 	s.at(start+duration, func() { s.resumeProcess(process) })
 }
 
-func (s *simulation) resumeProcess(process *process) {
+func (s *simulation) resumeProcess(process *processHost) {
 	process.resume()
 	s.record("wake %d", process.id)
 }
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -71,7 +71,7 @@
 }
 
 // observeReply notes some of the replies as reads.
-func (a *auditor) observeReply(s *simulation, router *router, reply lease.Reply) {
+func (a *auditor) observeReply(s *simulation, router *routerHost, reply lease.Reply) {
 	audit := &a.operations
 	key := renewalKey{router.leaseIncarnation(), reply.Seq}
 	sent, known := audit.renewals[key]
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -29,8 +29,8 @@
 
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// process is one process of the control group.
-type process struct {
+// processHost runs one process of the control group.
+type processHost struct {
 	host
 	replica         *replica.Replica
 	disk            consensus.PersistentState // what was synced
@@ -42,20 +42,20 @@
 
 // call is a call that waits for its answer.
 type call struct {
-	router      *router // that renews its lease; nil for an operator
-	incarnation int     // of the router
+	router      *routerHost // that renews its lease; nil for an operator
+	incarnation int         // of the router
 	onOutcome   func(configregister.Outcome)
 }
 
 // stream pushes versions to a router.
 type stream struct {
-	router        *router
+	router        *routerHost
 	incarnation   int    // of the router
 	sentVersion   uint64 // newest version that was sent
 	sentActivated uint64 // newest version whose activation was sent
 }
 
-func (p *process) settings() replica.Settings {
+func (p *processHost) settings() replica.Settings {
 	members := map[uint64]replica.Member{}
 	for i := range p.sim.Processes {
 		address := fmt.Sprint(i)
@@ -77,7 +77,7 @@
 	}
 }
 
-func (p *process) start() {
+func (p *processHost) start() {
 	p.incarnation++
 	p.up = true
 	p.calls = map[uint64]call{}
@@ -95,33 +95,33 @@
 	p.resetTimer()
 }
 
-func (p *process) resetTimer() {
+func (p *processHost) resetTimer() {
 	if p.up && p.replica != nil {
 		p.setTimer(p.replica.NextDeadline(p.now()), func() { p.step(replica.Tick{}) })
 	}
 }
 
-func (p *process) step(event replica.Event) {
+func (p *processHost) step(event replica.Event) {
 	p.carryOut(p.replica.Step(p.now(), event))
 	p.resetTimer()
 }
 
 // call hands the replica a call, and keeps who waits for its answer.
-func (p *process) call(caller call, event func(callID uint64) lease.CoordinatorEvent) {
+func (p *processHost) call(caller call, event func(callID uint64) lease.CoordinatorEvent) {
 	p.lastCallID++
 	p.calls[p.lastCallID] = caller
 	p.step(replica.LeaseRequest{Event: event(p.lastCallID)})
 }
 
 // takeCall returns a call that is answered now; its zero value if it was made to an earlier incarnation.
-func (p *process) takeCall(callID uint64) call {
+func (p *processHost) takeCall(callID uint64) call {
 	caller := p.calls[callID]
 	delete(p.calls, callID)
 	return caller
 }
 
 // carryOut carries out the replica's actions in order, until the process crashes.
-func (p *process) carryOut(actions []replica.Action) {
+func (p *processHost) carryOut(actions []replica.Action) {
 	for _, action := range actions {
 		if !p.up {
 			return
@@ -144,7 +144,7 @@
 }
 
 // save writes to a disk that keeps what was synced.
-func (p *process) save(change consensus.PersistentState) {
+func (p *processHost) save(change consensus.PersistentState) {
 	if change.HardState != nil {
 		p.disk.HardState = change.HardState
 	}
@@ -165,7 +165,7 @@
 }
 
 // countDownToCrash kills the process at the save at which its crash is planned, and has it started again.
-func (p *process) countDownToCrash() {
+func (p *processHost) countDownToCrash() {
 	if p.savesUntilCrash == 0 {
 		return
 	}
@@ -178,7 +178,7 @@
 	p.sim.after(p.sim.uniform(0, maxRestartDelay), p.start)
 }
 
-func (p *process) sendMessage(message *pb.Message) {
+func (p *processHost) sendMessage(message *pb.Message) {
 	sent := proto.Clone(message).(*pb.Message)
 	receiver := p.sim.processes[sent.GetTo()-1]
 	p.sim.send(p.id, receiver.id, func() {
@@ -186,7 +186,7 @@
 	})
 }
 
-func (p *process) answer(answer lease.CoordinatorAction) {
+func (p *processHost) answer(answer lease.CoordinatorAction) {
 	switch answer := answer.(type) {
 	case lease.SendReply:
 		caller := p.takeCall(answer.CallID)
@@ -201,7 +201,7 @@
 	}
 }
 
-func (p *process) sendReply(caller call, reply lease.Reply) {
+func (p *processHost) sendReply(caller call, reply lease.Reply) {
 	p.sim.auditor.observeReply(p.sim, caller.router, reply)
 	p.sim.send(p.id, caller.router.id, func() {
 		caller.router.deliver(caller.incarnation, func() { caller.router.step(lease.ReplyReceived{Reply: reply}) })
@@ -209,7 +209,7 @@
 }
 
 // pushAll sends what is new to the routers that follow the versions here.
-func (p *process) pushAll() {
+func (p *processHost) pushAll() {
 	for _, routerID := range slices.Sorted(maps.Keys(p.streams)) {
 		p.push(p.streams[routerID])
 	}
@@ -217,7 +217,7 @@
 
 // push sends a router the versions and the activation that it has not been sent yet. Now and then a version is lost, so that the next
 // one arrives behind a gap.
-func (p *process) push(to *stream) {
+func (p *processHost) push(to *stream) {
 	register := p.replica.Register()
 	for _, version := range register.UpdatesAfter(to.sentVersion) {
 		raw := version.Encode()
--- a/internal/simulation/proposals.go
+++ b/internal/simulation/proposals.go
@@ -160,7 +160,7 @@
 }
 
 // leaderOrAny is the process that leads, or one that is drawn.
-func (s *simulation) leaderOrAny() *process {
+func (s *simulation) leaderOrAny() *processHost {
 	chosen := s.processes[s.random.IntN(s.Processes)]
 	for _, process := range s.processes {
 		if process.isRunning() && process.replica.IsLeader() {
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -16,14 +16,14 @@
 	connectTimeout        = 300 * time.Millisecond
 )
 
-// router is one router's side: its lease client, and the rules that it acts on.
-type router struct {
+// routerHost runs one router's side: its lease client, and the rules that it acts on.
+type routerHost struct {
 	host
 	client   *lease.Client
 	acting   *rules.Rules
 	basis    actingBasis            // of acting
 	received *configversion.Version // newest one, with plain push
-	followed *process               // whose stream of versions it reads
+	followed *processHost           // whose stream of versions it reads
 }
 
 // localRules are the rules of a router's own settings: the most cautious that there are.
@@ -44,7 +44,7 @@
 	return r
 }
 
-func (r *router) start() {
+func (r *routerHost) start() {
 	r.incarnation++
 	r.up = true
 	r.client = lease.NewClient(lease.ClientSettings{
@@ -64,9 +64,9 @@
 }
 
 // leaseIncarnation names this incarnation of the router to the group.
-func (r *router) leaseIncarnation() string { return fmt.Sprintf("%d.%d", r.id, r.incarnation) }
+func (r *routerHost) leaseIncarnation() string { return fmt.Sprintf("%d.%d", r.id, r.incarnation) }
 
-func (r *router) receiveVersion(raw []byte, activated uint64) {
+func (r *routerHost) receiveVersion(raw []byte, activated uint64) {
 	version, err := configversion.Decode(raw)
 	if err != nil {
 		r.step(lease.InvalidVersionReceived{Err: err})
@@ -80,7 +80,7 @@
 }
 
 // applyAtOnce is the baseline without leases.
-func (r *router) applyAtOnce(version *configversion.Version) {
+func (r *routerHost) applyAtOnce(version *configversion.Version) {
 	if r.received != nil && version.Number <= r.received.Number {
 		return
 	}
@@ -89,7 +89,7 @@
 	r.basis = actingBasis{activated: version.Number, leased: true}
 }
 
-func (r *router) step(event lease.ClientEvent) {
+func (r *routerHost) step(event lease.ClientEvent) {
 	if r.sim.PlainPush {
 		_, lost := event.(lease.StreamLost)
 		if lost || r.followed == nil {
@@ -103,7 +103,7 @@
 	r.setTimer(r.client.NextDeadline(), func() { r.step(lease.ClientTick{}) })
 }
 
-func (r *router) carryOut(action lease.ClientAction) {
+func (r *routerHost) carryOut(action lease.ClientAction) {
 	switch action := action.(type) {
 	case lease.SendRenewal:
 		r.sendRenewal(r.sim.processes[action.AddressIndex], action.Renewal)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (r *router) sendRenewal(to *process, renewal lease.Renewal) {
+func (r *routerHost) sendRenewal(to *processHost, renewal lease.Renewal) {
 	incarnation := r.incarnation
 	r.sim.auditor.observeRenewal(r.sim, renewal)
 	r.sim.send(r.id, to.id, func() {
@@ -132,7 +132,7 @@
 }
 
 // checkLeaseExpiry is the look at the clock before a batch of decisions.
-func (r *router) checkLeaseExpiry() {
+func (r *routerHost) checkLeaseExpiry() {
 	if !r.isRunning() || r.sim.PlainPush {
 		return
 	}
@@ -144,7 +144,7 @@
 
 // openStream has the router follow the versions at a process, in place of the stream that it read before. The process pushes until
 // either side ends.
-func (r *router) openStream(addressIndex int, afterVersion uint64) {
+func (r *routerHost) openStream(addressIndex int, afterVersion uint64) {
 	process := r.sim.processes[addressIndex]
 	incarnation := r.incarnation
 	if r.followed != nil {
@@ -166,12 +166,12 @@
 	})
 }
 
-func (r *router) loseStream(incarnation int) {
+func (r *routerHost) loseStream(incarnation int) {
 	r.deliver(incarnation, func() { r.step(lease.StreamLost{}) })
 }
 
 // watchStream ends a stream whose process has died, or which was silent for long.
-func (r *router) watchStream(process *process, serving, incarnation int) {
+func (r *routerHost) watchStream(process *processHost, serving, incarnation int) {
 	silentChecks := 0
 	var check func()
 	check = func() {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -58,8 +58,8 @@
 	timers       timerqueue.Queue
 	random       *rand.Rand
 	network      network
-	processes    []*process
-	routers      []*router
+	processes    []*processHost
+	routers      []*routerHost
 	auditor      *auditor
 	lastEngineID int       // of the engine addresses that were given out
 	trace        io.Writer // nil: none
@@ -94,10 +94,10 @@
 		digest:  fnv.New64a(),
 	}
 	for id := range options.Processes {
-		s.processes = append(s.processes, &process{host: s.newHost(id)})
+		s.processes = append(s.processes, &processHost{host: s.newHost(id)})
 	}
 	for i := range options.Routers {
-		s.routers = append(s.routers, &router{host: s.newHost(firstRouterID + i)})
+		s.routers = append(s.routers, &routerHost{host: s.newHost(firstRouterID + i)})
 	}
 	return s
 }
