--- a/internal/sqltext/grammar.go
+++ b/internal/sqltext/grammar.go
@@ -45,93 +45,93 @@
 	kwExec
 	kwTemporary
 	kwBegin
-	kwSkipped // stands before a table's name and is none: IF, EXISTS, ONLY
-	kwBars    // before UPDATE or DELETE it makes these no verbs: THEN, DO, KEY, OR, AFTER, OF
-	kwPlain   // any other that is no name: AND, OR, NOT, NULL
+	kwBeforeTable // stands before a table's name and is none: IF, EXISTS, ONLY
+	kwNoVerbNext  // before UPDATE or DELETE it makes these no verbs: THEN, DO, KEY, OR, AFTER, OF
+	kwPlain       // any other that is no name: AND, OR, NOT, NULL
 )
 
 // keywords are the words that mean something, in small letters.
-var keywords = map[keyword][]string{
-	kwSelect:    {"select"},
-	kwFrom:      {"from"},
-	kwWhere:     {"where"},
-	kwJoin:      {"join"},
-	kwOn:        {"on"},
-	kwGroup:     {"group"},
-	kwOrder:     {"order"},
-	kwHaving:    {"having"},
-	kwUnion:     {"union", "intersect", "except"},
-	kwIn:        {"in"},
-	kwValues:    {"values"},
-	kwInto:      {"into"},
-	kwInsert:    {"insert", "replace"},
-	kwUpdate:    {"update"},
-	kwDelete:    {"delete"},
-	kwMerge:     {"merge"},
-	kwUsing:     {"using"},
-	kwSet:       {"set"},
-	kwWith:      {"with"},
-	kwAs:        {"as"},
-	kwTop:       {"top"},
-	kwLimit:     {"limit"},
-	kwFetch:     {"fetch"},
-	kwOver:      {"over"},
-	kwDistinct:  {"distinct"},
-	kwFor:       {"for"},
-	kwBetween:   {"between", "like", "ilike"},
-	kwApply:     {"apply"},
-	kwAggregate: {"count", "sum", "avg", "min", "max", "stddev", "variance", "string_agg", "array_agg", "listagg", "group_concat", "count_big", "percentile_cont", "percentile_disc", "median", "corr"},
-	kwCopy:      {"copy"},
-	kwTo:        {"to"},
-	kwBulk:      {"bulk"},
-	kwLoad:      {"load"},
-	kwTruncate:  {"truncate"},
-	kwDDL:       {"create", "alter", "drop"},
-	kwTable:     {"table", "view"},
-	kwExec:      {"exec", "execute", "call"},
-	kwTemporary: {"temporary", "temp"},
-	kwBegin:     {"begin", "explain", "analyze", "else"},
-	kwSkipped:   {"if", "exists", "only", "lateral", "ignore", "overwrite", "low_priority"},
-	kwBars:      {"then", "do", "key", "or", "after", "of", "instead"},
-	kwPlain:     {"and", "not", "null", "is", "case", "when", "end", "by", "left", "right", "inner", "outer", "full", "cross", "partition", "all", "any", "asc", "desc"},
+var keywordTexts = map[keyword][]string{
+	kwSelect:      {"select"},
+	kwFrom:        {"from"},
+	kwWhere:       {"where"},
+	kwJoin:        {"join"},
+	kwOn:          {"on"},
+	kwGroup:       {"group"},
+	kwOrder:       {"order"},
+	kwHaving:      {"having"},
+	kwUnion:       {"union", "intersect", "except"},
+	kwIn:          {"in"},
+	kwValues:      {"values"},
+	kwInto:        {"into"},
+	kwInsert:      {"insert", "replace"},
+	kwUpdate:      {"update"},
+	kwDelete:      {"delete"},
+	kwMerge:       {"merge"},
+	kwUsing:       {"using"},
+	kwSet:         {"set"},
+	kwWith:        {"with"},
+	kwAs:          {"as"},
+	kwTop:         {"top"},
+	kwLimit:       {"limit"},
+	kwFetch:       {"fetch"},
+	kwOver:        {"over"},
+	kwDistinct:    {"distinct"},
+	kwFor:         {"for"},
+	kwBetween:     {"between", "like", "ilike"},
+	kwApply:       {"apply"},
+	kwAggregate:   {"count", "sum", "avg", "min", "max", "stddev", "variance", "string_agg", "array_agg", "listagg", "group_concat", "count_big", "percentile_cont", "percentile_disc", "median", "corr"},
+	kwCopy:        {"copy"},
+	kwTo:          {"to"},
+	kwBulk:        {"bulk"},
+	kwLoad:        {"load"},
+	kwTruncate:    {"truncate"},
+	kwDDL:         {"create", "alter", "drop"},
+	kwTable:       {"table", "view"},
+	kwExec:        {"exec", "execute", "call"},
+	kwTemporary:   {"temporary", "temp"},
+	kwBegin:       {"begin", "explain", "analyze", "else"},
+	kwBeforeTable: {"if", "exists", "only", "lateral", "ignore", "overwrite", "low_priority"},
+	kwNoVerbNext:  {"then", "do", "key", "or", "after", "of", "instead"},
+	kwPlain:       {"and", "not", "null", "is", "case", "when", "end", "by", "left", "right", "inner", "outer", "full", "cross", "partition", "all", "any", "asc", "desc"},
 }
 
 // The keywords in an open table by hash, and which lengths there are of each first letter, since most names are none.
 var (
-	table [1 << tableBits]struct {
+	keywordTable [1 << keywordTableBits]struct {
 		text string
 		word keyword
 	}
-	lengths [256]uint32
+	keywordLengths [256]uint32
 )
 
-const tableBits = 9
+const keywordTableBits = 9
 
-func hash(b []byte) uint32 {
+func keywordHash(b []byte) uint32 {
 	n := len(b)
-	return (uint32(b[0])*0x9E3779B1 ^ uint32(b[n-1])*0x85EBCA6B ^ uint32(b[n/2])*0xC2B2AE35 ^ uint32(n)*0x27D4EB2F) >> (32 - tableBits)
+	return (uint32(b[0])*0x9E3779B1 ^ uint32(b[n-1])*0x85EBCA6B ^ uint32(b[n/2])*0xC2B2AE35 ^ uint32(n)*0x27D4EB2F) >> (32 - keywordTableBits)
 }
 
 func init() {
-	for word, texts := range keywords {
+	for word, texts := range keywordTexts {
 		for _, text := range texts {
-			lengths[text[0]] |= 1 << len(text)
-			at := hash([]byte(text))
-			for table[at].text != "" {
-				at = (at + 1) % uint32(len(table))
+			keywordLengths[text[0]] |= 1 << len(text)
+			at := keywordHash([]byte(text))
+			for keywordTable[at].text != "" {
+				at = (at + 1) % uint32(len(keywordTable))
 			}
-			table[at].text, table[at].word = text, word
+			keywordTable[at].text, keywordTable[at].word = text, word
 		}
 	}
 }
 
 // lookup finds a keyword in small letters.
-func lookup(b []byte) keyword {
-	if len(b) > 31 || lengths[b[0]]&(1<<len(b)) == 0 {
+func lookUpKeyword(b []byte) keyword {
+	if len(b) > 31 || keywordLengths[b[0]]&(1<<len(b)) == 0 {
 		return kwNone
 	}
-	for at := hash(b); ; at = (at + 1) % uint32(len(table)) {
-		switch t := &table[at]; {
+	for at := keywordHash(b); ; at = (at + 1) % uint32(len(keywordTable)) {
+		switch t := &keywordTable[at]; {
 		case t.text == string(b):
 			return t.word
 		case t.text == "":
@@ -140,343 +140,343 @@
 	}
 }
 
-func (a *Analyser) level() *level { return &a.levels[min(a.depth, mostLevels-1)] }
+func (a *Analyser) bracket() *bracket { return &a.brackets[min(a.depth, maxBrackets-1)] }
 
 // took notes a token that was read.
-func (a *Analyser) took(t token) {
-	a.before, a.last = a.last, t
-	a.tokens++
+func (a *Analyser) addToken(t token) {
+	a.previous, a.last = a.last, t
+	a.tokenCount++
 }
 
 // blank puts one between tokens, but none about a dot.
-func (a *Analyser) blank() {
-	if len(a.normal) > 0 && a.last != tokDot {
-		a.normal = append(a.normal, ' ')
+func (a *Analyser) addBlank() {
+	if len(a.normalized) > 0 && a.last != tokenDot {
+		a.normalized = append(a.normalized, ' ')
 	}
 }
 
-func (a *Analyser) operator(c byte) {
-	if a.table {
+func (a *Analyser) addOperator(c byte) {
+	if a.inTableName {
 		a.endTable()
 	}
-	if a.pending = kwNone; !a.negative {
-		a.equal = tokNone
+	if a.pendingVerb = kwNone; !a.signBefore {
+		a.leftOfEqual = tokenNone
 	}
-	a.blank()
-	a.normal = append(a.normal, c)
-	a.nameEnd = a.nameAt
-	a.took(tokOperator)
+	a.addBlank()
+	a.normalized = append(a.normalized, c)
+	a.nameEnd = a.nameStart
+	a.addToken(tokenOperator)
 }
 
 // sign notes a - or + that belongs to the number behind it: it stands where no operand does.
-func (a *Analyser) sign() {
-	a.negative = a.last != tokName && a.last != tokLiteral && a.last != tokClose
+func (a *Analyser) noteSign() {
+	a.signBefore = a.last != tokenName && a.last != tokenLiteral && a.last != tokenClose
 }
 
 // literal takes any literal or parameter.
-func (a *Analyser) literal() {
-	if a.table {
+func (a *Analyser) addLiteral() {
+	if a.inTableName {
 		a.endTable()
 	}
-	l := a.level()
-	if a.negative && a.last == tokOperator && len(a.normal) > 0 {
-		a.normal = a.normal[:len(a.normal)-1]
-		if len(a.normal) > 0 && a.normal[len(a.normal)-1] == ' ' {
-			a.normal = a.normal[:len(a.normal)-1]
+	l := a.bracket()
+	if a.signBefore && a.last == tokenOperator && len(a.normalized) > 0 {
+		a.normalized = a.normalized[:len(a.normalized)-1]
+		if len(a.normalized) > 0 && a.normalized[len(a.normalized)-1] == ' ' {
+			a.normalized = a.normalized[:len(a.normalized)-1]
 		}
-		a.last = a.before
+		a.last = a.previous
 	}
-	a.negative = false
-	if a.equal == tokName && a.last == tokOperator {
-		a.s.KeyEqual++
+	a.signBefore = false
+	if a.leftOfEqual == tokenName && a.last == tokenOperator {
+		a.result.KeyEqual++
 	}
-	a.equal, a.pending, a.nameEnd, a.limits = tokNone, kwNone, a.nameAt, false
+	a.leftOfEqual, a.pendingVerb, a.nameEnd, a.limitExpected = tokenNone, kwNone, a.nameStart, false
 	if l.inList {
-		a.s.InItems++
-		if a.last == tokComma && a.before == tokLiteral && len(a.normal) > 2 { // a list's further literals are left out
-			a.normal = a.normal[:len(a.normal)-2]
-			a.last, a.before = tokLiteral, tokOpen
+		a.result.InItems++
+		if a.last == tokenComma && a.previous == tokenLiteral && len(a.normalized) > 2 { // a list's further literals are left out
+			a.normalized = a.normalized[:len(a.normalized)-2]
+			a.last, a.previous = tokenLiteral, tokenOpen
 			return
 		}
 	}
-	a.blank()
-	a.normal = append(a.normal, '?')
-	a.took(tokLiteral)
+	a.addBlank()
+	a.normalized = append(a.normalized, '?')
+	a.addToken(tokenLiteral)
 }
 
 // parameter keeps the protocol's reading of schemas, for which a parameter is a name.
-func (a *Analyser) parameter(text []byte) {
-	if a.qualifier && !a.chained {
-		a.schemaSeen()
+func (a *Analyser) addParameter(text []byte) {
+	if a.isQualifier && !a.isQualified {
+		a.noteSchema()
 	}
-	a.qualifier, a.chained = false, false
+	a.isQualifier, a.isQualified = false, false
 }
 
 // schemaSeen looks at the name before a dot: the first one with a group counts.
-func (a *Analyser) schemaSeen() {
-	if g := number(a.normal[a.nameAt:a.nameEnd]); g != NoGroup && !a.first {
-		a.first, a.s.FirstSchemaGroup = true, g
+func (a *Analyser) noteSchema() {
+	if g := groupOfSchema(a.normalized[a.nameStart:a.nameEnd]); g != NoGroup && !a.schemaGroupFound {
+		a.schemaGroupFound, a.result.FirstSchemaGroup = true, g
 	}
 }
 
 // name takes a name that was quoted or marked.
-func (a *Analyser) name(text []byte, mark byte) {
-	a.beforeName()
+func (a *Analyser) addQuotedName(text []byte, mark byte) {
+	a.startName()
 	if mark != 0 {
-		a.normal = append(a.normal, mark)
+		a.normalized = append(a.normalized, mark)
 	}
-	at := len(a.normal)
-	a.normal = append(a.normal, text...)
+	at := len(a.normalized)
+	a.normalized = append(a.normalized, text...)
 	for i, c := range text {
-		if f := folded[c]; f != 0 {
-			a.normal[at+i] = f
+		if f := foldedNameByte[c]; f != 0 {
+			a.normalized[at+i] = f
 		}
 	}
-	a.named(at, mark, true)
+	a.endName(at, mark, true)
 }
 
 // beforeName looks at the schema before a name.
-func (a *Analyser) beforeName() {
-	qualified := a.last == tokDot && a.qualifier
-	if qualified && !a.chained && !a.first {
-		a.schemaSeen()
+func (a *Analyser) startName() {
+	qualified := a.last == tokenDot && a.isQualifier
+	if qualified && !a.isQualified && !a.schemaGroupFound {
+		a.noteSchema()
 	}
-	a.chained, a.qualifier = qualified, false
-	a.blank()
+	a.isQualified, a.isQualifier = qualified, false
+	a.addBlank()
 }
 
 // named takes the name or keyword that stands at the end of the normal text.
-func (a *Analyser) named(at int, mark byte, quoted bool) {
-	a.nameAt, a.nameEnd = at, len(a.normal)
-	if a.last == tokDot {
-		if a.table {
-			a.parts++
-			a.schemaAt, a.schEnd, a.partAt, a.partEnd = a.partAt, a.partEnd, at, a.nameEnd
-		}
-		a.took(tokName)
+func (a *Analyser) endName(at int, mark byte, quoted bool) {
+	a.nameStart, a.nameEnd = at, len(a.normalized)
+	if a.last == tokenDot {
+		if a.inTableName {
+			a.tableParts++
+			a.schemaStart, a.schemaEnd, a.partStart, a.partEnd = a.partStart, a.partEnd, at, a.nameEnd
+		}
+		a.addToken(tokenName)
 		return
 	}
-	if a.table {
+	if a.inTableName {
 		a.endTable()
 	}
 	if !quoted {
-		if w := lookup(a.normal[at:]); w != kwNone && a.keyword(w) {
-			a.took(tokWord)
-			a.word = w
+		if w := lookUpKeyword(a.normalized[at:]); w != kwNone && a.applyKeyword(w) {
+			a.addToken(tokenKeyword)
+			a.lastKeyword = w
 			return
 		}
 	}
-	if a.pending == kwUpdate || a.pending == kwDelete || a.pending == kwInsert { // UPDATE t, DELETE t FROM, INSERT t
-		a.begin(a.pending)
-		a.want = wantWrite
+	if a.pendingVerb == kwUpdate || a.pendingVerb == kwDelete || a.pendingVerb == kwInsert { // UPDATE t, DELETE t FROM, INSERT t
+		a.startVerb(a.pendingVerb)
+		a.tableUse = useWrite
 	}
-	a.pending = kwNone
-	if a.want != wantNone {
-		a.table, a.tableWrite, a.tableTemp, a.parts, a.want = true, a.want == wantWrite, mark != 0 || a.temporary, 1, wantNone
-		a.partAt, a.partEnd = at, a.nameEnd
+	a.pendingVerb = kwNone
+	if a.tableUse != useNone {
+		a.inTableName, a.tableIsWritten, a.tableIsTemporary, a.tableParts, a.tableUse = true, a.tableUse == useWrite, mark != 0 || a.temporary, 1, useNone
+		a.partStart, a.partEnd = at, a.nameEnd
 	}
-	if a.equal == tokLiteral && a.last == tokOperator {
-		a.s.KeyEqual++
+	if a.leftOfEqual == tokenLiteral && a.last == tokenOperator {
+		a.result.KeyEqual++
 	}
-	a.equalled, a.equal = a.equal, tokNone
-	a.took(tokName)
+	a.previousLeftOfEqual, a.leftOfEqual = a.leftOfEqual, tokenNone
+	a.addToken(tokenName)
 }
 
 // endTable counts the table whose name was read.
 func (a *Analyser) endTable() {
-	a.table = false
-	a.s.Tables++
+	a.inTableName = false
+	a.result.Tables++
 	group := int64(NoGroup)
-	if a.parts > 1 {
-		group = number(a.normal[a.schemaAt:a.schEnd])
+	if a.tableParts > 1 {
+		group = groupOfSchema(a.normalized[a.schemaStart:a.schemaEnd])
 	}
 	switch {
-	case a.tableWrite && a.tableTemp:
-		a.s.Writes = a.wrote
-	case a.tableWrite:
-		a.s.Writes = true
+	case a.tableIsWritten && a.tableIsTemporary:
+		a.result.Writes = a.wroteBeforeVerb
+	case a.tableIsWritten:
+		a.result.Writes = true
 		if group != NoGroup {
-			a.s.Written.add(group)
+			a.result.Written.add(group)
 		}
 	case group != NoGroup:
-		a.s.Read.add(group)
+		a.result.Read.add(group)
 	}
 }
 
-func (a *Analyser) dot() {
-	a.qualifier = a.last == tokDot && a.qualifier || a.last == tokName && a.nameEnd > a.nameAt || a.last == tokWord && a.nameEnd > a.nameAt
-	a.normal = append(a.normal, '.')
-	a.took(tokDot)
+func (a *Analyser) addDot() {
+	a.isQualifier = a.last == tokenDot && a.isQualifier || a.last == tokenName && a.nameEnd > a.nameStart || a.last == tokenKeyword && a.nameEnd > a.nameStart
+	a.normalized = append(a.normalized, '.')
+	a.addToken(tokenDot)
 }
 
-func (a *Analyser) star() {
-	if a.last == tokDot && a.qualifier && !a.chained {
-		a.schemaSeen()
+func (a *Analyser) addStar() {
+	if a.last == tokenDot && a.isQualifier && !a.isQualified {
+		a.noteSchema()
 	}
-	a.operator('*')
-	a.last = tokStar
+	a.addOperator('*')
+	a.last = tokenStar
 }
 
-func (a *Analyser) comma() {
-	if a.table {
+func (a *Analyser) addComma() {
+	if a.inTableName {
 		a.endTable()
 	}
-	l := a.level()
-	a.pending, a.equal = kwNone, tokNone
-	a.normal = append(a.normal, ' ', ',')
-	a.took(tokComma)
+	l := a.bracket()
+	a.pendingVerb, a.leftOfEqual = kwNone, tokenNone
+	a.normalized = append(a.normalized, ' ', ',')
+	a.addToken(tokenComma)
 	if l.clause == clauseFrom || l.clause == clauseOn {
-		a.s.Joins++
-		l.clause, a.want = clauseFrom, wantRead
+		a.result.Joins++
+		l.clause, a.tableUse = clauseFrom, useRead
 	}
 }
 
-func (a *Analyser) open() {
-	if a.table {
+func (a *Analyser) openBracket() {
+	if a.inTableName {
 		a.endTable()
 	}
-	l := a.level()
-	next := level{selected: l.selected}
+	l := a.bracket()
+	next := bracket{subselectDepth: l.subselectDepth}
 	switch {
-	case a.last == tokWord && a.word == kwIn:
+	case a.last == tokenKeyword && a.lastKeyword == kwIn:
 		next.inList = true
-		a.s.InLists++
-	case a.last == tokWord && a.word == kwAggregate:
-		a.s.Aggregates++
-	case a.last == tokWord && a.word == kwOver:
-		next.over = true
-	case a.want == wantRead: // FROM (a JOIN b ...), FROM (SELECT ...)
+		a.result.InLists++
+	case a.last == tokenKeyword && a.lastKeyword == kwAggregate:
+		a.result.Aggregates++
+	case a.last == tokenKeyword && a.lastKeyword == kwOver:
+		next.isWindow = true
+	case a.tableUse == useRead: // FROM (a JOIN b ...), FROM (SELECT ...)
 		next.clause = clauseFrom
-	case l.clause.chooses() && a.last != tokName: // WHERE (a = 1 AND ...)
+	case l.clause.choosesRows() && a.last != tokenName: // WHERE (a = 1 AND ...)
 		next.clause = clauseWhere
 	case l.clause == clauseValues && !l.inList:
-		a.s.Rows++
-		if l.rows++; l.rows > 1 && a.last == tokComma { // further rows are left out
-			next.drop = int32(len(a.normal) - 2)
+		a.result.Rows++
+		if l.valueRows++; l.valueRows > 1 && a.last == tokenComma { // further rows are left out
+			next.truncateAt = int32(len(a.normalized) - 2)
 		}
 	}
-	if a.want == wantWrite || a.want == wantRead && next.clause != clauseFrom {
-		a.want = wantNone
+	if a.tableUse == useWrite || a.tableUse == useRead && next.clause != clauseFrom {
+		a.tableUse = useNone
 	}
-	limits := a.limits
-	a.operator('(')
-	a.last, a.limits = tokOpen, limits
-	if a.depth++; a.depth < mostLevels {
-		a.levels[a.depth] = next
+	limits := a.limitExpected
+	a.addOperator('(')
+	a.last, a.limitExpected = tokenOpen, limits
+	if a.depth++; a.depth < maxBrackets {
+		a.brackets[a.depth] = next
 	}
 }
 
-func (a *Analyser) close() {
-	if a.table {
+func (a *Analyser) closeBracket() {
+	if a.inTableName {
 		a.endTable()
 	}
-	a.want = wantNone
+	a.tableUse = useNone
 	drop := int32(0)
 	if a.depth > 0 {
-		if a.depth < mostLevels {
-			drop = a.levels[a.depth].drop
+		if a.depth < maxBrackets {
+			drop = a.brackets[a.depth].truncateAt
 		}
 		a.depth--
 	}
-	a.operator(')')
-	a.last = tokClose
-	if drop > 0 && int(drop) <= len(a.normal) {
-		a.normal = a.normal[:drop]
+	a.addOperator(')')
+	a.last = tokenClose
+	if drop > 0 && int(drop) <= len(a.normalized) {
+		a.normalized = a.normalized[:drop]
 	}
 }
 
-func (a *Analyser) equals(compound bool) {
+func (a *Analyser) addEqual(compound bool) {
 	left := a.last
-	if left == tokWord && (a.word == kwBars || a.word == kwAggregate) { // a column named key or count
-		left = tokName
+	if left == tokenKeyword && (a.lastKeyword == kwNoVerbNext || a.lastKeyword == kwAggregate) { // a column named key or count
+		left = tokenName
 	}
-	a.negative = false
-	a.operator('=')
-	if a.level().clause.chooses() && !compound && (left == tokName || left == tokLiteral) {
-		a.equal = left
+	a.signBefore = false
+	a.addOperator('=')
+	if a.bracket().clause.choosesRows() && !compound && (left == tokenName || left == tokenLiteral) {
+		a.leftOfEqual = left
 	}
 }
 
-func (a *Analyser) semicolon() {
+func (a *Analyser) addSemicolon() {
 	a.endStatement()
-	a.normal = append(a.normal, ' ', ';')
-	a.last, a.before, a.nameEnd = tokNone, tokNone, a.nameAt
+	a.normalized = append(a.normalized, ' ', ';')
+	a.last, a.previous, a.nameEnd = tokenNone, tokenNone, a.nameStart
 }
 
 // endStatement ends one statement of a batch, or the last.
 func (a *Analyser) endStatement() {
-	if a.table {
+	if a.inTableName {
 		a.endTable()
 	}
-	if (a.verb == kwUpdate || a.verb == kwDelete) && a.s.Written.n == 0 && a.s.Read.n > 0 && a.s.Writes {
-		a.s.Written.add(a.s.Read.at[0]) // the target is an alias of a table in FROM
+	if (a.verb == kwUpdate || a.verb == kwDelete) && a.result.Written.count == 0 && a.result.Read.count > 0 && a.result.Writes {
+		a.result.Written.add(a.result.Read.groups[0]) // the target is an alias of a table in FROM
 	}
-	if a.tokens > 0 {
-		a.s.Statements++
+	if a.tokenCount > 0 {
+		a.result.Statements++
 	}
-	a.depth, a.levels[0] = 0, level{}
-	a.verb, a.pending, a.with, a.want, a.word, a.tokens = kwNone, kwNone, false, wantNone, kwNone, 0
-	a.temporary, a.copied, a.equal, a.limits, a.negative = false, false, tokNone, false, false
+	a.depth, a.brackets[0] = 0, bracket{}
+	a.verb, a.pendingVerb, a.inCTEs, a.tableUse, a.lastKeyword, a.tokenCount = kwNone, kwNone, false, useNone, kwNone, 0
+	a.temporary, a.copyMayWrite, a.leftOfEqual, a.limitExpected, a.signBefore = false, false, tokenNone, false, false
 }
 
-var kinds = [kwPlain + 1]Kind{kwSelect: Select, kwExec: Call, kwDDL: DDL, kwUpdate: Update, kwDelete: Delete, kwTruncate: Delete,
+var kindOfVerb = [kwPlain + 1]Kind{kwSelect: Select, kwExec: Call, kwDDL: DDL, kwUpdate: Update, kwDelete: Delete, kwTruncate: Delete,
 	kwInsert: Insert, kwMerge: Merge, kwCopy: Copy, kwBulk: Copy, kwLoad: Copy}
 
 // begin starts a statement, or a part of one, with its verb.
-func (a *Analyser) begin(w keyword) {
+func (a *Analyser) startVerb(w keyword) {
 	if w != kwSelect || a.verb == kwNone {
 		if a.depth == 0 || a.verb == kwNone {
 			a.verb = w
 		}
 	}
-	l := a.level()
-	l.verb, l.clause, l.inList = true, clauseNone, false
-	a.s.Kind = max(a.s.Kind, kinds[w])
-	if k := kinds[w]; k >= DDL && k != Copy { // until its table shows to be temporary
-		a.wrote, a.s.Writes = a.s.Writes, true
+	l := a.bracket()
+	l.hasVerb, l.clause, l.inList = true, clauseNone, false
+	a.result.Kind = max(a.result.Kind, kindOfVerb[w])
+	if k := kindOfVerb[w]; k >= DDL && k != Copy { // until its table shows to be temporary
+		a.wroteBeforeVerb, a.result.Writes = a.result.Writes, true
 	}
 }
 
 // keyword takes a word that may be a keyword where it stands; false: it is a name.
-func (a *Analyser) keyword(w keyword) bool {
-	l := a.level()
-	start := a.tokens == 0 || a.last == tokWord && a.word == kwBegin
-	if a.pending != kwNone && w != kwInto && w != kwFrom && w != kwSkipped && w != kwTable && w != kwTop {
-		a.pending = kwNone
+func (a *Analyser) applyKeyword(w keyword) bool {
+	l := a.bracket()
+	start := a.tokenCount == 0 || a.last == tokenKeyword && a.lastKeyword == kwBegin
+	if a.pendingVerb != kwNone && w != kwInto && w != kwFrom && w != kwBeforeTable && w != kwTable && w != kwTop {
+		a.pendingVerb = kwNone
 	}
 	switch w {
 	case kwSelect:
-		if !l.verb && a.depth > 0 && !(a.with && a.depth == 1) {
-			l.selected++
-			a.s.Subselects++
-			a.s.Depth = max(a.s.Depth, l.selected)
+		if !l.hasVerb && a.depth > 0 && !(a.inCTEs && a.depth == 1) {
+			l.subselectDepth++
+			a.result.Subselects++
+			a.result.Depth = max(a.result.Depth, l.subselectDepth)
 		}
 		if l.inList {
-			a.s.InLists--
+			a.result.InLists--
 		}
-		a.with = a.with && a.depth > 0
-		a.begin(kwSelect)
-		l.clause, a.want = clauseSelect, wantNone
+		a.inCTEs = a.inCTEs && a.depth > 0
+		a.startVerb(kwSelect)
+		l.clause, a.tableUse = clauseSelect, useNone
 	case kwFrom:
 		switch {
-		case a.last == tokWord && a.word == kwDistinct: // IS DISTINCT FROM
-		case a.pending == kwDelete:
-			a.begin(kwDelete)
-			l.clause, a.want, a.pending = clauseFrom, wantWrite, kwNone
-		case a.copied && a.depth == 0:
-			a.copied, a.s.Writes = false, true
-			if a.s.Read.n > 0 {
-				a.s.Written.add(a.s.Read.at[0])
-				a.s.Read = Groups{}
+		case a.last == tokenKeyword && a.lastKeyword == kwDistinct: // IS DISTINCT FROM
+		case a.pendingVerb == kwDelete:
+			a.startVerb(kwDelete)
+			l.clause, a.tableUse, a.pendingVerb = clauseFrom, useWrite, kwNone
+		case a.copyMayWrite && a.depth == 0:
+			a.copyMayWrite, a.result.Writes = false, true
+			if a.result.Read.count > 0 {
+				a.result.Written.add(a.result.Read.groups[0])
+				a.result.Read = Groups{}
 			}
-		case a.verb == kwBulk || a.verb == kwCopy && !l.verb: // from a file
-		case l.verb || a.depth == 0 && a.verb == kwNone || a.depth >= mostLevels:
-			l.clause, a.want = clauseFrom, wantRead
+		case a.verb == kwBulk || a.verb == kwCopy && !l.hasVerb: // from a file
+		case l.hasVerb || a.depth == 0 && a.verb == kwNone || a.depth >= maxBrackets:
+			l.clause, a.tableUse = clauseFrom, useRead
 		}
 	case kwWhere, kwOn, kwHaving:
 		next := clauseWhere
 		if w == kwOn && a.verb == kwDDL && l.clause == clauseNone { // CREATE INDEX i ON t
-			a.want = wantWrite
+			a.tableUse = useWrite
 			break
 		}
 		if w == kwOn && l.clause == clauseValues { // ON CONFLICT, ON DUPLICATE KEY
@@ -486,129 +486,129 @@
 		if w == kwOn {
 			next = clauseOn
 		}
-		l.clause, a.want = next, wantNone
+		l.clause, a.tableUse = next, useNone
 	case kwJoin, kwApply:
-		a.s.Joins++
-		l.clause, a.want = clauseFrom, wantRead
+		a.result.Joins++
+		l.clause, a.tableUse = clauseFrom, useRead
 	case kwGroup:
-		if l.verb || a.depth == 0 {
-			a.s.Grouped = true
+		if l.hasVerb || a.depth == 0 {
+			a.result.Grouped = true
 		}
 		l.clause = clauseGroup
 	case kwOrder:
-		if !l.over && (l.verb || a.depth == 0) {
-			a.s.Ordered = true
+		if !l.isWindow && (l.hasVerb || a.depth == 0) {
+			a.result.Ordered = true
 		}
 		l.clause = clauseOrder
 	case kwUnion:
-		a.s.SetOps++
-		l.clause, a.want = clauseNone, wantNone
+		a.result.SetOps++
+		l.clause, a.tableUse = clauseNone, useNone
 	case kwValues:
-		l.clause, l.rows, a.want = clauseValues, 0, wantNone
+		l.clause, l.valueRows, a.tableUse = clauseValues, 0, useNone
 	case kwInto:
 		switch {
-		case a.pending == kwInsert:
-			a.begin(kwInsert)
-			a.want = wantWrite
-		case a.verb == kwMerge && a.s.Tables == 0 || a.verb == kwCopy || a.verb == kwLoad:
-			a.want = wantWrite
+		case a.pendingVerb == kwInsert:
+			a.startVerb(kwInsert)
+			a.tableUse = useWrite
+		case a.verb == kwMerge && a.result.Tables == 0 || a.verb == kwCopy || a.verb == kwLoad:
+			a.tableUse = useWrite
 		case l.clause == clauseSelect: // SELECT ... INTO a table
-			a.want, a.wrote, a.s.Writes = wantWrite, a.s.Writes, true
-			a.s.Kind = max(a.s.Kind, Insert)
+			a.tableUse, a.wroteBeforeVerb, a.result.Writes = useWrite, a.result.Writes, true
+			a.result.Kind = max(a.result.Kind, Insert)
 		}
-		a.pending = kwNone
+		a.pendingVerb = kwNone
 	case kwInsert, kwUpdate, kwDelete:
-		if a.last == tokWord && (a.word == kwBars || a.word == kwFor || a.word == kwOn) {
-			if a.word == kwFor && w == kwUpdate {
-				a.s.ForUpdate = true
+		if a.last == tokenKeyword && (a.lastKeyword == kwNoVerbNext || a.lastKeyword == kwFor || a.lastKeyword == kwOn) {
+			if a.lastKeyword == kwFor && w == kwUpdate {
+				a.result.ForUpdate = true
 			}
 			break
 		}
-		if a.last == tokDot || w == kwInsert && a.last == tokOperator {
+		if a.last == tokenDot || w == kwInsert && a.last == tokenOperator {
 			return false
 		}
 		if a.verb == kwBulk && w == kwInsert {
-			a.want = wantWrite
+			a.tableUse = useWrite
 			break
 		}
-		a.with = a.with && a.depth > 0
-		a.pending = w
+		a.inCTEs = a.inCTEs && a.depth > 0
+		a.pendingVerb = w
 	case kwMerge:
-		if !start && a.last != tokClose && a.depth == 0 && a.verb != kwNone {
+		if !start && a.last != tokenClose && a.depth == 0 && a.verb != kwNone {
 			return false
 		}
-		a.with = false
-		a.begin(kwMerge)
-		a.want = wantWrite
+		a.inCTEs = false
+		a.startVerb(kwMerge)
+		a.tableUse = useWrite
 	case kwUsing:
 		if a.verb == kwMerge || a.verb == kwDelete {
-			a.want, l.clause = wantRead, clauseNone
+			a.tableUse, l.clause = useRead, clauseNone
 		}
 	case kwSet:
 		if l.clause != clauseWhere || a.verb == kwUpdate {
 			l.clause = clauseSet
 		}
-		a.want = wantNone
+		a.tableUse = useNone
 	case kwWith:
-		if start || a.last == tokOpen {
-			a.with = a.depth == 0
+		if start || a.last == tokenOpen {
+			a.inCTEs = a.depth == 0
 		}
 	case kwAs:
-		if a.with && a.depth == 0 {
-			a.s.CTEs++
+		if a.inCTEs && a.depth == 0 {
+			a.result.CTEs++
 		}
 		if a.verb == kwDDL {
 			l.clause = clauseNone
 		}
-		a.want = wantNone
+		a.tableUse = useNone
 	case kwTop, kwLimit, kwFetch:
-		if w == kwTop && l.clause != clauseSelect && a.pending == kwNone {
+		if w == kwTop && l.clause != clauseSelect && a.pendingVerb == kwNone {
 			return false
 		}
-		if a.pending != kwNone { // UPDATE TOP (n)
-			a.begin(a.pending)
-			a.pending = kwNone
+		if a.pendingVerb != kwNone { // UPDATE TOP (n)
+			a.startVerb(a.pendingVerb)
+			a.pendingVerb = kwNone
 		}
-		a.s.Limited, a.limits = true, true
+		a.result.Limited, a.limitExpected = true, true
 	case kwOver:
-		a.s.Windowed = true
+		a.result.Windowed = true
 	case kwDistinct:
 		if l.clause == clauseSelect {
-			a.s.Distinct = true
+			a.result.Distinct = true
 		}
 	case kwBetween:
-		if l.clause.chooses() {
-			a.s.Ranges++
+		if l.clause.choosesRows() {
+			a.result.Ranges++
 		}
 	case kwCopy, kwBulk, kwLoad, kwTruncate, kwDDL, kwExec:
 		if !start {
 			return false
 		}
-		a.begin(w)
+		a.startVerb(w)
 		switch w {
 		case kwCopy:
-			a.want, a.copied = wantRead, true
-			l.verb = false
+			a.tableUse, a.copyMayWrite = useRead, true
+			l.hasVerb = false
 		case kwTruncate:
-			a.want = wantWrite
+			a.tableUse = useWrite
 		}
 	case kwTo:
-		a.copied = false
+		a.copyMayWrite = false
 	case kwTable:
 		switch {
-		case a.want != wantNone: // TRUNCATE TABLE, INSERT INTO TABLE
+		case a.tableUse != useNone: // TRUNCATE TABLE, INSERT INTO TABLE
 		case a.verb == kwDDL || a.verb == kwLoad:
-			a.want = wantWrite
+			a.tableUse = useWrite
 		default:
 			return false
 		}
 	case kwTemporary:
-		if a.verb != kwDDL && !(a.want == wantWrite && a.verb == kwSelect) {
+		if a.verb != kwDDL && !(a.tableUse == useWrite && a.verb == kwSelect) {
 			return false
 		}
-		a.temporary, a.s.Writes = true, a.wrote
-	case kwAggregate, kwIn, kwFor, kwPlain, kwBegin, kwBars, kwSkipped:
-		if a.want != wantNone && w != kwSkipped && w != kwPlain {
+		a.temporary, a.result.Writes = true, a.wroteBeforeVerb
+	case kwAggregate, kwIn, kwFor, kwPlain, kwBegin, kwNoVerbNext, kwBeforeTable:
+		if a.tableUse != useNone && w != kwBeforeTable && w != kwPlain {
 			return false // a table of that name
 		}
 	}
--- a/internal/sqltext/sqltext.go
+++ b/internal/sqltext/sqltext.go
@@ -34,31 +34,31 @@
 	Copy // bulk loads
 )
 
-var kindNames = [...]string{"other", "select", "call", "ddl", "update", "delete", "insert", "merge", "copy"}
+var kindTexts = [...]string{"other", "select", "call", "ddl", "update", "delete", "insert", "merge", "copy"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k Kind) String() string { return kindTexts[k] }
 
 // MostGroups is how many table groups of a statement are told apart, read and written each.
 const MaxTableGroups = 8
 
 // Groups is a small set of table groups, in the order in which they were met.
 type Groups struct {
-	n  int32
-	at [MaxTableGroups]int64
+	count  int32
+	groups [MaxTableGroups]int64
 }
 
 // Slice is the set's groups; it lives as long as the set.
-func (g *Groups) Slice() []int64 { return g.at[:g.n] }
+func (g *Groups) Slice() []int64 { return g.groups[:g.count] }
 
 func (g *Groups) add(group int64) {
-	for _, o := range g.at[:g.n] {
+	for _, o := range g.groups[:g.count] {
 		if o == group {
 			return
 		}
 	}
-	if g.n < MaxTableGroups {
-		g.at[g.n] = group
-		g.n++
+	if g.count < MaxTableGroups {
+		g.groups[g.count] = group
+		g.count++
 	}
 }
 
@@ -94,8 +94,8 @@
 
 // Holds is the table group that the statement writes, which a load holds while it runs; NoGroup: none that is known.
 func (s *Statement) LockedGroup() int64 {
-	if s.Written.n > 0 {
-		return s.Written.at[0]
+	if s.Written.count > 0 {
+		return s.Written.groups[0]
 	}
 	return NoGroup
 }
@@ -103,10 +103,10 @@
 // Group is the statement's table group: the one written, else the first one read, else that of the first schema.
 func (s *Statement) PrimaryGroup() int64 {
 	switch {
-	case s.Written.n > 0:
-		return s.Written.at[0]
-	case s.Read.n > 0:
-		return s.Read.at[0]
+	case s.Written.count > 0:
+		return s.Written.groups[0]
+	case s.Read.count > 0:
+		return s.Read.groups[0]
 	case s.Tables > 0: // what looked like a schema with a group was none
 		return NoGroup
 	}
@@ -114,7 +114,7 @@
 }
 
 // mostLevels is how deep brackets are told apart; deeper ones are only counted.
-const mostLevels = 48
+const maxBrackets = 48
 
 type clause uint8
 
@@ -131,112 +131,112 @@
 )
 
 // chooses tells whether rows are chosen there.
-func (c clause) chooses() bool { return c == clauseWhere || c == clauseOn }
+func (c clause) choosesRows() bool { return c == clauseWhere || c == clauseOn }
 
 // level is one bracket that is open, or the statement itself.
-type level struct {
-	clause   clause
-	verb     bool // holds a statement of its own
-	inList   bool
-	over     bool  // a window's own bracket
-	drop     int32 // where the normal text is cut off at the closing bracket; 0: nowhere
-	selected int32 // depth of sub-selects up to here
-	rows     int32 // of this VALUES
+type bracket struct {
+	clause         clause
+	hasVerb        bool // holds a statement of its own
+	inList         bool
+	isWindow       bool  // a window's own bracket
+	truncateAt     int32 // where the normal text is cut off at the closing bracket; 0: nowhere
+	subselectDepth int32 // depth of sub-selects up to here
+	valueRows      int32 // of this VALUES
 }
 
 type token uint8
 
 const (
-	tokNone token = iota
-	tokName
-	tokWord // a keyword
-	tokLiteral
-	tokDot
-	tokComma
-	tokOpen
-	tokClose
-	tokOperator
-	tokStar
+	tokenNone token = iota
+	tokenName
+	tokenKeyword // a keyword
+	tokenLiteral
+	tokenDot
+	tokenComma
+	tokenOpen
+	tokenClose
+	tokenOperator
+	tokenStar
 )
 
-type want uint8
+type tableUse uint8
 
 const (
-	wantNone want = iota
-	wantRead
-	wantWrite
+	useNone tableUse = iota
+	useRead
+	useWrite
 )
 
 // Analyser reads texts one after another. Its memory is its own and is used again.
 type Analyser struct {
-	parse
-	normal []byte
-	levels [mostLevels]level // those up to depth are in use
+	state
+	normalized []byte
+	brackets   [maxBrackets]bracket // those up to depth are in use
 }
 
 // parse is where the reading of a text stands.
-type parse struct {
-	s     Statement
-	depth int // of brackets, which may be beyond the levels
-
-	last, before token   // the last two tokens
-	word         keyword // of the last one, if it is a keyword
-	verb         keyword // of the statement in hand, 0: none yet
-	pending      keyword // a verb that the next token makes one
-	with         bool    // among the CTEs of the statement's start
-	want         want    // a table is named next
-	negative     bool    // the last operator is a sign
-
-	nameAt, nameEnd int  // the last name, in the normal text
-	qualifier       bool // a dot follows it
-	chained         bool // it stands behind a dot itself
-	first           bool // First was found
-
-	table            bool // a table's name is being read
-	tableWrite       bool
-	tableTemp        bool
-	parts            int
-	schemaAt, schEnd int // the part before the last
-	partAt, partEnd  int
-	equal            token // what stood left of =, where rows are chosen
-	equalled         token // the same, before the last name
-	limits           bool  // a limit's number comes next
-	tokens           int   // of the statement in hand
-	copied           bool  // COPY: whether the table is written shows later
-	temporary        bool
-	wrote            bool // Writes, before the verb in hand
+type state struct {
+	result Statement
+	depth  int // of brackets, which may be beyond the levels
+
+	last, previous token    // the last two tokens
+	lastKeyword    keyword  // of the last one, if it is a keyword
+	verb           keyword  // of the statement in hand, 0: none yet
+	pendingVerb    keyword  // a verb that the next token makes one
+	inCTEs         bool     // among the CTEs of the statement's start
+	tableUse       tableUse // a table is named next
+	signBefore     bool     // the last operator is a sign
+
+	nameStart, nameEnd int  // the last name, in the normal text
+	isQualifier        bool // a dot follows it
+	isQualified        bool // it stands behind a dot itself
+	schemaGroupFound   bool // First was found
+
+	inTableName            bool // a table's name is being read
+	tableIsWritten         bool
+	tableIsTemporary       bool
+	tableParts             int
+	schemaStart, schemaEnd int // the part before the last
+	partStart, partEnd     int
+	leftOfEqual            token // what stood left of =, where rows are chosen
+	previousLeftOfEqual    token // the same, before the last name
+	limitExpected          bool  // a limit's number comes next
+	tokenCount             int   // of the statement in hand
+	copyMayWrite           bool  // COPY: whether the table is written shows later
+	temporary              bool
+	wroteBeforeVerb        bool // Writes, before the verb in hand
 }
 
 // Normal is the text last read, with ? for literals, lists of them and further rows left out, names in small letters
 // and one blank between tokens. It lives until the next text is read.
-func (a *Analyser) NormalizedText() []byte { return a.normal }
+func (a *Analyser) NormalizedText() []byte { return a.normalized }
 
 // Analyse reads a text.
 func (a *Analyser) Analyse(text []byte) Statement {
-	normal, cut := a.normal[:0], len(text) > MaxAnalysedBytes
+	normal, cut := a.normalized[:0], len(text) > MaxAnalysedBytes
 	if cut {
 		text = text[:MaxAnalysedBytes]
 	}
 	if most := 2*len(text) + 16; cap(normal) < most { // a blank or a mark for each byte at most
 		normal = make([]byte, 0, most+most/2)
 	}
-	a.parse, a.normal, a.levels[0] = parse{}, normal, level{}
-	a.s.FirstSchemaGroup, a.s.Truncated = NoGroup, cut
-	a.read(text)
+	a.state, a.normalized, a.brackets[0] = state{}, normal, bracket{}
+	a.result.FirstSchemaGroup, a.result.Truncated = NoGroup, cut
+	a.scan(text)
 	a.endStatement()
-	for n := len(a.normal); n > 0 && (a.normal[n-1] == ' ' || a.normal[n-1] == ';'); n-- {
-		a.normal = a.normal[:n-1]
+	for n := len(a.normalized); n > 0 && (a.normalized[n-1] == ' ' || a.normalized[n-1] == ';'); n-- {
+		a.normalized = a.normalized[:n-1]
 	}
-	if !a.s.Truncated && len(a.normal) > 0 {
-		a.s.Fingerprint = max(1, xxhash.Sum64(a.normal))
+	if !a.result.Truncated && len(a.normalized) > 0 {
+		a.result.Fingerprint = max(1, xxhash.Sum64(a.normalized))
 	}
-	return a.s
+	return a.result
 }
 
 // Classes of bytes. A name's bytes fold to themselves in small letters, all others to 0.
 var (
-	folded [256]byte
-	starts [256]byteClass
+	foldedNameByte [256]byte
+	classOf        [256]byteClass
 )
 
 type byteClass uint8
@@ -247,7 +247,7 @@
 	className
 	classDigit
 	classQuote
-	className2 // " and `
+	classNameQuote // " and `
 	classBracket
 	classDollar
 	classDash
@@ -268,64 +268,64 @@
 		c := byte(i)
 		switch {
 		case c <= ' ':
-			starts[c] = classBlank
+			classOf[c] = classBlank
 		case isDigit(c):
-			starts[c], folded[c] = classDigit, c
+			classOf[c], foldedNameByte[c] = classDigit, c
 		case 'A' <= c && c <= 'Z':
-			starts[c], folded[c] = className, c|0x20
+			classOf[c], foldedNameByte[c] = className, c|0x20
 		case c == '_' || 'a' <= c && c <= 'z' || c >= 0x80:
-			starts[c], folded[c] = className, c
+			classOf[c], foldedNameByte[c] = className, c
 		}
 	}
-	folded['$'] = '$'
-	for c, class := range map[byte]byteClass{'\'': classQuote, '"': className2, '`': className2, '[': classBracket,
+	foldedNameByte['$'] = '$'
+	for c, class := range map[byte]byteClass{'\'': classQuote, '"': classNameQuote, '`': classNameQuote, '[': classBracket,
 		'$': classDollar, '-': classDash, '/': classSlash, '.': classDot, '*': classStar, ',': classComma, '(': classOpen,
 		')': classClose, ';': classSemicolon, '=': classEqual, '<': classLess, '>': classLess, '@': classMark, '#': classMark,
 		':': classMark} {
-		starts[c] = class
+		classOf[c] = class
 	}
 }
 
 func isDigit(c byte) bool { return '0' <= c && c <= '9' }
 
 // read cuts the text into tokens. White space and comments count as none.
-func (a *Analyser) read(text []byte) {
+func (a *Analyser) scan(text []byte) {
 	for i := 0; i < len(text); {
 		c := text[i]
-		switch starts[c] {
+		switch classOf[c] {
 		case classBlank:
 			i++
 		case className:
-			if i = a.readName(text, i); i < len(text) && text[i] == ' ' { // as it mostly is
+			if i = a.scanName(text, i); i < len(text) && text[i] == ' ' { // as it mostly is
 				i++
 			}
 		case classDigit:
-			i = a.readNumber(text, i)
+			i = a.scanNumberLiteral(text, i)
 		case classQuote:
-			i = a.readString(text, i)
-		case className2:
+			i = a.scanString(text, i)
+		case classNameQuote:
 			from := i + 1
-			if i = a.closing(text, from, c); i > len(text) {
+			if i = a.endOfQuotedName(text, from, c); i > len(text) {
 				i = len(text)
-				a.name(text[from:], 0)
+				a.addQuotedName(text[from:], 0)
 			} else {
-				a.name(text[from:i-1], 0)
+				a.addQuotedName(text[from:i-1], 0)
 			}
 		case classBracket:
-			i = a.readBracket(text, i)
+			i = a.scanSquareBracket(text, i)
 		case classDollar:
-			if past := dollar(text, i); past > 0 {
-				a.s.Unterminated = a.s.Unterminated || past > len(text)
+			if past := endOfDollarString(text, i); past > 0 {
+				a.result.Unterminated = a.result.Unterminated || past > len(text)
 				i = min(past, len(text))
-				a.literal()
+				a.addLiteral()
 			} else if i+1 < len(text) && isDigit(text[i+1]) { // a parameter: a name as far as schemas go
 				from := i
-				for i++; i < len(text) && folded[text[i]] != 0; i++ {
+				for i++; i < len(text) && foldedNameByte[text[i]] != 0; i++ {
 				}
-				a.literal()
-				a.parameter(text[from:i])
+				a.addLiteral()
+				a.addParameter(text[from:i])
 			} else {
-				i = a.readName(text, i)
+				i = a.scanName(text, i)
 			}
 		case classDash:
 			if i+1 < len(text) && text[i+1] == '-' {
@@ -336,56 +336,56 @@
 				}
 				continue
 			}
-			a.sign()
-			a.operator(c)
+			a.noteSign()
+			a.addOperator(c)
 			i++
 		case classSlash:
 			if i+1 < len(text) && text[i+1] == '*' {
-				i = a.comment(text, i)
+				i = a.scanBlockComment(text, i)
 				continue
 			}
-			a.operator(c)
+			a.addOperator(c)
 			i++
 		case classDot:
-			a.dot()
+			a.addDot()
 			i++
 		case classStar:
-			a.star()
+			a.addStar()
 			i++
 		case classComma:
-			a.comma()
+			a.addComma()
 			if i++; i < len(text) && text[i] == ' ' {
 				i++
 			}
 		case classOpen:
-			a.open()
+			a.openBracket()
 			i++
 		case classClose:
-			a.close()
+			a.closeBracket()
 			i++
 		case classSemicolon:
-			a.semicolon()
+			a.addSemicolon()
 			i++
 		case classEqual:
-			a.equals(i > 0 && (starts[text[i-1]] == classLess || text[i-1] == '!' || text[i-1] == ':'))
+			a.addEqual(i > 0 && (classOf[text[i-1]] == classLess || text[i-1] == '!' || text[i-1] == ':'))
 			i++
 		case classLess:
-			if a.level().clause.chooses() && a.last != tokOperator &&
+			if a.bracket().clause.choosesRows() && a.last != tokenOperator &&
 				!(c == '<' && i+1 < len(text) && text[i+1] == '>') {
-				a.s.Ranges++
+				a.result.Ranges++
 			}
-			a.operator(c)
+			a.addOperator(c)
 			i++
 		case classMark:
-			i = a.readMark(text, i)
+			i = a.scanMarkedName(text, i)
 		default:
-			if a.negative = false; c == '+' {
-				a.sign()
+			if a.signBefore = false; c == '+' {
+				a.noteSign()
 			}
 			if c == '?' {
-				a.literal()
+				a.addLiteral()
 			} else {
-				a.operator(c)
+				a.addOperator(c)
 			}
 			i++
 		}
@@ -393,59 +393,59 @@
 }
 
 // readName reads a name or keyword, folding it into the normal text.
-func (a *Analyser) readName(text []byte, i int) int {
-	a.beforeName()
-	at := len(a.normal)
-	n, into := at, a.normal[:cap(a.normal)]
+func (a *Analyser) scanName(text []byte, i int) int {
+	a.startName()
+	at := len(a.normalized)
+	n, into := at, a.normalized[:cap(a.normalized)]
 	for ; i < len(text) && n < len(into); i++ {
-		c := folded[text[i]]
+		c := foldedNameByte[text[i]]
 		if c == 0 {
 			break
 		}
 		into[n] = c
 		n++
 	}
-	a.normal = into[:n]
-	a.named(at, 0, false)
+	a.normalized = into[:n]
+	a.endName(at, 0, false)
 	return i
 }
 
 // readNumber reads a number with fraction and exponent.
-func (a *Analyser) readNumber(text []byte, i int) int {
+func (a *Analyser) scanNumberLiteral(text []byte, i int) int {
 	from := i
 	for i++; i < len(text); i++ {
-		if c := text[i]; folded[c] == 0 && c != '.' &&
+		if c := text[i]; foldedNameByte[c] == 0 && c != '.' &&
 			!((c == '-' || c == '+') && text[i-1]|0x20 == 'e' && i+1 < len(text) && isDigit(text[i+1]) && text[from]|0x20 != 'x') {
 			break
 		}
 	}
-	if a.limits {
-		a.limits = false
+	if a.limitExpected {
+		a.limitExpected = false
 		for _, c := range text[from:i] {
-			if !isDigit(c) || a.s.Limit > 1<<40 {
+			if !isDigit(c) || a.result.Limit > 1<<40 {
 				break
 			}
-			a.s.Limit = a.s.Limit*10 + int64(c-'0')
+			a.result.Limit = a.result.Limit*10 + int64(c-'0')
 		}
 	}
-	a.literal()
+	a.addLiteral()
 	return i
 }
 
 // readString reads '...' where a doubled quote stands for one, and in E'...' a backslash escapes.
-func (a *Analyser) readString(text []byte, i int) int {
-	prefix := i > 0 && (i == 1 || folded[text[i-2]] == 0) && a.last != tokNone && folded[text[i-1]] != 0 && !isDigit(text[i-1])
+func (a *Analyser) scanString(text []byte, i int) int {
+	prefix := i > 0 && (i == 1 || foldedNameByte[text[i-2]] == 0) && a.last != tokenNone && foldedNameByte[text[i-1]] != 0 && !isDigit(text[i-1])
 	escapes := prefix && text[i-1]|0x20 == 'e'
 	if prefix { // N'...', E'...' and the like: the letter is part of the literal
-		a.normal = bytes.TrimRight(a.normal[:len(a.normal)-1], " ")
-		a.last, a.table = a.before, a.table && a.last != tokName
-		a.nameEnd, a.equal = a.nameAt, a.equalled
+		a.normalized = bytes.TrimRight(a.normalized[:len(a.normalized)-1], " ")
+		a.last, a.inTableName = a.previous, a.inTableName && a.last != tokenName
+		a.nameEnd, a.leftOfEqual = a.nameStart, a.previousLeftOfEqual
 	}
 	i++
 	for {
 		n := bytes.IndexByte(text[i:], '\'')
 		if n < 0 {
-			a.s.Unterminated = true
+			a.result.Unterminated = true
 			i = len(text)
 			break
 		}
@@ -461,16 +461,16 @@
 		}
 		break
 	}
-	a.literal()
+	a.addLiteral()
 	return i
 }
 
 // closing finds the byte behind the closing quote of a name; beyond the text if there is none.
-func (a *Analyser) closing(text []byte, i int, quote byte) int {
+func (a *Analyser) endOfQuotedName(text []byte, i int, quote byte) int {
 	for {
 		n := bytes.IndexByte(text[i:], quote)
 		if n < 0 {
-			a.s.Unterminated = true
+			a.result.Unterminated = true
 			return len(text) + 1
 		}
 		if i += n + 1; i < len(text) && text[i] == quote {
@@ -482,54 +482,54 @@
 }
 
 // readBracket reads a T-SQL name, or a subscript or array right behind a name.
-func (a *Analyser) readBracket(text []byte, i int) int {
-	subscript := i > 0 && (folded[text[i-1]] != 0 || text[i-1] == ']' || text[i-1] == ')')
+func (a *Analyser) scanSquareBracket(text []byte, i int) int {
+	subscript := i > 0 && (foldedNameByte[text[i-1]] != 0 || text[i-1] == ']' || text[i-1] == ')')
 	from := i + 1
 	n := bytes.IndexByte(text[from:], ']')
 	if n < 0 {
-		a.s.Unterminated = true
+		a.result.Unterminated = true
 		n = len(text) - from
 	}
-	if i = min(from+n+1, len(text)); subscript && !(a.last == tokWord) {
-		a.literal()
+	if i = min(from+n+1, len(text)); subscript && !(a.last == tokenKeyword) {
+		a.addLiteral()
 	} else {
-		a.name(text[from:from+n], 0)
+		a.addQuotedName(text[from:from+n], 0)
 	}
 	return i
 }
 
 // readMark reads @variable, #temporary, :parameter and ::type.
-func (a *Analyser) readMark(text []byte, i int) int {
+func (a *Analyser) scanMarkedName(text []byte, i int) int {
 	c := text[i]
 	if c == ':' && i+1 < len(text) && text[i+1] == ':' {
-		a.operator(':')
-		a.operator(':')
+		a.addOperator(':')
+		a.addOperator(':')
 		return i + 2
 	}
 	from := i
 	for i < len(text) && text[i] == c {
 		i++
 	}
-	if i == len(text) || folded[text[i]] == 0 {
+	if i == len(text) || foldedNameByte[text[i]] == 0 {
 		for range i - from {
-			a.operator(c)
+			a.addOperator(c)
 		}
 		return i
 	}
 	from = i
-	for i++; i < len(text) && folded[text[i]] != 0; i++ {
+	for i++; i < len(text) && foldedNameByte[text[i]] != 0; i++ {
 	}
-	if c == '#' || a.want != wantNone { // a temporary table, a table variable
-		a.name(text[from:i], c)
+	if c == '#' || a.tableUse != useNone { // a temporary table, a table variable
+		a.addQuotedName(text[from:i], c)
 	} else {
-		a.literal()
-		a.parameter(text[from:i])
+		a.addLiteral()
+		a.addParameter(text[from:i])
 	}
 	return i
 }
 
 // comment passes over a block comment, with those inside it.
-func (a *Analyser) comment(text []byte, i int) int {
+func (a *Analyser) scanBlockComment(text []byte, i int) int {
 	for depth := 0; i < len(text); {
 		n := bytes.IndexAny(text[i:min(len(text), i+64)], "*/")
 		if n < 0 {
@@ -548,14 +548,14 @@
 			i++
 		}
 	}
-	a.s.Unterminated = true
+	a.result.Unterminated = true
 	return i
 }
 
 // dollar finds the byte behind a string of the form $mark$...$mark$: beyond the text if it is open, 0 if there is none.
-func dollar(text []byte, i int) int {
+func endOfDollarString(text []byte, i int) int {
 	n := i + 1
-	for n < len(text) && folded[text[n]] != 0 && text[n] != '$' {
+	for n < len(text) && foldedNameByte[text[n]] != 0 && text[n] != '$' {
 		n++
 	}
 	if n == len(text) || text[n] != '$' || n > i+1 && isDigit(text[i+1]) {
@@ -569,7 +569,7 @@
 }
 
 // number is what stands behind the last underscore of a schema's name, in small letters.
-func number(schema []byte) int64 {
+func groupOfSchema(schema []byte) int64 {
 	i := bytes.LastIndexByte(schema, '_')
 	if i <= 0 || string(schema[:i]) == "staging" || len(schema)-i-1 == 0 {
 		return NoGroup
--- a/internal/sqltext/sqltext_test.go
+++ b/internal/sqltext/sqltext_test.go
@@ -138,7 +138,7 @@
 		WHERE b.day BETWEEN '2026-01-01' AND '2026-02-01' AND 5 = c.n AND c.price >= 10 AND c.key = $1 AND c.v = -5 AND c.u <> N'x'
 		AND c.t IN (1, 2, 3) AND c.name = E'it\'s' GROUP BY w.m HAVING count(*) > 3 UNION ALL SELECT 1, 2, 3, 4 ORDER BY 1`))
 	assert.Equal(t, Statement{Kind: Select, Grouped: true, Windowed: true, Ordered: true, Distinct: true, Limited: true, Limit: 25,
-		FirstSchemaGroup: 1, Read: Groups{n: 1, at: [MaxTableGroups]int64{1}}, Statements: 1, Tables: 5, Joins: 3, SetOps: 1, CTEs: 1, Subselects: 3, Depth: 2,
+		FirstSchemaGroup: 1, Read: Groups{count: 1, groups: [MaxTableGroups]int64{1}}, Statements: 1, Tables: 5, Joins: 3, SetOps: 1, CTEs: 1, Subselects: 3, Depth: 2,
 		Aggregates: 5, KeyEqual: 5, Ranges: 3, InLists: 1, InItems: 3, Fingerprint: got.Fingerprint}, got)
 	assert.NotZero(t, got.Fingerprint)
 }
@@ -192,7 +192,7 @@
 			a := new(Analyser)
 			got := a.Analyse([]byte(c.text))
 			assert.Equal(t, []any{c.cut, c.open, c.group}, []any{got.Truncated, got.Unterminated, got.PrimaryGroup()})
-			assert.LessOrEqual(t, cap(a.normal), 4*MaxAnalysedBytes)
+			assert.LessOrEqual(t, cap(a.normalized), 4*MaxAnalysedBytes)
 		})
 	}
 	for _, piece := range []string{"/*", "$a", "'", "[", "a.", `"`, "--", "E'\\", "$a$", "in(1,", "values(", "*/"} {
@@ -218,8 +218,8 @@
 		if got.FirstSchemaGroup < NoGroup || got.PrimaryGroup() < NoGroup || !got.Truncated && len(text) > MaxAnalysedBytes {
 			t.Fatalf("%+v", got)
 		}
-		if len(a.normal) > 3*MaxAnalysedBytes {
-			t.Fatalf("normal text of %d bytes", len(a.normal))
+		if len(a.normalized) > 3*MaxAnalysedBytes {
+			t.Fatalf("normal text of %d bytes", len(a.normalized))
 		}
 		if again := a.Analyse([]byte(text)); again != got {
 			t.Fatalf("read again: %+v, then %+v", got, again)
