--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -38,12 +38,12 @@
 var roomy = edit{"policy/capacity.go", "	others := m.othersOn(e)\n	if !m.priorities.isLight(s, m.now)", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.priorities.isLight(s, m.now)"}
 
 // noBackstop has the router leave open what the module has forgotten.
-var noBackstop = edit{"internal/proxy/route.go", "if !s.over && now.After(s.ends) {", "if false {"}
+var noBackstop = edit{"internal/proxy/event_loop.go", "if !req.finished && now.After(req.deadline) {", "if false {"}
 
 // repeats has the module take every repeat for harmless; unguarded has the run-time guard do so, too.
 var (
 	repeats   = edit{"policy/rules.go", "	if " + repeatGuard, "	if true || " + repeatGuard}
-	unguarded = edit{"internal/invariant/request.go", "	return r.mayRepeat(at, now)", "	return nil"}
+	unguarded = edit{"internal/invariant/request.go", "	return r.checkRepeat(location, now)", "	return nil"}
 )
 
 // sharedTimeFile keeps when an engine was last sent a request for an attempt.
@@ -309,16 +309,16 @@
 		}
 		found := ""
 		for i := range c.Times {
-			s := &faultlab.Schedule{Name: m.name, Seed: uint64(i + 1), Routers: 9, Engines: 8, Seconds: 12, Load: m.load, Tries: 2, Busiest: 1, Faults: m.faults}
+			s := &faultlab.Schedule{Name: m.name, Seed: uint64(i + 1), Routers: 9, Engines: 8, Seconds: 12, Load: m.load, Retries: 2, BusiestFactor: 1, Faults: m.faults}
 			if m.auditor == "one at a time" || m.auditor == "left" {
-				s.Work, s.Patience, s.Leavers = mutantWork, mutantPatience, 0.2
+				s.WorkFactor, s.PatienceFactor, s.CancelShare = mutantWork, mutantPatience, 0.2
 			}
 			o, err := c.play(ctx, program, "mutant", s)
 			if err != nil {
 				drop()
 				return err
 			}
-			for _, b := range o.Breaches {
+			for _, b := range o.Violations {
 				if b.Auditor == m.auditor && found == "" {
 					found = fmt.Sprintf("seed %d, at %v: %s", s.Seed, b.At, b.Text)
 				}
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// write is the input of a write operation; a read has notWritten.
+// notWritten is the input of a read; that of a write is its number.
 const notWritten = uint64(0)
 
 func (o *operationAudit) addWrite(number uint64, called, returned time.Duration) {
@@ -71,7 +71,7 @@
 }
 
 // observeReply notes some of the replies as reads.
-func (a *auditor) observeReply(s *simulation, router *router, reply lease.Reply) {
+func (a *auditor) observeReply(s *simulation, router *routerHost, reply lease.Reply) {
 	audit := &a.operations
 	key := renewalKey{router.leaseIncarnation(), reply.Seq}
 	sent, known := audit.renewals[key]
