--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -43,20 +43,10 @@
 	c.enqueue(appendAnswer(nil, frameReadinessReply, stream, code, nil), 0)
 }
 
-// handleStatement opens the statement's stream and hands it to the handler. A statement whose stream is not new cannot be answered on
-// it, so that is an error of the connection; any other that is not handled is rejected.
+// handleStatement opens the statement's stream and hands it to the handler.
 func (c *Conn) handleStatement(f frame) {
-	var used *streamUsedError
-	err := c.openStream(f.stream)
-	switch {
-	case errors.Is(err, errConnEnded):
-		return
-	case errors.As(err, &used):
-		c.sendConnError(err)
-		return
-	case err != nil:
-		c.countInvalidFrame()
-		c.enqueue(appendAnswer(nil, frameAnswer, f.stream, CodeRejected, []byte(err.Error())), 0)
+	if err := c.openStream(f.stream); err != nil {
+		c.refuseStatement(f.stream, err)
 		return
 	}
 	fields, text, err := parseFields(f.payload)
@@ -70,6 +60,20 @@
 	}
 }
 
+// refuseStatement answers a statement whose stream could not be opened. One whose stream is not new cannot be answered on it, so that is
+// an error of the connection; any other is rejected.
+func (c *Conn) refuseStatement(stream uint32, reason error) {
+	var used *streamUsedError
+	switch {
+	case errors.Is(reason, errConnEnded):
+	case errors.As(reason, &used):
+		c.sendConnError(reason)
+	default:
+		c.countInvalidFrame()
+		c.enqueue(appendAnswer(nil, frameAnswer, stream, CodeRejected, []byte(reason.Error())), 0)
+	}
+}
+
 // openStream opens a stream. It returns errConnEnded, a streamUsedError, or, for a stream that is new but not opened, errClientTooSlow
 // or errTooManyOpen.
 func (c *Conn) openStream(stream uint32) error {
