--- a/internal/proxy/classification.go
+++ b/internal/proxy/classification.go
@@ -85,7 +85,7 @@
 	reclassified := map[string]int64{}
 	workloads := r.config.Module.Workloads
 	for pair, n := range counts.Reclassified {
-		reclassified[workloads[pair[0]].Name+" as "+workloads[pair[1]].Name] = n
+		reclassified[workloads[pair.Declared].Name+" as "+workloads[pair.TreatedAs].Name] = n
 	}
 	r.log.Info(logevent.ClassificationMetrics,
 		zap.Int64("fingerprints_known", counts.Hits),
