--- a/cmd/bankledge-control/transcript_test.go
+++ b/cmd/bankledge-control/transcript_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"net/http/httputil"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strconv"
@@ -17,8 +16,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"bankledge/internal/controlapi"
 )
 
 var update = flag.Bool("update", false, "write the recordings under testdata anew instead of comparing with them")
@@ -49,15 +46,15 @@
 )
 
 // normal replaces what differs from run to run by names that stay the same within the recording.
-func (x *transcript) normal(text string) string {
-	for address, name := range x.addresses {
+func (r *transcript) normal(text string) string {
+	for address, name := range r.addresses {
 		text = strings.ReplaceAll(text, address, name)
 	}
 	text = hexToken.ReplaceAllStringFunc(text, func(token string) string {
-		if x.tokens[token] == "" {
-			x.tokens[token] = fmt.Sprintf("<%d-hex-%d>", len(token), len(x.tokens)+1)
+		if r.tokens[token] == "" {
+			r.tokens[token] = fmt.Sprintf("<%d-hex-%d>", len(token), len(r.tokens)+1)
 		}
-		return x.tokens[token]
+		return r.tokens[token]
 	})
 	if variable.MatchString(text) || goType.MatchString(text) || protobuf.MatchString(text) { // protobuf has one of two kinds of space, by the build
 		text = length.ReplaceAllString(text, "Content-Length: <length>")
@@ -69,24 +66,24 @@
 	return protobuf.ReplaceAllString(text, "proto: ")
 }
 
-func (x *transcript) note(format string, args ...any) {
-	x.text.WriteString(x.normal(fmt.Sprintf(format, args...)) + "\n")
+func (r *transcript) note(format string, args ...any) {
+	r.text.WriteString(r.normal(fmt.Sprintf(format, args...)) + "\n")
 }
 
 // compare ends the recording.
-func (x *transcript) compare(name string) {
-	x.t.Helper()
+func (r *transcript) compare(name string) {
+	r.t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
-		require.NoError(x.t, os.WriteFile(path, []byte(x.text.String()), 0o644))
+		require.NoError(r.t, os.WriteFile(path, []byte(r.text.String()), 0o644))
 		return
 	}
 	raw, err := os.ReadFile(path)
-	require.NoError(x.t, err)
-	want, got := strings.Split(string(raw), "\n"), strings.Split(x.text.String(), "\n")
+	require.NoError(r.t, err)
+	want, got := strings.Split(string(raw), "\n"), strings.Split(r.text.String(), "\n")
 	for i := range max(len(want), len(got)) {
 		if i >= len(want) || i >= len(got) || want[i] != got[i] {
-			x.t.Fatalf("%s:%d: differs from the recording:\nwant %q\ngot  %q", path, i+1, want[min(i, len(want)):min(i+3, len(want))], got[min(i, len(got)):min(i+3, len(got))])
+			r.t.Fatalf("%s:%d: differs from the recording:\nwant %q\ngot  %q", path, i+1, want[min(i, len(want)):min(i+3, len(want))], got[min(i, len(got)):min(i+3, len(got))])
 		}
 	}
 }
@@ -98,28 +95,28 @@
 }
 
 // send writes a request and returns the head of the response.
-func (x *transcript) send(address, request, headers, body string) (*connection, string) {
-	x.t.Helper()
+func (r *transcript) send(address, request, headers, body string) (*connection, string) {
+	r.t.Helper()
 	conn, err := net.DialTimeout("tcp", address, 10*time.Second)
-	require.NoError(x.t, err)
-	x.t.Cleanup(func() { conn.Close() })
-	require.NoError(x.t, conn.SetDeadline(time.Now().Add(60*time.Second)))
+	require.NoError(r.t, err)
+	r.t.Cleanup(func() { conn.Close() })
+	require.NoError(r.t, conn.SetDeadline(time.Now().Add(60*time.Second)))
 	_, err = fmt.Fprintf(conn, "%s HTTP/1.1\r\nHost: group\r\n%sContent-Length: %d\r\n\r\n%s", request, headers, len(body), body)
-	require.NoError(x.t, err)
+	require.NoError(r.t, err)
 	c := &connection{conn, bufio.NewReader(conn)}
 	var head strings.Builder
 	for !strings.HasSuffix(head.String(), "\r\n\r\n") {
 		line, err := c.reader.ReadString('\n')
-		require.NoError(x.t, err, request)
+		require.NoError(r.t, err, request)
 		head.WriteString(line)
 	}
 	return c, strings.ReplaceAll(head.String(), "\r\n", "\n")
 }
 
 // exchange sends a request and returns the response, its head as it came.
-func (x *transcript) exchange(address, request, headers, body string) (head, response string) {
-	x.t.Helper()
-	conn, head := x.send(address, request, headers, body)
+func (r *transcript) exchange(address, request, headers, body string) (head, response string) {
+	r.t.Helper()
+	conn, head := r.send(address, request, headers, body)
 	defer conn.Close()
 	size := 0
 	if match := regexp.MustCompile(`Content-Length: (\d+)`).FindStringSubmatch(head); match != nil {
@@ -127,47 +124,47 @@
 	}
 	raw := make([]byte, size)
 	_, err := io.ReadFull(conn.reader, raw)
-	require.NoError(x.t, err, request)
+	require.NoError(r.t, err, request)
 	return head, string(raw)
 }
 
 // ask records an exchange and returns the body of the response.
-func (x *transcript) ask(address, request, body string) string {
-	x.t.Helper()
-	return x.askWith(address, request, "", body)
+func (r *transcript) ask(address, request, body string) string {
+	r.t.Helper()
+	return r.askWith(address, request, "", body)
 }
 
-func (x *transcript) askWith(address, request, headers, body string) string {
-	x.t.Helper()
-	head, response := x.exchange(address, request, headers, body)
+func (r *transcript) askWith(address, request, headers, body string) string {
+	r.t.Helper()
+	head, response := r.exchange(address, request, headers, body)
 	sent := strconv.Quote(body)
 	if len(body) > 3000 {
 		sent = fmt.Sprintf("(%d bytes)", len(body))
 	}
-	x.note("%s\n%s%s\n%s%s", request, headers, sent, head, response)
+	r.note("%s\n%s%s\n%s%s", request, headers, sent, head, response)
 	return response
 }
 
 // stream records the head of a stream of versions and its first bytes; next records its next event.
-func (x *transcript) stream(address, after string) (next func()) {
-	x.t.Helper()
+func (r *transcript) stream(address, after string) (next func()) {
+	r.t.Helper()
 	headers := ""
 	if after != "" {
 		headers = "Last-Event-ID: " + after + "\r\n"
 	}
-	conn, head := x.send(address, "GET /v1/versions/events", headers, "")
+	conn, head := r.send(address, "GET /v1/versions/events", headers, "")
 	body := bufio.NewReader(httputil.NewChunkedReader(conn.reader))
 	first, err := body.ReadString('\n')
-	require.NoError(x.t, err)
-	x.note("GET /v1/versions/events\n%s%s%q", headers, head, first)
+	require.NoError(r.t, err)
+	r.note("GET /v1/versions/events\n%s%s%q", headers, head, first)
 	return func() {
-		x.t.Helper()
+		r.t.Helper()
 		for event := ""; ; {
 			line, err := body.ReadString('\n')
-			require.NoError(x.t, err)
+			require.NoError(r.t, err)
 			switch {
 			case line == "\n" && event != "":
-				x.note("event\n%s", event)
+				r.note("event\n%s", event)
 				return
 			case line != "\n" && !strings.HasPrefix(line, ":"):
 				event += line
@@ -177,287 +174,11 @@
 }
 
 // command records what a command writes, its standard error last, and its exit code.
-func (x *transcript) command(b *bed, code int, at []string, args ...string) {
-	x.t.Helper()
-	b.t.Setenv("COLUMNS", "80")
-	out := b.runAt(code, at, args...)
+func (r *transcript) command(g *testGroup, code int, at []string, args ...string) {
+	r.t.Helper()
+	g.t.Setenv("COLUMNS", "80")
+	out := g.commandAt(code, at, args...)
 	out = regexp.MustCompile(`(?m)^(router-\S+ +\d+ +)[\d.]+m?s( +)[\d.]+m?s`).ReplaceAllString(out, "$1<duration>$2<duration>")
-	out = strings.ReplaceAll(out, b.dir, "<dir>")
-	x.note("$ bankledge-control %s\n%s(exit %d)\n", strings.ReplaceAll(strings.Join(args, " "), b.dir, "<dir>"), table.ReplaceAllString(out, "  "), code)
-}
-
-// single starts one process alone with a term of two seconds, in which the test has time for all that counts on a running term.
-func single(t *testing.T, b *bed, x *transcript) (client, peer string) {
-	client, peer = b.members["1"].Client, b.members["1"].Peer
-	x.addresses[client], x.addresses[peer] = "<client>", "<peer>"
-	b.startWith(1, fmt.Sprintf(`{id: 1, dir: 'd1', peer: %q, client: %q, most_gone: 0.5, term_ms: 2000, heartbeat_ms: 20, election_ms: 100}`, peer, client))
-	require.Eventually(t, func() bool {
-		conn, err := net.Dial("tcp", client)
-		if err != nil {
-			return false
-		}
-		conn.Close()
-		_, body := x.exchange(client, "GET /v1/status", "", "")
-		return strings.Contains(body, `"leads":true`) && !strings.Contains(body, `"lineage":""`)
-	}, 30*time.Second, 20*time.Millisecond)
-	return client, peer
-}
-
-const twoEngines = `"engines":{"a":{"phase":"active","address":"h:1","kind":"big"},"b":{"phase":"active","address":"h:2"}}`
-
-func proposal(id, more string) string {
-	return fmt.Sprintf(`{"kind":"propose","id":%q,"rules":{"routers":2,"cold_multiple":2%s}}`, id, more)
-}
-
-// What a router and an operator exchange with one process: paths, statuses, headers, fields and the texts of errors.
-func TestClientTranscript(t *testing.T) {
-	b, x := newBed(t, 1), newTranscript(t)
-	client, _ := single(t, b, x)
-	x.ask(client, "GET /v1/status", "")
-	x.ask(client, "GET /v1/versions", "")
-	next := x.stream(client, "")
-	x.ask(client, "POST /v1/proposals", proposal("p1", ","+twoEngines))
-	next() // version 1
-	hash := regexp.MustCompile(`"hash":"(\w+)"`).FindStringSubmatch(x.ask(client, "GET /v1/versions", ""))[1]
-	renewal := func(known, hash, more string) string {
-		return fmt.Sprintf(`{"name":"router-a","incarnation":"i1","seq":7,"known":%s,"hash":%q,"spans":"term 2s, drift 0.01"%s}`, known, hash, more)
-	}
-	x.ask(client, "POST /v1/term", renewal("0", "", ""))
-	x.ask(client, "POST /v1/term", renewal("1", hash, ""))
-	next() // settled
-	x.ask(client, "POST /v1/term", renewal("1", hash, ""))
-	x.ask(client, "POST /v1/proposals", proposal("p2", `,"cold_multiple":3,`+twoEngines))
-	next() // version 2, not settled: the router has not acknowledged it
-	second := regexp.MustCompile(`"newest":2,"settled":1,"hash":"(\w+)"`).FindStringSubmatch(x.ask(client, "GET /v1/status", ""))
-	require.NotNil(t, second)
-	x.ask(client, "POST /v1/term", renewal("2", second[1], `,"term":900,"word":"a word"`))
-	next() // settled
-	x.ask(client, "GET /v1/status", "")
-	x.ask(client, "GET /v1/versions", "")
-	x.stream(client, "1")()
-	x.stream(client, "0")()
-	x.askWith(client, "GET /v1/versions/events", "Last-Event-ID: x\r\n", "")
-
-	long := strings.Repeat("x", 201)
-	for _, body := range []string{
-		renewal("2", "other", ""), renewal("9", "", ""), renewal("2", second[1], `,"lineage":"other"`), `{"seq":1}`, `{"incarnation":"` + long + `"}`,
-		`{"incarnation":"i","name":"` + long + `"}`, `{"incarnation":"i2","name":"router-b","spans":"term 1s, drift 0.01","seq":3}`,
-		"", "{", `{"unknown":1}`, `[]`, `{"seq":"x"}`, `{"seq":-1}`, strings.Repeat(" ", 4097),
-	} {
-		x.ask(client, "POST /v1/term", body)
-	}
-	for _, body := range []string{
-		"", "{", "[]", `{"unknown":1}`, `{"kind":1}`, `{}`, `{"kind":"propose"}`, `{"kind":"propose","id":"` + long + `"}`, `{"kind":"settle","id":"x","number":9}`,
-		`{"kind":"found","id":"x"}`, `{"kind":"propose","id":"b1"}`, `{"kind":"propose","id":"b2","rules":[]}`, `{"kind":"propose","id":"b3","rules":{"unknown":1}}`,
-		proposal("p1", `,"cold_multiple":4`), `{"kind":"rollback","id":"b4","number":9}`, `{"kind":"rollback","id":"b5","number":2}`,
-		`{"kind":"propose","id":"b6","forced":["none"],"rules":{"routers":2}}`, proposal("b7", `,"cold_multiple":3,"engines":{}`),
-		proposal("b8", `,"cold_multiple":3,"engines":{"c":{"phase":"active","address":"h:3"}}`), proposal("b9", `,"cold_multiple":3,"kinds":{"w":["small"]},`+twoEngines),
-		proposal("b10", `,"cold_multiple":3,"kept_off":{"t":["a","b"]},`+twoEngines), proposal("b11", `,"cold_multiple":1,`+twoEngines),
-		proposal("b12", `,"cold_multiple":1,"engines":{"a":{"phase":"leaving","address":"h:1","kind":"big"}}`),
-		`{"kind":"propose","id":"b13","note":"` + strings.Repeat("n", 1001) + `","rules":{"routers":2,"cold_multiple":5,` + twoEngines + `}}`,
-	} {
-		x.ask(client, "POST /v1/proposals", body)
-	}
-	for i, more := range []string{
-		`,"routers":0`, `,"routers":1.5`, `,"routers":2000000`, `,"parts":{"r":2}`, `,"parts":{"r":0.9,"s":0.8}`, `,"parts":{"":0.1}`, `,"importance":{"w":-1}`, `,"shares":{"g":-1}`,
-		`,"over_importance":2`, `,"further_share":11`, `,"further_free":-1`, `,"further_window":-1`, `,"probes":-1`, `,"cold_share":1.5`, `,"cold_multiple":-2`,
-		`,"warm_after":-1`, `,"drain_grace":-1`, `,"key_rest":-1`, `,"may_turn_away":[""]`, `,"kept_off":{"":["a"]}`, `,"kinds":{"w":[""]}`, `,"engines":{"":{}}`,
-		`,"engines":{"a":{}}`, `,"engines":{"a":{"phase":"active"}}`, `,"engines":{"a":{"phase":"active","address":"h:1"},"b":{"phase":"active","address":"h:1"}}`,
-		`,"engines":{"a":{"unknown":1}}`, `,"engines":[]`, `,"may_turn_away":"w"`,
-	} {
-		x.ask(client, "POST /v1/proposals", proposal(fmt.Sprint("f", i), more))
-	}
-	x.ask(client, "POST /v1/proposals", `{"kind":"propose","id":"p3","forced":["floor","share-of-engines"],"note":"why","rules":{"routers":2,"cold_multiple":1,"engines":{"a":{"phase":"active","address":"h:1","kind":"big"}}}}`)
-	for _, body := range []string{
-		"{", `{"unknown":1}`, `{"id":"x"}`, `{}`, `{"id":1}`, `{"id":9,"remove":true}`, `{"id":1,"remove":true}`, `{"id":1,"member":{"peer":"127.0.0.1:1","client":"127.0.0.1:2"}}`,
-		`{"id":2,"member":{"peer":"127.0.0.1:1"}}`, `{"id":2,"member":{"peer":"127.0.0.1:1","client":"127.0.0.1:2"}}`,
-	} {
-		x.ask(client, "POST /v1/members", body)
-	}
-	require.Eventually(t, func() bool { // the router's term ends
-		_, body := x.exchange(client, "GET /v1/status", "", "")
-		return strings.Contains(body, `"settled":3`)
-	}, 30*time.Second, 20*time.Millisecond)
-	x.ask(client, "GET /v1/status", "")
-	x.ask(client, "POST /v1/members", `{"id":2,"remove":true}`)
-	for _, request := range []string{"GET /v1/none", "GET /", "DELETE /v1/status", "GET /v1/term", "GET /v1/proposals", "POST /v1/versions", "PUT /v1/members", "POST /v1/messages"} {
-		x.ask(client, request, "")
-	}
-	x.compare("client.txt")
-}
-
-// What one process says to another that sends it messages, and what it sends itself.
-func TestPeerTranscript(t *testing.T) {
-	b, x := newBed(t, 1), newTranscript(t)
-	_, peer := single(t, b, x)
-	x.ask(peer, "POST /v1/messages", "")
-	for _, body := range []string{"\xff", "\x05\x01\x02", "\x02\xff\xff", strings.Repeat("\x80", 20)} {
-		x.ask(peer, "POST /v1/messages", body)
-	}
-	x.askWith(peer, "POST /v1/messages", "X-Bankledge-Lineage: other\r\n", "")
-	x.ask(peer, "GET /v1/messages", "")
-	x.ask(peer, "GET /v1/status", "")
-
-	other, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer other.Close()
-	x.addresses[other.Addr().String()] = "<other>"
-	own, client := free(t), free(t)
-	b.startWith(2, fmt.Sprintf(`{id: 1, dir: 'd2', members: {'1': {peer: %q, client: %q}, '2': {peer: %q, client: '127.0.0.1:1'}}, heartbeat_ms: 20, election_ms: 100}`,
-		own, client, other.Addr()))
-	conn, err := other.Accept()
-	require.NoError(t, err)
-	defer conn.Close()
-	require.NoError(t, conn.SetDeadline(time.Now().Add(30*time.Second)))
-	reader := bufio.NewReader(conn)
-	var head strings.Builder
-	for !strings.HasSuffix(head.String(), "\r\n\r\n") {
-		line, err := reader.ReadString('\n')
-		require.NoError(t, err)
-		head.WriteString(line)
-	}
-	x.note("%q", length.ReplaceAllString(head.String(), "Content-Length: <length>"))
-	x.compare("peer.txt")
-}
-
-// A group of three, a process of it that does not lead, and one that is left alone.
-func TestFollowerTranscript(t *testing.T) {
-	b, x := newBed(t, 3), newTranscript(t)
-	members, clients := "", []string{}
-	for id := 1; id <= 3; id++ {
-		m := b.members[fmt.Sprint(id)]
-		members += fmt.Sprintf("'%d': {peer: %q, client: %q}, ", id, m.Peer, m.Client)
-		clients = append(clients, m.Client)
-	}
-	for id := 1; id <= 3; id++ {
-		b.startWith(id, fmt.Sprintf(`{id: %d, dir: 'd%d', members: {%s}, term_ms: 400, renew_ms: 60, answer_ms: 60, heartbeat_ms: 50, election_ms: 1000}`, id, id, members))
-	}
-	b.until(func(s controlapi.Status) bool { return s.IsLeader && s.Lineage != "" })
-	leader := int(b.status().Leader)
-	follower, third := leader%3+1, (leader+1)%3+1
-	for id, name := range map[int]string{leader: "leader", follower: "follower", third: "third"} {
-		m := b.members[fmt.Sprint(id)]
-		x.addresses[m.Client], x.addresses[m.Peer] = "<client of the "+name+">", "<peer of the "+name+">"
-	}
-	at := clients[follower-1]
-	x.command(b, 0, []string{at, clients[leader-1]}, "propose", b.rules("one", ""), "--wait")
-	require.Eventually(t, func() bool {
-		_, body := x.exchange(at, "GET /v1/versions", "", "")
-		return strings.Contains(body, `"settled":1`)
-	}, 30*time.Second, 20*time.Millisecond)
-	x.ask(at, "GET /v1/versions", "")
-	x.stream(at, "")()
-	_, body := x.exchange(at, "GET /v1/status", "", "")
-	for id, name := range map[int]string{leader: "leader", follower: "follower", third: "third"} {
-		body = strings.NewReplacer(fmt.Sprintf(`"id":%d,`, id), `"id":<`+name+`>,`, fmt.Sprintf(`"leader":%d,`, id), `"leader":<`+name+`>,`).Replace(body)
-	}
-	x.note("%s", regexp.MustCompile(`"members":\{.*\}\},`).ReplaceAllString(body, ""))
-	x.ask(at, "POST /v1/term", `{"incarnation":"i","seq":3,"name":"router-a"}`)
-	x.ask(at, "POST /v1/proposals", proposal("p2", `,"cold_multiple":7`))
-	x.ask(at, "POST /v1/members", `{"id":9,"remove":true}`)
-	b.end(leader, 9)
-	b.end(third, 9)
-	require.Eventually(t, func() bool {
-		_, body := x.exchange(at, "GET /v1/status", "", "")
-		return strings.Contains(body, `"leader":0`)
-	}, 30*time.Second, 20*time.Millisecond)
-	x.command(b, 1, []string{at}, "propose", b.rules("two", ""), "--within", "200ms")
-	x.command(b, 1, []string{clients[leader-1], at}, "members", "remove", "9", "--within", "200ms")
-	x.ask(at, "POST /v1/proposals", proposal("p3", `,"cold_multiple":8`))
-	x.ask(at, "POST /v1/term", `{"incarnation":"i","seq":4}`)
-	out := b.runAt(0, []string{at}, "status")
-	x.note("%s", strings.Join(strings.Split(table.ReplaceAllString(out, "  "), "\n")[:3], "\n"))
-	x.compare("follower.txt")
-}
-
-// The commands of operators: what they write, their errors and exit codes.
-func TestCommandTranscript(t *testing.T) {
-	b, x := newBed(t, 1), newTranscript(t)
-	client, _ := single(t, b, x)
-	at := []string{client}
-	run := func(code int, args ...string) { x.command(b, code, at, args...) }
-	run(0, "status")
-	run(0, "log")
-	run(0, "propose", b.rules("one", ""), "--note", "first", "--wait")
-	run(0, "propose", b.rules("two", "cold_multiple: 3"), "--json")
-	run(1, "propose", b.rules("two", "cold_multiple: 3"), "--wait")
-	run(1, "propose", b.rules("less", "engines: {a: {phase: 'active', address: 'h:1'}}"))
-	run(0, "propose", b.rules("less", "engines: {a: {phase: 'active', address: 'h:1'}}"), "--force", "share-of-engines,floor", "--wait", "--json")
-	run(1, "propose", b.rules("bad", "cold_share: 7"))
-	run(1, "propose", b.rules("bad", "unknown: 7"))
-	run(1, "propose", filepath.Join(b.dir, "missing"))
-	run(1, "propose", b.rules("one", ""), "--force", "none")
-	run(0, "rollback", "1", "--wait")
-	run(1, "rollback", "77")
-	run(80, "rollback", "x")
-	run(0, "rollback", "2", "--wait", "--json", "--force", "floor", "--force", "share-of-engines")
-	run(0, "diff", "1", "2")
-	run(0, "diff", "1", "3")
-	run(0, "diff", "1", "4")
-	run(0, "diff", "2", b.rules("other", "routers: 9, parts: {r: 0.1}, engines: null"))
-	run(1, "diff", "1", "99")
-	run(0, "log")
-	run(0, "log", "--json")
-	_, body := x.exchange(client, "GET /v1/status", "", "")
-	hash := regexp.MustCompile(`"hash":"(\w+)"`).FindStringSubmatch(body)[1]
-	for _, incarnation := range []string{"i1", "i2"} {
-		x.exchange(client, "POST /v1/term", "", fmt.Sprintf(`{"name":"router-%s","incarnation":%q,"seq":1,"known":5,"hash":%q,"spans":"term 2s, drift 0.01","word":"a word"}`, incarnation, incarnation, hash))
-	}
-	x.exchange(client, "POST /v1/term", "", `{"name":"router-i2","incarnation":"i3","seq":1,"spans":"term 2s, drift 0.01"}`)
-	run(0, "status", "--json")
-	run(0, "members", "list")
-	run(0, "members", "list", "--json")
-	run(0, "members", "add", "7", "127.0.0.1:7", "127.0.0.1:8")
-	run(1, "members", "add", "7", "127.0.0.1:7", "127.0.0.1:8")
-	run(0, "members", "remove", "7")
-	run(1, "members", "remove", "7")
-	run(1, "members", "remove", "1")
-	for _, command := range []string{"", "serve", "check", "propose", "rollback", "diff", "log", "status", "members", "members list", "members add", "members remove", "router"} {
-		run(0, append(strings.Fields(command), "--help")...)
-	}
-	run(80, "none")
-	run(80, "propose")
-	x.compare("commands.txt")
-}
-
-// The settings of a process and of a router, field by field: what is taken, and what is said of what is not.
-func TestSettingsTranscript(t *testing.T) {
-	b, x := newBed(t, 1), newTranscript(t)
-	run := func(command, shown, text string) {
-		path := filepath.Join(b.dir, "file.jsonnet")
-		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		out, err := exec.Command(program, command, path).CombinedOutput()
-		x.note("%s %s\n%s(%v)\n", command, shown, strings.ReplaceAll(string(out), b.dir, "<dir>"), err)
-	}
-	deployed := func(name string) string {
-		raw, err := os.ReadFile("../../deploy/" + name)
-		require.NoError(t, err)
-		return "(" + string(raw) + ")"
-	}
-	group, router := deployed("group.jsonnet"), deployed("control.jsonnet")
-	x.command(b, 0, nil, "check", "../../deploy/group.jsonnet")
-	x.command(b, 0, nil, "router", "../../deploy/control.jsonnet")
-	for _, text := range []string{
-		"{}", "{", "[]", "null", "{id: 1, unknown: 1}", "{id: 0, members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}", "{id: 'x'}", "{id: -1}", "{dir: ''}", "{dir: 1}",
-		"{peer: 'x'}", "{client: 'x'}", "{peer: 'localhost:1'}", "{peer: '127.0.0.1:70000'}", "{members: []}", "{id: 1, members: {x: {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}",
-		"{id: 2, members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}", "{id: 1, members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:1'}}}",
-		"{id: 1, members: {'1': {peer: '127.0.0.1:1', client: 'x'}}}", "{id: 1, members: {'1': {peer: '127.0.0.1:1', other: 'x'}}}",
-		"{id: 2, joins: true, peer: '127.0.0.1:3', client: '127.0.0.1:4', members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}", "{joins: 1}",
-		"{term_ms: 50}", "{term_ms: 1000}", "{term_ms: 3600001}", "{term_ms: -1}", "{term_ms: 1.5}", "{renew_ms: 5}", "{renew_ms: 3000}", "{answer_ms: 5}", "{answer_ms: 3000}",
-		"{batch_ms: -1}", "{batch_ms: 1500}", "{pause_ms: -1}", "{pause_ms: 1500}", "{drift: -0.1}", "{drift: 0.3}", "{drift: 0}", "{heartbeat_ms: -1}", "{heartbeat_ms: 500}",
-		"{election_ms: 299}", "{election_ms: 300}", "{most_gone: -1}", "{most_gone: 1.1}", "{most_gone: 1}", "{compact: -1}", "{compact: 5}", "error 'a text'", "{id: self.x}",
-	} {
-		run("check", text, text)
-	}
-	for _, more := range []string{"{election_ms: 100}", "{members+: {'1': {peer: '127.0.0.1:7102', client: '127.0.0.1:7201'}}}"} {
-		run("check", "group + "+more, group+" + "+more)
-	}
-	for _, more := range []string{
-		"{}", "{addresses: []}", "{addresses: null}", "{addresses: ['x']}", "{addresses: ['localhost:1']}", "{addresses: 'x'}", "{addresses: ['127.0.0.1:' + i for i in std.range(1, 17)]}",
-		"{lineage: 'x'}", "{lineage: 1}", "{unknown: 1}", "{term_ms: 50}", "{term_ms: 1000}", "{term_ms: 0}", "{renew_ms: 5}", "{answer_ms: 5}", "{batch_ms: -1}", "{pause_ms: 1500}",
-		"{drift: 0.3}", "{drift: 0}", "{drift: -1}", "{most_gone: 2}", "{most_gone: -1}", "{most_gone: 0}", "{term_ms: 'x'}",
-	} {
-		run("router", more, router+" + "+more)
-	}
-	x.compare("settings.txt")
+	out = strings.ReplaceAll(out, g.dir, "<dir>")
+	r.note("$ bankledge-control %s\n%s(exit %d)\n", strings.ReplaceAll(strings.Join(args, " "), g.dir, "<dir>"), table.ReplaceAllString(out, "  "), code)
 }
--- /dev/null
+++ b/internal/controlserver/settings_test.go
@@ -0,0 +1,44 @@
+package controlserver
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/internal/controlclient"
+)
+
+// An error of a settings file names the field.
+func TestInvalidSettings(t *testing.T) {
+	for text, want := range map[string]string{
+		`{id: 0, members: {'1': {peer: 'a', client: 'b'}}}`:                               "id: missing",
+		`{id: 1, dir: 'd', peer: 'x'}`:                                                    "not an address",
+		`{id: 2, dir: 'd', members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}`: "none of them",
+		`{id: 1, dir: ''}`: "dir: missing",
+		`{id: 1, dir: 'd', members: {'x': {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}`: "no id",
+		`{id: 1, unheard: 1}`: "unheard",
+		`{id: 1, dir: 'd', members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:1'}}}`: "has it, too",
+		`{id: 1, dir: 'd', term_ms: 200}`:                                                 "spans: renew",
+		`{id: 1, dir: 'd', drift: 0.5}`:                                                   "drift",
+		`{id: 1, dir: 'd', most_gone: 2}`:                                                 "most_gone",
+		`{id: 1, dir: 'd', election_ms: 100}`:                                             "election",
+		`{`:                                                                               "settings",
+	} {
+		t.Run(text, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "settings.jsonnet")
+			require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+			_, err := LoadSettings(path)
+			assert.ErrorContains(t, err, want)
+		})
+	}
+}
+
+func TestDefaultSettings(t *testing.T) {
+	settings, err := LoadSettings("")
+	require.NoError(t, err)
+	assert.Equal(t, uint64(1), settings.ID)
+	assert.Equal(t, settings.LeaseDurations(), (&controlclient.Config{}).LeaseDurations(), "routers and group have the same defaults")
+}
