--- a/decision/events.go
+++ b/decision/events.go
@@ -105,16 +105,21 @@
 	Report  *LoadReport   // nil: none came
 }
 
-// RulesChanged brings rules that take effect now, in place of those of the start. Slices are indexed by workload.
+// RulesChanged brings rules that take effect now, in place of those of the start.
 type RulesChanged struct {
-	// EffectiveRouters is one divided by this router's share of the fleet's budgets.
-	EffectiveRouters    float64
-	Rules               Rules
-	PriorityWeights     []float64
-	AllowedMachineTypes [][]MachineType
-	Protected           []bool
-	Quotas              []Quota
-	OverQuotaFactor     float64
+	// EffectiveRouters is one divided by this router's quota of the fleet's budgets.
+	EffectiveRouters float64
+	Rules            Rules
+	Workloads        []WorkloadRules // by workload ID
+	Quotas           []Quota
+	OverQuotaFactor  float64
+}
+
+// WorkloadRules are the parts of a Workload that may change while routers run; they mean what they mean there.
+type WorkloadRules struct {
+	PriorityWeight      float64
+	AllowedMachineTypes []MachineType
+	Protected           bool
 }
 
 // ShutdownStarted tells that this instance ends after a grace period: open statements have to be answered by then.
--- a/internal/proxy/active_rules.go
+++ b/internal/proxy/active_rules.go
@@ -72,9 +72,11 @@
 		if !named {
 			weight = workload.PriorityWeight
 		}
-		changed.PriorityWeights = append(changed.PriorityWeights, weight)
-		changed.Protected = append(changed.Protected, !slices.Contains(active.SheddableWorkloads, workload.Name))
-		changed.AllowedMachineTypes = append(changed.AllowedMachineTypes, allowedMachineTypes(active, workload))
+		changed.Workloads = append(changed.Workloads, decision.WorkloadRules{
+			PriorityWeight:      weight,
+			AllowedMachineTypes: allowedMachineTypes(active, workload),
+			Protected:           !slices.Contains(active.SheddableWorkloads, workload.Name),
+		})
 	}
 	for _, quota := range c.moduleSettings.Quotas.Tenants {
 		if rate, named := active.TenantQuotas[string(quota.Tenant)]; named {
--- a/internal/proxy/engine_locations.go
+++ b/internal/proxy/engine_locations.go
@@ -31,7 +31,7 @@
 
 // enforceMachineTypes has the invariants check the machine types that take effect now.
 func (l *eventLoop) enforceMachineTypes(changed decision.RulesChanged) {
-	for workload, types := range changed.AllowedMachineTypes {
-		l.router.enforcedWorkloads[workload].AllowedMachineTypes = types
+	for workload, rules := range changed.Workloads {
+		l.router.enforcedWorkloads[workload].AllowedMachineTypes = rules.AllowedMachineTypes
 	}
 }
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -86,7 +86,7 @@
 	invariants := invariant.NewRequest("x", &g.enforcedWorkloads[0], decision.Limits{Hedging: true})
 	assert.Nil(t, invariants.BeginAttempt(locations.of("a"), 0))
 	assert.Equal(t, invariant.Placement, invariants.BeginAttempt(locations.of("b"), 0).Rule)
-	g.loop.enforceMachineTypes(decision.RulesChanged{AllowedMachineTypes: [][]decision.MachineType{{"big"}}})
+	g.loop.enforceMachineTypes(decision.RulesChanged{Workloads: []decision.WorkloadRules{{AllowedMachineTypes: []decision.MachineType{"big"}}}})
 	assert.Nil(t, invariants.BeginAttempt(locations.of("b"), 0))
 	assert.Equal(t, []decision.MachineType{"std"}, g.config.Module.Workloads[0].AllowedMachineTypes, "the configuration stays")
 	locations.update(decision.EndpointList{Endpoints: []decision.Endpoint{{Engine: "b", State: decision.Removed}}})
--- a/policy/generated_changes_test.go
+++ b/policy/generated_changes_test.go
@@ -92,9 +92,11 @@
 		event.Quotas[i].RatePerSecond *= s.factor(0.5, 2)
 	}
 	for _, workload := range s.opening.Workloads {
-		event.PriorityWeights = append(event.PriorityWeights, workload.PriorityWeight*s.factor(0.5, 2))
-		event.AllowedMachineTypes = append(event.AllowedMachineTypes, workload.AllowedMachineTypes)
-		event.Protected = append(event.Protected, s.chance(0.1))
+		event.Workloads = append(event.Workloads, decision.WorkloadRules{
+			PriorityWeight:      workload.PriorityWeight * s.factor(0.5, 2),
+			AllowedMachineTypes: workload.AllowedMachineTypes,
+			Protected:           s.chance(0.1),
+		})
 	}
 	event.Rules.HealthChecksPerStatement = float64(s.random.IntN(3))
 	event.Rules.SlowStartMultiple *= s.factor(0.5, 2)
--- a/policy/module.go
+++ b/policy/module.go
@@ -147,9 +147,10 @@
 	m.priorities.overQuotaFactor = ev.OverQuotaFactor
 	m.slowStart.changeRules(ev.Rules, ev.EffectiveRouters)
 	for i, w := range m.workloads {
-		w.PriorityWeight = ev.PriorityWeights[i]
-		w.AllowedMachineTypes = ev.AllowedMachineTypes[i]
-		w.Protected = ev.Protected[i]
+		changed := ev.Workloads[i]
+		w.PriorityWeight = changed.PriorityWeight
+		w.AllowedMachineTypes = changed.AllowedMachineTypes
+		w.Protected = changed.Protected
 	}
 	m.tenantQuotas.change(ev.Quotas, ev.EffectiveRouters)
 }
