--- a/internal/lease/client_events.go
+++ b/internal/lease/client_events.go
@@ -92,16 +92,16 @@
 	var text string
 	switch {
 	case a.Activated == 0 && a.Pending == 0:
-		return "own settings"
+		return "local settings"
 	case a.Pending > 0 && a.Activated > 0:
-		text = fmt.Sprintf("versions %d and %d, cautious side", a.Activated, a.Pending)
+		text = fmt.Sprintf("intersection of versions %d and %d", a.Activated, a.Pending)
 	case a.Pending > 0:
-		text = fmt.Sprintf("version %d and own settings, cautious side", a.Pending)
+		text = fmt.Sprintf("intersection of version %d and local settings", a.Pending)
 	default:
 		text = fmt.Sprintf("version %d", a.Activated)
 	}
 	if !a.Leased {
-		text += ", no term: with own settings, cautious side"
+		text += ", intersected with local settings for lack of a lease"
 	}
 	return text
 }
