--- /dev/null
+++ b/internal/sqltext/byte_classes.go
@@ -0,0 +1,82 @@
+package sqltext
+
+// byteClass is what a byte begins where a token begins.
+type byteClass uint8
+
+const (
+	classOperator byteClass = iota
+	classBlank
+	className
+	classDigit
+	classQuote
+	classNameQuote // " and `
+	classBracket
+	classDollar
+	classDash
+	classSlash
+	classDot
+	classStar
+	classComma
+	classOpen
+	classClose
+	classSemicolon
+	classEqual
+	classLess // also >
+	classMark // @, # and :
+)
+
+var (
+	// foldedNameByte maps the bytes of names to lower case, and all others to 0.
+	foldedNameByte [256]byte
+	classOf        [256]byteClass
+)
+
+var punctuation = map[byte]byteClass{
+	'\'': classQuote,
+	'"':  classNameQuote,
+	'`':  classNameQuote,
+	'[':  classBracket,
+	'$':  classDollar,
+	'-':  classDash,
+	'/':  classSlash,
+	'.':  classDot,
+	'*':  classStar,
+	',':  classComma,
+	'(':  classOpen,
+	')':  classClose,
+	';':  classSemicolon,
+	'=':  classEqual,
+	'<':  classLess,
+	'>':  classLess,
+	'@':  classMark,
+	'#':  classMark,
+	':':  classMark,
+}
+
+func init() {
+	const toLower = 0x20
+	for i := range 256 {
+		c := byte(i)
+		switch {
+		case c <= ' ':
+			classOf[c] = classBlank
+		case isDigit(c):
+			classOf[c] = classDigit
+			foldedNameByte[c] = c
+		case 'A' <= c && c <= 'Z':
+			classOf[c] = className
+			foldedNameByte[c] = c | toLower
+		case c == '_' || 'a' <= c && c <= 'z' || c >= 0x80:
+			classOf[c] = className
+			foldedNameByte[c] = c
+		}
+	}
+	foldedNameByte['$'] = '$'
+	for c, class := range punctuation {
+		classOf[c] = class
+	}
+}
+
+func isDigit(c byte) bool { return '0' <= c && c <= '9' }
+
+func isNameByte(c byte) bool { return foldedNameByte[c] != 0 }
