--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -133,7 +133,7 @@
 	return c.ask(typeStatement, Payload(fields, text))
 }
 
-// Leave says that nobody waits for a stream any more. No answer comes through its channel.
+// Cancel says that nobody waits for a stream any more. No answer comes through its channel.
 func (c *Client) Cancel(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/control.go
+++ b/internal/fakes/control_feed.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Control is a control feed.
+// ControlFeed is a control feed.
 type ControlFeed struct {
 	Server       *httptest.Server
 	Events       chan string // to be told, as they are; "" ends the connection
@@ -18,7 +18,7 @@
 	ended        chan struct{}
 }
 
-// NewControl starts one; it tells nothing but a comment each second until it is given events. Close ends it.
+// NewControlFeed starts one; it tells nothing but a comment each second until it is given events. Close ends it.
 func NewControlFeed() *ControlFeed {
 	f := &ControlFeed{Events: make(chan string, 10), LastEventIDs: make(chan string, 100), ended: make(chan struct{})}
 	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/fakes/notup.go
+++ b/internal/fakes/full_backlog.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// NotUp returns a listener at which no connection comes up, since those that wait to be accepted are as many as may be, until
+// ListenWithFullBacklog returns a listener at which no connection comes up, since those that wait to be accepted are as many as may be, until
 // accept lets them in: the kernel answers what has tried meanwhile at its next try, about a second after the first.
 func ListenWithFullBacklog() (listener net.Listener, accept func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
--- a/internal/fakes/mix.go
+++ b/internal/fakes/mix.go
@@ -1,5 +1,3 @@
-// Package standin holds what tests and the project's own experiments put in the place of the world outside: a mix of
-// statements, engines, a control feed and clients. Nothing of it is part of the router.
 package fakes
 
 import (
--- a/internal/fakes/slow.go
+++ b/internal/fakes/slow_reader.go
@@ -20,7 +20,7 @@
 	took  time.Duration
 }
 
-// DialSlow connects a reader of so many bytes a second; 0: it reads nothing until Rate says so.
+// DialSlow connects a reader of so many bytes a second; 0: it reads nothing until SetRate says so.
 func DialSlow(address string, rate int64) (*SlowReader, error) {
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallBuffer) })
@@ -35,7 +35,7 @@
 	return s, nil
 }
 
-// Rate sets the bytes a second from now on.
+// SetRate sets the bytes a second from now on.
 func (s *SlowReader) SetRate(rate int64) { s.rate.Store(rate) }
 
 // Send sends a statement on a stream.
--- a/internal/faultinject/hostfault.go
+++ b/internal/faultinject/hostfault.go
@@ -1,4 +1,4 @@
-// Package hostfault gives a process under test the faults of a bad host: a wall clock that steps and socket calls that fail. It
+// Package faultinject gives a process under test the faults of a bad host: a wall clock that steps and socket calls that fail. It
 // works by a library that the dynamic linker preloads, so the process has to be linked dynamically. It needs no privileges, and
 // touches nothing but that process.
 package faultinject
@@ -65,7 +65,7 @@
 	control *control
 }
 
-// New prepares a host whose control file lies in a folder. name sets it apart from others there.
+// NewHost prepares a host whose control file lies in a folder. name sets it apart from others there.
 func NewHost(library, dir, name string) (*Host, error) {
 	path := filepath.Join(dir, name+".hostfault")
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
--- /dev/null
+++ b/internal/faultlab/audit_concurrency.go
@@ -0,0 +1,30 @@
+package faultlab
+
+import "fmt"
+
+// auditConcurrentAttempts: no statement runs on two engines at once.
+func auditConcurrentAttempts(h *History) (found []Violation) {
+	running := map[string]Event{}
+	for _, e := range h.Events {
+		switch e.Kind {
+		case AttemptStarted:
+			first, runs := running[e.Statement]
+			if runs && first.Engine != e.Engine {
+				text := fmt.Sprintf("%s (%s) runs on %s since %v and on %s", e.Statement, e.Workload, first.Engine, first.At, e.Engine)
+				found = append(found, Violation{At: e.At, Text: text})
+			}
+			running[e.Statement] = e
+		case AttemptEnded, AttemptCancelled, AttemptDropped:
+			if running[e.Statement].Engine == e.Engine {
+				delete(running, e.Statement)
+			}
+		case EngineGone:
+			for id, s := range running {
+				if s.Engine == e.Engine {
+					delete(running, id)
+				}
+			}
+		}
+	}
+	return found
+}
--- a/internal/faultlab/audit_test.go
+++ b/internal/faultlab/audit_test.go
@@ -29,7 +29,7 @@
 		found         bool
 	}{
 		{"an answer in time", "answers", []Event{sent, at(2*sec, answered)}, false},
-		{"an answer too late", "answers", []Event{sent, at(3*sec+lateSlack+1, answered)}, true},
+		{"an answer too late", "answers", []Event{sent, at(3*sec+answerSlack+1, answered)}, true},
 		{"no answer", "answers", []Event{sent}, true},
 		{"two answers", "answers", []Event{sent, at(2*sec, answered), at(2*sec, with(DuplicateAnswer, sent))}, true},
 		{"a broken connection", "answers", []Event{sent, at(2*sec, with(ClientConnectionLost, sent))}, true},
@@ -44,8 +44,8 @@
 		{"a report twice at once", "one at a time", []Event{read, at(2*sec, on("e2", read))}, true},
 		{"its first engine has died", "one at a time", []Event{read, at(2*sec, Event{Kind: EngineGone, Engine: "e1"}), at(2*sec, on("e2", read))}, false},
 		{"another one dies", "one at a time", []Event{read, at(2*sec, Event{Kind: EngineGone, Engine: "e3"}), at(2*sec, on("e2", read))}, true},
-		{"a start right after its client left", "left", []Event{with(ClientLeft, read), at(sec+leftSlack, read)}, false},
-		{"a start long after its client left", "left", []Event{with(ClientLeft, read), at(sec+leftSlack+1, read)}, true},
+		{"a start right after its client left", "left", []Event{with(ClientLeft, read), at(sec+cancelSlack, read)}, false},
+		{"a start long after its client left", "left", []Event{with(ClientLeft, read), at(sec+cancelSlack+1, read)}, true},
 		{"the same at a router that was stopped", "left", []Event{with(ClientLeft, read), down(sec+sec/2, "stop"), up(3 * sec), at(3*sec, read)}, false},
 		{"a client that left has no answer", "answers", []Event{sent, at(2*sec, with(ClientLeft, sent))}, false},
 		{"a router that finds nothing", "guard", []Event{read}, false},
@@ -105,9 +105,9 @@
 	}
 	assert.Zero(t, at(0))
 	assert.Equal(t, 3*sec, at(10))
-	assert.Empty(t, back(play(func(i int) bool { return i < 5 || i >= 12 })))
-	assert.Len(t, back(play(func(i int) bool { return i < 5 || i >= 14 })), 1)
-	assert.Len(t, back(play(func(i int) bool { return i < 5 })), 1, "never back")
+	assert.Empty(t, auditRecovery(play(func(i int) bool { return i < 5 || i >= 12 })))
+	assert.Len(t, auditRecovery(play(func(i int) bool { return i < 5 || i >= 14 })), 1)
+	assert.Len(t, auditRecovery(play(func(i int) bool { return i < 5 })), 1, "never back")
 	f := Measure(play(func(i int) bool { return i%2 == 0 }))
 	assert.InDelta(t, 0.5, f.InTime, 1e-9)
 	assert.InDelta(t, 0.5, f.Rejected, 1e-9)
--- /dev/null
+++ b/internal/faultlab/faults.go
@@ -0,0 +1,160 @@
+package faultlab
+
+import (
+	"context"
+	"syscall"
+
+	"golang.org/x/sync/errgroup"
+)
+
+// playFault injects a fault at its time and repairs it at the end of it.
+func (f *fleet) playFault(ctx context.Context, fault Fault) error {
+	f.waitUntil(ctx, fault.At) // where the context is done, the fault begins and ends at once
+	f.record(Event{Kind: FaultStarted, Router: noRouter, Text: string(fault.Kind)})
+	repair, err := f.inject(ctx, fault)
+	if err == nil && repair != nil {
+		f.waitUntil(ctx, fault.At+fault.For)
+		err = repair()
+	}
+	f.record(Event{Kind: FaultEnded, Router: noRouter, Text: string(fault.Kind)})
+	return err
+}
+
+// inject begins a fault. repair ends it; nil: there is nothing to end.
+func (f *fleet) inject(ctx context.Context, fault Fault) (repair func() error, err error) {
+	if impaired, ok := engineLinkFaults[fault.Kind]; ok {
+		return f.impairLinks(fault, impaired(fault)), nil
+	}
+	if faultKinds[fault.Kind].members {
+		return f.injectGroupFault(ctx, fault)
+	}
+	if _, ok := hostFaults[fault.Kind]; ok {
+		return f.injectHostFault(fault), nil
+	}
+	switch fault.Kind {
+	case faultResetLinks:
+		f.eachLink(fault, (*Link).Reset)
+		return nil, nil
+	case faultRefuseConnections:
+		return f.refuseConnections(fault), nil
+	case faultBlockFeed:
+		return f.blockFeeds(fault), nil
+	case faultReplaceEngines, faultLoseEngines:
+		return f.replaceEngines(fault), nil
+	case faultSlowEngines:
+		return f.slowEngines(fault, fault.Amount, false), nil
+	case faultFailingEngines:
+		return f.slowEngines(fault, fault.Amount, true), nil
+	}
+	return f.injectRouterFault(ctx, fault)
+}
+
+// injectRouterFault begins a fault of the processes of routers. One of another kind, such as a surge of traffic, is played elsewhere.
+func (f *fleet) injectRouterFault(ctx context.Context, fault Fault) (repair func() error, err error) {
+	restart := func() error {
+		return f.eachRouter(fault, func(r *router) error { return r.start(ctx) })
+	}
+	switch fault.Kind {
+	case faultKillRouters:
+		return restart, f.eachRouter(fault, (*router).kill)
+	case faultTerminateRouters:
+		return restart, f.eachRouter(fault, (*router).terminate)
+	case faultReloadRouters:
+		return nil, f.eachRouter(fault, func(r *router) error { return r.signal(syscall.SIGHUP) })
+	case faultStopRouters:
+		resume := func() error { return f.eachRouter(fault, (*router).resume) }
+		return resume, f.eachRouter(fault, (*router).stop)
+	}
+	return nil, nil
+}
+
+// linkImpairments are what a fault does to the two directions of links.
+type linkImpairments struct{ forward, reverse Impairment }
+
+// engineLinkFaults are the faults of links from routers to engines.
+var engineLinkFaults = map[FaultKind]func(Fault) linkImpairments{
+	"cut":       blockBothWays,
+	"cut-there": blockForward,
+	"cut-back":  blockReverse,
+	"delay":     delayReverse,
+	"slow":      func(Fault) linkImpairments { return linkImpairments{reverse: Impairment{Throttled: true}} },
+}
+
+func blockBothWays(Fault) linkImpairments {
+	return linkImpairments{forward: Impairment{Blocked: true}, reverse: Impairment{Blocked: true}}
+}
+
+func blockForward(Fault) linkImpairments {
+	return linkImpairments{forward: Impairment{Blocked: true}}
+}
+
+func blockReverse(Fault) linkImpairments {
+	return linkImpairments{reverse: Impairment{Blocked: true}}
+}
+
+func delayReverse(fault Fault) linkImpairments {
+	return linkImpairments{reverse: Impairment{Delay: seconds(fault.Amount)}}
+}
+
+// eachRouter calls a function for the routers of a fault at the same time, and returns the first error.
+func (f *fleet) eachRouter(fault Fault, do func(*router) error) error {
+	var group errgroup.Group
+	for _, i := range fault.Routers {
+		group.Go(func() error { return do(f.routers[i]) })
+	}
+	return group.Wait()
+}
+
+// eachLink calls a function for the links from the routers of a fault to its engines.
+func (f *fleet) eachLink(fault Fault, do func(*Link)) {
+	for _, i := range fault.Routers {
+		for _, e := range f.enginesAt(fault.Engines) {
+			if link := f.routers[i].linkTo(e.id); link != nil {
+				do(link)
+			}
+		}
+	}
+}
+
+func (f *fleet) impairLinks(fault Fault, impaired linkImpairments) (repair func() error) {
+	f.eachLink(fault, func(l *Link) { l.Impair(impaired.forward, impaired.reverse) })
+	return func() error {
+		f.eachLink(fault, (*Link).Restore)
+		return nil
+	}
+}
+
+// refuseConnections has engines refuse connections of all routers.
+func (f *fleet) refuseConnections(fault Fault) (repair func() error) {
+	links := Fault{Routers: f.allRouters(), Engines: fault.Engines}
+	f.eachLink(links, func(l *Link) { l.RefuseConnections(true) })
+	return func() error {
+		f.eachLink(links, func(l *Link) { l.RefuseConnections(false) })
+		return nil
+	}
+}
+
+func (f *fleet) blockFeeds(fault Fault) (repair func() error) {
+	for _, i := range fault.Routers {
+		f.routers[i].feedLink.Impair(Impairment{Blocked: true}, Impairment{Blocked: true})
+	}
+	return func() error {
+		for _, i := range fault.Routers {
+			f.routers[i].feedLink.Restore()
+		}
+		return nil
+	}
+}
+
+// slowEngines has engines take some times as long, and fail all statements if told so.
+func (f *fleet) slowEngines(fault Fault, factor float64, failing bool) (repair func() error) {
+	for _, e := range f.enginesAt(fault.Engines) {
+		e.model.Slow(factor, failing)
+	}
+	return func() error {
+		for _, e := range f.enginesAt(fault.Engines) {
+			e.model.Slow(1, false)
+		}
+		return nil
+	}
+}
--- /dev/null
+++ b/internal/faultlab/fleet.go
@@ -0,0 +1,138 @@
+package faultlab
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"bankledge/internal/configversion"
+	"bankledge/internal/fakes"
+	"bankledge/internal/faultinject"
+)
+
+// fleet is what one play runs: the processes, the links between them, and the history that they leave.
+type fleet struct {
+	schedule    *Schedule
+	options     Options
+	dir         string
+	began       time.Time
+	hostLibrary string // gives routers a host whose faults can be chosen; empty: the schedule has no such faults
+	routers     []*router
+	members     []*member // of the control group
+	sources     sync.Map  // from the address of a connection as an engine sees it to the index of the router
+	clients     sync.WaitGroup
+
+	mu            sync.Mutex
+	events        []Event
+	engines       []*engine // by place; an engine that replaces another one gets its place
+	enginesMade   int
+	knownVersions map[uint64]*configversion.Version // written by the control group, by number
+}
+
+func newFleet(s *Schedule, o Options, dir string) *fleet {
+	return &fleet{
+		schedule:      s,
+		options:       o,
+		dir:           dir,
+		began:         time.Now(),
+		knownVersions: map[uint64]*configversion.Version{},
+	}
+}
+
+// record adds an event to the history, at the present time unless it says another.
+func (f *fleet) record(e Event) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if e.At == 0 {
+		e.At = time.Since(f.began)
+	}
+	f.events = append(f.events, e)
+}
+
+// start starts engines, control feeds, control group and routers, and waits until all routers are ready. The history begins then.
+func (f *fleet) start(ctx context.Context) error {
+	f.began = time.Now()
+	if f.schedule.needsHosts() {
+		library, err := faultinject.Build(f.dir)
+		if err != nil {
+			return err
+		}
+		f.hostLibrary = library
+	}
+	for place := range f.schedule.Engines {
+		f.engines = append(f.engines, f.newEngine(place, fakes.SlowStart{}))
+	}
+	if err := f.startGroup(ctx); err != nil {
+		return err
+	}
+	if err := f.startRouters(ctx); err != nil {
+		return err
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.began = time.Now()
+	f.events = nil
+	return nil
+}
+
+func (f *fleet) startRouters(ctx context.Context) error {
+	var group errgroup.Group
+	for i := range f.schedule.Routers {
+		r, err := f.newRouter(i)
+		if err != nil {
+			return err
+		}
+		f.routers = append(f.routers, r)
+		group.Go(func() error { return r.start(ctx) })
+	}
+	return group.Wait()
+}
+
+func (f *fleet) close() {
+	for _, r := range f.routers {
+		r.close()
+	}
+	for _, e := range f.engines {
+		e.model.Close()
+	}
+	for _, m := range f.members {
+		m.close()
+	}
+}
+
+// waitUntil waits until a time of the schedule, in seconds from the start of the traffic, or until the context is done.
+func (f *fleet) waitUntil(ctx context.Context, at float64) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(time.Until(f.began.Add(seconds(at)))):
+		return nil
+	}
+}
+
+// enginesAt returns the engines that now have these places.
+func (f *fleet) enginesAt(places []int) (engines []*engine) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, place := range places {
+		engines = append(engines, f.engines[place])
+	}
+	return engines
+}
+
+// allRouters returns the indexes of all routers.
+func (f *fleet) allRouters() (indexes []int) {
+	for i := range f.schedule.Routers {
+		indexes = append(indexes, i)
+	}
+	return indexes
+}
+
+// publish has the control feeds of all routers publish the state of engines.
+func (f *fleet) publish(engines []*engine, state string) {
+	for _, r := range f.routers {
+		r.publish(engines, state)
+	}
+}
--- /dev/null
+++ b/internal/faultlab/generate_soak.go
@@ -0,0 +1,100 @@
+package faultlab
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Bounds of a drawn soak.
+const (
+	minSoakRouters       = 10
+	maxSoakRouters       = 24
+	minSoakFaults        = 6
+	maxSoakFaults        = 14
+	maxSoakWork          = 6.0 // times the usual: long attempts are in flight when faults come
+	maxSoakPatience      = 3.0 // times the usual: what is lost is retried while its client still waits
+	maxSoakFaultShare    = 0.3 // of the length, the longest fault
+	soakQuietShare       = 0.2 // of the length, at its end: no fault begins there
+	soakClockSteps       = 6   // of a wall clock that steps there and back while links are blocked
+	maxClockStepInterval = 0.3 // seconds
+)
+
+// soakSilences are the faults that leave routers without a word from engines: what counts as over then rests on durations.
+var soakSilences = []FaultKind{"cut", "cut-back", "cut-there"}
+
+// soakFaults are the kinds of faults of a soak; one that stands twice comes twice as often.
+var soakFaults = []FaultKind{faultStepClock, faultStepClock, faultStepClock, faultFailAccept, faultFailConnect, faultFailSocket, faultReloadRouters,
+	"cut", "cut-there", "cut-back", "delay", faultResetLinks, faultRefuseConnections, faultBlockFeed, faultKillRouters, faultStopRouters,
+	faultStopRouters, faultTerminateRouters, faultReplaceEngines, faultLoseEngines, faultSlowEngines, faultFailingEngines, faultSurge}
+
+// GenerateSoakSchedule draws a schedule from a seed whose faults overlap in time: 10 to 24 routers, six to fourteen faults of all kinds,
+// clients that cancel, clocks that step by seconds or an hour either way, also before routers start again. length is in seconds.
+func GenerateSoakSchedule(seed uint64, length float64) *Schedule {
+	g := newGenerator(seed, soakStream)
+	s := &Schedule{Name: fmt.Sprintf("soak seed %d", seed), Seed: seed, Engines: 8, Seconds: length}
+	s.Routers = minSoakRouters + g.random.IntN(maxSoakRouters-minSoakRouters+1)
+	s.Retries = g.random.IntN(3)
+	s.Load = g.between(0.3, 0.6)
+	s.BusiestFactor = g.between(1, 4)
+	s.CancelShare = g.between(0, 0.2)
+	s.WorkFactor = g.between(1, maxSoakWork)
+	s.PatienceFactor = g.between(1, maxSoakPatience)
+	for range minSoakFaults + g.random.IntN(maxSoakFaults-minSoakFaults+1) {
+		f := g.soakFault(s)
+		s.Faults = append(s.Faults, f)
+		if slices.Contains(soakSilences, f.Kind) {
+			s.Faults = append(s.Faults, g.clockSteps(f, length)...)
+		}
+	}
+	s.sortFaults()
+	return s
+}
+
+func (g generator) soakFault(s *Schedule) Fault {
+	f := Fault{Kind: g.kind(soakFaults)}
+	f.At = g.between(0, 1-soakQuietShare) * s.Seconds
+	spec := faultKinds[f.Kind]
+	if spec.lasting || f.Kind == faultStepClock && g.random.IntN(2) == 0 {
+		f.For = g.between(0.03, maxSoakFaultShare) * s.Seconds
+	}
+	if spec.routers {
+		f.Routers = g.indexes(s.Routers, 1+g.random.IntN(s.Routers/2))
+	}
+	if spec.engines {
+		f.Engines = g.indexes(s.Engines, 1+g.random.IntN(s.Engines/2))
+	}
+	return g.limitSoakFault(f)
+}
+
+// limitSoakFault draws the amount of a fault, and leaves it no more engines than the fleet can spare.
+func (g generator) limitSoakFault(f Fault) Fault {
+	switch f.Kind {
+	case faultStepClock:
+		f.Amount = []float64{-3600, -400, -20, -3, 3, 20, 400, 3600}[g.random.IntN(8)]
+	case faultFailAccept, faultFailConnect, faultFailSocket:
+		f.Amount = float64(2 + g.random.IntN(10))
+	case "delay":
+		f.Amount = g.between(0.05, 2)
+	case faultSlowEngines:
+		f.Amount = g.between(1.5, 6)
+	case faultSurge:
+		f.Amount = g.between(1.2, 2)
+	case faultReplaceEngines, faultLoseEngines:
+		f.Engines = f.Engines[:min(2, len(f.Engines))]
+	case faultFailingEngines:
+		f.Engines = f.Engines[:1]
+	}
+	return f
+}
+
+// clockSteps draws steps of the wall clocks of the routers of another fault, there and back, while it lasts.
+func (g generator) clockSteps(during Fault, length float64) (steps []Fault) {
+	amount := []float64{3, 20, 400, 3600}[g.random.IntN(4)]
+	at := during.At
+	for len(steps) < soakClockSteps {
+		at = min(at+g.between(0.05, maxClockStepInterval), length)
+		steps = append(steps, Fault{Kind: faultStepClock, At: at, Routers: during.Routers, Amount: amount})
+		amount = -amount
+	}
+	return steps
+}
--- a/internal/faultlab/history.go
+++ b/internal/faultlab/history.go
@@ -9,52 +9,67 @@
 	"bankledge/internal/configversion"
 )
 
-// Event is one line of a history: what happened where, by one clock, from the start of the traffic.
+// noRouter is the Router of an event that belongs to none, or whose router is not known.
+const noRouter = -1
+
+// Event is one line of a history: what happened where. All times are of one clock, from the start of the traffic.
 type Event struct {
 	At        time.Duration `json:"at"`
 	Kind      EventKind     `json:"what"`
-	Statement string        `json:"statement,omitempty"`
+	Statement string        `json:"statement,omitempty"` // its id; of a version: the id of its proposal
 	Workload  string        `json:"workload,omitempty"`
-	Router    int           `json:"router"`           // -1: none
-	Engine    string        `json:"engine,omitempty"` // its id
-	Code      byte          `json:"code,omitempty"`   // of an answer, as on the wire
-	Work      float64       `json:"work,omitempty"`   // seconds on one thread, of a statement
-	ColdLoad  float64       `json:"of,omitempty"`     // of a start: work sent in the rule's window over what a cold engine bears
-	Budget    time.Duration `json:"budget,omitempty"` // of a sent statement: how long its client waits
-	Retry     int           `json:"try,omitempty"`    // of a sent statement: how many came before it, as rejected ones
-	Text      string        `json:"text,omitempty"`
-	Version   uint64        `json:"version,omitempty"` // of an act: the newer one that is known and not in force
-	Activated uint64        `json:"settled,omitempty"` // of an act: the one in force
-	Leased    bool          `json:"term,omitempty"`    // of an act: a term runs
+	Router    int           `json:"router"` // index, or noRouter
+	Engine    string        `json:"engine,omitempty"`
+	Code      byte          `json:"code,omitempty"`    // of an answer, as on the wire
+	Work      float64       `json:"work,omitempty"`    // of a statement or an attempt: seconds on one thread
+	ColdLoad  float64       `json:"of,omitempty"`      // of an attempt: work sent in the window over what a cold engine bears
+	Budget    time.Duration `json:"budget,omitempty"`  // of a sent statement: how long its client waits
+	Retry     int           `json:"try,omitempty"`     // of a sent statement: how many times it was rejected before
+	Text      string        `json:"text,omitempty"`    // see the kind
+	Version   uint64        `json:"version,omitempty"` // of rules applied: the pending version; of a proposal: its number
+	Activated uint64        `json:"settled,omitempty"` // of rules applied: the activated version
+	Leased    bool          `json:"term,omitempty"`    // of rules applied: the router holds a lease
 }
 
-// What is a kind of event.
+// EventKind is a kind of event. Its value is stored in histories.
 type EventKind string
 
-// Kinds of events. Sent counts from when the statement was due, also where the lab was late with it.
+// Kinds of events of clients. A statement counts as sent from when it was due, also where the lab was late with it.
+const (
+	StatementSent        EventKind = "sent"
+	StatementAnswered    EventKind = "answered"
+	DuplicateAnswer      EventKind = "again"  // a second answer of one statement
+	ClientConnectionLost EventKind = "broken" // before the answer came; Text is the error
+	ClientLeft           EventKind = "left"   // the client has cancelled
+)
+
+// Kinds of events of engines.
+const (
+	AttemptStarted   EventKind = "started"
+	AttemptEnded     EventKind = "ended"   // its work was done
+	AttemptCancelled EventKind = "called"  // by a router
+	AttemptDropped   EventKind = "dropped" // by the engine, since nobody polled
+	HealthChecked    EventKind = "probed"
+	EngineCollapsed  EventKind = "fell" // a cold engine was sent more than it bears
+	EngineGone       EventKind = "gone" // with all that ran there
+	EngineConnected  EventKind = "dialled"
+)
+
+// Kinds of events of routers.
+const (
+	InvariantViolated EventKind = "violated" // Text is the line of the router's log
+	EndpointNotified  EventKind = "told"     // the control feed's event has come to the router; Text is the engine's new state
+	RouterDown        EventKind = "down"     // Text says how
+	RouterUp          EventKind = "up"       // it serves again; Text says whether it was stopped
+	RulesApplied      EventKind = "acts"     // the router acts on other rules from here on
+)
+
+// Kinds of events of faults and of the control group.
 const (
-	StatementSent        EventKind = "sent"     // a client has sent a statement
-	StatementAnswered    EventKind = "answered" // and has its answer
-	DuplicateAnswer      EventKind = "again"    // a second answer came
-	ClientConnectionLost EventKind = "broken"   // its connection ended first
-	ClientLeft           EventKind = "left"     // the client waits no more
-	InvariantViolated    EventKind = "violated" // a router's own checks have found something: text is its log's line
-	AttemptStarted       EventKind = "started"  // an execution at an engine
-	AttemptEnded         EventKind = "ended"    // it had its work done
-	AttemptCancelled     EventKind = "called"   // it was called off
-	AttemptDropped       EventKind = "dropped"  // the engine dropped it, since nobody asked
-	HealthChecked        EventKind = "probed"   // a probe came to an engine
-	EngineCollapsed      EventKind = "fell"     // a cold engine was pushed over
-	EngineGone           EventKind = "gone"     // an engine has ended, with all that ran there
-	EndpointNotified     EventKind = "told"     // the control feed's news has come to a router: text is the engine's new state
-	EngineConnected      EventKind = "dialled"  // a connection from a router to an engine
-	FaultStarted         EventKind = "befell"   // a fault begins: text is its kind
-	FaultEnded           EventKind = "mended"   // and ends
-	RouterDown           EventKind = "down"     // a router's process is stopped, told to end, or gone
-	RouterUp             EventKind = "up"       // it serves again
-	RulesApplied         EventKind = "acts"     // a router acts on other rules from here on
-	VersionProposed      EventKind = "wanted"   // a version was proposed, which got its number later
-	VersionAcknowledged  EventKind = "written"  // and the number was told
+	FaultStarted        EventKind = "befell"  // Text is the kind of fault
+	FaultEnded          EventKind = "mended"  // likewise
+	VersionProposed     EventKind = "wanted"  // a proposal was sent that got this number
+	VersionAcknowledged EventKind = "written" // the number came back
 )
 
 // History is what one play of a schedule left.
@@ -64,53 +79,26 @@
 	Versions []*configversion.Version
 }
 
-// Sort orders the events by time.
+// Sort orders the events by time; those of the same time stay in order.
 func (h *History) Sort() {
 	slices.SortStableFunc(h.Events, func(a, b Event) int { return int(a.At - b.At) })
 }
 
-// Write writes the history as JSON, an event a line.
+// Write writes the events as JSON, one a line.
 func (h *History) Write(path string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	out := json.NewEncoder(f)
+	encoder := json.NewEncoder(f)
 	for _, e := range h.Events {
-		if err = out.Encode(e); err != nil {
+		err = encoder.Encode(e)
+		if err != nil {
 			break
 		}
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
-
-// workload is what the lab's fleet runs: as standin.Settings has it.
-type workload struct {
-	name       string
-	share      float64 // of the statements
-	mean       float64 // seconds on one thread
-	threads    int
-	importance float64
-	slo        time.Duration
-	budget     time.Duration // the client waits
-	once       bool          // it must not run twice
-}
-
-// Spans are scaled down from those of a real fleet so that a play takes seconds.
-var workloads = []workload{
-	{"lookup", 0.80, 0.02, 1, 1, 800 * time.Millisecond, 2 * time.Second, false},
-	{"report", 0.15, 0.25, 2, 7.5, 1600 * time.Millisecond, 4 * time.Second, false},
-	{"price-load", 0.05, 0.3, 2, 10, 2 * time.Second, 5 * time.Second, true},
-}
-
-func workloadOf(name string) *workload {
-	for i := range workloads {
-		if workloads[i].name == name {
-			return &workloads[i]
-		}
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/faultlab/host_faults.go
@@ -0,0 +1,65 @@
+package faultlab
+
+import (
+	"math/rand/v2"
+	"syscall"
+
+	"bankledge/internal/faultinject"
+)
+
+// hostFault is a fault that needs the preloaded library.
+type hostFault struct {
+	call   faultinject.Call
+	errors []syscall.Errno // one of which the call fails with; none: the fault is a step of the wall clock
+}
+
+var hostFaults = map[FaultKind]hostFault{
+	faultStepClock:   {},
+	faultFailAccept:  {faultinject.Accept, []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS}},
+	faultFailConnect: {faultinject.Connect, []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT}},
+	faultFailSocket:  {faultinject.Socket, []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS}},
+}
+
+// needsHosts reports whether the schedule has faults of routers' hosts.
+func (s *Schedule) needsHosts() bool {
+	for _, f := range s.Faults {
+		if _, ok := hostFaults[f.Kind]; ok {
+			return true
+		}
+	}
+	return false
+}
+
+// injectHostFault begins a fault of routers' hosts. repair ends it; nil: it lasts.
+func (f *fleet) injectHostFault(fault Fault) (repair func() error) {
+	if len(hostFaults[fault.Kind].errors) > 0 {
+		return f.failCalls(fault)
+	}
+	step := seconds(fault.Amount)
+	f.eachHost(fault, func(h *faultinject.Host) { h.StepWallClock(step) })
+	if fault.For == 0 {
+		return nil
+	}
+	return func() error {
+		f.eachHost(fault, func(h *faultinject.Host) { h.StepWallClock(-step) })
+		return nil
+	}
+}
+
+// failCalls has one in so many calls fail, with an error that is drawn for each host.
+func (f *fleet) failCalls(fault Fault) (repair func() error) {
+	kind := hostFaults[fault.Kind]
+	f.eachHost(fault, func(h *faultinject.Host) {
+		h.Fail(kind.call, kind.errors[rand.IntN(len(kind.errors))], uint32(fault.Amount))
+	})
+	return func() error {
+		f.eachHost(fault, func(h *faultinject.Host) { h.Fail(kind.call, 0, 0) })
+		return nil
+	}
+}
+
+func (f *fleet) eachHost(fault Fault, do func(*faultinject.Host)) {
+	for _, i := range fault.Routers {
+		do(f.routers[i].host)
+	}
+}
--- a/internal/faultlab/link.go
+++ b/internal/faultlab/link.go
@@ -1,55 +1,57 @@
 package faultlab
 
 import (
-	"errors"
 	"net"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 )
 
-// Way is what befalls one direction of a link.
+// Impairment is what happens to one direction of a link. The zero value passes everything at once.
 type Impairment struct {
-	Blocked   bool          // nothing passes; what was on its way comes when the link is whole again, as with a retransmission
-	Delay     time.Duration // of every piece
-	Throttled bool          // a byte a tick
+	Blocked   bool          // nothing passes; what was in flight passes when the link is restored, as with a retransmission
+	Delay     time.Duration // of every chunk
+	Throttled bool          // a byte each throttleInterval
 }
 
 const (
-	slowTick  = 20 * time.Millisecond
-	piece     = 16 << 10
-	pieces    = 64 // on their way in one direction of a connection
-	dialLimit = time.Second
+	throttleInterval = 20 * time.Millisecond
+	targetDialLimit  = time.Second
 )
 
-// Link is a relay of TCP connections from an address of its own to a target. Whatever fails between two processes fails here.
+// Link is a relay of TCP connections from an address of its own to a target. Faults between two processes are injected here.
 type Link struct {
-	OnDelivered func(back []byte)   // hears what has passed from the target to who connected; nil: nobody does
-	OnConnect   func(source string) // hears the address from which the target sees a connection, before anything passes; nil: nobody does
+	OnDelivered func(reverse []byte) // called with what has passed from the target to who connected; nil: nobody listens
+	OnConnect   func(source string)  // called with the address from which the target sees a connection, before anything passes; nil: nobody listens
 
-	mu       sync.Mutex
-	address  string
-	listener net.Listener
-	target   string
-	there    Impairment // from who connected to the target
-	back     Impairment
-	changed  chan struct{} // closed at a change of the ways
-	conns    map[net.Conn]net.Conn
-	dialled  int
-	closed   bool
-	held     atomic.Int64
+	inFlight atomic.Int64 // chunks
 	resets   atomic.Int64
+
+	mu          sync.Mutex
+	address     string
+	listener    net.Listener // nil: connections are refused
+	target      string
+	forward     Impairment // from who connected to the target
+	reverse     Impairment
+	changed     chan struct{} // closed when an impairment changes, or the link is closed
+	connections map[net.Conn]net.Conn
+	dialled     int
+	closed      bool
 }
 
-// NewLink starts one to a target. Close ends it.
+// NewLink starts a link to a target. Close ends it.
 func NewLink(target string) (*Link, error) {
-	l := &Link{target: target, changed: make(chan struct{}), conns: map[net.Conn]net.Conn{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l.address, l.listener = listener.Addr().String(), listener
+	l := &Link{
+		target:      target,
+		address:     listener.Addr().String(),
+		listener:    listener,
+		changed:     make(chan struct{}),
+		connections: map[net.Conn]net.Conn{},
+	}
 	go l.accept(listener)
 	return l, nil
 }
@@ -57,71 +59,88 @@
 // Address is where the link listens.
 func (l *Link) Address() string { return l.address }
 
-// Dialled is how many connections were made through the link.
+// Connections is how many connections were made through the link.
 func (l *Link) Connections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dialled
 }
 
-// Held is how many pieces have been read and neither passed nor dropped.
-func (l *Link) InFlight() int { return int(l.held.Load()) }
+// InFlight is how many chunks have been read and neither passed nor dropped.
+func (l *Link) InFlight() int { return int(l.inFlight.Load()) }
 
 // Resets is how often a sender has reset a connection.
 func (l *Link) Resets() int { return int(l.resets.Load()) }
 
-// Set has both directions behave so from now on.
-func (l *Link) Impair(there, back Impairment) {
+// Impair sets what happens to the two directions from now on: forward is from who connects to the target.
+func (l *Link) Impair(forward, reverse Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.there, l.back = there, back
+	l.forward = forward
+	l.reverse = reverse
+	l.notifyChange()
+}
+
+// Restore ends all impairments.
+func (l *Link) Restore() { l.Impair(Impairment{}, Impairment{}) }
+
+// notifyChange wakes what waits to pass. The lock is held.
+func (l *Link) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Target names another target for connections to come.
+// SetTarget names another target for connections to come.
 func (l *Link) SetTarget(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = address
 }
 
-// Reset breaks all connections with a reset.
+// Reset breaks all connections with a TCP reset.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reset()
+	l.resetConnections()
 }
 
-func (l *Link) reset() {
-	for from, to := range l.conns {
-		for _, c := range []net.Conn{from, to} {
-			if t, ok := c.(*net.TCPConn); ok {
-				t.SetLinger(0)
-				t.Close()
-			}
-		}
+// resetConnections is Reset with the lock held.
+func (l *Link) resetConnections() {
+	for from, to := range l.connections {
+		resetConnection(from)
+		resetConnection(to)
+	}
+}
+
+// resetConnection closes a connection with a TCP reset.
+func resetConnection(c net.Conn) {
+	if t, ok := c.(*net.TCPConn); ok {
+		t.SetLinger(0)
+		t.Close()
 	}
 }
 
-// Refuse has new connections refused, or taken again at the same address; those that stand go on.
-func (l *Link) RefuseConnections(on bool) error {
+// RefuseConnections has new connections refused, or accepted again at the same address; connections that stand go on. The
+// error is that of listening again.
+func (l *Link) RefuseConnections(refuse bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || on == (l.listener == nil) {
+	refusing := l.listener == nil
+	if l.closed || refuse == refusing {
 		return nil
 	}
-	if on {
+	if refuse {
 		l.listener.Close()
 		l.listener = nil
 		return nil
 	}
 	listener, err := net.Listen("tcp", l.address)
-	if err == nil {
-		l.listener = listener
-		go l.accept(listener)
+	if err != nil {
+		return err
 	}
-	return err
+	l.listener = listener
+	go l.accept(listener)
+	return nil
 }
 
 // Close ends the link and its connections.
@@ -132,9 +151,8 @@
 	if l.listener != nil {
 		l.listener.Close()
 	}
-	l.reset()
-	close(l.changed)
-	l.changed = make(chan struct{})
+	l.resetConnections()
+	l.notifyChange()
 }
 
 func (l *Link) accept(listener net.Listener) {
@@ -147,14 +165,14 @@
 	}
 }
 
-// relay joins a connection to the target's, until both directions have ended.
+// relay joins a connection to one to the target, until both directions have ended.
 func (l *Link) relay(from net.Conn) {
 	defer from.Close()
 	l.mu.Lock()
 	target := l.target
 	l.dialled++
 	l.mu.Unlock()
-	to, err := net.DialTimeout("tcp", target, dialLimit)
+	to, err := net.DialTimeout("tcp", target, targetDialLimit)
 	if err != nil {
 		return
 	}
@@ -163,116 +181,18 @@
 		l.OnConnect(to.LocalAddr().String())
 	}
 	l.mu.Lock()
-	l.conns[from] = to
+	l.connections[from] = to
 	if l.closed {
-		l.reset()
+		l.resetConnections()
 	}
 	l.mu.Unlock()
+	forward := &direction{link: l, from: from, to: to, impairment: &l.forward}
+	reverse := &direction{link: l, from: to, to: from, impairment: &l.reverse, onDelivered: l.OnDelivered}
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(from, to, func() Impairment { return l.there }, nil) })
-	both.Go(func() { l.pass(to, from, func() Impairment { return l.back }, l.OnDelivered) })
+	both.Go(forward.run)
+	both.Go(reverse.run)
 	both.Wait()
 	l.mu.Lock()
-	delete(l.conns, from)
+	delete(l.connections, from)
 	l.mu.Unlock()
 }
-
-type onItsWay struct {
-	bytes []byte
-	read  time.Time
-}
-
-// pass carries one direction; way is called with the lock held.
-func (l *Link) pass(from, to net.Conn, way func() Impairment, heard func([]byte)) {
-	queue, gone := make(chan onItsWay, pieces), make(chan struct{})
-	var broken atomic.Bool // the sender has reset the connection: what it sent and has not passed never will
-	go func() {
-		defer close(queue)
-		for {
-			b := make([]byte, piece)
-			n, err := from.Read(b)
-			if n > 0 {
-				l.held.Add(1)
-				select {
-				case queue <- onItsWay{b[:n], time.Now()}:
-				case <-gone:
-					l.held.Add(-1)
-					return
-				}
-			}
-			if errors.Is(err, syscall.ECONNRESET) {
-				broken.Store(true)
-				l.resets.Add(1)
-			}
-			if err != nil {
-				return
-			}
-		}
-	}()
-	defer func() { // what has not passed never will
-		close(gone)
-		for range queue {
-			l.held.Add(-1)
-		}
-	}()
-	for p := range queue {
-		passed := l.await(p.read, way) && !broken.Load() && l.write(from, to, p.bytes, way, heard)
-		l.held.Add(-1)
-		if broken.Load() {
-			to.(*net.TCPConn).SetLinger(0)
-			to.Close()
-			return
-		}
-		if !passed {
-			break
-		}
-	}
-	if t, ok := to.(*net.TCPConn); ok {
-		t.CloseWrite()
-	}
-}
-
-// write passes a piece on, whole or a byte a tick. false: nothing more passes.
-func (l *Link) write(from, to net.Conn, piece []byte, way func() Impairment, heard func([]byte)) bool {
-	for step := len(piece); len(piece) > 0; piece = piece[step:] {
-		l.mu.Lock()
-		if step = len(piece); way().Throttled {
-			step = 1
-		}
-		l.mu.Unlock()
-		if step == 1 && len(piece) > 1 {
-			time.Sleep(slowTick)
-		}
-		if _, err := to.Write(piece[:step]); err != nil {
-			from.Close()
-			return false
-		}
-		if heard != nil {
-			heard(piece[:step])
-		}
-	}
-	return true
-}
-
-// await waits until a piece may pass; false: the link is closed.
-func (l *Link) await(read time.Time, way func() Impairment) bool {
-	for {
-		l.mu.Lock()
-		w, changed, closed := way(), l.changed, l.closed
-		l.mu.Unlock()
-		due := time.Until(read.Add(w.Delay))
-		switch {
-		case closed:
-			return false
-		case !w.Blocked && due <= 0:
-			return true
-		case w.Blocked:
-			<-changed
-		default:
-			select {
-			case <-changed:
-			case <-time.After(due):
-			}
-		}
-	}
-}
--- a/internal/faultlab/link_test.go
+++ b/internal/faultlab/link_test.go
@@ -80,7 +80,7 @@
 	say("four")
 	_, err = hear(4, patience)
 	assert.NoError(t, err)
-	assert.GreaterOrEqual(t, time.Since(began), 3*slowTick)
+	assert.GreaterOrEqual(t, time.Since(began), 3*throttleInterval)
 	l.Impair(Impairment{}, Impairment{})
 
 	require.NoError(t, l.RefuseConnections(true))
--- /dev/null
+++ b/internal/faultlab/process.go
@@ -0,0 +1,127 @@
+package faultlab
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"time"
+
+	"bankledge/internal/logevent"
+)
+
+// startTimeout is how long a process may take until it serves.
+const startTimeout = 15 * time.Second
+
+// Reasons why a process was not started. A StartError wraps them.
+var (
+	errExited     = errors.New("exited before it served")
+	errNotServing = fmt.Errorf("does not serve within %v", startTimeout)
+)
+
+// StartError says which process could not be started, and where its log is.
+type StartError struct {
+	Process string
+	LogFile string
+	Err     error
+}
+
+// Error names the process, the cause and the log file.
+func (e *StartError) Error() string {
+	return fmt.Sprintf("%s: %v: see %s", e.Process, e.Err, e.LogFile)
+}
+
+// Unwrap returns the cause.
+func (e *StartError) Unwrap() error { return e.Err }
+
+// process is one run of a program under test. Its standard error is its log.
+type process struct {
+	name    string
+	logFile string
+	cmd     *exec.Cmd
+	serving chan string   // receives the listen address that the log tells, once
+	ended   chan struct{} // closed when the process has ended and its log is written
+}
+
+// startProcess starts a command and copies its log to a file. onLine is called with each line of the log, before the
+// process counts as serving by it; the line is valid during the call only.
+func startProcess(name string, cmd *exec.Cmd, logFile string, onLine func([]byte)) (*process, error) {
+	log, err := os.Create(logFile)
+	if err != nil {
+		return nil, err
+	}
+	pipe, err := cmd.StderrPipe()
+	if err != nil {
+		log.Close()
+		return nil, err
+	}
+	if err := cmd.Start(); err != nil {
+		log.Close()
+		return nil, err
+	}
+	p := &process{
+		name:    name,
+		logFile: logFile,
+		cmd:     cmd,
+		serving: make(chan string, 1),
+		ended:   make(chan struct{}),
+	}
+	go func() {
+		defer close(p.ended)
+		defer log.Close()
+		lines := bufio.NewScanner(pipe)
+		for lines.Scan() {
+			log.Write(append(lines.Bytes(), '\n'))
+			onLine(lines.Bytes())
+			p.detectServing(lines.Bytes())
+		}
+		cmd.Wait()
+	}()
+	return p, nil
+}
+
+// detectServing passes on the listen address of the first line that says that the process serves.
+func (p *process) detectServing(line []byte) {
+	var event struct{ Msg, Listen string }
+	if json.Unmarshal(line, &event) != nil || event.Msg != logevent.Serving {
+		return
+	}
+	select {
+	case p.serving <- event.Listen:
+	default: // only the first counts
+	}
+}
+
+// awaitServing waits until the process serves, and returns the address that its log tells; empty: it tells none.
+// The error is a *StartError, or that of the context.
+func (p *process) awaitServing(ctx context.Context) (string, error) {
+	select {
+	case address := <-p.serving:
+		return address, nil
+	case <-p.ended:
+		return "", &StartError{Process: p.name, LogFile: p.logFile, Err: errExited}
+	case <-time.After(startTimeout):
+		return "", &StartError{Process: p.name, LogFile: p.logFile, Err: errNotServing}
+	case <-ctx.Done():
+		return "", ctx.Err()
+	}
+}
+
+// signal sends a signal. A process that has ended already is no error.
+func (p *process) signal(s os.Signal) error {
+	err := p.cmd.Process.Signal(s)
+	if errors.Is(err, os.ErrProcessDone) {
+		return nil
+	}
+	return err
+}
+
+// kill kills the process and waits until it has ended.
+func (p *process) kill() error {
+	err := p.signal(os.Kill)
+	<-p.ended
+	return err
+}
--- a/internal/faultlab/report.go
+++ b/internal/faultlab/report.go
@@ -2,60 +2,68 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"time"
 
 	"github.com/parquet-go/parquet-go"
 	"gonum.org/v1/gonum/stat"
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/vg"
 )
 
 // Outcome is what one play came to.
 type Outcome struct {
-	Label      string      `json:"label"` // the program's
+	Label      string      `json:"label"` // of the router's program
 	Schedule   *Schedule   `json:"schedule"`
 	Metrics    Metrics     `json:"figures"`
 	Violations []Violation `json:"breaches"`
 }
 
-const mostSaid = 3 // breaches of one play in a table
+// maxListed is how many violations of one play a report lists.
+const maxListed = 3
 
-// Markdown is a table of outcomes, a mean for each label, and what was broken.
+// Markdown returns a table of outcomes, with a mean for each label, and a list of violations.
 func Markdown(outcomes []Outcome) string {
 	var b strings.Builder
 	b.WriteString("| schedule | program | faults | statements | in time | rejected | work wasted | probes /engine s | further /engine s | called off | dials | p50 | p99 | back | broken |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	line := func(name, label, faults string, f Metrics, broken int) {
-		fmt.Fprintf(&b, "| %s | %s | %s | %d | %.3f | %.3f | %.3f | %.2f | %.2f | %.3f | %.3f | %v | %v | %v | %d |\n", name, label, faults,
-			f.Statements, f.InTime, f.Rejected, f.Wasted, f.HealthChecks, f.AdditionalAttempts, f.Cancellations, f.Handshakes, f.P50, f.P99, f.RecoveryTime.Round(100*time.Millisecond), broken)
-	}
 	for _, o := range outcomes {
-		var kinds []string
-		for _, f := range o.Schedule.Faults {
-			kinds = append(kinds, f.Kind)
-		}
-		line(o.Schedule.Name, o.Label, strings.Join(kinds, " "), o.Metrics, len(o.Violations))
+		writeMarkdownRow(&b, o.Schedule.Name, o.Label, faultNames(o.Schedule), o.Metrics, len(o.Violations))
 	}
 	for _, label := range labels(outcomes) {
-		mean, broken := meanOf(outcomes, label)
-		line("mean", label, "", mean, broken)
+		mean, violations := meanMetrics(outcomes, label)
+		writeMarkdownRow(&b, "mean", label, "", mean, violations)
 	}
 	for _, o := range outcomes {
-		for i, x := range o.Violations {
-			if i == mostSaid {
-				fmt.Fprintf(&b, "- %s, %s: and %d more\n", o.Schedule.Name, o.Label, len(o.Violations)-i)
-				break
-			}
-			fmt.Fprintf(&b, "- %s, %s, %s, at %v: %s\n", o.Schedule.Name, o.Label, x.Auditor, x.At.Round(time.Millisecond), x.Text)
-		}
+		writeViolations(&b, o)
 	}
 	return b.String()
 }
 
+func writeMarkdownRow(b *strings.Builder, name, label, faults string, m Metrics, violations int) {
+	fmt.Fprintf(b, "| %s | %s | %s | %d | %.3f | %.3f | %.3f | %.2f | %.2f | %.3f | %.3f | %v | %v | %v | %d |\n", name, label, faults,
+		m.Statements, m.InTime, m.Rejected, m.Wasted, m.HealthChecks, m.AdditionalAttempts, m.Cancellations, m.Handshakes, m.P50, m.P99,
+		m.RecoveryTime.Round(100*time.Millisecond), violations)
+}
+
+func writeViolations(b *strings.Builder, o Outcome) {
+	for i, v := range o.Violations {
+		if i == maxListed {
+			fmt.Fprintf(b, "- %s, %s: and %d more\n", o.Schedule.Name, o.Label, len(o.Violations)-i)
+			return
+		}
+		fmt.Fprintf(b, "- %s, %s, %s, at %v: %s\n", o.Schedule.Name, o.Label, v.Auditor, v.At.Round(time.Millisecond), v.Text)
+	}
+}
+
+// faultNames lists the kinds of a schedule's faults.
+func faultNames(s *Schedule) string {
+	var names []string
+	for _, f := range s.Faults {
+		names = append(names, string(f.Kind))
+	}
+	return strings.Join(names, " ")
+}
+
+// labels lists the labels of outcomes, each once, in the order in which they come.
 func labels(outcomes []Outcome) (list []string) {
 	seen := map[string]bool{}
 	for _, o := range outcomes {
@@ -67,27 +75,37 @@
 	return list
 }
 
-func meanOf(outcomes []Outcome, label string) (m Metrics, broken int) {
-	columns := map[string][]float64{}
+// meanMetrics returns the means of a label's metrics, with the sum of its statements and violations.
+func meanMetrics(outcomes []Outcome, label string) (m Metrics, violations int) {
+	var plays []Metrics
 	for _, o := range outcomes {
-		if o.Label != label {
-			continue
+		if o.Label == label {
+			plays = append(plays, o.Metrics)
+			m.Statements += o.Metrics.Statements
+			violations += len(o.Violations)
 		}
-		f := o.Metrics
-		broken += len(o.Violations)
-		m.Statements += f.Statements
-		for name, v := range map[string]float64{"time": f.InTime, "rejected": f.Rejected, "wasted": f.Wasted, "probes": f.HealthChecks, "further": f.AdditionalAttempts,
-			"off": f.Cancellations, "dials": f.Handshakes, "p50": float64(f.P50), "p99": float64(f.P99), "back": float64(f.RecoveryTime)} {
-			columns[name] = append(columns[name], v)
+	}
+	mean := func(value func(Metrics) float64) float64 {
+		var values []float64
+		for _, p := range plays {
+			values = append(values, value(p))
 		}
+		return stat.Mean(values, nil)
 	}
-	mean := func(name string) float64 { return stat.Mean(columns[name], nil) }
-	m.InTime, m.Rejected, m.Wasted, m.HealthChecks, m.AdditionalAttempts, m.Cancellations, m.Handshakes = mean("time"), mean("rejected"), mean("wasted"), mean("probes"), mean("further"), mean("off"), mean("dials")
-	m.P50, m.P99, m.RecoveryTime = time.Duration(mean("p50")), time.Duration(mean("p99")), time.Duration(mean("back"))
-	return m, broken
+	m.InTime = mean(func(p Metrics) float64 { return p.InTime })
+	m.Rejected = mean(func(p Metrics) float64 { return p.Rejected })
+	m.Wasted = mean(func(p Metrics) float64 { return p.Wasted })
+	m.HealthChecks = mean(func(p Metrics) float64 { return p.HealthChecks })
+	m.AdditionalAttempts = mean(func(p Metrics) float64 { return p.AdditionalAttempts })
+	m.Cancellations = mean(func(p Metrics) float64 { return p.Cancellations })
+	m.Handshakes = mean(func(p Metrics) float64 { return p.Handshakes })
+	m.P50 = time.Duration(mean(func(p Metrics) float64 { return float64(p.P50) }))
+	m.P99 = time.Duration(mean(func(p Metrics) float64 { return float64(p.P99) }))
+	m.RecoveryTime = time.Duration(mean(func(p Metrics) float64 { return float64(p.RecoveryTime) }))
+	return m, violations
 }
 
-// Row is an outcome's line in a Parquet file.
+// Row is an outcome's row in a Parquet file.
 type Row struct {
 	Schedule           string  `parquet:"schedule"`
 	Program            string  `parquet:"program"`
@@ -106,50 +124,28 @@
 	Violations         int64   `parquet:"broken"`
 }
 
-// WriteParquet writes a line for each outcome.
+// WriteParquet writes a file with a row for each outcome.
 func WriteParquet(path string, outcomes []Outcome) error {
 	var rows []Row
 	for _, o := range outcomes {
-		var kinds []string
-		for _, f := range o.Schedule.Faults {
-			kinds = append(kinds, f.Kind)
-		}
-		f := o.Metrics
-		rows = append(rows, Row{o.Schedule.Name, o.Label, strings.Join(kinds, " "), f.InTime, f.Rejected, f.Wasted, f.HealthChecks, f.AdditionalAttempts, f.Cancellations,
-			f.Handshakes, f.P50.Milliseconds(), f.P99.Milliseconds(), f.RecoveryTime.Milliseconds(), f.PeakColdLoad, int64(len(o.Violations))})
+		m := o.Metrics
+		rows = append(rows, Row{
+			Schedule:           o.Schedule.Name,
+			Program:            o.Label,
+			Faults:             faultNames(o.Schedule),
+			InTime:             m.InTime,
+			Rejected:           m.Rejected,
+			Wasted:             m.Wasted,
+			HealthChecks:       m.HealthChecks,
+			AdditionalAttempts: m.AdditionalAttempts,
+			Cancellations:      m.Cancellations,
+			Handshakes:         m.Handshakes,
+			P50MS:              m.P50.Milliseconds(),
+			P99MS:              m.P99.Milliseconds(),
+			RecoveryMS:         m.RecoveryTime.Milliseconds(),
+			PeakColdLoad:       m.PeakColdLoad,
+			Violations:         int64(len(o.Violations)),
+		})
 	}
 	return parquet.WriteFile(path, rows)
 }
-
-// Charts draws, for each program, how its plays are spread by importance in time, and by time back to normal.
-func Charts(dir string, outcomes []Outcome) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
-	}
-	for _, c := range []struct {
-		file, title string
-		of          func(Metrics) float64
-	}{{"in-time.png", "importance in time", func(f Metrics) float64 { return f.InTime }}, {"back.png", "seconds back to normal", func(f Metrics) float64 { return f.RecoveryTime.Seconds() }}} {
-		p := plot.New()
-		p.Title.Text, p.Y.Label.Text = c.title, c.title
-		names := labels(outcomes)
-		for i, label := range names {
-			var values plotter.Values
-			for _, o := range outcomes {
-				if o.Label == label {
-					values = append(values, c.of(o.Metrics))
-				}
-			}
-			box, err := plotter.NewBoxPlot(vg.Points(30), float64(i), values)
-			if err != nil {
-				return err
-			}
-			p.Add(box)
-		}
-		p.NominalX(names...)
-		if err := p.Save(12*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, c.file)); err != nil {
-			return err
-		}
-	}
-	return nil
-}
--- a/internal/faultlab/router.go
+++ b/internal/faultlab/router.go
@@ -1,19 +1,13 @@
 package faultlab
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"net/http"
-	"net/http/httptest"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -24,88 +18,98 @@
 	"bankledge/internal/invariant"
 )
 
-// router is a process of the real router, with all links that lead to and from it.
+// unusedAddress is the target of a router's link until its process tells where it listens.
+const unusedAddress = "127.0.0.1:1"
+
+// router is a process of the real router, with all links that lead to it and from it.
 type router struct {
-	f        *field
-	n        int
-	host     *faultinject.Host // nil: the machine's own; it outlives the process, as a host does
-	door     *Link             // from clients
-	feed     *feed
-	feedLink *Link
+	fleet      *fleet
+	index      int
+	host       *faultinject.Host // nil: that of the machine; it outlives the process, as a host does
+	clientLink *Link
+	feed       *controlFeed
+	feedLink   *Link
 
-	mu      sync.Mutex
-	links   map[string]*Link // to engines, by id
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	starts  int
-	clients []*fakes.Client
-	open    map[*fakes.Client]int // statements of each
+	mu          sync.Mutex
+	engineLinks map[string]*Link // by id of the engine
+	process     *process         // nil before the first start
+	starts      int
+	clients     []*fakes.Client
+	inFlight    map[*fakes.Client]int // statements of each connection
 }
 
-func (f *field) newRouter(n int) (*router, error) {
-	r := &router{f: f, n: n, links: map[string]*Link{}, open: map[*fakes.Client]int{}}
+// newRouter makes a router's links and control feed; its process is not started yet.
+func (f *fleet) newRouter(index int) (*router, error) {
+	r := &router{fleet: f, index: index, engineLinks: map[string]*Link{}, inFlight: map[*fakes.Client]int{}}
 	var err error
-	if f.library != "" {
-		if r.host, err = faultinject.NewHost(f.library, f.dir, fmt.Sprintf("router-%d", n)); err != nil {
+	if f.hostLibrary != "" {
+		r.host, err = faultinject.NewHost(f.hostLibrary, f.dir, fmt.Sprintf("router-%d", index))
+		if err != nil {
 			return nil, err
 		}
 	}
-	if r.door, err = NewLink("127.0.0.1:1"); err != nil {
+	r.clientLink, err = NewLink(unusedAddress)
+	if err != nil {
 		return nil, err
 	}
-	r.feed = newFeed()
-	if r.feedLink, err = NewLink(r.feed.server.Listener.Addr().String()); err != nil {
+	r.feed = newControlFeed()
+	r.feedLink, err = NewLink(r.feed.server.Listener.Addr().String())
+	if err != nil {
 		return nil, err
 	}
-	r.feedLink.OnDelivered = r.feed.heard(func(e told) {
-		for _, id := range e.engines {
-			f.note(Event{Kind: EndpointNotified, Router: n, Engine: id, Text: e.phase})
-		}
-	})
+	r.feedLink.OnDelivered = r.feed.deliveries(r.recordNotification)
 	for _, e := range f.engines {
-		if err := r.join(e); err != nil {
+		if err := r.connect(e); err != nil {
 			return nil, err
 		}
 	}
-	r.tell(f.engines, "active")
+	r.publish(f.engines, stateActive)
 	return r, nil
 }
 
-// join makes the link to an engine.
-func (r *router) join(e *engine) error {
-	l, err := NewLink(e.model.Server.Listener.Addr().String())
+func (r *router) recordNotification(n notification) {
+	for _, id := range n.engines {
+		r.fleet.record(Event{Kind: EndpointNotified, Router: r.index, Engine: id, Text: n.state})
+	}
+}
+
+// connect makes the link to an engine.
+func (r *router) connect(e *engine) error {
+	link, err := NewLink(e.model.Server.Listener.Addr().String())
 	if err != nil {
 		return err
 	}
-	l.OnConnect = func(source string) {
-		r.f.sources.Store(source, r.n)
-		r.f.note(Event{Kind: EngineConnected, Router: r.n, Engine: e.id})
+	link.OnConnect = func(source string) {
+		r.fleet.sources.Store(source, r.index)
+		r.fleet.record(Event{Kind: EngineConnected, Router: r.index, Engine: e.id})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.links[e.id] = l
+	r.engineLinks[e.id] = link
 	return nil
 }
 
+// linkTo returns nil where there is no link to the engine yet.
 func (r *router) linkTo(engine string) *Link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.links[engine]
+	return r.engineLinks[engine]
 }
 
-// tell has the router's control feed tell of engines.
-func (r *router) tell(list []*engine, phase string) {
-	var members, ids []string
-	for _, e := range list {
-		since := int64(0)
+// publish has the router's control feed publish the state of engines, at the addresses of this router's links.
+func (r *router) publish(engines []*engine, state string) {
+	n := notification{state: state}
+	var members []string
+	for _, e := range engines {
+		startedAt := int64(0)
 		if e.model.SlowStart.WarmUpTime > 0 {
-			since = time.Now().UnixMilli()
+			startedAt = time.Now().UnixMilli()
 		}
 		members = append(members, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"k","phase":%q,"size":%v,"up_since_ms":%d}`,
-			e.id, r.linkTo(e.id).Address(), phase, engineCores, since))
-		ids = append(ids, e.id)
+			e.id, r.linkTo(e.id).Address(), state, engineCores, startedAt))
+		n.engines = append(n.engines, e.id)
 	}
-	r.feed.add(members, told{ids, phase})
+	r.feed.add(members, n)
 }
 
 // start starts the process and waits until it is ready.
@@ -114,310 +118,165 @@
 	r.starts++
 	start := r.starts
 	r.mu.Unlock()
-	known, last := r.feed.known()
-	config := fmt.Appendf(nil, `{"name":"r%d","listen":"127.0.0.1:0","seed":"%016x","feed":%q,"limits":{"cores":1,"memory_mb":%d,"sockets":%d},
-		"known":{"n":%d,"events":[%s]},"settings":%s}`, r.n, r.f.s.Seed*1000+uint64(r.n*20+start), r.feedLink.Address(), memoryMB, sockets, last, known, fleetSettings(r.f.s, r.n))
-	file := filepath.Join(r.f.dir, fmt.Sprintf("router-%d.json", r.n))
-	if err := os.WriteFile(file, config, 0o600); err != nil {
+	cmd, err := r.command(start)
+	if err != nil {
 		return err
 	}
-	log, err := os.Create(r.f.logFile(r.n, start))
+	name := fmt.Sprintf("router %d", r.index)
+	logFile := filepath.Join(r.fleet.dir, fmt.Sprintf("router-%d-%d.log", r.index, start))
+	started, err := startProcess(name, cmd, logFile, r.observeLog)
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(r.f.o.RouterProgram, "serve")
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+file, "GOMAXPROCS=1")
-	if len(r.f.members) > 0 {
-		control, err := r.controlFile()
-		if err != nil {
-			return err
-		}
-		cmd.Env = append(cmd.Env, "LB_CONTROL="+control)
-	}
-	if r.host != nil {
-		cmd.Env = append(cmd.Env, r.host.Environment(true)...)
-	}
-	for k, v := range r.f.o.Env {
-		cmd.Env = append(cmd.Env, k+"="+v)
-	}
-	pipe, err := cmd.StderrPipe()
+	r.mu.Lock()
+	r.process = started
+	r.mu.Unlock()
+	address, err := started.awaitServing(ctx)
 	if err != nil {
 		return err
 	}
-	if err := cmd.Start(); err != nil {
+	r.clientLink.SetTarget(address)
+	if err := r.awaitReady(); err != nil {
 		return err
 	}
-	ended, address := make(chan struct{}), make(chan string, 1)
-	r.mu.Lock()
-	r.cmd, r.ended = cmd, ended
-	r.mu.Unlock()
-	go func() {
-		defer close(ended)
-		defer log.Close()
-		for lines := bufio.NewScanner(pipe); lines.Scan(); {
-			log.Write(append(lines.Bytes(), '\n'))
-			r.acts(lines.Bytes())
-			r.confesses(lines.Bytes())
-			var line struct{ Msg, Listen string }
-			if json.Unmarshal(lines.Bytes(), &line) == nil && line.Msg == "serving" {
-				address <- line.Listen
-			}
-		}
-		cmd.Wait()
-	}()
-	select {
-	case to := <-address:
-		r.door.SetTarget(to)
-	case <-ended:
-		return fmt.Errorf("router %d does not start: see %s", r.n, log.Name())
-	case <-time.After(readyIn):
-		return fmt.Errorf("router %d does not serve within %v", r.n, readyIn)
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-	c, err := fakes.Dial(r.door.Address())
+	r.fleet.record(Event{Kind: RouterUp, Router: r.index})
+	return nil
+}
+
+// awaitReady asks the router, as a client does, until it says that it is ready.
+func (r *router) awaitReady() error {
+	c, err := fakes.Dial(r.clientLink.Address())
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	if err := c.AwaitReady(readyIn); err != nil {
-		return fmt.Errorf("router %d: %w", r.n, err)
+	if err := c.AwaitReady(startTimeout); err != nil {
+		return fmt.Errorf("router %d: %w", r.index, err)
 	}
-	r.f.note(Event{Kind: RouterUp, Router: r.n})
 	return nil
 }
 
-// confesses notes what the router's own checks have found: a rule that it would have broken, or a panic.
-func (r *router) confesses(line []byte) {
-	if bytes.Contains(line, []byte(invariant.ViolationMessage)) || bytes.Contains(line, []byte(`"panic"`)) || bytes.HasPrefix(line, []byte("panic:")) {
-		r.f.note(Event{Kind: InvariantViolated, Router: r.n, Text: string(line)})
+// command writes the router's files, and returns the command that starts it for the nth time.
+func (r *router) command(start int) (*exec.Cmd, error) {
+	config, err := r.writeConfig(start)
+	if err != nil {
+		return nil, err
 	}
+	cmd := exec.Command(r.fleet.options.RouterProgram, "serve")
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+config, "GOMAXPROCS=1")
+	if len(r.fleet.members) > 0 {
+		control, err := r.writeControlConfig()
+		if err != nil {
+			return nil, err
+		}
+		cmd.Env = append(cmd.Env, "LB_CONTROL="+control)
+	}
+	if r.host != nil {
+		cmd.Env = append(cmd.Env, r.host.Environment(true)...)
+	}
+	for name, value := range r.fleet.options.Env {
+		cmd.Env = append(cmd.Env, name+"="+value)
+	}
+	return cmd, nil
 }
 
-// controlFile writes where the control group is: by links of this router's own.
-func (r *router) controlFile() (string, error) {
-	s := GroupDurations
-	file := controlclient.Config{LeaseMillis: s.LeaseDuration.Milliseconds(), RenewIntervalMillis: s.RenewInterval.Milliseconds(), ReplyTimeoutMillis: s.ReplyTimeout.Milliseconds(), MaxBatchMillis: s.MaxBatch.Milliseconds(),
-		MaxPauseMillis: s.MaxPause.Milliseconds(), MaxClockDrift: s.MaxClockDrift, MaxRemovedShare: 1}
-	for _, m := range r.f.members {
-		file.Addresses = append(file.Addresses, m.routers[r.n].Address())
-	}
-	raw, err := json.Marshal(file)
+// writeConfig writes the router's configuration, which holds what the control feed has published by now.
+func (r *router) writeConfig(start int) (path string, err error) {
+	events, last := r.feed.published()
+	seed := r.fleet.schedule.Seed*1000 + uint64(r.index*20+start)
+	config := fmt.Appendf(nil, `{"name":"r%d","listen":"127.0.0.1:0","seed":"%016x","feed":%q,"limits":{"cores":1,"memory_mb":%d,"sockets":%d},
+		"known":{"n":%d,"events":[%s]},"settings":%s}`, r.index, seed, r.feedLink.Address(), routerMemoryMB, routerSockets,
+		last, events, fleetSettings(r.fleet.schedule, r.index))
+	path = filepath.Join(r.fleet.dir, fmt.Sprintf("router-%d.json", r.index))
+	return path, os.WriteFile(path, config, 0o600)
+}
+
+// writeControlConfig writes where the control group is: at links of this router's own.
+func (r *router) writeControlConfig() (path string, err error) {
+	config := controlclient.Config{
+		LeaseMillis:         GroupDurations.LeaseDuration.Milliseconds(),
+		RenewIntervalMillis: GroupDurations.RenewInterval.Milliseconds(),
+		ReplyTimeoutMillis:  GroupDurations.ReplyTimeout.Milliseconds(),
+		MaxBatchMillis:      GroupDurations.MaxBatch.Milliseconds(),
+		MaxPauseMillis:      GroupDurations.MaxPause.Milliseconds(),
+		MaxClockDrift:       GroupDurations.MaxClockDrift,
+		MaxRemovedShare:     1,
+	}
+	for _, m := range r.fleet.members {
+		config.Addresses = append(config.Addresses, m.routerLinks[r.index].Address())
+	}
+	raw, err := json.Marshal(config)
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(r.f.dir, fmt.Sprintf("control-%d.json", r.n))
+	path = filepath.Join(r.fleet.dir, fmt.Sprintf("control-%d.json", r.index))
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// end kills the process, or tells it to end.
-func (r *router) end(kill bool) error {
-	sign, text := os.Signal(syscall.SIGTERM), "term"
-	if kill {
-		sign, text = syscall.SIGKILL, "kill"
+// observeLog records what a line of the router's log tells the auditors.
+func (r *router) observeLog(line []byte) {
+	r.recordActiveRules(line)
+	violated := bytes.Contains(line, []byte(invariant.ViolationMessage))
+	panicked := bytes.Contains(line, []byte(`"panic"`)) || bytes.HasPrefix(line, []byte("panic:"))
+	if violated || panicked {
+		r.fleet.record(Event{Kind: InvariantViolated, Router: r.index, Text: string(line)})
 	}
-	r.f.note(Event{Kind: RouterDown, Router: r.n, Text: text})
-	return r.signal(sign)
 }
 
+// Texts of RouterDown and RouterUp events: how the router went down. They stand in stored histories.
+const (
+	downTerminated = "term"
+	downKilled     = "kill"
+	downStopped    = "stop"
+)
+
+func (r *router) kill() error {
+	r.fleet.record(Event{Kind: RouterDown, Router: r.index, Text: downKilled})
+	return r.signal(syscall.SIGKILL)
+}
+
+func (r *router) terminate() error {
+	r.fleet.record(Event{Kind: RouterDown, Router: r.index, Text: downTerminated})
+	return r.signal(syscall.SIGTERM)
+}
+
+// stop suspends the process until resume.
 func (r *router) stop() error {
-	r.f.note(Event{Kind: RouterDown, Router: r.n, Text: "stop"})
+	r.fleet.record(Event{Kind: RouterDown, Router: r.index, Text: downStopped})
 	return r.signal(syscall.SIGSTOP)
 }
 
-func (r *router) wake() error {
+func (r *router) resume() error {
 	err := r.signal(syscall.SIGCONT)
-	r.f.note(Event{Kind: RouterUp, Router: r.n, Text: "stop"})
+	r.fleet.record(Event{Kind: RouterUp, Router: r.index, Text: downStopped})
 	return err
 }
 
 func (r *router) signal(s os.Signal) error {
 	r.mu.Lock()
-	cmd := r.cmd
+	p := r.process
 	r.mu.Unlock()
-	if err := cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return err
-	}
-	return nil
+	return p.signal(s)
 }
 
 func (r *router) close() {
 	r.mu.Lock()
-	cmd, ended, clients := r.cmd, r.ended, r.clients
+	p := r.process
+	clients := r.clients
 	r.mu.Unlock()
-	if cmd != nil {
-		cmd.Process.Kill()
-		<-ended
+	if p != nil {
+		p.kill()
 	}
 	for _, c := range clients {
 		c.Close()
 	}
-	r.door.Close()
+	r.clientLink.Close()
 	r.feedLink.Close()
 	r.feed.close()
-	for _, l := range r.links {
+	for _, l := range r.engineLinks {
 		l.Close()
 	}
 	if r.host != nil {
 		r.host.Close()
 	}
 }
-
-const perClient = 24 // statements open on a connection
-
-// errLeft: the client has said that it waits no more.
-var errLeft = errors.New("the client left")
-
-// send sends a statement on a connection with room for it, and waits for its answer so long, or until it leaves.
-func (r *router) send(ctx context.Context, within, leave time.Duration, fields map[string]string, text string) fakes.Answer {
-	c, err := r.client()
-	if err != nil {
-		return fakes.Answer{Err: err}
-	}
-	defer func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.open[c]--
-	}()
-	var leaves <-chan time.Time
-	if leave > 0 {
-		leaves = time.After(leave)
-	}
-	stream, answer := c.Open(fields, text)
-	select {
-	case a := <-answer:
-		return a
-	case <-leaves:
-		c.Cancel(stream)
-		return fakes.Answer{Err: errLeft}
-	case <-time.After(within):
-		return fakes.Answer{Err: errors.New("no answer")}
-	case <-ctx.Done():
-		return fakes.Answer{Err: ctx.Err()}
-	}
-}
-
-func (r *router) client() (*fakes.Client, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i := 0; i < len(r.clients); i++ {
-		c := r.clients[i]
-		if c.Ended() {
-			r.clients = append(r.clients[:i], r.clients[i+1:]...)
-			i--
-			continue
-		}
-		if r.open[c] < perClient {
-			r.open[c]++
-			return c, nil
-		}
-	}
-	c, err := fakes.Dial(r.door.Address())
-	if err != nil {
-		return nil, err
-	}
-	c.OnDuplicate = func(uint32) { r.f.note(Event{Kind: DuplicateAnswer, Router: r.n}) }
-	r.clients = append(r.clients, c)
-	r.open[c] = 1
-	return c, nil
-}
-
-// ---- The control feed ----
-
-// told is what an event tells.
-type told struct {
-	engines []string
-	phase   string
-}
-
-// feed is a router's control feed: it tells the same list as all others, with the addresses of this router's links.
-type feed struct {
-	server  *httptest.Server
-	mu      sync.Mutex
-	events  []string // from number 1
-	tells   []told
-	changed chan struct{}
-	ended   chan struct{}
-}
-
-func newFeed() *feed {
-	f := &feed{changed: make(chan struct{}), ended: make(chan struct{})}
-	f.server = httptest.NewServer(f)
-	return f
-}
-
-func (f *feed) close() {
-	close(f.ended)
-	f.server.CloseClientConnections()
-	f.server.Close()
-}
-
-func (f *feed) add(members []string, t told) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	n := len(f.events) + 1
-	f.events = append(f.events, fmt.Sprintf(`{"n":%d,"members":{"revision":%d,"complete":%v,"members":[%s]}}`, n, n, n == 1, strings.Join(members, ",")))
-	f.tells = append(f.tells, t)
-	close(f.changed)
-	f.changed = make(chan struct{})
-}
-
-// known is what a starting router's configuration holds.
-func (f *feed) known() (events string, last int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return strings.Join(f.events, ","), len(f.events)
-}
-
-// ServeHTTP tells events from the one asked for, and a comment each second.
-func (f *feed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	last, _ := strconv.Atoi(r.Header.Get("Last-Event-ID"))
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	for {
-		f.mu.Lock()
-		changed, fresh := f.changed, f.events[min(max(0, last), len(f.events)):]
-		f.mu.Unlock()
-		for _, e := range fresh {
-			last++
-			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", last, e)
-		}
-		w.(http.Flusher).Flush()
-		select {
-		case <-changed:
-		case <-tick.C:
-			fmt.Fprint(w, ":\n")
-		case <-f.ended:
-			return
-		case <-r.Context().Done():
-			return
-		}
-	}
-}
-
-// heard finds in what passes the link which events have come to the router whole.
-func (f *feed) heard(tell func(told)) func([]byte) {
-	var mu sync.Mutex
-	var line []byte
-	id := 0
-	return func(b []byte) {
-		mu.Lock()
-		defer mu.Unlock()
-		for _, c := range b {
-			if c != '\n' {
-				line = append(line, c)
-				continue
-			}
-			if n, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
-				id, _ = strconv.Atoi(string(n))
-			} else if len(line) == 0 && id > 0 {
-				f.mu.Lock()
-				e := f.tells[id-1]
-				f.mu.Unlock()
-				tell(e)
-				id = 0
-			}
-			line = line[:0]
-		}
-	}
-}
--- a/internal/faultlab/schedule_test.go
+++ b/internal/faultlab/schedule_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestASeedGivesTheSameSchedule(t *testing.T) {
-	seen := map[string]bool{}
+	seen := map[FaultKind]bool{}
 	for seed := range uint64(200) {
 		s := GenerateSchedule(seed, 12)
 		require.NoError(t, s.Validate())
