--- a/internal/faultlab/router.go
+++ b/internal/faultlab/router.go
@@ -15,7 +15,7 @@
 	"bankledge/internal/controlclient"
 	"bankledge/internal/fakes"
 	"bankledge/internal/faultinject"
-	"bankledge/internal/invariant"
+	"bankledge/internal/logevent"
 )
 
 // unusedAddress is the target of a router's link until its process tells where it listens.
@@ -216,7 +216,7 @@
 // observeLog records what a line of the router's log tells the auditors.
 func (r *router) observeLog(line []byte) {
 	r.recordActiveRules(line)
-	violated := bytes.Contains(line, []byte(invariant.ViolationMessage))
+	violated := bytes.Contains(line, []byte(logevent.InvariantViolated))
 	panicked := bytes.Contains(line, []byte(`"panic"`)) || bytes.HasPrefix(line, []byte("panic:"))
 	if violated || panicked {
 		r.fleet.record(Event{Kind: InvariantViolated, Router: r.index, Text: string(line)})
--- a/internal/faultlab/versions.go
+++ b/internal/faultlab/versions.go
@@ -11,6 +11,7 @@
 
 	"bankledge/internal/adminclient"
 	"bankledge/internal/configversion"
+	"bankledge/internal/logevent"
 )
 
 const (
@@ -117,12 +118,13 @@
 // recordActiveRules records which versions a line of the router's log says that it acts on; other lines are skipped.
 func (r *router) recordActiveRules(line []byte) {
 	var event struct {
-		Msg              string
-		TS               time.Time
-		Term             bool
-		Settled, Pending uint64
+		Msg       string
+		TS        time.Time
+		Leased    bool
+		Activated uint64
+		Pending   uint64
 	}
-	if json.Unmarshal(line, &event) != nil || event.Msg != "rules" {
+	if json.Unmarshal(line, &event) != nil || event.Msg != logevent.ActiveRulesChanged {
 		return
 	}
 	at := event.TS.Sub(r.fleet.began.Round(0)) // both by the wall clock of the machine
@@ -130,8 +132,8 @@
 		At:        max(at, 1),
 		Kind:      RulesApplied,
 		Router:    r.index,
-		Leased:    event.Term,
-		Activated: event.Settled,
+		Leased:    event.Leased,
+		Activated: event.Activated,
 		Version:   event.Pending,
 	})
 }
