--- a/internal/replica/stored_data_test.go
+++ b/internal/replica/stored_data_test.go
@@ -14,10 +14,7 @@
 	"bankledge/internal/consensus/store"
 )
 
-// The folders in testdata were left by the program bankledge-control of commit 05e118f: "single" by a process alone that was
-// started twice and then killed, after 37 versions, a member added and removed, another one added that never ran; "trio1" to
-// "trio3" by a group of three after 26 versions and a fourth member that never ran. Both compact each 20 entries. Beside them
-// stand the versions and the status that the group served last.
+// testdata/README.md says how the folders came about.
 
 // readRecording reads the versions and members that a group served last.
 func readRecording(t *testing.T, name string) (versions string, members map[uint64]Member) {
