--- a/decision/report.go
+++ b/decision/report.go
@@ -32,8 +32,21 @@
 	Fields []LoadReportField
 }
 
-// LoadReport is one engine's report of its load. Value holds a field's figure where Known says that it was reported.
+// LoadReport is one engine's report of its load; the zero value is a report without fields. The settings choose the
+// fields of a report, and their order, by name, so figures are stored by LoadReportField and not as named members: a
+// decoder would have to map each name to a member by a switch. Arrays of a fixed size keep a report at one allocation.
 type LoadReport struct {
-	Value [NumLoadReportFields]float64
-	Known [NumLoadReportFields]bool
+	values [NumLoadReportFields]float64
+	known  [NumLoadReportFields]bool
+}
+
+// Get returns the figure of a field in the field's unit; known is false if the engine did not report it.
+func (r *LoadReport) Get(field LoadReportField) (value float64, known bool) {
+	return r.values[field], r.known[field]
+}
+
+// Set records that the engine reported a figure for a field.
+func (r *LoadReport) Set(field LoadReportField, value float64) {
+	r.values[field] = value
+	r.known[field] = true
 }
--- a/internal/simwire/batch_test.go
+++ b/internal/simwire/batch_test.go
@@ -20,8 +20,7 @@
 func TestDecodeBatchReadsEachEvent(t *testing.T) {
 	const elapsed = 5 * time.Microsecond
 	report := &decision.LoadReport{}
-	report.Value[decision.FieldInFlight] = 4
-	report.Known[decision.FieldInFlight] = true
+	report.Set(decision.FieldInFlight, 4)
 	endpoint := decision.Endpoint{Engine: "e", Zone: "north", MachineType: "large", Cell: 7, State: decision.Draining,
 		Weight: 1.5, StartedAt: 3 * time.Microsecond}
 	for name, c := range map[string]struct {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -78,9 +78,7 @@
 		if figure == nil {
 			continue
 		}
-		field := in.reportFields[i]
-		report.Value[field] = *figure
-		report.Known[field] = true
+		report.Set(in.reportFields[i], *figure)
 	}
 	return report, nil
 }
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -23,8 +23,7 @@
 		if report == nil {
 			report = &decision.LoadReport{}
 		}
-		report.Value[field] = value
-		report.Known[field] = true
+		report.Set(field, value)
 	}
 	return report
 }
--- a/internal/upstream/load_report_test.go
+++ b/internal/upstream/load_report_test.go
@@ -29,9 +29,10 @@
 			}
 			require.NotNil(t, report)
 			for field := range decision.NumLoadReportFields {
-				value, known := test.want[field]
-				assert.Equal(t, known, report.Known[field], field)
-				assert.Equal(t, value, report.Value[field], field)
+				wantValue, wantKnown := test.want[field]
+				value, known := report.Get(field)
+				assert.Equal(t, wantKnown, known, field)
+				assert.Equal(t, wantValue, value, field)
 			}
 		})
 	}
--- a/internal/upstream/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -70,8 +70,8 @@
 	}
 	text := ""
 	for field := range decision.NumLoadReportFields {
-		if report.Known[field] {
-			text += fmt.Sprintf(" %d=%v", field, report.Value[field])
+		if value, known := report.Get(field); known {
+			text += fmt.Sprintf(" %d=%v", field, value)
 		}
 	}
 	return text
--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -138,15 +138,16 @@
 			continue
 		}
 		inFlight := float64(engine.running) + engine.others
-		report.Known[field] = true
+		value := 0.0
 		switch field {
 		case decision.FieldInFlight:
-			report.Value[field] = math.Floor(inFlight * s.factor(0.9, 1.1))
+			value = math.Floor(inFlight * s.factor(0.9, 1.1))
 		case decision.FieldQueueDepth:
-			report.Value[field] = math.Floor(max(0, inFlight-engine.cores) / 2)
+			value = math.Floor(max(0, inFlight-engine.cores) / 2)
 		case decision.FieldUtilisation:
-			report.Value[field] = min(1, inFlight/engine.cores*s.factor(0.8, 1.2))
+			value = min(1, inFlight/engine.cores*s.factor(0.8, 1.2))
 		}
+		report.Set(field, value)
 	}
 	return report
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -120,8 +120,7 @@
 // reportOf is a load report of one field.
 func reportOf(field decision.LoadReportField, value float64) *decision.LoadReport {
 	report := &decision.LoadReport{}
-	report.Value[field] = value
-	report.Known[field] = true
+	report.Set(field, value)
 	return report
 }
 
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -20,28 +20,29 @@
 	}
 	e.reportedAt = m.now
 	e.applyReport(report, m.now)
-	if report.Known[decision.FieldInFlight] {
+	if _, known := report.Get(decision.FieldInFlight); known {
 		m.peerLoad.Observe(m.now, e.othersInFlight)
 		if m.isOverloaded(e) {
 			m.eject(e, false)
 		}
 	}
 	if m.now >= e.windowsSteppedAt+reportPeriod {
-		m.stepWindows(e, report.Known[decision.FieldUtilisation])
+		_, utilizationKnown := report.Get(decision.FieldUtilisation)
+		m.stepWindows(e, utilizationKnown)
 	}
 }
 
 // applyReport takes the fields of a load report that are known.
 func (e *engine) applyReport(report *decision.LoadReport, now time.Duration) {
-	if report.Known[decision.FieldUtilisation] {
-		e.utilization = report.Value[decision.FieldUtilisation]
+	if utilization, known := report.Get(decision.FieldUtilisation); known {
+		e.utilization = utilization
 		e.utilizationKnown = true
 	}
-	if report.Known[decision.FieldQueueDepth] {
-		e.queueDepth = report.Value[decision.FieldQueueDepth]
+	if queueDepth, known := report.Get(decision.FieldQueueDepth); known {
+		e.queueDepth = queueDepth
 	}
-	if report.Known[decision.FieldInFlight] {
-		e.othersInFlight = max(0, report.Value[decision.FieldInFlight]-float64(len(e.attempts)))
+	if inFlight, known := report.Get(decision.FieldInFlight); known {
+		e.othersInFlight = max(0, inFlight-float64(len(e.attempts)))
 		e.othersReportedAt = now
 	}
 }
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -289,8 +289,7 @@
 	r := f.routers[a.router]
 	ended := end(a.statement.Statement, a.number, e.endpoint.Engine, decision.Completed)
 	ended.Report = inFlightReport(float64(len(e.running) - 1))
-	ended.Report.Value[decision.FieldUtilisation] = utilization
-	ended.Report.Known[decision.FieldUtilisation] = true
+	ended.Report.Set(decision.FieldUtilisation, utilization)
 	s := r.open[a.statement.Statement]
 	ended.Finished = s != nil
 	r.inbox = append(r.inbox, ended)
