--- a/internal/configversion/version.go
+++ b/internal/configversion/version.go
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// CheckFollows returns why v can't be taken beside or after another version: it has another lineage, or another version with the other's number
-// precedes or replaces it. A gap between the numbers is no error, nor is a nil version.
+// CheckFollows returns why v can't be taken after previous, or beside it: another lineage, another version of the same number, or another
+// predecessor. A gap between the numbers is no error, and without a previous version there is none.
 func (v *Version) CheckFollows(previous *Version) error {
 	switch {
 	case previous == nil:
--- a/internal/lease/coordinator_renewal.go
+++ b/internal/lease/coordinator_renewal.go
@@ -131,7 +131,8 @@
 	case renewal.Lineage != "" && renewal.Lineage != c.lineage:
 		return fmt.Errorf("this group is of lineage %s, the router follows %s", c.lineage, renewal.Lineage)
 	case renewal.KnownVersion > c.newest:
-		return fmt.Errorf("this group's newest version is %d, the router knows %d: the group was restored from a backup", c.newest, renewal.KnownVersion)
+		return fmt.Errorf("this group's newest version is %d, the router knows %d: the group was restored from a backup",
+			c.newest, renewal.KnownVersion)
 	case renewal.KnownVersion == c.newest && renewal.KnownVersion > 0 && renewal.KnownHash != c.newestHash:
 		return fmt.Errorf("this group's version %d is another one than the router's", c.newest)
 	}
