--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -154,7 +154,7 @@
 		v, _ := f.classify(point, fakes.Lookup, 100*time.Millisecond)
 		assert.Zero(t, v.Work)
 	})
-	t.Run("a client that claims falsely does not move what others' statements are held to take", func(t *testing.T) {
+	t.Run("a client that claims falsely does not move what others' statements are expected to take", func(t *testing.T) {
 		f := newFixture()
 		for range 40 {
 			f.ends(1, point, fakes.Lookup, time.Millisecond, 0.1)
@@ -190,7 +190,7 @@
 		f.RecordEnd(f.now, observation, time.Millisecond, false, 0)
 	}
 	v, observation := f.classify(plain, fakes.Lookup, 0)
-	assert.Equal(t, ReasonUnknownFingerprint, v.Reason, "called off early, they tell nothing")
+	assert.Equal(t, ReasonUnknownFingerprint, v.Reason, "cancelled early, they say nothing")
 	require.NotZero(t, observation.fingerprint)
 	for range 20 {
 		_, observation := f.classify(plain, fakes.Lookup, 0)
--- a/internal/sqltext/sqltext_test.go
+++ b/internal/sqltext/analyser_test.go
@@ -35,8 +35,8 @@
 		{"a number that ends otherwise", "SELECT * FROM sales_17b.orders", NoGroup},
 		{"a number too large, then one", "SELECT * FROM sales_99999999999999999999.a, sales_2.b", 2},
 		{"no schema", "SELECT 1 FROM orders_17", NoGroup},
-		{"an open string", "SELECT 'sales_1.orders", NoGroup},
-		{"an open comment", "/* /* */ sales_1.orders", NoGroup},
+		{"an unterminated string", "SELECT 'sales_1.orders", NoGroup},
+		{"an unterminated comment", "/* /* */ sales_1.orders", NoGroup},
 		{"nothing", "", NoGroup},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// What looks like a schema and is an alias, a CTE or a part further on: the place of a table decides.
+// Some names look like a schema and are an alias, a CTE or a later part of a name: the place of a table decides.
 func TestGroupsByPlace(t *testing.T) {
 	for _, c := range []struct {
 		name, text    string
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestBuild(t *testing.T) {
+func TestStructure(t *testing.T) {
 	got := new(Analyser).Analyse([]byte(`WITH w AS (SELECT region, max(x) m FROM sales_1.a GROUP BY region)
 		SELECT DISTINCT TOP (25) w.m, count(*), sum(b.x) OVER (PARTITION BY b.y ORDER BY b.z), (SELECT max(q) FROM d WHERE d.i = w.i)
 		FROM w JOIN b ON b.i = w.i LEFT JOIN c ON c.i = b.i AND c.kind = 'x', LATERAL (SELECT 1 FROM (SELECT 2) e) f
@@ -143,12 +143,13 @@
 	assert.NotZero(t, got.Fingerprint)
 }
 
-func TestShapes(t *testing.T) {
-	shape := func(text string) string {
-		a := new(Analyser)
-		got := a.Analyse([]byte(text))
+func TestNormalizedText(t *testing.T) {
+	normalized := func(text string) string {
+		t.Helper()
+		analyser := new(Analyser)
+		got := analyser.Analyse([]byte(text))
 		assert.NotZero(t, got.Fingerprint)
-		return string(a.NormalizedText())
+		return string(analyser.NormalizedText())
 	}
 	for want, same := range map[string][]string{
 		"select a from b where c = ? and d in ( ? )": {"SELECT a FROM b WHERE c = 'x''y' AND d IN (1, 2,3)", "select a\nfrom b -- x\nwhere c=$1 and d in(?);",
@@ -158,40 +159,40 @@
 	} {
 		for _, text := range same {
 			if text == "select a.b, .5 from x where y = 2 - 1" {
-				continue // a number without its first digit is a dot and a number: another shape, which does no harm
+				continue // a number without its first digit is a dot and a number: another fingerprint, which does no harm
 			}
-			assert.Equal(t, want, shape(text), text)
+			assert.Equal(t, want, normalized(text), text)
 		}
 	}
-	assert.NotEqual(t, shape("select a from b where c = 1"), shape("select a from b where c > 1"))
-	assert.NotEqual(t, shape("select a from b"), shape("select a from c"))
-	assert.Zero(t, new(Analyser).Analyse([]byte("select '"+strings.Repeat("x", MaxAnalysedBytes))).Fingerprint, "cut texts have no shape")
+	assert.NotEqual(t, normalized("select a from b where c = 1"), normalized("select a from b where c > 1"))
+	assert.NotEqual(t, normalized("select a from b"), normalized("select a from c"))
+	assert.Zero(t, new(Analyser).Analyse([]byte("select '"+strings.Repeat("x", MaxAnalysedBytes))).Fingerprint, "truncated texts have no fingerprint")
 }
 
-// Texts made to be hard: in linear time, nothing grows beyond the budget, and what was seen before the end stands.
-func TestHardTexts(t *testing.T) {
+// Texts made to be hard are analysed in linear time and bounded memory, and what was seen before their end stands.
+func TestHostileTexts(t *testing.T) {
 	for _, c := range []struct {
-		name, text string
-		cut, open  bool
-		group      int64
+		name, text              string
+		truncated, unterminated bool
+		group                   int64
 	}{
 		{"brackets", "select * from sales_3.a where " + strings.Repeat("(", 100_000), true, false, 3},
 		{"closing brackets", "select * from sales_3.a " + strings.Repeat(")", 10_000), false, false, 3},
 		{"a long list", "select * from sales_3.a where i in (" + strings.Repeat("12345,", 43_000) + "1)", true, false, 3},
-		{"an open string", "select * from sales_3.a where x = 'abc", false, true, 3},
-		{"an open comment in another", "select * from sales_3.a /* /* */ from sales_4.b", false, true, 3},
-		{"an open name", `select * from sales_3.a join "sales_4.b`, false, true, 3},
-		{"an open bracket of a name", `select * from sales_3.a join [sales_4.b`, false, true, 3},
-		{"an open dollar string", `select * from sales_3.a where x = $q$abc`, false, true, 3},
-		{"half a letter at the cut", "select * from sales_3.a where x = '" + strings.Repeat("é", MaxAnalysedBytes), true, true, 3},
+		{"an unterminated string", "select * from sales_3.a where x = 'abc", false, true, 3},
+		{"an unterminated comment in another", "select * from sales_3.a /* /* */ from sales_4.b", false, true, 3},
+		{"an unterminated name", `select * from sales_3.a join "sales_4.b`, false, true, 3},
+		{"an unterminated bracket of a name", `select * from sales_3.a join [sales_4.b`, false, true, 3},
+		{"an unterminated dollar string", `select * from sales_3.a where x = $q$abc`, false, true, 3},
+		{"half a letter at the end of what is read", "select * from sales_3.a where x = '" + strings.Repeat("é", MaxAnalysedBytes), true, true, 3},
 		{"not UTF-8", "select * from sales_3.a where \xff\xfe = '\xc3", false, true, 3},
 		{"one long name", "select " + strings.Repeat("x", 1<<18), true, false, NoGroup},
-		{"groups without end", "select * from " + strings.Repeat("sales_3.a, sales_4.b, ", 500), false, false, 3},
+		{"a long list of table groups", "select * from " + strings.Repeat("sales_3.a, sales_4.b, ", 500), false, false, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := new(Analyser)
 			got := a.Analyse([]byte(c.text))
-			assert.Equal(t, []any{c.cut, c.open, c.group}, []any{got.Truncated, got.Unterminated, got.PrimaryGroup()})
+			assert.Equal(t, []any{c.truncated, c.unterminated, c.group}, []any{got.Truncated, got.Unterminated, got.PrimaryGroup()})
 			assert.LessOrEqual(t, cap(a.normalized), 4*MaxAnalysedBytes)
 		})
 	}
@@ -219,7 +220,7 @@
 			t.Fatalf("%+v", got)
 		}
 		if len(a.normalized) > 3*MaxAnalysedBytes {
-			t.Fatalf("normal text of %d bytes", len(a.normalized))
+			t.Fatalf("normalized text of %d bytes", len(a.normalized))
 		}
 		if again := a.Analyse([]byte(text)); again != got {
 			t.Fatalf("read again: %+v, then %+v", got, again)
--- a/internal/sqltext/scan_test.go
+++ b/internal/sqltext/baseline_scanner_test.go
@@ -1,6 +1,6 @@
 package sqltext
 
-// The scan that the router had before the analyser: the baseline of its benchmarks and the oracle of First.
+// The scan that the router had before the analyser: the baseline of its benchmarks and the oracle of FirstSchemaGroup.
 
 import (
 	"strconv"
