--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -104,10 +104,12 @@
 		zap.Int64("wall_clock_steps", r.wallClock.steps.Load()),
 		zap.Int64("evicted_clients", r.downstream.Evicted()),
 		zap.Int("engine_connections", r.upstream.ConnectionsInUse()),
-		zap.Any("dials", r.upstream.TakeConnectionStats()),
+		zap.Any("connections", r.upstream.TakeConnectionStats()),
 		zap.Int64("text_bytes", textBytes),
 		zap.Int64("answer_bytes", answerBytes),
-		zap.Any("slow_clients", slowClients),
+		zap.Int64("slow_clients_stalled", slowClients.Stalled),
+		zap.Int64("slow_clients_released", slowClients.Released),
+		zap.Int64("slow_clients_shortened", slowClients.Shortened),
 		logevent.Milliseconds("decision_delay_mean_ms", time.Duration(m.decisionDelaySum.Swap(0)/decisions)),
 		logevent.Milliseconds("decision_delay_max_ms", time.Duration(m.decisionDelayMax.Swap(0))))
 	r.logClassificationMetrics()
