--- a/cmd/adapter/instances.go
+++ b/cmd/adapter/instances.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"bankledge/decision"
-	"bankledge/internal/settings"
 	"bankledge/internal/simwire"
 	"bankledge/policy"
 )
@@ -32,7 +31,7 @@
 		switch {
 		case input.Settings != nil:
 			flush()
-			m[in.Instance] = newModule(input.Settings)
+			m[in.Instance] = policy.New(input.Settings.Settings)
 		case input.Stop:
 			flush()
 			delete(m, in.Instance)
@@ -44,7 +43,3 @@
 	flush()
 	return actions
 }
-
-func newModule(s *settings.ModuleSettings) *policy.Module {
-	return policy.New(s.Identity, s.Workloads, s.Engines, s.Quotas, s.Limits, s.Rules, s.LoadReports)
-}
--- a/cmd/adapter/serve_test.go
+++ b/cmd/adapter/serve_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"bankledge/decision"
-	"bankledge/internal/settings"
 	"bankledge/internal/simwire"
+	"bankledge/policy"
 )
 
 const (
@@ -62,7 +62,7 @@
 }
 
 func TestPanicBecomesCrash(t *testing.T) {
-	modules := instances{3: newModule(&settings.ModuleSettings{})}
+	modules := instances{3: policy.New(decision.Settings{})}
 	noSuchWorkload := simwire.Input{Event: decision.StatementArrived{Workload: 99}}
 	actions := modules.handle(0, simwire.InstanceInputs{Instance: 3, Inputs: []simwire.Input{noSuchWorkload}})
 	require.Len(t, actions, 1)
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -2,6 +2,17 @@
 
 import "time"
 
+// Settings is all that an instance of the module is given at its start.
+type Settings struct {
+	Identity    Identity
+	Workloads   []Workload // by workload ID
+	Engines     EngineTraits
+	Quotas      Quotas
+	Limits      Limits
+	Rules       Rules // at the start; RulesChanged replaces them
+	LoadReports LoadReportSettings
+}
+
 // MachineSpec is what is known of a type of machine.
 type MachineSpec struct {
 	Cores    float64
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -54,7 +54,7 @@
 	moduleSettings := r.config.Module
 	return &eventLoop{
 		router:     r,
-		module:     policy.New(moduleSettings.Identity, moduleSettings.Workloads, moduleSettings.Engines, moduleSettings.Quotas, moduleSettings.Limits, moduleSettings.Rules, moduleSettings.LoadReports),
+		module:     policy.New(moduleSettings.Settings),
 		inbox:      make(chan input, inboxSize),
 		done:       make(chan struct{}),
 		requests:   newRequestTable(r.limits.answeredIDs),
--- a/internal/proxy/fixture_test.go
+++ b/internal/proxy/fixture_test.go
@@ -66,7 +66,7 @@
 		ListenAddress:    "127.0.0.1:0",
 		DiscoveryAddress: "127.0.0.1:9",
 		Limits:           settings.ResourceLimits{Cores: 1, MemoryMB: 64, Sockets: 128},
-		Module:           &settings.ModuleSettings{Workloads: workloads},
+		Module:           &settings.ModuleSettings{Settings: decision.Settings{Workloads: workloads}},
 	}, zap.NewNop())
 }
 
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -8,15 +8,9 @@
 	"bankledge/decision"
 )
 
-// ModuleSettings is all that an instance of the decision module is given at its start, part by part.
+// ModuleSettings is what a settings object holds: the settings of the decision module, and those of connections.
 type ModuleSettings struct {
-	Identity    decision.Identity
-	Workloads   []decision.Workload
-	Engines     decision.EngineTraits
-	Quotas      decision.Quotas
-	Limits      decision.Limits
-	Rules       decision.Rules
-	LoadReports decision.LoadReportSettings
+	decision.Settings
 	Connections ConnectionSettings
 }
 
@@ -49,13 +43,15 @@
 		return nil, err
 	}
 	return &ModuleSettings{
-		Identity:    in.identity(seed),
-		Workloads:   workloads,
-		Engines:     engines,
-		Quotas:      in.quotas(),
-		Limits:      limits,
-		Rules:       in.rules(),
-		LoadReports: reports,
+		Settings: decision.Settings{
+			Identity:    in.identity(seed),
+			Workloads:   workloads,
+			Engines:     engines,
+			Quotas:      in.quotas(),
+			Limits:      limits,
+			Rules:       in.rules(),
+			LoadReports: reports,
+		},
 		Connections: ConnectionSettings{
 			ConnectTimeout: in.Bounds.ConnectTimeout.Duration(),
 			IdleTimeout:    in.Bounds.IdleClose.Duration(),
--- a/policy/bulk_load_test.go
+++ b/policy/bulk_load_test.go
@@ -25,8 +25,8 @@
 // A note of waiting for another router's bulk load keeps its table group off that engine.
 func TestLoadOfAnotherRouter(t *testing.T) {
 	h := newHarness(t)
-	h.traits.ProgressInterval = 500 * ms
-	h.workloads[0].LatencyObjective = 3 * time.Second
+	h.settings.Engines.ProgressInterval = 500 * ms
+	h.settings.Workloads[0].LatencyObjective = 3 * time.Second
 	e := h.at(0, ready("a", "b"), read("s")).sentTo()
 	h.at(500*ms, note("s", e, decision.ProgressWaiting, decision.WaitingForBulkLoad))
 	require.Len(t, pick[decision.CancelAttempt](h), 1)
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
-			h.identity.Routers = 100
+			h.settings.Identity.Routers = 100
 			h.at(0, ready("a")).at(time.Second).module.priorities.lightShare = 0.8
 			h.at(time.Second, decision.HealthCheckEnded{Engine: "a", Outcome: decision.Completed, Report: inFlightReport(c.inFlight)})
 			assert.Equal(t, c.want, h.at(time.Second+ms, c.ev).sentTo() != "")
--- a/policy/classification_test.go
+++ b/policy/classification_test.go
@@ -46,7 +46,7 @@
 	})
 	t.Run("what is classified as a load keeps the idempotency that it declares, if that is stricter than none", func(t *testing.T) {
 		h := newHarness(t)
-		h.workloads[0].Idempotency = decision.Deduplicated
+		h.settings.Workloads[0].Idempotency = decision.Deduplicated
 		h.at(0).at(time.Second, classified(read("s"), decision.Classification{Workload: 1}))
 		assert.Equal(t, decision.Deduplicated, h.module.statements["s"].idempotency)
 	})
--- a/policy/deadline_test.go
+++ b/policy/deadline_test.go
@@ -63,7 +63,7 @@
 // A client with little time gets nearly all of it: two grains of a coarse clock before its end would be before its start.
 func TestShortStatementTimeout(t *testing.T) {
 	h := newHarness(t)
-	h.identity.ClockGranularity = 25 * ms
+	h.settings.Identity.ClockGranularity = 25 * ms
 	s := read("s")
 	s.TimeBudget = 64 * ms
 	s.EstimatedWork = 5 * ms
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -12,7 +12,7 @@
 // The endpoint list is asked for where it comes on request, and again after a failure.
 func TestEndpointListOnRequest(t *testing.T) {
 	h := newHarness(t)
-	h.limits.PollEndpoints = true
+	h.settings.Limits.PollEndpoints = true
 	assert.Len(t, pick[decision.WatchEndpoints](h.at(0)), 1)
 	h.at(time.Second, decision.EndpointList{Kind: decision.ListFailed})
 	assert.Empty(t, pick[decision.WatchEndpoints](h))
--- a/policy/fleet_quota_test.go
+++ b/policy/fleet_quota_test.go
@@ -11,7 +11,7 @@
 // A router keeps its quota of the fleet on average, and heavy work does not hold up lighter work.
 func TestFleetQuotaOnAverage(t *testing.T) {
 	h := newHarness(t)
-	h.identity.Routers = 16 // the quota: 3.2 x 8 / 16 = 1.6 threads, a write takes two
+	h.settings.Identity.Routers = 16 // the quota: 3.2 x 8 / 16 = 1.6 threads, a write takes two
 	h.at(0, ready("a", "b")).at(time.Second)
 	first := write("first")
 	require.NotEmpty(t, h.at(1001*ms, first).sentTo(), "from what was saved up")
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -36,7 +36,7 @@
 			}
 			fleet.notify(joined)
 			fleet.run(14 * time.Second)
-			rules := fleet.routers[0].rules
+			rules := fleet.routers[0].settings.Rules
 			usage, worst := 0.0, 0.0
 			for _, e := range engines[c.engines:] {
 				worst = max(worst, e.worstWindow(rules.SlowStartWindow, rules.SlowStartMultiple))
--- a/policy/generated_changes_test.go
+++ b/policy/generated_changes_test.go
@@ -132,7 +132,6 @@
 	for _, engine := range s.engines {
 		engine.running = 0
 	}
-	o := s.opening
-	s.module = policy.New(o.Identity, o.Workloads, o.Engines, o.Quotas, o.Limits, o.Rules, o.LoadReports)
+	s.module = policy.New(s.opening.Settings)
 	s.schedule(0, func() []decision.Event { return []decision.Event{s.list(decision.ListPersisted)} })
 }
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -12,7 +12,7 @@
 // Where load reports come by health check, a statement waits for those of its candidates.
 func TestStatementWaitsForHealthChecks(t *testing.T) {
 	h := newHarness(t)
-	h.reports.Source = decision.LoadReportsByHealthCheck
+	h.settings.LoadReports.Source = decision.LoadReportsByHealthCheck
 	h.at(0, ready("a", "b", "c", "d"))
 	assert.Empty(t, pick[decision.HealthCheck](h), "none on a clock")
 	asked := pick[decision.HealthCheck](h.at(ms, read("s")))
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -13,9 +13,9 @@
 // An attempt whose progress shows a bad plan is cancelled, and its statement sent elsewhere.
 func TestSlowAttemptMovesElsewhere(t *testing.T) {
 	h := newHarness(t)
-	h.traits.ProgressInterval = 500 * ms
-	h.workloads[0].LatencyObjective = 3 * time.Second
-	h.workloads[0].LateFactor = 0.5
+	h.settings.Engines.ProgressInterval = 500 * ms
+	h.settings.Workloads[0].LatencyObjective = 3 * time.Second
+	h.settings.Workloads[0].LateFactor = 0.5
 	e := h.at(0, ready("a", "b"), read("s")).sentTo()
 	h.at(500*ms, note("s", e, decision.ProgressShareDone, 0.05))
 	require.Len(t, pick[decision.CancelAttempt](h), 1)
@@ -28,9 +28,9 @@
 func TestHedgeWithoutCancellation(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		h := newHarness(t)
-		h.limits.Cancellation = false
-		h.limits.Hedging = allowed
-		h.workloads[0].LatencyObjective = 2 * time.Second
+		h.settings.Limits.Cancellation = false
+		h.settings.Limits.Hedging = allowed
+		h.settings.Workloads[0].LatencyObjective = 2 * time.Second
 		e := h.at(0, ready("a", "b"), read("s")).sentTo()
 		other := h.at(1900 * ms).sentTo()
 		assert.Equal(t, allowed, other != "")
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -13,16 +13,10 @@
 
 // harness is an instance under test, with settings that a case may change before it opens.
 type harness struct {
-	t         *testing.T
-	identity  decision.Identity
-	workloads []decision.Workload
-	traits    decision.EngineTraits
-	quotas    decision.Quotas
-	limits    decision.Limits
-	rules     decision.Rules
-	reports   decision.LoadReportSettings
-	module    *Module
-	actions   []decision.Action // of the last call
+	t        *testing.T
+	settings decision.Settings
+	module   *Module
+	actions  []decision.Action // of the last call
 }
 
 func newHarness(t *testing.T) *harness {
@@ -32,17 +26,19 @@
 	write := decision.Workload{Name: "write", PriorityWeight: 5, LatencyObjective: 3 * time.Second, LateFactor: 0.5,
 		StatementTimeout: 20 * time.Second, Threads: 2, Idempotency: decision.NonIdempotent, BulkLoad: true}
 	return &harness{
-		t:         t,
-		identity:  decision.Identity{Seed: 1, Routers: 1, Zone: "z1", ClockGranularity: 5 * ms},
-		workloads: []decision.Workload{read, write},
-		traits: decision.EngineTraits{Machines: map[decision.MachineType]decision.MachineSpec{
-			"k8": {Cores: 8, MemoryMB: 8000},
-			"k4": {Cores: 4, MemoryMB: 4000},
-		}},
-		limits: decision.Limits{Cancellation: true, MaxAttempts: 4, HealthChecks: true},
-		rules: decision.Rules{DrainGrace: time.Second, SlowStartShare: 0.3, SlowStartDuration: 15 * time.Second,
-			SlowStartMultiple: 2, SlowStartWindow: 1500 * ms},
-		reports: decision.LoadReportSettings{Source: decision.LoadReportsInResponses},
+		t: t,
+		settings: decision.Settings{
+			Identity:  decision.Identity{Seed: 1, Routers: 1, Zone: "z1", ClockGranularity: 5 * ms},
+			Workloads: []decision.Workload{read, write},
+			Engines: decision.EngineTraits{Machines: map[decision.MachineType]decision.MachineSpec{
+				"k8": {Cores: 8, MemoryMB: 8000},
+				"k4": {Cores: 4, MemoryMB: 4000},
+			}},
+			Limits: decision.Limits{Cancellation: true, MaxAttempts: 4, HealthChecks: true},
+			Rules: decision.Rules{DrainGrace: time.Second, SlowStartShare: 0.3, SlowStartDuration: 15 * time.Second,
+				SlowStartMultiple: 2, SlowStartWindow: 1500 * ms},
+			LoadReports: decision.LoadReportSettings{Source: decision.LoadReportsInResponses},
+		},
 	}
 }
 
@@ -58,7 +54,7 @@
 // at has the module handle events, and keeps the actions.
 func (h *harness) at(now time.Duration, events ...decision.Event) *harness {
 	if h.module == nil {
-		h.module = New(h.identity, h.workloads, h.traits, h.quotas, h.limits, h.rules, h.reports)
+		h.module = New(h.settings)
 	}
 	h.actions = h.module.Handle(now, events)
 	return h
--- a/policy/key_queue_test.go
+++ b/policy/key_queue_test.go
@@ -22,8 +22,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
-			h.workloads[1].OrderedByKey = true
-			h.rules.KeyQuietPeriod = 500 * ms
+			h.settings.Workloads[1].OrderedByKey = true
+			h.settings.Rules.KeyQuietPeriod = 500 * ms
 			one, two := write("one"), write("two")
 			one.Key = "k"
 			two.Key = "k"
--- a/policy/memory_grant_test.go
+++ b/policy/memory_grant_test.go
@@ -12,7 +12,7 @@
 // Estimates of memory that run low: grants follow the spills.
 func TestMemoryGrantFollowsSpills(t *testing.T) {
 	h := newHarness(t)
-	h.traits.MemoryGrants = true
+	h.settings.Engines.MemoryGrants = true
 	ev := read("s")
 	ev.EstimatedMemoryMB = 100
 	e := h.at(0, ready("a"), ev).sentTo()
--- a/policy/module.go
+++ b/policy/module.go
@@ -58,31 +58,30 @@
 	maintenanceAt time.Duration     // last maintenance
 }
 
-// New opens an instance; each argument is one part of its settings.
-func New(identity decision.Identity, workloads []decision.Workload, traits decision.EngineTraits,
-	quotas decision.Quotas, limits decision.Limits, rules decision.Rules, reports decision.LoadReportSettings) *Module {
-	routers := float64(max(1, identity.Routers))
+// New opens an instance.
+func New(settings decision.Settings) *Module {
+	routers := float64(max(1, settings.Identity.Routers))
 	m := &Module{
-		identity:     identity,
-		traits:       traits,
-		limits:       limits,
-		rules:        rules,
-		random:       detrand.Source{Seed: identity.Seed},
+		identity:     settings.Identity,
+		traits:       settings.Engines,
+		limits:       settings.Limits,
+		rules:        settings.Rules,
+		random:       detrand.Source{Seed: settings.Identity.Seed},
 		endpoints:    endpointList{maxRankings: maxTableGroups},
 		statements:   map[decision.StatementID]*statement{},
 		keyQueues:    keyQueues{},
-		tenantQuotas: newTenantQuotas(quotas.Tenants, routers),
-		priorities:   priorities{overQuotaFactor: quotas.OverQuotaFactor},
+		tenantQuotas: newTenantQuotas(settings.Quotas.Tenants, routers),
+		priorities:   priorities{overQuotaFactor: settings.Quotas.OverQuotaFactor},
 		affinity:     tableTraffic{decay: trafficDecay, maxGroups: maxTableGroups},
-		slowStart:    newSlowStart(rules, routers, identity.Seed),
-		healthChecks: newHealthCheckBudget(limits, reports),
+		slowStart:    newSlowStart(settings.Rules, routers, settings.Identity.Seed),
+		healthChecks: newHealthCheckBudget(settings.Limits, settings.LoadReports),
 		peerLoad:     estimate.PeerLoad{FreshFor: reportPeriod, LearningRate: peerLoadLearningRate},
 	}
-	for i, settings := range workloads {
-		m.workloads = append(m.workloads, newWorkload(decision.WorkloadID(i), settings))
+	for i, workload := range settings.Workloads {
+		m.workloads = append(m.workloads, newWorkload(decision.WorkloadID(i), workload))
 	}
 	m.fleetQuota = fleetQuota{routers: routers, workloads: m.workloads}
-	if limits.PollEndpoints {
+	if settings.Limits.PollEndpoints {
 		m.timers.Schedule(0, m.watchEndpoints)
 	}
 	return m
--- a/policy/module_test.go
+++ b/policy/module_test.go
@@ -36,8 +36,8 @@
 // IDs, keys and table groups may be new for ever: what is kept of them is bounded.
 func TestMemoryIsBounded(t *testing.T) {
 	h := newHarness(t)
-	h.workloads[0].OrderedByKey = true
-	h.traits.ProgressInterval = 100 * ms
+	h.settings.Workloads[0].OrderedByKey = true
+	h.settings.Engines.ProgressInterval = 100 * ms
 	for i := range 2 * maxTableGroups {
 		now, id := time.Duration(i)*100*ms, strconv.Itoa(i)
 		e, s := decision.EngineID("e"+id), decision.StatementID("s"+id)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -15,8 +15,8 @@
 // A silent engine is ejected, and what is stuck there goes elsewhere.
 func TestSilentEngineIsEjected(t *testing.T) {
 	h := newHarness(t)
-	h.traits.ProgressInterval = 500 * ms
-	h.workloads[0].LatencyObjective = 3 * time.Second
+	h.settings.Engines.ProgressInterval = 500 * ms
+	h.settings.Workloads[0].LatencyObjective = 3 * time.Second
 	e := h.at(0, ready("a", "b"), read("s")).sentTo()
 	h.at(1200 * ms)
 	require.Len(t, pick[decision.CancelAttempt](h), 1)
@@ -27,7 +27,7 @@
 // A health check does not readmit an ejected engine, an attempt does.
 func TestOnlyAttemptsReadmit(t *testing.T) {
 	h := newHarness(t)
-	h.workloads[0].LatencyObjective = time.Second
+	h.settings.Workloads[0].LatencyObjective = time.Second
 	e := h.at(0, ready("a"), read("s")).sentTo()
 	h.at(2 * time.Second)
 	require.True(t, h.engine(e).ejected)
--- a/policy/priority_test.go
+++ b/policy/priority_test.go
@@ -13,8 +13,8 @@
 // Late work is never starved at the lowest priority.
 func TestLateWorkIsNotStarved(t *testing.T) {
 	h := newHarness(t)
-	h.traits.Priorities = true
-	h.workloads[0].LateFactor = 0.5
+	h.settings.Engines.Priorities = true
+	h.settings.Workloads[0].LateFactor = 0.5
 	h.at(0, read("s"))
 	h.at(1500*ms, ready("a"))
 	require.NotEmpty(t, h.sentTo())
@@ -26,8 +26,8 @@
 // What is half done gets the highest priority, where priorities are heeded.
 func TestNearlyDoneAttemptGetsHighPriority(t *testing.T) {
 	h := newHarness(t)
-	h.traits.Priorities = true
-	h.traits.ProgressInterval = 500 * ms
+	h.settings.Engines.Priorities = true
+	h.settings.Engines.ProgressInterval = 500 * ms
 	h.at(0, ready("a"), heavyWrite("s"))
 	h.at(500*ms, note("s", "a", decision.ProgressShareDone, 0.4))
 	assert.Empty(t, pick[decision.SetResources](h))
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -23,7 +23,7 @@
 // The host may hold few attempts: what is beyond them is queued, and goes as others end.
 func TestMaxInFlightAttempts(t *testing.T) {
 	h := newHarness(t)
-	h.limits.MaxInFlightAttempts = 1
+	h.settings.Limits.MaxInFlightAttempts = 1
 	h.at(0, ready("a", "b"), read("1"), read("2"))
 	first := h.sentTo()
 	require.NotEmpty(t, first)
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -15,9 +15,9 @@
 
 func TestRetryBudget(t *testing.T) {
 	h := newHarness(t)
-	h.rules.RetryBudgetWindow = 10 * time.Second
-	h.rules.RetryBudgetFree = 1
-	h.rules.RetryBudgetShare = 0.25
+	h.settings.Rules.RetryBudgetWindow = 10 * time.Second
+	h.settings.Rules.RetryBudgetFree = 1
+	h.settings.Rules.RetryBudgetShare = 0.25
 	h.at(0, ready("a", "b", "c"))
 	sent := map[decision.StatementID]int{}
 	arrivals := 0
@@ -49,10 +49,10 @@
 func TestRetryBudgetWithSendDelay(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newHarness(t)
-		h.rules.RetryBudgetWindow = 2 * time.Second
-		h.rules.RetryBudgetFree = 2
-		h.rules.RetryBudgetShare = 0.2
-		h.limits.MaxSendDelay = 300 * ms
+		h.settings.Rules.RetryBudgetWindow = 2 * time.Second
+		h.settings.Rules.RetryBudgetFree = 2
+		h.settings.Rules.RetryBudgetShare = 0.2
+		h.settings.Limits.MaxSendDelay = 300 * ms
 		h.at(0, ready("a", "b", "c"))
 		random := rand.New(rand.NewPCG(seed, 1))
 		var arrivals, retries []time.Duration // retries: when an engine sees them
@@ -76,7 +76,7 @@
 			h.at(now, events...)
 			for _, x := range pick[decision.StartAttempt](h) {
 				if sent[x.Statement] {
-					retries = append(retries, now+time.Duration(random.Int64N(int64(h.limits.MaxSendDelay))))
+					retries = append(retries, now+time.Duration(random.Int64N(int64(h.settings.Limits.MaxSendDelay))))
 				}
 				sent[x.Statement] = true
 				number := len(h.module.statements[x.Statement].attempts) - 1
@@ -88,7 +88,7 @@
 		within := func(times []time.Duration, at time.Duration) float64 {
 			count := 0.0
 			for _, x := range times {
-				if x > at-h.rules.RetryBudgetWindow && x <= at {
+				if x > at-h.settings.Rules.RetryBudgetWindow && x <= at {
 					count++
 				}
 			}
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -71,8 +71,8 @@
 	chosen := map[decision.EngineID]bool{}
 	for me := range 40 {
 		h := newHarness(t)
-		h.identity.Router = decision.RouterID(me)
-		h.identity.Routers = 40
+		h.settings.Identity.Router = decision.RouterID(me)
+		h.settings.Identity.Routers = 40
 		for i := range 3 { // the group's share of the traffic makes it several candidates
 			h.at(time.Duration(i)*100*ms, ready("a", "b", "c", "d"), read(decision.StatementID(fmt.Sprint(i))))
 			h.engine("a").recentTables = nil
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -31,9 +31,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
-			h.workloads[0].Idempotency = c.idempotency
-			h.workloads[0].DedupScope = c.scope
-			h.workloads[0].LatencyObjective = 3 * time.Second
+			h.settings.Workloads[0].Idempotency = c.idempotency
+			h.settings.Workloads[0].DedupScope = c.scope
+			h.settings.Workloads[0].LatencyObjective = 3 * time.Second
 			list := ready("a", "b")
 			list.Endpoints[0].Cell = 1
 			list.Endpoints[1].Cell = 2
@@ -71,9 +71,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
-			h.workloads[0].Idempotency = c.idempotency
-			h.workloads[0].DedupWindow = time.Second
-			h.workloads[0].LatencyObjective = 3 * time.Second
+			h.settings.Workloads[0].Idempotency = c.idempotency
+			h.settings.Workloads[0].DedupWindow = time.Second
+			h.settings.Workloads[0].LatencyObjective = 3 * time.Second
 			first := pick[decision.StartAttempt](h.at(500*ms, ready("a", "b"), read("s")))
 			require.Len(t, first, 1)
 			assert.Zero(t, first[0].StartBefore, "it repeats nothing")
@@ -91,9 +91,9 @@
 	}{
 		{"draining", func(_ *harness, e *decision.Endpoint) { e.State = decision.Draining }},
 		{"removed", func(_ *harness, e *decision.Endpoint) { e.State = decision.Removed }},
-		{"zone not allowed", func(h *harness, e *decision.Endpoint) { h.workloads[0].AllowedZones = []decision.Zone{"z9"} }},
+		{"zone not allowed", func(h *harness, e *decision.Endpoint) { h.settings.Workloads[0].AllowedZones = []decision.Zone{"z9"} }},
 		{"machine type not allowed", func(h *harness, e *decision.Endpoint) {
-			h.workloads[0].AllowedMachineTypes = []decision.MachineType{"k4"}
+			h.settings.Workloads[0].AllowedMachineTypes = []decision.MachineType{"k4"}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -78,10 +78,10 @@
 			attempts:    map[decision.StatementID]decision.AttemptID{},
 			inbox:       []decision.Event{list},
 		}
-		r.identity.Router = decision.RouterID(i)
-		r.identity.Seed = uint64(i + 1)
-		if r.identity.Routers == 0 {
-			r.identity.Routers = routers
+		r.settings.Identity.Router = decision.RouterID(i)
+		r.settings.Identity.Seed = uint64(i + 1)
+		if r.settings.Identity.Routers == 0 {
+			r.settings.Identity.Routers = routers
 		}
 		f.routers = append(f.routers, r)
 	}
@@ -94,7 +94,7 @@
 // setRouterCount has the settings of all routers name so many routers.
 func (f *simulatedFleet) setRouterCount(routers int) {
 	for _, r := range f.routers {
-		r.identity.Routers = routers
+		r.settings.Identity.Routers = routers
 	}
 }
 
@@ -263,7 +263,7 @@
 		router:    i,
 		statement: statement,
 		number:    number,
-		threads:   float64(r.workloads[statement.Workload].Threads),
+		threads:   float64(r.settings.Workloads[statement.Workload].Threads),
 		remaining: statement.EstimatedWork.Seconds() * e.slowness,
 	})
 }
@@ -297,7 +297,7 @@
 		return
 	}
 	f.completed++
-	if f.now-s.firstSentAt < r.workloads[a.statement.Workload].LatencyObjective {
+	if f.now-s.firstSentAt < r.settings.Workloads[a.statement.Workload].LatencyObjective {
 		f.inTime++
 		r.inTime++
 	}
@@ -309,13 +309,13 @@
 	t.Helper()
 	return func() *harness {
 		h := newHarness(t)
-		h.identity.Routers = 0
-		h.rules.SlowStartMultiple = 4
-		h.traits.ProgressInterval = 300 * ms
-		h.workloads[0].LatencyObjective = 500 * ms
-		h.workloads[0].StatementTimeout = 2500 * ms
-		h.workloads[0].WaitsForBulkLoads = false
-		h.workloads[1] = decision.Workload{Name: "report", PriorityWeight: 7.5, LatencyObjective: 3 * time.Second,
+		h.settings.Identity.Routers = 0
+		h.settings.Rules.SlowStartMultiple = 4
+		h.settings.Engines.ProgressInterval = 300 * ms
+		h.settings.Workloads[0].LatencyObjective = 500 * ms
+		h.settings.Workloads[0].StatementTimeout = 2500 * ms
+		h.settings.Workloads[0].WaitsForBulkLoads = false
+		h.settings.Workloads[1] = decision.Workload{Name: "report", PriorityWeight: 7.5, LatencyObjective: 3 * time.Second,
 			ObjectiveStretch: 2, LateFactor: 0.3, StatementTimeout: 10 * time.Second, Threads: 2}
 		return h
 	}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -19,10 +19,10 @@
 			sent, budget := 0, 0.0
 			for me := range routers {
 				h, list := newHarness(t), ready("b", "c", "d", "e", "f", "g", "h", "i", "j")
-				h.identity.Router = decision.RouterID(me)
-				h.identity.Routers = routers
-				h.identity.Seed = uint64(me)
-				budget = h.rules.SlowStartMultiple * h.rules.SlowStartShare * 8 * h.rules.SlowStartWindow.Seconds()
+				h.settings.Identity.Router = decision.RouterID(me)
+				h.settings.Identity.Routers = routers
+				h.settings.Identity.Seed = uint64(me)
+				budget = h.settings.Rules.SlowStartMultiple * h.settings.Rules.SlowStartShare * 8 * h.settings.Rules.SlowStartWindow.Seconds()
 				h.at(0, list)
 				started := ready("a")
 				started.Kind = decision.ListPartial
@@ -49,7 +49,7 @@
 		h, list := newHarness(t), ready("a")
 		list.Endpoints[0].StartedAt = time.Second
 		assert.Empty(t, h.at(2*time.Second, list, read("s")).sentTo())
-		assert.NotEmpty(t, h.at(2*time.Second+h.rules.SlowStartWindow, read("later")).sentTo())
+		assert.NotEmpty(t, h.at(2*time.Second+h.settings.Rules.SlowStartWindow, read("later")).sentTo())
 	})
 	for _, c := range []struct {
 		name          string
--- a/policy/tenant_quota_test.go
+++ b/policy/tenant_quota_test.go
@@ -13,7 +13,7 @@
 // What is beyond a tenant's quota waits behind what is within one.
 func TestBeyondQuotaWaits(t *testing.T) {
 	h := newHarness(t)
-	h.quotas = decision.Quotas{Tenants: []decision.Quota{{Tenant: "g", RatePerSecond: 1}}}
+	h.settings.Quotas = decision.Quotas{Tenants: []decision.Quota{{Tenant: "g", RatePerSecond: 1}}}
 	for i, id := range []decision.StatementID{"1", "2", "3", "4", "5", "out"} { // five are within the burst
 		ev := read(id)
 		ev.Tenant = "g"
