--- a/internal/upstream/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -92,69 +92,91 @@
 	breaks    bool            // the connection is closed afterwards
 }
 
-// serveScript answers the requests in the order in which they are received, whatever connection they arrive on.
+// scriptedEngine answers the requests in the order in which they are received, whatever connection they arrive on.
+type scriptedEngine struct {
+	listener net.Listener
+	recorded *transcript
+	script   []scriptedAnswer
+	serving  sync.WaitGroup
+
+	mu          sync.Mutex
+	sockets     []net.Conn
+	connections int // on which a request was received
+	requests    int
+}
+
 func serveScript(t *testing.T, listener net.Listener, recorded *transcript, script []scriptedAnswer) {
-	var wait sync.WaitGroup
-	var mu sync.Mutex
-	var open []net.Conn
-	connections, requests := 0, 0
-	handle := func(raw net.Conn, reader *bufio.Reader, seen *strings.Builder, number *int) bool {
+	t.Helper()
+	engine := &scriptedEngine{listener: listener, recorded: recorded, script: script}
+	engine.serving.Go(engine.accept)
+	t.Cleanup(engine.close)
+}
+
+func (e *scriptedEngine) close() {
+	e.listener.Close()
+	e.mu.Lock()
+	for _, socket := range e.sockets {
+		socket.Close()
+	}
+	e.mu.Unlock()
+	e.serving.Wait()
+}
+
+func (e *scriptedEngine) accept() {
+	for {
+		socket, err := e.listener.Accept()
+		if err != nil {
+			return
+		}
+		e.mu.Lock()
+		e.sockets = append(e.sockets, socket)
+		e.mu.Unlock()
+		e.serving.Go(func() { e.serve(socket) })
+	}
+}
+
+func (e *scriptedEngine) serve(socket net.Conn) {
+	defer socket.Close()
+	var received strings.Builder
+	reader := bufio.NewReader(io.TeeReader(socket, &received))
+	connection := 0 // its number; 0: it has received no request
+	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
-			return false
+			return
 		}
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
-			return false
-		}
-		mu.Lock()
-		if *number == 0 {
-			connections++
-			*number = connections
-		}
-		recorded.add("connection %d: %s", *number, normalise(seen.String(), recorded.engineAddress))
-		seen.Reset()
-		answer := scriptedAnswer{raw: "HTTP/1.1 500 Unscripted\r\nContent-Length: 0\r\n\r\n"}
-		if requests < len(script) {
-			answer = script[requests]
+			return
 		}
-		requests++
-		mu.Unlock()
+		answer := e.record(received.String(), &connection)
+		received.Reset()
 		if answer.onReceipt != nil {
 			answer.onReceipt()
 		}
 		if answer.waitFor != nil {
 			<-answer.waitFor
 		}
-		_, err = io.WriteString(raw, answer.raw)
-		return err == nil && !answer.breaks
-	}
-	wait.Go(func() {
-		for {
-			raw, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			mu.Lock()
-			open = append(open, raw)
-			mu.Unlock()
-			wait.Go(func() {
-				defer raw.Close()
-				var seen strings.Builder
-				reader := bufio.NewReader(io.TeeReader(raw, &seen))
-				for number := 0; handle(raw, reader, &seen, &number); {
-				}
-			})
-		}
-	})
-	t.Cleanup(func() {
-		listener.Close()
-		mu.Lock()
-		for _, raw := range open {
-			raw.Close()
+		if _, err := io.WriteString(socket, answer.raw); err != nil || answer.breaks {
+			return
 		}
-		mu.Unlock()
-		wait.Wait()
-	})
+	}
+}
+
+// record records a request and returns the answer to it.
+func (e *scriptedEngine) record(request string, connection *int) scriptedAnswer {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if *connection == 0 {
+		e.connections++
+		*connection = e.connections
+	}
+	e.recorded.add("connection %d: %s", *connection, normalise(request, e.recorded.engineAddress))
+	answer := scriptedAnswer{raw: "HTTP/1.1 500 Unscripted\r\nContent-Length: 0\r\n\r\n"}
+	if e.requests < len(e.script) {
+		answer = e.script[e.requests]
+	}
+	e.requests++
+	return answer
 }
 
 // normalise replaces what differs between runs: the engine's port, and the milliseconds that are left.
@@ -168,11 +190,11 @@
 }
 
 const (
-	noLength     = "Content-Length: 0\r\n\r\n"
-	acceptedWith = "HTTP/1.1 202 Accepted\r\n"
-	acknowledged = "HTTP/1.1 204 No Content\r\n\r\n"
-	firstNote    = acceptedWith + "X-How: done\r\nX-Num: 0.25\r\n" + noLength
-	secondNote   = acceptedWith + "X-How: done\r\nX-Num: 0.5\r\n" + noLength
+	noLength       = "Content-Length: 0\r\n\r\n"
+	acceptedWith   = "HTTP/1.1 202 Accepted\r\n"
+	acknowledged   = "HTTP/1.1 204 No Content\r\n\r\n"
+	firstProgress  = acceptedWith + "X-How: done\r\nX-Num: 0.25\r\n" + noLength
+	secondProgress = acceptedWith + "X-How: done\r\nX-Num: 0.5\r\n" + noLength
 )
 
 func page(fields, body string) string {
@@ -202,18 +224,18 @@
 		{name: "result of one page", script: []string{result}},
 		{name: "result of one page with a load report", script: []string{page("X-Batches: 1\r\nX-Gauges: inflight:7;util:0.61;queue:2;x1:0.2\r\n", "row\n")}},
 		{name: "empty result", script: []string{page("X-Batches: 1\r\n", "")}},
-		{name: "notes and three pages", script: []string{firstNote, secondNote,
+		{name: "notes and three pages", script: []string{firstProgress, secondProgress,
 			acceptedWith + "X-How: spills\r\nX-Num: 96\r\n" + noLength, acceptedWith + "X-How: waits\r\nX-Num: 2\r\n" + noLength,
 			page("X-Batches: 3\r\n", "a\n"), page("X-Batch: 1\r\n", "b\n"), page("X-Batch: 2\r\n", "c\n")}},
-		{name: "a poll is repeated on another connection when its own breaks", script: []string{firstNote, brokenHere, secondNote, result}},
-		{name: "a poll is repeated when its answer breaks off", script: []string{firstNote, acceptedWith + "Content-" + brokenHere, result}},
-		{name: "a poll is repeated when its answer is garbled", script: []string{firstNote, "so what\r\n\r\n", result}},
-		{name: "a poll is repeated when its result is too large", script: []string{firstNote, page("X-Batches: 1\r\n", strings.Repeat("x", 6000)+"\n"), result}},
-		{name: "a poll is repeated when its result has no end", script: []string{firstNote, "HTTP/1.1 200 OK\r\nX-Batches: 1\r\n\r\nrow\n" + brokenHere, result}},
-		{name: "a poll is repeated when its result ends within a row", script: []string{firstNote, page("X-Batches: 1\r\n", "ro"), result}},
-		{name: "a poll is repeated when its status is unknown", script: []string{firstNote, emptyAnswer("418 Odd"), result}},
-		{name: "a poll is repeated when the result has no count of pages", script: []string{firstNote, page("", "row\n"), result}},
-		{name: "rows behind which more has come must come twice", script: []string{firstNote, result + "x", result}},
+		{name: "a poll is repeated on another connection when its own breaks", script: []string{firstProgress, brokenHere, secondProgress, result}},
+		{name: "a poll is repeated when its answer breaks off", script: []string{firstProgress, acceptedWith + "Content-" + brokenHere, result}},
+		{name: "a poll is repeated when its answer is garbled", script: []string{firstProgress, "so what\r\n\r\n", result}},
+		{name: "a poll is repeated when its result is too large", script: []string{firstProgress, page("X-Batches: 1\r\n", strings.Repeat("x", 6000)+"\n"), result}},
+		{name: "a poll is repeated when its result has no end", script: []string{firstProgress, "HTTP/1.1 200 OK\r\nX-Batches: 1\r\n\r\nrow\n" + brokenHere, result}},
+		{name: "a poll is repeated when its result ends within a row", script: []string{firstProgress, page("X-Batches: 1\r\n", "ro"), result}},
+		{name: "a poll is repeated when its status is unknown", script: []string{firstProgress, emptyAnswer("418 Odd"), result}},
+		{name: "a poll is repeated when the result has no count of pages", script: []string{firstProgress, page("", "row\n"), result}},
+		{name: "rows behind which more has come must come twice", script: []string{firstProgress, result + "x", result}},
 		{name: "a page is repeated when it is not the awaited one", script: []string{page("X-Batches: 2\r\n", "a\n"), page("X-Batch: 2\r\n", "c\n"), page("X-Batch: 1\r\n", "b\n")}},
 		{name: "a page is repeated when its connection breaks", script: []string{page("X-Batches: 2\r\n", "a\n"), brokenHere, page("X-Batch: 1\r\n", "b\n")}},
 		{name: "a page that the engine has dropped", script: []string{page("X-Batches: 2\r\n", "a\n"), emptyAnswer("500 Gone"), acknowledged}},
@@ -228,10 +250,10 @@
 		{name: "the connection breaks before the start is answered", script: []string{brokenHere, result}},
 		{name: "the answer to the start is garbled", script: []string{"so what\r\n\r\n", result}},
 		{name: "no answer is of any use", script: append(strings.Split(strings.Repeat("so what\r\n\r\n|", 18), "|")[:18], acknowledged)},
-		{name: "the attempt is cancelled", script: []string{firstNote, brokenHere, acknowledged}, hold: 2, cancelAt: 2},
-		{name: "the attempt is cancelled and the engine knows it no longer", script: []string{firstNote, brokenHere, emptyAnswer("500 Gone")}, hold: 2, cancelAt: 2},
-		{name: "the cancellation is repeated until it is confirmed", script: []string{firstNote, brokenHere, emptyAnswer("404 No"), acknowledged}, hold: 2, cancelAt: 2},
-		{name: "the attempt's time is up", script: []string{firstNote, brokenHere, acknowledged}, hold: 2, timeLeft: 500 * time.Millisecond},
+		{name: "the attempt is cancelled", script: []string{firstProgress, brokenHere, acknowledged}, hold: 2, cancelAt: 2},
+		{name: "the attempt is cancelled and the engine knows it no longer", script: []string{firstProgress, brokenHere, emptyAnswer("500 Gone")}, hold: 2, cancelAt: 2},
+		{name: "the cancellation is repeated until it is confirmed", script: []string{firstProgress, brokenHere, emptyAnswer("404 No"), acknowledged}, hold: 2, cancelAt: 2},
+		{name: "the attempt's time is up", script: []string{firstProgress, brokenHere, acknowledged}, hold: 2, timeLeft: 500 * time.Millisecond},
 		{name: "the attempt has no time left", timeLeft: time.Nanosecond},
 		{name: "the engine is unreachable", unreachable: true},
 		{name: "health check with a load report", healthCheck: true, script: []string{page("X-Gauges: inflight:3;util:0.5\r\n", "")}},
@@ -246,7 +268,7 @@
 		"504 Late", "500 Error\r\nX-Gauges: inflight:4"} {
 		cases = append(cases,
 			transcriptCase{name: fmt.Sprintf("start answered with %q", head), script: []string{emptyAnswer(head), acknowledged}},
-			transcriptCase{name: fmt.Sprintf("poll answered with %q", head), script: []string{firstNote, emptyAnswer(head), acknowledged}})
+			transcriptCase{name: fmt.Sprintf("poll answered with %q", head), script: []string{firstProgress, emptyAnswer(head), acknowledged}})
 	}
 	for _, head := range []string{"418 Odd", "200 OK", "200 OK\r\nX-Batches: 0", "200 OK\r\nX-Batches: 4097", "404 No", "301 Moved", "429 Slow\r\nX-Unrun: 1"} {
 		cases = append(cases, transcriptCase{name: fmt.Sprintf("start answered with %q", head), script: []string{emptyAnswer(head), result}})
@@ -278,16 +300,16 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	engines := New(ctx, recorded, 8, time.Minute, time.Second, zap.NewNop())
-	engines.UpdateEngine("engine-1", listener.Addr().String(), true)
+	client := New(ctx, recorded, 8, time.Minute, time.Second, zap.NewNop())
+	client.UpdateEngine("engine-1", listener.Addr().String(), true)
 	if c.healthCheck {
-		engines.CheckHealth("engine-1")
+		client.CheckHealth("engine-1")
 	} else {
 		timeLeft := c.timeLeft
 		if timeLeft == 0 {
 			timeLeft = time.Minute
 		}
-		attempt := engines.StartAttempt(AttemptRequest{Statement: "statement-1", Attempt: 2, Engine: "engine-1", Workload: "lookup", Text: []byte("select 'ä'\n"),
+		attempt := client.StartAttempt(AttemptRequest{Statement: "statement-1", Attempt: 2, Engine: "engine-1", Workload: "lookup", Text: []byte("select 'ä'\n"),
 			Deadline: time.Now().Add(timeLeft)})
 		cancelled <- attempt.Cancel
 	}
@@ -298,8 +320,8 @@
 	}
 	text := recorded.text()
 	stop()
-	require.NoError(t, engines.Run(ctx))
-	assert.Zero(t, engines.ConnectionsInUse(), "all are given back")
+	require.NoError(t, client.Run(ctx))
+	assert.Zero(t, client.ConnectionsInUse(), "all are given back")
 	return text
 }
 
