--- a/internal/upstream/attempt_cancel.go
+++ b/internal/upstream/attempt_cancel.go
@@ -54,8 +54,8 @@
 }
 
 // expiresAtEngine returns when the engine will have dropped the attempt at the latest, if it is not asked for it again.
-// A request with a response reached the engine, which may have held it, before that response. One without may have
-// reached it until its connection was reset.
+// A request with a response reached the engine, which may have held it, before that response: 2.55 s after the last
+// request. One without may have reached it until its connection was reset: 2.35 s after that, if it is later.
 func (a *Attempt) expiresAtEngine() time.Time {
 	afterRequest := a.lastRequest.load(a.client.clockOrigin).Add(pollHoldTime + engineRetention + retentionMargin)
 	if !a.lastAbort.isSet() {
--- a/internal/upstream/attempt_end.go
+++ b/internal/upstream/attempt_end.go
@@ -14,7 +14,16 @@
 )
 
 // EndProof is how it is known that an engine does not run an attempt any more, so that its statement may be started
-// elsewhere.
+// elsewhere. Neither a broken connection nor a refused one is a proof: the engine may run on. These are:
+//
+//   - ProofNotSent: no connection was established, or the start was not written completely.
+//   - ProofReportedByEngine: a response with an end that the protocol has: 200 with its pages, 503 or 504 with the
+//     header that nothing ran, or 500, which counts once no start can arrive behind it.
+//   - ProofCancelConfirmed: a DELETE was answered with 204, or with 500 by an engine that does not know the attempt any
+//     more, and was sent after the start was answered.
+//   - ProofExpiredAtEngine: engines drop what they are not asked for, see expiresAtEngine.
+//
+// Any other end, such as an unknown status, is followed by a cancellation and counts with its proof.
 type EndProof int
 
 // The proofs of an end.
