--- /dev/null
+++ b/cmd/bankledge-faultlab/control_benchmark_cmd.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"time"
+
+	"bankledge/internal/faultlab"
+)
+
+// controlBenchmarkCmd measures the control service.
+type controlBenchmarkCmd struct {
+	Control string        `help:"The control service's program; built from the folder that this is called in if empty." type:"path"`
+	Members int           `default:"3" help:"Processes of the group."`
+	Routers int           `default:"300" help:"Router sides."`
+	Seconds float64       `default:"8" help:"Length of each part."`
+	Every   time.Duration `default:"1s" help:"Between two versions."`
+	JSON    bool          `help:"Write the figures as JSON."`
+}
+
+// Run measures once.
+func (c *controlBenchmarkCmd) Run() error {
+	dir, removeDir, err := tempDir()
+	if err != nil {
+		return err
+	}
+	defer removeDir()
+	program, removeProgram, err := buildControl(c.Control)
+	if err != nil {
+		return err
+	}
+	defer removeProgram()
+	ctx, cancel := interrupted()
+	defer cancel()
+	benchmark := faultlab.ControlBenchmark{
+		Program:         program,
+		Members:         c.Members,
+		Routers:         c.Routers,
+		Seconds:         c.Seconds,
+		VersionInterval: c.Every,
+		Dir:             dir,
+	}
+	m, err := benchmark.Run(ctx)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(os.Stdout).Encode(m)
+	}
+	c.print(m)
+	return nil
+}
+
+func (c *controlBenchmarkCmd) print(m faultlab.ControlMetrics) {
+	fmt.Printf("%d routers, a group of %d, %d versions\n", m.Routers, c.Members, m.Versions)
+	fmt.Printf("from propose to its number: p50 %v, p99 %v\n", m.CommitP50, m.CommitP99)
+	fmt.Printf("until a router acts on it in force: p50 %v, p99 %v; until the last one does: p50 %v, p99 %v\n", m.ApplyP50, m.ApplyP99, m.ConvergeP50, m.ConvergeP99)
+	fmt.Printf("the leader takes %.3f of a core idle, %.3f with a version each %v; %.0f MB resident\n", m.IdleCPU, m.BusyCPU, c.Every, m.ResidentMB)
+	fmt.Printf("bytes a second and router, read and written by the group's calls: %.0f idle, %.0f with versions\n", m.IdleBytes, m.BusyBytes)
+	fmt.Printf("leader killed: no proposal for %v, %.2f of the routers had a term then\n", m.Outage.Round(time.Millisecond), m.LeasedDuringOutage)
+	fmt.Printf("all processes killed and started again once no router had a term: all have one %v later\n", m.RecoveryTime.Round(time.Millisecond))
+}
--- /dev/null
+++ b/cmd/bankledge-faultlab/group_cmd.go
@@ -0,0 +1,164 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+	"gonum.org/v1/plot/plotter"
+
+	"bankledge/internal/faultlab"
+)
+
+// groupCmd plays schedules of a control group's faults with real processes.
+type groupCmd struct {
+	From     uint64  `default:"1" help:"First seed."`
+	Count    uint64  `default:"10" help:"Number of schedules."`
+	Seconds  float64 `default:"7" help:"Length of each."`
+	Parallel int     `default:"4" help:"Schedules at once."`
+	Push     bool    `help:"The baseline: routers that act on what they hear, with no terms and no cautious side."`
+	Logs     string  `help:"Folder to keep the processes' logs in." type:"path"`
+	Chart    string  `help:"File for a chart of the longest contradictions, PNG." type:"path"`
+	JSON     bool    `help:"Write the outcome as JSON."`
+}
+
+// pushEdits make the baseline of the router.
+var pushEdits = []edit{
+	{clientVersions, "	if c.activated != nil {\n		restrict(c.activated.Rules)", "	if c.activated != nil && c.pending == nil {\n		restrict(c.activated.Rules)"},
+	{clientVersions, "	if !configuration.Leased || c.activated == nil {", "	if c.activated == nil && c.pending == nil {"},
+	{clientVersions, "ActiveConfiguration{Leased: c.leaseExpiry > 0 && c.newest() != nil}", "ActiveConfiguration{Leased: c.newest() != nil}"},
+	{clientVersions, "		configuration.Pending = c.pending.Number\n", "		configuration.Activated = c.pending.Number\n"},
+}
+
+// maxPrinted is how many violations are printed.
+const maxPrinted = 10
+
+// groupSummary is what came of all schedules.
+type groupSummary struct {
+	Schedules             int           `json:"schedules"`
+	LongestContradiction  time.Duration `json:"worst_ns"`
+	Bound                 time.Duration `json:"t_ns"`
+	OverBound             int           `json:"over_in"` // schedules in which two routers contradicted each other for longer
+	LongestEarlyLoosening time.Duration `json:"loosened_ns"`
+	Contradictions        int           `json:"pairs"`
+	Versions              int           `json:"versions"`
+	LeasedShare           float64       `json:"terms"` // the sum, until all are played
+	Lost                  int           `json:"lost"`  // statements without an answer, or with two
+	Violations            []string      `json:"breaches"`
+
+	longest plotter.Values // contradiction of each schedule, seconds
+}
+
+// Run plays them.
+func (c *groupCmd) Run() error {
+	var edits []edit
+	if c.Push {
+		edits = pushEdits
+	}
+	options, remove, err := buildFleet(edits)
+	if err != nil {
+		return err
+	}
+	defer remove()
+	ctx, cancel := interrupted()
+	defer cancel()
+	summary, err := c.playAll(ctx, options)
+	if err != nil {
+		return err
+	}
+	if c.Chart != "" {
+		if err := writeContradictionChart(c.Chart, summary.longest, summary.Bound); err != nil {
+			return err
+		}
+	}
+	if c.JSON {
+		if err := json.NewEncoder(os.Stdout).Encode(summary); err != nil {
+			return err
+		}
+	} else {
+		summary.print()
+	}
+	if len(summary.Violations) > 0 {
+		return errViolations
+	}
+	return nil
+}
+
+// playAll plays the schedules, some of them at once.
+func (c *groupCmd) playAll(ctx context.Context, options faultlab.Options) (*groupSummary, error) {
+	summary := &groupSummary{Bound: faultlab.GroupDurations.MaxContradiction()}
+	var mu sync.Mutex
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(max(1, c.Parallel))
+	for i := range c.Count {
+		group.Go(func() error {
+			s := faultlab.GenerateGroupSchedule(c.From+i, c.Seconds)
+			own := options
+			if c.Logs != "" {
+				own.Dir = filepath.Join(c.Logs, strings.ReplaceAll(s.Name, " ", "-"))
+			}
+			h, err := faultlab.Play(ctx, s, own)
+			if err != nil {
+				return fmt.Errorf("%s: %w", s.Name, err)
+			}
+			report := faultlab.CheckConsistency(h)
+			mu.Lock()
+			defer mu.Unlock()
+			summary.addReport(s.Name, report)
+			summary.addAudit(s.Name, faultlab.Audit(h))
+			return nil
+		})
+	}
+	if err := group.Wait(); err != nil {
+		return nil, err
+	}
+	summary.LeasedShare /= float64(max(1, summary.Schedules))
+	return summary, nil
+}
+
+func (s *groupSummary) addReport(schedule string, r faultlab.ConsistencyReport) {
+	s.Schedules++
+	s.LongestContradiction = max(s.LongestContradiction, r.LongestContradiction)
+	s.LongestEarlyLoosening = max(s.LongestEarlyLoosening, r.LongestEarlyLoosening)
+	s.Contradictions += r.Contradictions
+	s.Versions += r.Versions
+	s.LeasedShare += r.LeasedShare
+	s.longest = append(s.longest, r.LongestContradiction.Seconds())
+	overBound := false
+	for _, v := range r.Violations {
+		overBound = overBound || v.Auditor == "contradiction"
+		s.addViolation(schedule, v)
+	}
+	if overBound {
+		s.OverBound++
+	}
+}
+
+func (s *groupSummary) addAudit(schedule string, violations []faultlab.Violation) {
+	for _, v := range violations {
+		if v.Auditor == "answers" {
+			s.Lost++
+		}
+		if faultlab.IsInvariant(v.Auditor) {
+			s.addViolation(schedule, v)
+		}
+	}
+}
+
+func (s *groupSummary) addViolation(schedule string, v faultlab.Violation) {
+	s.Violations = append(s.Violations, fmt.Sprintf("%s: %s at %v: %s", schedule, v.Auditor, v.At, v.Text))
+}
+
+func (s *groupSummary) print() {
+	fmt.Printf("%d schedules: longest contradiction %v (T %v), over T in %d; longest that something loosened early %v; %d pairs, %d versions, terms held %.3f of the time, %d statements lost\n",
+		s.Schedules, s.LongestContradiction, s.Bound, s.OverBound, s.LongestEarlyLoosening, s.Contradictions, s.Versions, s.LeasedShare, s.Lost)
+	for _, v := range s.Violations[:min(maxPrinted, len(s.Violations))] {
+		fmt.Println("-", v)
+	}
+}
--- a/cmd/bankledge-faultlab/group_test.go
+++ b/cmd/bankledge-faultlab/group_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"os"
-	"os/exec"
 	"path/filepath"
 	"testing"
 
@@ -14,18 +12,19 @@
 	"bankledge/internal/faultlab"
 )
 
-// programs builds the router and the control service.
-func programs(t *testing.T) faultlab.Options {
+// fleetPrograms builds the router and the control service.
+func fleetPrograms(t *testing.T) faultlab.Options {
+	t.Helper()
 	control := filepath.Join(t.TempDir(), "bankledge-control")
-	out, err := exec.Command("go", "build", "-o", control, "../bankledge-control").CombinedOutput()
-	require.NoError(t, err, string(out))
-	return faultlab.Options{RouterProgram: router(t), ControlProgram: control}
+	require.NoError(t, goBuild("the control service", control, "../bankledge-control"))
+	return faultlab.Options{RouterProgram: routerProgram(t), ControlProgram: control}
 }
 
-const atOnce = 3 // plays of a control group: they ask for little of the machine
+const maxPlaysAtOnce = 3 // plays of a control group: they ask for little of the machine
 
 // playGroup plays a schedule with processes of the control service and of the router, and has the auditors of agreement judge.
 func playGroup(t *testing.T, o faultlab.Options, s *faultlab.Schedule) faultlab.ConsistencyReport {
+	t.Helper()
 	h, err := faultlab.Play(context.Background(), s, o)
 	require.NoError(t, err)
 	c := faultlab.CheckConsistency(h)
@@ -45,7 +44,7 @@
 func TestGroupSchedules(t *testing.T) {
 	n := plays(t)
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	o, turn := programs(t), make(chan struct{}, atOnce)
+	o, turn := fleetPrograms(t), make(chan struct{}, maxPlaysAtOnce)
 	for seed := range uint64(n) {
 		s := faultlab.GenerateGroupSchedule(seed+1, 7)
 		t.Run(s.Name, func(t *testing.T) {
@@ -61,7 +60,7 @@
 func TestGroupHardCases(t *testing.T) {
 	plays(t)
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	o, turn := programs(t), make(chan struct{}, atOnce)
+	o, turn := fleetPrograms(t), make(chan struct{}, maxPlaysAtOnce)
 	all, some := []int{0, 1, 2, 3, 4}, []int{0, 1}
 	members, leader := []int{0, 1, 2}, []int{-1}
 	for name, c := range map[string]struct {
@@ -103,13 +102,10 @@
 // some hear nothing.
 func TestGroupAuditorFails(t *testing.T) {
 	plays(t)
-	here, err := os.Getwd()
+	t.Chdir("../..")
+	o, remove, err := buildFleet(pushEdits)
 	require.NoError(t, err)
-	require.NoError(t, os.Chdir("../.."))
-	defer os.Chdir(here)
-	o, drop, err := buildAll(pushEdits)
-	require.NoError(t, err)
-	defer drop()
+	defer remove()
 	s := &faultlab.Schedule{Name: "push", Seed: 1, Routers: 5, Engines: 2, Seconds: 7, Load: 0.15, BusiestFactor: 1, ControlMembers: 3, VersionInterval: 0.2,
 		Faults: []faultlab.Fault{{Kind: "group-cut", At: 2, For: 3.5, Routers: []int{0, 1}, Members: []int{0, 1, 2}}}}
 	h, err := faultlab.Play(context.Background(), s, o)
--- a/cmd/bankledge-faultlab/main_test.go
+++ b/cmd/bankledge-faultlab/main_test.go
@@ -17,6 +17,7 @@
 
 // plays is how many schedules are played: the machine has to have nothing else to do, so they are only on demand (LAB=10).
 func plays(t *testing.T) int {
+	t.Helper()
 	n, err := strconv.Atoi(os.Getenv("LAB"))
 	if err != nil || testing.Short() {
 		t.Skip("LAB says how many schedules are played")
@@ -24,11 +25,11 @@
 	return n
 }
 
-// router builds the program under test.
-func router(t *testing.T) string {
+// routerProgram builds the program under test.
+func routerProgram(t *testing.T) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "bankledge")
-	out, err := exec.Command("go", "build", "-o", path, "../bankledge").CombinedOutput()
-	require.NoError(t, err, string(out))
+	require.NoError(t, goBuild("the router", path, "../bankledge"))
 	return path
 }
 
@@ -37,7 +38,7 @@
 func TestSchedules(t *testing.T) {
 	n := plays(t)
 	defer goleak.VerifyNone(t)
-	program := router(t)
+	program := routerProgram(t)
 	for seed := range uint64(n) {
 		s := faultlab.GenerateSchedule(seed+1, 7)
 		t.Run(s.Name, func(t *testing.T) {
@@ -60,7 +61,7 @@
 func TestHardCases(t *testing.T) {
 	plays(t)
 	defer goleak.VerifyNone(t)
-	program := router(t)
+	program := routerProgram(t)
 	three, half := []int{0, 1, 2}, []int{0, 1, 2, 3}
 	for name, c := range map[string]struct {
 		load   float64
@@ -110,7 +111,7 @@
 func TestSoaks(t *testing.T) {
 	n := plays(t)
 	defer goleak.VerifyNone(t)
-	program := router(t)
+	program := routerProgram(t)
 	for seed := range uint64((n + 1) / 2) {
 		s := faultlab.GenerateSoakSchedule(602+seed, 15) // without the mends of the incident of wall-clock steps, 602 broke a rule
 		h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
@@ -127,22 +128,18 @@
 // Each guard that can be taken off stands once in the source, and the router builds without it.
 func TestMutantsBuild(t *testing.T) {
 	plays(t)
-	here, err := os.Getwd()
-	require.NoError(t, err)
-	require.NoError(t, os.Chdir("../.."))
-	defer os.Chdir(here)
+	t.Chdir("../..")
 	for _, m := range mutants {
-		_, drop, err := m.build()
+		_, remove, err := m.build()
 		if assert.NoError(t, err, m.name) {
-			drop()
+			remove()
 		}
 	}
 }
 
 func TestCommands(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "lab")
-	out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
-	require.NoError(t, err, string(out))
+	require.NoError(t, goBuild("the fault lab", program, "."))
 	run := func(code int, args ...string) string {
 		out, err := exec.Command(program, args...).CombinedOutput()
 		if code == 0 {
--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -1,16 +1,6 @@
 package main
 
-import (
-	"encoding/json"
-	"fmt"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"slices"
-	"strings"
-
-	"bankledge/internal/faultlab"
-)
+import "bankledge/internal/faultlab"
 
 // mutant is the router with one guard taken off, by which an auditor is seen to be able to fail.
 type mutant struct {
@@ -21,11 +11,12 @@
 	load    float64
 }
 
-// Of the mutants' schedules: statements run for longer than usual, and clients wait for longer.
-const mutantWork, mutantPatience = 4, 3
-
-// edit puts something in the place of what stands once in a file.
-type edit struct{ file, old, new string }
+// Factors of the mutants' schedules whose attempts take long, over the usual, and the share of clients that cancel.
+const (
+	mutantWork        = 4
+	mutantPatience    = 3
+	mutantCancelShare = 0.2
+)
 
 // Guards of the decision module that are named in several edits or hold several lines.
 const (
@@ -58,12 +49,12 @@
 	lostMost   = []faultlab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2, 3, 4, 5}}}
 	crawling   = []faultlab.Fault{{Kind: "crawl", At: 2, For: 4, Engines: allEngines, Amount: 5}}
 	heldUp     = []faultlab.Fault{{Kind: "cut-there", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}}
-	flapping   = flaps([]faultlab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}})
+	flapping   = withClockSteps([]faultlab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}})
 	erring     = []faultlab.Fault{{Kind: "err", At: 2, For: 3, Engines: []int{0, 1}}}
 )
 
-// flaps adds wall clocks of all routers that step there and back while links are cut.
-func flaps(faults []faultlab.Fault) []faultlab.Fault {
+// withClockSteps adds wall clocks of all routers that step there and back while links are cut.
+func withClockSteps(faults []faultlab.Fault) []faultlab.Fault {
 	for i := range 10 {
 		amount := 20.0
 		if i%2 == 1 {
@@ -287,122 +278,3 @@
 		load:   0.6,
 	},
 }
-
-type mutantsCmd struct {
-	common
-	Only  []string `help:"Only those whose names hold one of these words."`
-	Times int      `default:"3" help:"Plays of each until an auditor finds it."`
-}
-
-// Run builds each mutant and plays it until the auditor that has to find it does. It has to be called in the project's folder.
-func (c *mutantsCmd) Run() error {
-	ctx, cancel := interrupted()
-	defer cancel()
-	missed := 0
-	for _, m := range mutants {
-		if len(c.Only) > 0 && !slices.ContainsFunc(c.Only, func(w string) bool { return strings.Contains(m.name, w) }) {
-			continue
-		}
-		program, drop, err := m.build()
-		if err != nil {
-			return err
-		}
-		found := ""
-		for i := range c.Times {
-			s := &faultlab.Schedule{Name: m.name, Seed: uint64(i + 1), Routers: 9, Engines: 8, Seconds: 12, Load: m.load, Retries: 2, BusiestFactor: 1, Faults: m.faults}
-			if m.auditor == "one at a time" || m.auditor == "left" {
-				s.WorkFactor, s.PatienceFactor, s.CancelShare = mutantWork, mutantPatience, 0.2
-			}
-			o, err := c.play(ctx, program, "mutant", s)
-			if err != nil {
-				drop()
-				return err
-			}
-			for _, b := range o.Violations {
-				if b.Auditor == m.auditor && found == "" {
-					found = fmt.Sprintf("seed %d, at %v: %s", s.Seed, b.At, b.Text)
-				}
-			}
-			if found != "" {
-				break
-			}
-		}
-		drop()
-		if found == "" {
-			missed++
-			found = "not found"
-		}
-		fmt.Printf("| %s | %s | %s |\n", m.name, m.auditor, found)
-	}
-	if missed > 0 {
-		return fmt.Errorf("%d mutants were not found", missed)
-	}
-	return nil
-}
-
-// build builds the router with the guard taken off.
-func (m mutant) build() (path string, drop func(), err error) {
-	return mutate(m.name, "./cmd/bankledge", m.edits)
-}
-
-// editedSources returns the text of each file that the edits name, with the edits applied; the key is the file's path. It
-// fails where an edit's old text does not stand exactly once.
-func editedSources(name string, edits []edit) (map[string]string, error) {
-	texts := map[string]string{}
-	for _, e := range edits {
-		if texts[e.file] == "" {
-			text, err := os.ReadFile(e.file)
-			if err != nil {
-				return nil, err
-			}
-			texts[e.file] = string(text)
-		}
-		if n := strings.Count(texts[e.file], e.old); n != 1 {
-			return nil, fmt.Errorf("%s: the guard stands %d times in %s", name, n, e.file)
-		}
-		texts[e.file] = strings.Replace(texts[e.file], e.old, e.new, 1)
-	}
-	return texts, nil
-}
-
-// mutate builds a program with a guard taken off; the source stays as it is.
-func mutate(name, program string, edits []edit) (path string, drop func(), err error) {
-	dir, err := os.MkdirTemp("", "bankledge-faultlab")
-	if err != nil {
-		return "", nil, err
-	}
-	drop = func() { os.RemoveAll(dir) }
-	defer func() {
-		if err != nil {
-			drop()
-		}
-	}()
-	texts, err := editedSources(name, edits)
-	if err != nil {
-		return "", nil, err
-	}
-	replaced := map[string]string{}
-	for file, text := range texts {
-		here, err := filepath.Abs(file)
-		if err != nil {
-			return "", nil, err
-		}
-		replaced[here] = filepath.Join(dir, strings.ReplaceAll(file, "/", "-"))
-		if err := os.WriteFile(replaced[here], []byte(text), 0o600); err != nil {
-			return "", nil, err
-		}
-	}
-	list, err := json.Marshal(map[string]any{"Replace": replaced})
-	if err != nil {
-		return "", nil, err
-	}
-	overlay := filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(overlay, list, 0o600); err != nil {
-		return "", nil, err
-	}
-	path = filepath.Join(dir, "bankledge")
-	if out, err := exec.Command("go", "build", "-overlay", overlay, "-o", path, program).CombinedOutput(); err != nil {
-		return "", nil, fmt.Errorf("%s does not build: %s", name, strings.TrimSpace(string(out)))
-	}
-	return path, drop, nil
-}
--- a/internal/faultlab/router.go
+++ b/internal/faultlab/router.go
@@ -217,7 +217,7 @@
 func (r *router) observeLog(line []byte) {
 	r.recordActiveRules(line)
 	violated := bytes.Contains(line, []byte(logevent.InvariantViolated))
-	panicked := bytes.Contains(line, []byte(`"panic"`)) || bytes.HasPrefix(line, []byte("panic:"))
+	panicked := bytes.Contains(line, []byte(`"`+logevent.KeyPanic+`"`)) || bytes.HasPrefix(line, []byte("panic:"))
 	if violated || panicked {
 		r.fleet.record(Event{Kind: InvariantViolated, Router: r.index, Text: string(line)})
 	}
