--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -20,7 +20,7 @@
 	Cell        Cell
 	State       EngineState
 	Weight      float64
-	StartedAt   time.Duration // 0: before the module's clock began, so that it is warm
+	StartedAt   time.Duration // 0: before the module's clock began, so that no slow start applies
 }
 
 // ListKind says how an endpoint list relates to what the instance knows already.
--- a/decision/events.go
+++ b/decision/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is something that happened, of which the host tells the module.
+// Event is something that happened, of which the host notifies the module.
 type Event interface{ event() }
 
 // EndpointList brings the endpoint list, or changes to it.
@@ -40,7 +40,7 @@
 	OtherTableGroups  []TableGroup  // that it names beside the one it is placed by
 }
 
-// ResponseStarted tells that the response of an attempt has begun to stream to the client. From then on the statement
+// ResponseStarted reports that the response of an attempt has begun to stream to the client. From then on the statement
 // cannot be retried.
 type ResponseStarted struct {
 	Statement StatementID
@@ -68,7 +68,7 @@
 	ProgressWaiting   ProgressKind = 3 // Value says what for: 1 for memory, 2 for a bulk load
 )
 
-// WaitingForBulkLoad is the value of a ProgressWaiting message while a bulk load holds the attempt up.
+// WaitingForBulkLoad is the value of a ProgressWaiting message while a bulk load blocks the attempt.
 const WaitingForBulkLoad = 2
 
 // AttemptEnded is the one outcome of an attempt.
@@ -86,8 +86,8 @@
 // ClientCancelled ends a statement without an answer: nobody waits for one.
 type ClientCancelled struct{ Statement StatementID }
 
-// ClientReadStateChanged tells that the client of some statements has stopped reading responses, so that a response might
-// have to be dropped, or reads again.
+// ClientReadStateChanged reports that the client of some statements has stopped reading responses, so that a response
+// might have to be dropped, or reads again.
 type ClientReadStateChanged struct {
 	Statements   []StatementID
 	Reading      bool
@@ -122,7 +122,7 @@
 	Protected           bool
 }
 
-// ShutdownStarted tells that this instance ends after a grace period: open statements have to be answered by then.
+// ShutdownStarted reports that this instance ends after a grace period: open statements have to be answered by then.
 type ShutdownStarted struct{ GracePeriod time.Duration }
 
 // PeerMessage is a message from another router.
--- a/decision/ids.go
+++ b/decision/ids.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Ids. Each has a type of its own, so that the compiler tells them apart.
+// IDs. Each has a type of its own, so that the compiler rejects a mix-up.
 type (
 	// StatementID is unique among the statements of one router that are not finished.
 	StatementID string
@@ -20,7 +20,7 @@
 	Key string
 	// TableGroup is a set of tables that engines load, and keep in memory, together.
 	TableGroup int64
-	// Zone is where an engine or a router stands.
+	// Zone is where an engine or a router runs.
 	Zone string
 	// Cell is a set of engines that drop each other's repeats of a statement.
 	Cell int64
--- a/decision/names.go
+++ b/decision/names.go
@@ -21,7 +21,7 @@
 	loadReportFieldNames = [...]string{
 		FieldInFlight:    "in flight",
 		FieldQueueDepth:  "queue depth",
-		FieldUtilisation: "utilisation",
+		FieldUtilization: "utilization",
 		FieldLatencyMS:   "latency ms",
 		FieldThroughput:  "throughput",
 		FieldErrorRate:   "error rate",
--- a/decision/report.go
+++ b/decision/report.go
@@ -7,7 +7,7 @@
 const (
 	FieldInFlight    LoadReportField = iota // statements at the engine, of all routers
 	FieldQueueDepth                         // statements that wait at the engine
-	FieldUtilisation                        // share of its cores in use, from 0 to 1
+	FieldUtilization                        // share of its cores in use, from 0 to 1
 	FieldLatencyMS                          // mean time of a statement, in milliseconds
 	FieldThroughput                         // statements completed a second
 	FieldErrorRate                          // statements failed a second
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -50,11 +50,11 @@
 
 	MaxAttempts         int // for each statement, 0: any number
 	MaxOpenStatements   int // at once, 0: any number
-	MaxInFlightAttempts int // that the host can hold at once, 0: any number
+	MaxInFlightAttempts int // that the host can have open at once, 0: any number
 	// MaxSendDelay bounds the time between the decision to start an attempt and its sending.
 	MaxSendDelay time.Duration
 
-	PollEndpoints        bool // changes of the endpoint list come only when asked for
+	PollEndpoints        bool // changes of the endpoint list come only when fetched
 	EndpointPollInterval time.Duration
 }
 
--- a/decision/workload.go
+++ b/decision/workload.go
@@ -25,7 +25,7 @@
 	ScopeCell
 )
 
-// Workload is what an instance is told of one workload.
+// Workload is the settings of one workload.
 type Workload struct {
 	Name string
 	// PriorityWeight is what an answer within the latency objective counts, relative to other workloads.
--- a/internal/estimate/arrivalrate.go
+++ b/internal/estimate/arrivalrate.go
@@ -5,21 +5,21 @@
 // windowDecay is the factor by which past arrivals count less with each window.
 const windowDecay = 0.95
 
-// ArrivalRate estimates how much arrives at a router in a window of time. Past arrivals decay, and one window with as much
-// as may be expected at the most stands for what was not observed. Its zero value has observed nothing.
+// ArrivalRate estimates how much arrives at a router in a window of time. Past arrivals decay, and one window with as
+// much as may be expected at the most stands for what was not observed. Its zero value has observed nothing.
 type ArrivalRate struct {
 	amount  float64 // decayed sum of what arrived
 	windows float64 // decayed number of windows observed
 }
 
-// Advance notes that a number of windows, or a part of one, has passed.
+// Advance records that a number of windows, or a fraction of one, has passed.
 func (r *ArrivalRate) Advance(windows float64) {
 	decay := math.Pow(windowDecay, windows)
 	r.amount *= decay
 	r.windows = r.windows*decay + windows
 }
 
-// Observe notes an amount that arrived.
+// Observe records an amount that arrived.
 func (r *ArrivalRate) Observe(amount float64) {
 	r.amount += amount
 }
--- a/internal/settings/words.go
+++ b/internal/settings/words.go
@@ -39,7 +39,7 @@
 var ReportFieldWords = map[string]decision.LoadReportField{
 	"concurrent": decision.FieldInFlight,
 	"depth":      decision.FieldQueueDepth,
-	"load_share": decision.FieldUtilisation,
+	"load_share": decision.FieldUtilization,
 	"mean_ms":    decision.FieldLatencyMS,
 	"tps":        decision.FieldThroughput,
 	"err_ps":     decision.FieldErrorRate,
@@ -52,7 +52,7 @@
 var ResponseFieldWords = map[string]decision.LoadReportField{
 	"inflight":   decision.FieldInFlight,
 	"queue":      decision.FieldQueueDepth,
-	"util":       decision.FieldUtilisation,
+	"util":       decision.FieldUtilization,
 	"latency_ms": decision.FieldLatencyMS,
 	"qps":        decision.FieldThroughput,
 	"eps":        decision.FieldErrorRate,
@@ -60,7 +60,7 @@
 	"x1":         decision.FieldDisks,
 	"concurrent": decision.FieldInFlight,
 	"depth":      decision.FieldQueueDepth,
-	"load_share": decision.FieldUtilisation,
+	"load_share": decision.FieldUtilization,
 	"mean_ms":    decision.FieldLatencyMS,
 	"tps":        decision.FieldThroughput,
 	"err_ps":     decision.FieldErrorRate,
--- a/internal/upstream/load_report_test.go
+++ b/internal/upstream/load_report_test.go
@@ -15,9 +15,9 @@
 		text string
 		want values
 	}{
-		{"inflight:7;util:0.61;x1:0.2", values{decision.FieldInFlight: 7, decision.FieldUtilisation: 0.61, decision.FieldDisks: 0.2}},
-		{" load_share : 0.5 ;", values{decision.FieldUtilisation: 0.5}},
-		{"inflight:x;util:0.5;odd:3;queue", values{decision.FieldUtilisation: 0.5}},
+		{"inflight:7;util:0.61;x1:0.2", values{decision.FieldInFlight: 7, decision.FieldUtilization: 0.61, decision.FieldDisks: 0.2}},
+		{" load_share : 0.5 ;", values{decision.FieldUtilization: 0.5}},
+		{"inflight:x;util:0.5;odd:3;queue", values{decision.FieldUtilization: 0.5}},
 		{"util:-1;inflight:Inf", nil},
 		{"", nil},
 	} {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,11 +12,11 @@
 	minAnswerMargin = time.Millisecond
 	// answerMarginTicks is how many grains of the host's clock before its deadline a statement is answered.
 	answerMarginTicks = 2
-	// answerMarginDivisor: the margin is at most one part in this many of the client's time.
+	// answerMarginDivisor: the margin is at most the client's time divided by this.
 	answerMarginDivisor = 8
 )
 
-// admit takes a statement into the queue. From now on it is owed one final answer.
+// admit takes a statement into the queue. From now on the module owes it one final answer.
 func (m *Module) admit(ev decision.StatementArrived) {
 	s := m.newStatement(ev)
 	m.statements[s.id] = s
@@ -33,8 +33,8 @@
 	}
 }
 
-// newStatement is a statement that arrives now. Its rules, objective and quota are those of the workload that its client
-// declares; what it takes and counts for are those of the workload that it is classified as.
+// newStatement is a statement that arrives now. Its rules, objective and quota are those of the workload that its
+// client declares; what it takes and counts for are those of the workload that it is classified as.
 func (m *Module) newStatement(ev decision.StatementArrived) *statement {
 	classification := decision.Classification{Workload: ev.Workload}
 	if ev.Classification != nil {
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -59,7 +59,7 @@
 	return c.value * math.Pow(t.decay, float64(t.sequence-c.sequence))
 }
 
-// servedRecently tells whether the table group is among those sent to the engine last.
+// servedRecently reports whether the table group is among those sent to the engine last.
 func (e *engine) servedRecently(tables decision.TableGroup) bool {
 	return slices.Contains(e.recentTables, tables)
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -68,7 +68,7 @@
 func (m *Module) learnFromOutcome(a *attempt, outcome decision.Outcome) {
 	e := a.engine
 	switch outcome {
-	case decision.Errored: // something answers there, which does not prove that it works, nor tell its pace
+	case decision.Errored: // something answers there, which proves neither that it works nor its pace
 		a.errored = true
 		if e.ejected {
 			m.eject(e, false)
@@ -119,7 +119,7 @@
 	e.window(w).inFlight++
 }
 
-// finish takes an attempt off the engine; nil where the engine holds no such attempt.
+// finish takes an attempt off the engine; nil where the engine has no such attempt.
 func (e *engine) finish(id decision.StatementID, number decision.AttemptID, neverRan bool) *attempt {
 	i := slices.IndexFunc(e.attempts, func(a *attempt) bool { return a.statement.id == id && a.number == number })
 	if i < 0 {
--- a/policy/bulk_load.go
+++ b/policy/bulk_load.go
@@ -8,15 +8,15 @@
 	"bankledge/decision"
 )
 
-// loadNoteIntervals is how many progress intervals a note of another router's bulk load counts.
+// loadNoteIntervals is how many progress intervals a message about another router's bulk load counts.
 const loadNoteIntervals = 4
 
-// waitsForLoads tells whether a statement stands still while a bulk load holds one of its table groups.
+// waitsForLoads reports whether a statement stands still while a bulk load locks one of its table groups.
 func waitsForLoads(s *statement) bool {
 	return s.classifiedAs.WaitsForBulkLoads || s.classifiedAs.BulkLoad
 }
 
-// hasLoadOn tells whether a bulk load is known to hold a table group that the statement names.
+// hasLoadOn reports whether a bulk load is known to lock a table group that the statement names.
 func (e *engine) hasLoadOn(s *statement, now time.Duration) bool {
 	for tables, until := range e.loadsUntil {
 		if now < until && s.names(tables) {
@@ -28,14 +28,14 @@
 	})
 }
 
-// noteLoad notes until when a bulk load of another router holds a table group, and drops what is past.
+// noteLoad notes until when a bulk load of another router locks a table group, and drops entries that have expired.
 func (e *engine) noteLoad(tables decision.TableGroup, now, until time.Duration) {
 	maps.DeleteFunc(e.loadsUntil, func(_ decision.TableGroup, t time.Duration) bool { return t <= now })
 	e.loadsUntil[tables] = until
 }
 
-// attemptWaitsForLoad takes the note that an attempt waits for another router's bulk load: for a while nothing of its
-// table group goes there.
+// attemptWaitsForLoad handles the message that an attempt waits for another router's bulk load: for a while nothing of
+// its table group goes there.
 func (m *Module) attemptWaitsForLoad(a *attempt) {
 	a.engine.noteLoad(a.statement.tables, m.now, m.now+loadNoteIntervals*m.traits.ProgressInterval)
 	m.moveElsewhere(a, decision.ReasonWaitingForBulkLoad)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	// maxThreadsPerCore is the number of threads a core that all routers together keep on an engine. It was chosen on
-	// three deployments together: 1.6 leaves engines idle on all of them, 4.5 loses on all of them.
+	// maxThreadsPerCore is the number of threads a core that all routers together have in flight on an engine. It was
+	// chosen on three deployments together: 1.6 leaves engines idle on all of them, 4.5 loses on all of them.
 	maxThreadsPerCore = 3.2
-	// routersExponent: one router may use more of an engine than an even part, since it sees few statements at a time.
+	// routersExponent: one router may use more of an engine than its fair share, since it sees few statements at a time.
 	routersExponent = 0.75
 	// maxStatementsPerCore is the number of statements a core, all routers' and what time-outs left, up to which an
 	// engine takes more.
 	maxStatementsPerCore = 1.6
-	// heavyMargin: what other routers hold counts for more, by the share of light statements, for a statement that is
-	// not light, so that light statements of any router find room.
+	// heavyMargin: what other routers have in flight counts for more, by the share of light statements, for a statement
+	// that is not light, so that light statements of any router find capacity.
 	heavyMargin = 2.5
 )
 
@@ -21,8 +21,8 @@
 	return maxStatementsPerCore * e.cores * m.slowStart.capacityShare(e, m.now)
 }
 
-// hasCapacity tells whether the engine has room for a statement, in this router's part and in all, and no bulk load
-// holds its tables.
+// hasCapacity reports whether the engine has capacity for a statement, within this router's share and in total, and no
+// bulk load locks its tables.
 func (m *Module) hasCapacity(e *engine, s *statement) bool {
 	others := m.othersOn(e)
 	if !m.priorities.isLight(s, m.now) && !m.slowStart.isWarmingUp(e, m.now) {
@@ -42,7 +42,7 @@
 	return !waitsForLoads(s) || !e.hasLoadOn(s, m.now)
 }
 
-// hasMemory tells whether the engine has memory for a statement, beside that of other routers' statements, which are
+// hasMemory reports whether the engine has memory for a statement, beside that of other routers' statements, which are
 // taken to need as much as own ones do.
 func (m *Module) hasMemory(e *engine, s *statement, others float64) bool {
 	if e.memoryMB <= 0 {
--- a/policy/congestion_window.go
+++ b/policy/congestion_window.go
@@ -11,7 +11,7 @@
 	windowDecreaseFactor = 2
 	// overloadedUtilization is the reported share of the cores above which windows are halved.
 	overloadedUtilization = 0.90
-	// missedReports is the number of report periods without a report after which own latencies stand in.
+	// missedReports is the number of report periods without a report after which own latencies are used instead.
 	missedReports = 3
 )
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// mostlyLate tells whether over half of the completions since the last step were late.
+// mostlyLate reports whether over half of the completions since the last step were late.
 func (w *congestionWindow) mostlyLate() bool { return w.late*2 > w.completions }
 
 // startPeriod resets the counts after a step. An exclusion lasts until a period passes without a refusal.
@@ -93,7 +93,7 @@
 	}
 }
 
-// isCongested tells whether a step of the window goes down.
+// isCongested reports whether a step of the window goes down.
 func (e *engine) isCongested(w *congestionWindow, utilizationKnown bool) bool {
 	if e.queueDepth >= 1 {
 		return true
--- a/policy/congestion_window_test.go
+++ b/policy/congestion_window_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestCongestionWindow(t *testing.T) {
-	utilization := func(share float64) *decision.LoadReport { return reportOf(decision.FieldUtilisation, share) }
+	utilization := func(share float64) *decision.LoadReport { return reportOf(decision.FieldUtilization, share) }
 	queue := func(depth float64) *decision.LoadReport { return reportOf(decision.FieldQueueDepth, depth) }
 	for _, c := range []struct {
 		name                  string
--- a/policy/deadline.go
+++ b/policy/deadline.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// responseStarted notes that a statement's response streams: from now on no other attempt may answer it.
+// responseStarted records that a statement's response streams: from now on no other attempt may answer it.
 func (m *Module) responseStarted(ev decision.ResponseStarted) {
 	if s := m.statements[ev.Statement]; s != nil {
 		s.streaming = true
--- a/policy/deadline_test.go
+++ b/policy/deadline_test.go
@@ -60,7 +60,8 @@
 	assert.Equal(t, []decision.Abort{{Statement: "3", Reason: decision.ReasonShutdown}}, pick[decision.Abort](h), "it may have run")
 }
 
-// A client with little time gets nearly all of it: two grains of a coarse clock before its end would be before its start.
+// A client with little time gets nearly all of it: two grains of a coarse clock before its end would be before its
+// start.
 func TestShortStatementTimeout(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Identity.ClockGranularity = 25 * ms
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -9,7 +9,8 @@
 	"bankledge/internal/detrand"
 )
 
-// Before the endpoint list is asked for again after a failure, so that not all routers ask at once.
+// The delay until the endpoint list is fetched again after a failure; it is random, so that routers do not fetch at
+// once.
 const (
 	minEndpointRetryDelay    = 1.0 // seconds
 	endpointRetryDelayJitter = 1.0 // seconds
@@ -18,7 +19,7 @@
 // endpointList holds all engines ever listed, by ID, and their order by rendezvous hash.
 type endpointList struct {
 	all         []*engine // sorted by ID
-	maxRankings int       // table groups whose order is kept; 0: any number
+	maxRankings int       // table groups whose order is cached; 0: any number
 	byID        map[decision.EngineID]*engine
 	rankings    map[decision.TableGroup][]*engine
 }
@@ -44,7 +45,7 @@
 	}
 }
 
-// forget drops engines that have been off the list for so long and hold no attempt: IDs may be new for ever.
+// forget drops engines that have been off the list for so long and have no attempt in flight: IDs may be new for ever.
 func (l *endpointList) forget(now, after time.Duration) {
 	before := len(l.all)
 	l.all = slices.DeleteFunc(l.all, func(e *engine) bool {
@@ -83,7 +84,7 @@
 	return ranked
 }
 
-// finishAttempt ends an attempt; nil where its engine holds no such attempt.
+// finishAttempt ends an attempt; nil where its engine has no such attempt.
 func (l *endpointList) finishAttempt(ev decision.AttemptEnded) *attempt {
 	e := l.byID[ev.Engine]
 	if e == nil {
@@ -93,7 +94,7 @@
 	return e.finish(ev.Statement, ev.Attempt, neverRan)
 }
 
-// isReady tells whether the engine is listed and neither draining nor removed.
+// isReady reports whether the engine is listed and neither draining nor removed.
 func (e *engine) isReady() bool { return e.listed && e.State == decision.Ready }
 
 // updateEndpoints takes a change of the endpoint list, or all of it.
@@ -126,5 +127,5 @@
 	e.listed = endpoint.State != decision.Removed
 }
 
-// watchEndpoints asks for the endpoint list and its changes.
+// watchEndpoints requests the endpoint list and its changes.
 func (m *Module) watchEndpoints() { m.act(decision.WatchEndpoints{Enabled: true}) }
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -9,7 +9,7 @@
 	"bankledge/decision"
 )
 
-// The endpoint list is asked for where it comes on request, and again after a failure.
+// The endpoint list is fetched where it comes on request, and again after a failure.
 func TestEndpointListOnRequest(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Limits.PollEndpoints = true
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -15,14 +15,14 @@
 
 	// Endpoint list.
 	listed        bool
-	unlistedSince time.Duration // since when it is not listed and holds no attempt
+	unlistedSince time.Duration // since when it is not listed and has no attempt
 
 	// Attempts of this router there.
 	attempts       []*attempt
 	threads        int
 	memoryInFlight float64 // MB
 	recentTables   []decision.TableGroup
-	loadsUntil     map[decision.TableGroup]time.Duration // until when a bulk load of another router holds the group
+	loadsUntil     map[decision.TableGroup]time.Duration // until when a bulk load of another router locks the group
 
 	// Load, as reported, and what follows from it.
 	windows          []congestionWindow // by workload
@@ -36,7 +36,7 @@
 
 	// Health.
 	ejected         bool
-	unreachable     bool // connections failed while it was ejected: it may have started anew
+	unreachable     bool // connections failed while it was ejected: it may have restarted
 	ejectedUntil    time.Duration
 	backoff         time.Duration
 	lastEventAt     time.Duration // last sign of life
@@ -47,7 +47,7 @@
 	checkedAt       time.Duration // last health check
 
 	// Slow start.
-	slowStartWork        slidingwindow.Sum // sent while it warmed up
+	slowStartWork        slidingwindow.Sum // sent during its slow start
 	slowStartProbability float64           // that a statement may go there
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// restarted forgets what an engine held before it started anew, but not the attempts that are still to end.
+// restarted resets what was known of an engine before it restarted, but not the attempts that are still to end.
 func (e *engine) restarted(windows []congestionWindow, now time.Duration) {
 	e.recentTables = nil
 	e.ejected = false
--- a/policy/fleet_quota.go
+++ b/policy/fleet_quota.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// quotaAveragingTime is the time over which a router keeps its quota on average, since few statements vary much.
+	// quotaAveragingTime is the time over which a router stays within its quota on average, since few statements vary
+	// much.
 	quotaAveragingTime = 4 * time.Second
 	// attemptMemoryDecay is what one maintenance leaves of the sums that give the mean memory of an attempt.
 	attemptMemoryDecay = 0.995
 )
 
-// fleetQuota is this router's part of the threads and the memory of the whole fleet. An engine's part may fall below
-// one statement, which each router may still send; the quota keeps the sum.
+// fleetQuota is this router's quota of the threads and the memory of the complete fleet. Its fair share of one engine
+// may be below one statement, which each router may still send; the quota bounds the sum.
 type fleetQuota struct {
 	routers   float64 // that share the fleet
 	workloads []*workload
 
-	cores    float64 // of the engines in use; those that warm up count for what they can do
+	cores    float64 // of the engines in use; those in slow start count at their present capacity
 	memoryMB float64 // of the same
 	saved    float64 // seconds for which twice the quota may be used; below 0: it was used too much
 
@@ -47,7 +48,7 @@
 	q.memoryMB += capacityShare * e.memoryMB
 }
 
-// save keeps what was not used of the quota in a time, for a while.
+// save adds what was not used of the quota in a time to saved, up to a limit.
 func (q *fleetQuota) save(elapsed time.Duration) {
 	q.saved += (1 - q.used(math.Inf(1), 0, 0)) * elapsed.Seconds()
 	q.saved = min(max(q.saved, -quotaAveragingTime.Seconds()), quotaAveragingTime.Seconds())
@@ -71,7 +72,7 @@
 	return attempts * q.attemptMemory / max(1, q.attempts)
 }
 
-// isWithinFleetQuota tells whether the quota has room for a statement, on average. Heavier workloads do not hold up
+// isWithinFleetQuota reports whether the quota has room for a statement, on average. Heavier workloads do not hold up
 // lighter ones. What is late already takes only what nobody else needs.
 func (m *Module) isWithinFleetQuota(s *statement) bool {
 	q := &m.fleetQuota
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,8 +9,8 @@
 	"bankledge/decision"
 )
 
-// Engines that start while the others are busy are warmed up by all routers together, none of which knows what the
-// others send: never more than they bear, but enough that the others are relieved.
+// Engines that start while the others are busy go through slow start under all routers together, none of which knows
+// what the others send: never more than they bear, but enough that the others are relieved.
 func TestManyRoutersWarmUpEngines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -49,7 +49,7 @@
 	}
 }
 
-// What a router is told of the fleet, or what it gets of its traffic, may be wrong: it still serves.
+// What a router knows of the fleet, or what it gets of its traffic, may be wrong: it still serves.
 func TestRoutersUnlikeTheSettings(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -144,7 +144,7 @@
 			value = math.Floor(inFlight * s.factor(0.9, 1.1))
 		case decision.FieldQueueDepth:
 			value = math.Floor(max(0, inFlight-engine.cores) / 2)
-		case decision.FieldUtilisation:
+		case decision.FieldUtilization:
 			value = min(1, inFlight/engine.cores*s.factor(0.8, 1.2))
 		}
 		report.Set(field, value)
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -30,7 +30,7 @@
 	b.available = min(b.available+cmp.Or(perStatement, healthCheckWidth), maxSavedHealthChecks)
 }
 
-// spend takes a check, or tells that there is none.
+// spend takes a check; false: there is none.
 func (b *healthCheckBudget) spend() bool {
 	if b.available < 1 {
 		return false
@@ -75,7 +75,7 @@
 	return true
 }
 
-// hasFreshReport tells whether an engine's last load report is fresh.
+// hasFreshReport reports whether an engine's last load report is fresh.
 func (m *Module) hasFreshReport(e *engine) bool { return m.now < e.reportedAt+reportPeriod }
 
 // healthCheckEnded takes the outcome of a health check. It does not readmit an engine: only attempts do.
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -5,12 +5,12 @@
 )
 
 const (
-	// slowAttemptFactor is the multiple of its expected run time from which an attempt is worth cancelling, and of the
+	// slowAttemptFactor is the multiple of its expected run time from which an attempt may be cancelled, and of the
 	// usual pace from which an engine counts as congested.
 	slowAttemptFactor = 4.0
 	// minExpectedRun is the least expected run time that slowAttemptFactor applies to, in seconds.
 	minExpectedRun = 0.5
-	// minRemainingRuns is how many expected run times must remain for a cancellation to be worth it.
+	// minRemainingRuns is how many expected run times must remain for an attempt to be cancelled.
 	minRemainingRuns = 2
 	// minShareDone stands in for a reported progress of nearly nothing.
 	minShareDone = 0.002
@@ -18,7 +18,7 @@
 	nearlyDoneShare = 0.5
 )
 
-// attemptProgressed takes what an engine tells of a running attempt.
+// attemptProgressed handles a progress message about a running attempt.
 func (m *Module) attemptProgressed(ev decision.AttemptProgress) {
 	if e := m.endpoints.find(ev.Engine); e != nil {
 		m.readmit(e)
--- a/policy/key_queue.go
+++ b/policy/key_queue.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// attemptEnded notes that an attempt of the statement has an outcome, and until when its key stays quiet.
+// attemptEnded records that an attempt of the statement has an outcome, and until when its key stays quiet.
 func (k keyQueues) attemptEnded(s *statement, quietUntil time.Duration) {
 	queue := k[s.key]
 	if queue == nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// mayRun tells whether it is a statement's turn. Its own retries need not wait for the quiet period.
+// mayRun reports whether it is a statement's turn. Its own retries need not wait for the quiet period.
 func (k keyQueues) mayRun(s *statement, now time.Duration) bool {
 	if s.key == "" {
 		return true
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -9,11 +9,11 @@
 const (
 	// reportPeriod is the time between steps of a window; a load report is fresh for as long.
 	reportPeriod = time.Second
-	// peerLoadLearningRate is the weight of one report in the mean of what other routers hold on an engine.
+	// peerLoadLearningRate is the weight of one report in the mean of what other routers have in flight on an engine.
 	peerLoadLearningRate = 0.1
 )
 
-// receiveReport takes a load report; nil: the engine sent none.
+// receiveReport handles a load report; nil: the engine sent none.
 func (m *Module) receiveReport(e *engine, report *decision.LoadReport) {
 	if report == nil {
 		return
@@ -27,14 +27,14 @@
 		}
 	}
 	if m.now >= e.windowsSteppedAt+reportPeriod {
-		_, utilizationKnown := report.Get(decision.FieldUtilisation)
+		_, utilizationKnown := report.Get(decision.FieldUtilization)
 		m.stepWindows(e, utilizationKnown)
 	}
 }
 
 // applyReport takes the fields of a load report that are known.
 func (e *engine) applyReport(report *decision.LoadReport, now time.Duration) {
-	if utilization, known := report.Get(decision.FieldUtilisation); known {
+	if utilization, known := report.Get(decision.FieldUtilization); known {
 		e.utilization = utilization
 		e.utilizationKnown = true
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-// replaceMissingReports has own latencies stand in for the reports of an engine that sends none.
+// replaceMissingReports steps the windows by own latencies while an engine sends no reports.
 func (m *Module) replaceMissingReports(e *engine) {
 	if m.now < e.windowsSteppedAt+missedReports*reportPeriod {
 		return
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -5,11 +5,12 @@
 // maintenanceInterval is the time between two maintenances.
 const maintenanceInterval = 50 * time.Millisecond
 
-// maintain is the periodic work: it finds silent engines and missing reports, and updates what follows from all engines.
+// maintain is the periodic work: it finds silent engines and missing reports, and updates what follows from all
+// engines.
 func (m *Module) maintain() {
 	m.fleetQuota.startMaintenance()
 	m.endpoints.forget(m.now, m.slowStart.warmUpTime())
-	allCores := 0.0 // as if none warmed up
+	allCores := 0.0 // as if none were in slow start
 	for _, e := range m.endpoints.all {
 		if !e.isReady() {
 			continue
--- a/policy/memory_grant.go
+++ b/policy/memory_grant.go
@@ -42,8 +42,8 @@
 	m.act(resources)
 }
 
-// attemptSpilled takes the note that an attempt spills for want of memory. Where this router's part of the memory there
-// was not used up, the estimates are too low.
+// attemptSpilled handles the message that an attempt spills for want of memory. Where this router's share of the memory
+// there was not used up, the estimates are too low.
 func (m *Module) attemptSpilled(a *attempt) {
 	if !a.spilled && a.engine.memoryInFlight <= a.engine.memoryMB/m.fleetQuota.routers {
 		a.statement.classifiedAs.growMemoryFactor()
--- a/policy/module.go
+++ b/policy/module.go
@@ -1,17 +1,17 @@
 // Package policy decides, for one router, which statements run, where, when and with how much memory.
 //
 // A host calls New once and then Handle with what happened, in order; Handle returns what to do, in order. The types of
-// events and actions stand in package decision. The module keeps no goroutine and reads no clock: equal calls give equal
+// events and actions are in package decision. The module keeps no goroutine and reads no clock: equal calls give equal
 // actions. A Module is not safe for concurrent use.
 //
-// Module wires the concerns, each of which stands in a file of its own with its constants and its state:
+// Module wires the concerns, each of which has a file of its own with its constants and its state:
 //
 //   - the way of a statement: admission, queue, routing, attempt, retry, hedge, deadline;
 //   - what limits a send: rules, capacity, fleet_quota, key_queue, slow_start, retry_budget, bulk_load;
 //   - what is known of engines: endpoint_list, engine, load_report, congestion_window, outlier, health_check, affinity;
 //   - what statements get: priority, memory_grant, tenant_quota.
 //
-// The reasons for the design and the measurements behind the constants stand in docs/design.md.
+// The reasons for the design and the measurements behind the constants are in docs/design.md.
 package policy
 
 import (
@@ -138,8 +138,8 @@
 	m.queue.dirty = true
 }
 
-// changeRules takes rules that take force now, for statements that arrive from now on. What was learned and spent
-// stays: the budgets keep their windows.
+// changeRules applies rules that take effect now, for statements that arrive from now on. What was learned and spent
+// stays: the windows of the budgets go on.
 func (m *Module) changeRules(ev *decision.RulesChanged) {
 	m.rules = ev.Rules
 	m.fleetQuota.routers = ev.EffectiveRouters
--- a/policy/module_test.go
+++ b/policy/module_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, run(), run())
 }
 
-// IDs, keys and table groups may be new for ever: what is kept of them is bounded.
+// IDs, keys and table groups may be new for ever: what is cached of them is bounded.
 func TestMemoryIsBounded(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Workloads[0].OrderedByKey = true
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -20,10 +20,11 @@
 	// paceRecovery is what one maintenance takes off an engine's pace, of its distance to the usual one: it fades in
 	// half a minute.
 	paceRecovery = 0.002
-	// openAttemptPaceDivisor: an attempt without an outcome tells of its engine's pace only after so many usual times.
+	// openAttemptPaceDivisor: an attempt without an outcome says something of its engine's pace only after so many
+	// usual times.
 	openAttemptPaceDivisor = 2.0
 	// Where engines send no progress notes, an attempt is silent after this share of its objective and so many usual
-	// run times: a router that rarely hears of an engine learns nothing from a pause.
+	// run times: a router that rarely gets a message about an engine learns nothing from a pause.
 	silentObjectiveShare = 0.6
 	silentPaces          = 10.0
 	// silentProgressIntervals is the number of missed progress notes, each with the time of a maintenance, after which
@@ -33,7 +34,7 @@
 	overloadFactor = 1.5
 )
 
-// isHealthy tells whether an engine may get a statement. One that is ejected gets a single trial after a while,
+// isHealthy reports whether an engine may get a statement. One that is ejected gets a single trial after a while,
 // idempotent if there is one in time.
 func (m *Module) isHealthy(e *engine, s *statement) bool {
 	if m.arrivals < e.passedOverUntil {
@@ -59,12 +60,12 @@
 	e.ejectedUntil = m.now + e.backoff
 }
 
-// failsTrial tells whether a failure now is that of a trial. One connection that does not come up may only be late; an
-// engine that fails again counts as unreachable, and as just started when it is back.
+// failsTrial reports whether a failure now is that of a trial. One connection that does not come up may only be late;
+// an engine that fails again counts as unreachable, and as just started when it is back.
 func (m *Module) failsTrial(e *engine) bool { return e.ejected && m.now >= e.ejectedUntil }
 
-// readmit takes a sign of life: an ejected engine gets statements again, unless it erred too often or is overloaded;
-// then more has to complete there first. One that was unreachable may have started anew before the list says so.
+// readmit handles a sign of life: an ejected engine gets statements again, unless it erred too often or is overloaded;
+// then more has to complete there first. One that was unreachable may have restarted before the list says so.
 func (m *Module) readmit(e *engine) {
 	e.lastEventAt = m.now
 	if e.ejected && (e.errorShare > readmissionErrorShare || m.isOverloaded(e)) {
@@ -79,8 +80,8 @@
 	e.backoff = 0
 }
 
-// isOverloaded tells whether all routers together hold so much on an engine that little of it ends. If each tried it
-// again as soon as its last report had faded, that alone would keep it so: it is ejected.
+// isOverloaded reports whether all routers together have so much in flight on an engine that little of it ends. If each
+// sent to it again as soon as its last report had faded, that alone would keep it overloaded: it is ejected.
 func (m *Module) isOverloaded(e *engine) bool {
 	return e.statementsInFlight() > overloadFactor*maxStatementsPerCore*e.cores*m.slowStart.capacityShare(e, m.now)
 }
@@ -109,7 +110,7 @@
 // recoverPace has an engine's pace fade towards the usual one.
 func (e *engine) recoverPace() { e.pace += paceRecovery * (1 - e.pace) }
 
-// detectSilence ejects an engine that took attempts and tells nothing of them, and moves these elsewhere.
+// detectSilence ejects an engine that has attempts in flight and sends nothing about them, and moves these elsewhere.
 func (m *Module) detectSilence(e *engine) {
 	for _, a := range e.attempts {
 		usual := a.statement.classifiedAs.pace * float64(a.statement.expectedRun)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// An engine that all routers together overload is ejected, and tried by one statement after a time that grows, whatever a
-// router estimates of an engine without a recent report. An attempt that completes and reports capacity readmits it.
+// An engine that all routers together overload is ejected, and tried by one statement after a time that grows, whatever
+// a router estimates of an engine without a recent report. An attempt that completes and reports capacity readmits it.
 func TestOverloadedEngineIsEjected(t *testing.T) {
 	completed := func(id decision.StatementID, inFlight float64) decision.AttemptEnded {
 		ended := end(id, 0, "a", decision.Completed)
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -5,7 +5,7 @@
 const (
 	// lightShareLearningRate is the weight of one arrival in the share of statements that are light.
 	lightShareLearningRate = 0.05
-	// lightDivisor: a statement is light if it is worth over one part in this many of the lightest workload.
+	// lightDivisor: a statement is light if its value is above that of the lightest workload divided by this.
 	lightDivisor = 2
 	// minWork stands in for an expected work of nearly nothing, in seconds.
 	minWork = 0.001
@@ -38,7 +38,7 @@
 	}
 }
 
-// isLight tells whether a statement takes little work for what it counts.
+// isLight reports whether a statement takes little work for what it counts.
 func (p *priorities) isLight(s *statement, now time.Duration) bool {
 	return p.value(s, now) > p.lightestValue/lightDivisor
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -12,7 +12,7 @@
 // maxWithoutEngine is how many statements of a workload may find no engine before a pass skips the workload.
 const maxWithoutEngine = 4
 
-// statementQueue holds the statements that wait for an attempt.
+// statementQueue is the statements that are queued for an attempt.
 type statementQueue struct {
 	waiting  []*statement
 	examined int  // the first so many found no place since the queue was last dirty
@@ -25,7 +25,7 @@
 	m.queue.waiting = append(m.queue.waiting, s)
 }
 
-// contains tells whether a statement waits for an attempt.
+// contains reports whether a statement waits for an attempt.
 func (q *statementQueue) contains(s *statement) bool { return slices.Contains(q.waiting, s) }
 
 // dispatch starts attempts of the statements that wait, by what their answers count for their work, and sheds those
@@ -73,7 +73,7 @@
 	return true
 }
 
-// isTooLate tells whether a statement that has no attempt in flight is to be shed: it cannot be answered in time, or
+// isTooLate reports whether a statement that has no attempt in flight is to be shed: it cannot be answered in time, or
 // its answer would no longer count for anything.
 func (m *Module) isTooLate(s *statement) bool {
 	if s.openAttempts > 0 || s.workload.Protected {
@@ -86,8 +86,8 @@
 	return s.workload.LateFactor == 0 && m.now > (s.objectiveAt+s.latestStart())/2
 }
 
-// clientReadStateChanged parks the statements of a client that does not read, since their answers might not be kept,
-// and queues them again. Their time runs on. What is answered and no longer waited for is finished.
+// clientReadStateChanged parks the statements of a client that does not read, since their answers might have to be
+// dropped, and queues them again. Their time runs on. What is answered and no longer waited for is finished.
 func (m *Module) clientReadStateChanged(ev decision.ClientReadStateChanged) {
 	for _, id := range ev.Statements {
 		s := m.statements[id]
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -22,9 +22,9 @@
 // recordRetry counts an attempt beyond a statement's first.
 func (b *retryBudget) recordRetry(now time.Duration) { b.retries.Add(now, 1) }
 
-// isWithinRetryBudget tells whether the budget allows a statement's next attempt. A statement that arrived just a window
-// ago no longer counts, an attempt sent then still does. The host may send late: attempts count for longer by that
-// delay, statements for less.
+// isWithinRetryBudget reports whether the budget allows a statement's next attempt. A statement that arrived just a
+// window ago no longer counts, an attempt sent then still does. The host may send late: attempts count for longer by
+// that delay, statements for less.
 func (m *Module) isWithinRetryBudget(s *statement) bool {
 	if m.rules.RetryBudgetWindow == 0 || len(s.attempts) == 0 {
 		return true
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -45,7 +45,8 @@
 	assert.Equal(t, 3, retries())
 }
 
-// A host that is late sends within its delay, in whatever order: the budget holds in every window as the engines see it.
+// A host that is late sends within its delay, in whatever order: the budget holds in every window as the engines see
+// it.
 func TestRetryBudgetWithSendDelay(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newHarness(t)
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -12,14 +12,14 @@
 const (
 	localZoneWeight  = 8.0
 	remoteZoneWeight = 11.0
-	// cachedTablesCost and uncachedTablesCost: whether the engine is likely to hold the table group in its caches.
+	// cachedTablesCost and uncachedTablesCost: whether the engine is likely to have the table group in its caches.
 	cachedTablesCost   = 1.0
 	uncachedTablesCost = 2.0
-	// slowStartCost: few statements may go to an engine that warms up, so whichever may does.
+	// slowStartCost: few statements may go to an engine that warms up, so those that may are sent there.
 	slowStartCost = 0.25
 	// excludedCost puts an engine that refused lately, or where the statement went wrong last, behind all others.
 	excludedCost = 1e6
-	// minFreeShare is the least share of a window that is left, whatever other routers hold on the engine.
+	// minFreeShare is the least share of a window that is left, whatever other routers have in flight there.
 	minFreeShare = 0.05
 )
 
@@ -95,25 +95,25 @@
 	return best
 }
 
-// score is zone weight × (own in flight + 1) ÷ window × warmth cost × pace. In flight counts the threads of all
-// workloads in units of this one's, since they share the cores; what other routers hold narrows the window.
+// score is zone weight × (own in flight + 1) ÷ window × cache cost × pace. In flight counts the threads of all
+// workloads in units of this one's, since they share the cores; what other routers have in flight narrows the window.
 func (m *Module) score(e *engine, s *statement) float64 {
 	zone := remoteZoneWeight
 	if e.Zone == m.identity.Zone {
 		zone = localZoneWeight
 	}
 	window := e.window(s.classifiedAs)
-	warmth := m.warmthCost(e, s)
+	cost := m.cacheCost(e, s)
 	if window.excluded || e == s.avoid {
-		warmth *= excludedCost
+		cost *= excludedCost
 	}
 	inFlight := float64(e.threads) / float64(s.classifiedAs.Threads)
 	free := max(minFreeShare, 1-m.othersOn(e)/m.maxStatementsOn(e))
-	return zone * (inFlight + 1) / (window.size * free) * warmth * max(1, e.pace)
+	return zone * (inFlight + 1) / (window.size * free) * cost * max(1, e.pace)
 }
 
-// warmthCost is what the engine's caches make a statement cost.
-func (m *Module) warmthCost(e *engine, s *statement) float64 {
+// cacheCost is the factor for what the engine has in its caches.
+func (m *Module) cacheCost(e *engine, s *statement) float64 {
 	if m.slowStart.isWarmingUp(e, m.now) {
 		return slowStartCost
 	}
@@ -161,7 +161,7 @@
 	return int(detrand.Hash("", uint64(s.tables), uint64(m.identity.Router)) % uint64(engines))
 }
 
-// isCongested tells whether the engine is full for this router, or reported busy.
+// isCongested reports whether the engine is full for this router, or reported busy.
 func (m *Module) isCongested(e *engine, w *workload) bool {
 	window := e.window(w)
 	switch {
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -19,8 +19,8 @@
 	meanReportWork  = 1.2
 )
 
-// simulatedFleet is a fleet of routers, each an instance of the module, before engines that share their cores among what
-// they run. Statements arrive by chance from a seed. It shows what is harmless in one router and harmful in all.
+// simulatedFleet is a fleet of routers, each an instance of the module, before engines that share their cores among
+// what they run. Statements arrive by chance from a seed. It shows what is harmless in one router and harmful in all.
 type simulatedFleet struct {
 	now           time.Duration
 	random        *rand.Rand
@@ -57,7 +57,8 @@
 	retryAt     time.Duration
 }
 
-// newSimulatedFleet is a fleet whose routers know the engines. Settings that name no number of routers get the true one.
+// newSimulatedFleet is a fleet whose routers know the engines. Settings that name no number of routers get the true
+// one.
 func newSimulatedFleet(newHarness func() *harness, routers int, rate float64, engines ...*simulatedEngine) *simulatedFleet {
 	f := &simulatedFleet{
 		random:  rand.New(rand.NewPCG(7, 11)),
@@ -98,7 +99,7 @@
 	}
 }
 
-// restart has so many routers of ten start over: what they held and what they had sent is dropped.
+// restart has so many routers of ten start over: what they had queued and in flight is dropped.
 func (f *simulatedFleet) restart(ofTen int) {
 	list := decision.EndpointList{Kind: decision.ListPersisted}
 	for _, id := range f.engineIDs() {
@@ -289,7 +290,7 @@
 	r := f.routers[a.router]
 	ended := end(a.statement.Statement, a.number, e.endpoint.Engine, decision.Completed)
 	ended.Report = inFlightReport(float64(len(e.running) - 1))
-	ended.Report.Set(decision.FieldUtilisation, utilization)
+	ended.Report.Set(decision.FieldUtilization, utilization)
 	s := r.open[a.statement.Statement]
 	ended.Finished = s != nil
 	r.inbox = append(r.inbox, ended)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -11,7 +11,7 @@
 const (
 	// slowStartSafety is the share of an engine's budget that all routers together plan to use.
 	slowStartSafety = 0.6
-	// slowStartUsableShare is the share of its cores that an engine that warms up is taken to have for statements.
+	// slowStartUsableShare is the share of its cores that an engine in slow start is taken to have for statements.
 	slowStartUsableShare = 0.85
 	// slowStartMargin widens the rules' times, since the host's clock and the engines' differ.
 	slowStartMargin = 500 * time.Millisecond
@@ -57,7 +57,7 @@
 	s.budget.ObserveStatement(st.work, st.classifiedAs.meanWork, st.clientRetry)
 }
 
-// isWarmingUp tells whether an engine started so recently that the rules limit what it is sent.
+// isWarmingUp reports whether an engine started so recently that the rules limit what it is sent.
 func (s *slowStart) isWarmingUp(e *engine, now time.Duration) bool {
 	return e.StartedAt > 0 && now < e.StartedAt+s.warmUpTime() && s.budget.Rules.SlowStartWindow > 0
 }
@@ -77,8 +77,8 @@
 	return min(1, rules.SlowStartShare+(1-rules.SlowStartShare)*age)
 }
 
-// mayStart tells whether a statement may go to an engine, if that warms up. A router that has just started does not
-// know what it sent before, and waits.
+// mayStart reports whether a statement may go to an engine, if that is warming up. A router that has just started does
+// not know what it sent before, and waits.
 func (s *slowStart) mayStart(st *statement, e *engine, now time.Duration) bool {
 	if !s.isWarmingUp(e, now) {
 		return true
@@ -94,8 +94,8 @@
 	return e.slowStartWork.Since(from)+st.work <= budget
 }
 
-// isDrawn tells whether a statement is one of those that may go to the engine, the same at each call. A client's retry
-// and what has waited for long would come on top of what arrives.
+// isDrawn reports whether a statement is one of those that may go to the engine, the same at each call. A client's
+// retry and what has waited for long would come on top of what arrives.
 func (s *slowStart) isDrawn(st *statement, e *engine, now time.Duration) bool {
 	if st.clientRetry || now >= st.arrivedAt+slowStartMargin {
 		return false
@@ -103,14 +103,14 @@
 	return detrand.Fraction(string(e.Engine+" ")+string(st.id), s.seed) < e.slowStartProbability
 }
 
-// updateProbability finds the share of all statements that may go to an engine that warms up.
+// updateProbability finds the share of all statements that may go to an engine that is warming up.
 func (s *slowStart) updateProbability(e *engine, now time.Duration) {
 	if s.isWarmingUp(e, now) {
 		e.slowStartProbability = s.budget.SendProbability(e.cores, now-e.StartedAt)
 	}
 }
 
-// advance notes that time has passed, and the cores of all engines as if none warmed up.
+// advance notes that time has passed, and the cores of all engines as if none were in slow start.
 func (s *slowStart) advance(now, since time.Duration, cores float64) {
 	s.budget.Advance(now-max(since, s.startedAt), cores)
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -60,7 +60,7 @@
 		{"nor does a trial's", decision.ConnectFailed, decision.ConnectFailed, true},
 		{"what breaks connections is up", decision.ConnectionReset, decision.ConnectionReset, false},
 	} {
-		t.Run("only failed connections make an engine warm up before the list does: "+c.name, func(t *testing.T) {
+		t.Run("only failed connections put an engine in slow start before the list does: "+c.name, func(t *testing.T) {
 			h := newHarness(t).at(0, ready("a"), read("s"), read("beside"))
 			h.at(ms, end("s", 0, "a", c.first), end("beside", 0, "a", c.first)) // at once: that is one observation
 			h.at(ms, decision.ClientCancelled{Statement: "s"}, decision.ClientCancelled{Statement: "beside"})
@@ -74,7 +74,7 @@
 	}
 }
 
-// All engines of the list warm up, and then all drain.
+// All engines of the list are in slow start, and then all drain.
 func TestAllEnginesWarmingUpOrDraining(t *testing.T) {
 	started, draining := ready("a", "b"), ready("a", "b")
 	for i := range started.Endpoints {
@@ -82,7 +82,7 @@
 		draining.Endpoints[i].State = decision.Draining
 	}
 	h := newHarness(t).at(0).at(5*time.Second, started, read("s"))
-	assert.NotEmpty(t, h.sentTo(), "one router has the whole budget")
+	assert.NotEmpty(t, h.sentTo(), "one router has the complete budget")
 	assert.Empty(t, h.at(6*time.Second, draining, read("s2")).sentTo())
 	assert.Len(t, pick[decision.Reject](h.at(10*time.Second)), 2, "the second never went")
 }
--- a/policy/statement.go
+++ b/policy/statement.go
@@ -44,7 +44,7 @@
 	return s.objectiveAt - time.Duration(s.classifiedAs.pace*float64(s.expectedRun))
 }
 
-// names tells whether the statement reads or writes a table group.
+// names reports whether the statement reads or writes a table group.
 func (s *statement) names(tables decision.TableGroup) bool {
 	return s.tables == tables || slices.Contains(s.otherTables, tables)
 }
--- a/policy/tenant_quota.go
+++ b/policy/tenant_quota.go
@@ -11,7 +11,7 @@
 // few statements a second vary much.
 const quotaBurstFactor = 3.0
 
-// tenantQuotas holds this router's part of each tenant's quota.
+// tenantQuotas holds this router's share of each tenant's quota.
 type tenantQuotas map[decision.Tenant]*tokenBucket
 
 func newTenantQuotas(quotas []decision.Quota, routers float64) tenantQuotas {
@@ -45,7 +45,7 @@
 	filledAt  time.Duration
 }
 
-// newTokenBucket is a full bucket. It holds one second of statements, one more, and room for chance.
+// newTokenBucket is a full bucket. It holds one second of statements, one more, and a margin for random variation.
 func newTokenBucket(perSecond float64) *tokenBucket {
 	capacity := perSecond + quotaBurstFactor*math.Sqrt(perSecond) + 1
 	return &tokenBucket{perSecond: perSecond, capacity: capacity, tokens: capacity}
@@ -59,7 +59,7 @@
 	*b = *fresh
 }
 
-// take takes a token, or tells that there is none.
+// take takes a token; false: there is none.
 func (b *tokenBucket) take(now time.Duration) bool {
 	b.tokens = min(b.capacity, b.tokens+b.perSecond*(now-b.filledAt).Seconds())
 	b.filledAt = now
--- a/policy/workload.go
+++ b/policy/workload.go
@@ -12,7 +12,7 @@
 	workLearningRate = 0.05
 	// paceStep is the relative step of a workload's pace towards the pace of a completed attempt.
 	paceStep = 0.02
-	// firstWorkDivisor: before the first estimate a statement is taken to run for one part in this many of its objective.
+	// firstWorkDivisor: before the first estimate a statement is taken to run for its objective divided by this.
 	firstWorkDivisor = 4
 )
 
