--- a/internal/estimate/slowstart_test.go
+++ b/internal/estimate/slowstart_test.go
@@ -59,7 +59,8 @@
 	assert.Greater(t, young, 0.0)
 	assert.Less(t, young, old, "more as it warms up")
 	assert.LessOrEqual(t, old, 1.0/80, "a fair share at the most")
-	assert.InDelta(t, 2*young, b.SendProbability(32, 0), young/1.5, "about twice as much where there are twice as many cores")
+	assert.InDelta(t, 2*young, b.SendProbability(32, 0), young/1.5,
+		"about twice as much where there are twice as many cores")
 	assert.Less(t, afterArrivals(40, 10).SendProbability(16, 0), young/2, "less where more arrives")
 	assert.Less(t, afterArrivals(0, 1).SendProbability(16, 0), young, "less where statements are heavy")
 	assert.NotPanics(t, func() {
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -28,14 +28,18 @@
 		ev       decision.StatementArrived
 	}{
 		{"light work takes what is free", 8, true, read("s")},
-		{"heavy work leaves room to light work of any router", 8, false, heavyWrite("s")},
+		{"heavy work leaves capacity to light work of any router", 8, false, heavyWrite("s")},
 		{"heavy work takes an engine that is nearly idle", 2, true, heavyWrite("s")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
 			h.settings.Identity.Routers = 100
 			h.at(0, ready("a")).at(time.Second).module.priorities.lightShare = 0.8
-			h.at(time.Second, decision.HealthCheckEnded{Engine: "a", Outcome: decision.Completed, Report: inFlightReport(c.inFlight)})
+			h.at(time.Second, decision.HealthCheckEnded{
+				Engine:  "a",
+				Outcome: decision.Completed,
+				Report:  inFlightReport(c.inFlight),
+			})
 			assert.Equal(t, c.want, h.at(time.Second+ms, c.ev).sentTo() != "")
 		})
 	}
--- a/policy/classification_test.go
+++ b/policy/classification_test.go
@@ -17,18 +17,27 @@
 	}
 	t.Run("as declared, it changes nothing", func(t *testing.T) {
 		plain := newHarness(t).at(0, ready("a", "b")).at(time.Second, read("s")).actions
-		same := newHarness(t).at(0, ready("a", "b")).at(time.Second, classified(read("s"), decision.Classification{Workload: 0})).actions
+		asDeclared := classified(read("s"), decision.Classification{Workload: 0})
+		same := newHarness(t).at(0, ready("a", "b")).at(time.Second, asDeclared).actions
 		assert.Equal(t, plain, same)
 	})
 	t.Run("windows, threads and memory are those of what it is classified as", func(t *testing.T) {
-		h := newHarness(t).at(0, ready("a")).at(time.Second, classified(read("s"), decision.Classification{Workload: 1, EstimatedWork: 2 * time.Second, EstimatedMemoryMB: 70}))
+		h := newHarness(t).at(0, ready("a")).at(time.Second, classified(read("s"), decision.Classification{
+			Workload:          1,
+			EstimatedWork:     2 * time.Second,
+			EstimatedMemoryMB: 70,
+		}))
 		e := h.engine("a")
-		assert.Equal(t, []any{0, 1, 2, 70.0 * firstMemoryFactor}, []any{e.windows[0].inFlight, e.windows[1].inFlight, e.threads, e.memoryInFlight})
+		assert.Equal(t, 0, e.windows[0].inFlight)
+		assert.Equal(t, 1, e.windows[1].inFlight)
+		assert.Equal(t, 2, e.threads)
+		assert.Equal(t, 70.0*firstMemoryFactor, e.memoryInFlight)
 		h.at(2*time.Second, end("s", 0, "a", decision.Completed))
 		assert.Equal(t, []any{0, 0, 0.0}, []any{e.windows[1].inFlight, e.threads, e.memoryInFlight}, "given back")
 	})
 	t.Run("a wrong label wins neither priority nor time", func(t *testing.T) {
-		h := newHarness(t).at(0).at(time.Second, read("light"), classified(read("heavy"), decision.Classification{Workload: 1, EstimatedWork: 4 * time.Second}),
+		h := newHarness(t).at(0).at(time.Second, read("light"),
+			classified(read("heavy"), decision.Classification{Workload: 1, EstimatedWork: 4 * time.Second}),
 			classified(write("claims"), decision.Classification{Workload: 0, EstimatedWork: 100 * ms}))
 		heavy, claims := h.module.statements["heavy"], h.module.statements["claims"]
 		assert.Less(t, h.value("heavy"), h.value("light"))
@@ -37,14 +46,15 @@
 		assert.Equal(t, decision.NonIdempotent, claims.idempotency)
 	})
 	t.Run("what writes under a label that is idempotent runs once", func(t *testing.T) {
-		h := newHarness(t).at(0, ready("a", "b")).at(time.Second, classified(read("s"), decision.Classification{Workload: 0, Writes: true}))
+		writes := classified(read("s"), decision.Classification{Workload: 0, Writes: true})
+		h := newHarness(t).at(0, ready("a", "b")).at(time.Second, writes)
 		on := h.sentTo()
 		h.at(time.Second+100*ms, end("s", 0, on, decision.ConnectionReset))
 		assert.Empty(t, h.sentTo())
 		assert.Empty(t, pick[decision.Reject](h), "a rejection would say that trying again is harmless")
 		assert.Len(t, pick[decision.Abort](h), 1)
 	})
-	t.Run("what is classified as a load keeps the idempotency that it declares, if that is stricter than none", func(t *testing.T) {
+	t.Run("what is classified as a load has the idempotency that it declares, if that is stricter", func(t *testing.T) {
 		h := newHarness(t)
 		h.settings.Workloads[0].Idempotency = decision.Deduplicated
 		h.at(0).at(time.Second, classified(read("s"), decision.Classification{Workload: 1}))
--- a/policy/deadline_test.go
+++ b/policy/deadline_test.go
@@ -57,7 +57,8 @@
 		rejected = append(rejected, r.Statement)
 	}
 	assert.Equal(t, []decision.StatementID{"1", "2", "4"}, rejected)
-	assert.Equal(t, []decision.Abort{{Statement: "3", Reason: decision.ReasonShutdown}}, pick[decision.Abort](h), "it may have run")
+	aborted := []decision.Abort{{Statement: "3", Reason: decision.ReasonShutdown}}
+	assert.Equal(t, aborted, pick[decision.Abort](h), "it may have run")
 }
 
 // A client with little time gets nearly all of it: two grains of a coarse clock before its end would be before its
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -42,7 +42,8 @@
 				worst = max(worst, e.worstWindow(rules.SlowStartWindow, rules.SlowStartMultiple))
 				usage += e.totalWork() / 14 / e.cores / float64(c.started)
 			}
-			t.Logf("%.2f of what is borne in the worst window, %.2f of their cores on average; %d in time of %d", worst, usage, fleet.inTime, fleet.arrivals())
+			t.Logf("%.2f of the capacity in the worst window, %.2f of their cores on average; %d in time of %d",
+				worst, usage, fleet.inTime, fleet.arrivals())
 			assert.Less(t, worst, 1.0)
 			assert.Greater(t, usage, c.minUsage)
 		})
@@ -86,7 +87,8 @@
 			share := float64(fleet.inTime-inTime) / float64(fleet.arrivals()-arrivals)
 			ownArrivals := fleet.routers[0].arrivals - first.arrivals
 			ownShare := float64(fleet.routers[0].inTime-first.inTime) / float64(ownArrivals)
-			t.Logf("in time %.3f in the last 5 s, of the first router's %.3f; %d not, %d cancelled", share, ownShare, fleet.rejected, fleet.cancelled)
+			t.Logf("in time %.3f in the last 5 s, of the first router's %.3f; %d rejected, %d cancelled",
+				share, ownShare, fleet.rejected, fleet.cancelled)
 			assert.Greater(t, share, 0.9)
 			assert.True(t, ownArrivals < 20 || ownShare > 0.85)
 		})
@@ -112,11 +114,14 @@
 		{"all engines half as fast, none of them sick",
 			func(f *simulatedFleet) { setSlowness(f, 2) }, func(f *simulatedFleet) { setSlowness(f, 1) }, 0.45, 0.9},
 		{"one of eight errs at once",
-			func(f *simulatedFleet) { f.engines["e00"].errs = true }, func(f *simulatedFleet) { f.engines["e00"].errs = false }, 0.7, 0.9},
+			func(f *simulatedFleet) { f.engines["e00"].errs = true },
+			func(f *simulatedFleet) { f.engines["e00"].errs = false }, 0.7, 0.9},
 		{"one of eight errs for one workload only",
-			func(f *simulatedFleet) { f.engines["e00"].errsOn = &reads }, func(f *simulatedFleet) { f.engines["e00"].errsOn = nil }, 0.7, 0.9},
+			func(f *simulatedFleet) { f.engines["e00"].errsOn = &reads },
+			func(f *simulatedFleet) { f.engines["e00"].errsOn = nil }, 0.7, 0.9},
 		{"one of eight is ten times as slow",
-			func(f *simulatedFleet) { f.engines["e00"].slowness = 10 }, func(f *simulatedFleet) { f.engines["e00"].slowness = 1 }, 0.6, 0.9},
+			func(f *simulatedFleet) { f.engines["e00"].slowness = 10 },
+			func(f *simulatedFleet) { f.engines["e00"].slowness = 1 }, 0.6, 0.9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -129,7 +134,8 @@
 			c.end(fleet)
 			fleet.run(5 * time.Second)
 			after := fleet.inTimeShare(5 * time.Second)
-			t.Logf("in time %.3f before, %.3f meanwhile, %.3f from 5 s after; %d rejected, %d cancelled", before, meanwhile, after, fleet.rejected, fleet.cancelled)
+			t.Logf("in time %.3f before, %.3f meanwhile, %.3f from 5 s after; %d rejected, %d cancelled",
+				before, meanwhile, after, fleet.rejected, fleet.cancelled)
 			assert.Greater(t, before, 0.9)
 			assert.Greater(t, meanwhile, c.minMeanwhile)
 			assert.Greater(t, after, c.minAfter*before)
--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -28,7 +28,12 @@
 			if s.attempts[key] == nil || s.open[key.statement] == nil {
 				return nil
 			}
-			return []decision.Event{decision.ResponseStarted{Statement: key.statement, Attempt: key.attempt, Engine: engine.entry.Engine, Elapsed: after}}
+			return []decision.Event{decision.ResponseStarted{
+				Statement: key.statement,
+				Attempt:   key.attempt,
+				Engine:    engine.entry.Engine,
+				Elapsed:   after,
+			}}
 		})
 	}
 	s.schedule(after, func() []decision.Event { return s.end(key, outcome) })
--- a/policy/generated_changes_test.go
+++ b/policy/generated_changes_test.go
@@ -63,7 +63,11 @@
 
 func (s *generatedSite) changed(engine *generatedEngine) []decision.Event {
 	s.listVersion++
-	return []decision.Event{decision.EndpointList{Kind: decision.ListPartial, Version: s.listVersion, Endpoints: []decision.Endpoint{engine.entry}}}
+	return []decision.Event{decision.EndpointList{
+		Kind:      decision.ListPartial,
+		Version:   s.listVersion,
+		Endpoints: []decision.Endpoint{engine.entry},
+	}}
 }
 
 func (s *generatedSite) changeFault() []decision.Event {
--- a/policy/generated_statements_test.go
+++ b/policy/generated_statements_test.go
@@ -31,7 +31,8 @@
 		event.Key = decision.Key(fmt.Sprintf("k%d", s.random.IntN(12)))
 	}
 	if s.chance(0.9) {
-		event.EstimatedWork = time.Duration(s.factor(0.02, 1.2) * float64(declared.LatencyObjective) * float64(max(1, declared.Threads)))
+		threads := float64(max(1, declared.Threads))
+		event.EstimatedWork = time.Duration(s.factor(0.02, 1.2) * float64(declared.LatencyObjective) * threads)
 		event.EstimatedMemoryMB = s.factor(10, 3000)
 	}
 	if s.chance(0.2) {
@@ -47,7 +48,10 @@
 }
 
 func (s *generatedSite) classification() *decision.Classification {
-	classification := &decision.Classification{Workload: decision.WorkloadID(s.random.IntN(len(s.opening.Workloads))), Writes: s.chance(0.1)}
+	classification := &decision.Classification{
+		Workload: decision.WorkloadID(s.random.IntN(len(s.opening.Workloads))),
+		Writes:   s.chance(0.1),
+	}
 	if s.chance(0.5) {
 		classification.EstimatedWork = s.between(10*ms, 2*time.Second)
 		classification.EstimatedMemoryMB = s.factor(10, 2000)
@@ -72,7 +76,10 @@
 		return []decision.Event{decision.ClientCancelled{Statement: id}}
 	case 1:
 		delete(s.open, id)
-		return []decision.Event{decision.ClientReadStateChanged{Statements: []decision.StatementID{id, "unknown"}, Disconnected: true}}
+		return []decision.Event{decision.ClientReadStateChanged{
+			Statements:   []decision.StatementID{id, "unknown"},
+			Disconnected: true,
+		}}
 	default:
 		ids := []decision.StatementID{id}
 		s.schedule(s.between(0, 2*time.Second), func() []decision.Event {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -21,10 +21,25 @@
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	read := decision.Workload{Name: "read", PriorityWeight: 1, LatencyObjective: time.Second, StatementTimeout: 4 * time.Second,
-		Threads: 1, WaitsForBulkLoads: true, DedupWindow: time.Second}
-	write := decision.Workload{Name: "write", PriorityWeight: 5, LatencyObjective: 3 * time.Second, LateFactor: 0.5,
-		StatementTimeout: 20 * time.Second, Threads: 2, Idempotency: decision.NonIdempotent, BulkLoad: true}
+	read := decision.Workload{
+		Name:              "read",
+		PriorityWeight:    1,
+		LatencyObjective:  time.Second,
+		StatementTimeout:  4 * time.Second,
+		Threads:           1,
+		WaitsForBulkLoads: true,
+		DedupWindow:       time.Second,
+	}
+	write := decision.Workload{
+		Name:             "write",
+		PriorityWeight:   5,
+		LatencyObjective: 3 * time.Second,
+		LateFactor:       0.5,
+		StatementTimeout: 20 * time.Second,
+		Threads:          2,
+		Idempotency:      decision.NonIdempotent,
+		BulkLoad:         true,
+	}
 	return &harness{
 		t: t,
 		settings: decision.Settings{
@@ -51,7 +66,7 @@
 	return list
 }
 
-// at has the module handle events, and keeps the actions.
+// at has the module handle events, and records the actions.
 func (h *harness) at(now time.Duration, events ...decision.Event) *harness {
 	if h.module == nil {
 		h.module = New(h.settings)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -127,6 +127,9 @@
 	if m.traits.ProgressInterval > 0 {
 		return silentProgressIntervals * (m.traits.ProgressInterval + maintenanceInterval)
 	}
-	w, expectedRun := a.statement.classifiedAs, a.statement.expectedRun
-	return time.Duration(max(silentObjectiveShare*float64(w.objective(expectedRun)), silentPaces*w.pace*float64(expectedRun)))
+	w := a.statement.classifiedAs
+	expectedRun := a.statement.expectedRun
+	byObjective := silentObjectiveShare * float64(w.objective(expectedRun))
+	byPace := silentPaces * w.pace * float64(expectedRun)
+	return time.Duration(max(byObjective, byPace))
 }
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -36,7 +36,11 @@
 // Statements whose client does not read are parked; their time runs on, and an answer that nobody waits for ends them.
 func TestClientThatDoesNotRead(t *testing.T) {
 	reading := func(reads, gone bool) decision.ClientReadStateChanged {
-		return decision.ClientReadStateChanged{Statements: []decision.StatementID{"s", "none"}, Reading: reads, Disconnected: gone}
+		return decision.ClientReadStateChanged{
+			Statements:   []decision.StatementID{"s", "none"},
+			Reading:      reads,
+			Disconnected: gone,
+		}
 	}
 	h := newHarness(t).at(0).at(time.Second, read("s")).at(time.Second+ms, reading(false, false), ready("a"))
 	assert.Empty(t, h.sentTo())
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -50,12 +50,15 @@
 			other = h.module.endpoints.all[1]
 		}
 		other.touch(7, recentTableGroups)
-		assert.Equal(t, []*engine{other}, h.module.candidates(s, h.module.endpoints.all), "an engine with the group in its caches comes first")
+		assert.Equal(t, []*engine{other}, h.module.candidates(s, h.module.endpoints.all),
+			"an engine with the group in its caches comes first")
 		h.module.affinity.count(7)
-		assert.Equal(t, []*engine{other, first[0]}, h.module.candidates(s, h.module.endpoints.all)[:2], "traffic widens the row")
+		assert.Equal(t, []*engine{other, first[0]}, h.module.candidates(s, h.module.endpoints.all)[:2],
+			"traffic adds candidates")
 		load := h.unsent(1, 7)
 		h.module.affinity = tableTraffic{}
-		assert.NotEqual(t, first, h.module.candidates(load, h.module.endpoints.all), "a load stays off where its tables are read")
+		assert.NotEqual(t, first, h.module.candidates(load, h.module.endpoints.all),
+			"a load stays off where its tables are read")
 	})
 	t.Run("an excluded engine gets it only when all are excluded", func(t *testing.T) {
 		h := newHarness(t).at(0, ready("a", "b"))
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -20,14 +20,22 @@
 		after       time.Duration
 		want        string // "sent", "reject" or "abort"
 	}{
-		{"idempotent goes again after an error", decision.Idempotent, 0, decision.Errored, 10 * ms, "sent"},
-		{"non-idempotent that may have run is aborted", decision.NonIdempotent, 0, decision.ConnectionReset, 10 * ms, "abort"},
-		{"non-idempotent after a time-out is aborted", decision.NonIdempotent, 0, decision.TimedOut, 10 * ms, "abort"},
-		{"non-idempotent that never ran goes again", decision.NonIdempotent, 0, decision.Overloaded, 10 * ms, "sent"},
-		{"deduplicated goes again in time", decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 10 * ms, "sent"},
-		{"deduplicated after its window is not sent", decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 2 * time.Second, "reject"},
-		{"deduplicated stays in its cell", decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 10 * ms, ""},
-		{"deduplicated in a cell is not rejected after", decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 2 * time.Second, "abort"},
+		{"idempotent goes again after an error",
+			decision.Idempotent, 0, decision.Errored, 10 * ms, "sent"},
+		{"non-idempotent that may have run is aborted",
+			decision.NonIdempotent, 0, decision.ConnectionReset, 10 * ms, "abort"},
+		{"non-idempotent after a time-out is aborted",
+			decision.NonIdempotent, 0, decision.TimedOut, 10 * ms, "abort"},
+		{"non-idempotent that never ran goes again",
+			decision.NonIdempotent, 0, decision.Overloaded, 10 * ms, "sent"},
+		{"deduplicated goes again in time",
+			decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 10 * ms, "sent"},
+		{"deduplicated after its window is not sent",
+			decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 2 * time.Second, "reject"},
+		{"deduplicated stays in its cell",
+			decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 10 * ms, ""},
+		{"deduplicated in a cell is not rejected after",
+			decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 2 * time.Second, "abort"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -91,7 +99,9 @@
 	}{
 		{"draining", func(_ *harness, e *decision.Endpoint) { e.State = decision.Draining }},
 		{"removed", func(_ *harness, e *decision.Endpoint) { e.State = decision.Removed }},
-		{"zone not allowed", func(h *harness, e *decision.Endpoint) { h.settings.Workloads[0].AllowedZones = []decision.Zone{"z9"} }},
+		{"zone not allowed", func(h *harness, e *decision.Endpoint) {
+			h.settings.Workloads[0].AllowedZones = []decision.Zone{"z9"}
+		}},
 		{"machine type not allowed", func(h *harness, e *decision.Endpoint) {
 			h.settings.Workloads[0].AllowedMachineTypes = []decision.MachineType{"k4"}
 		}},
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -59,7 +59,9 @@
 
 // newSimulatedFleet is a fleet whose routers know the engines. Settings that name no number of routers get the true
 // one.
-func newSimulatedFleet(newHarness func() *harness, routers int, rate float64, engines ...*simulatedEngine) *simulatedFleet {
+func newSimulatedFleet(
+	newHarness func() *harness, routers int, rate float64, engines ...*simulatedEngine,
+) *simulatedFleet {
 	f := &simulatedFleet{
 		random:  rand.New(rand.NewPCG(7, 11)),
 		engines: map[decision.EngineID]*simulatedEngine{},
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -22,7 +22,8 @@
 				h.settings.Identity.Router = decision.RouterID(me)
 				h.settings.Identity.Routers = routers
 				h.settings.Identity.Seed = uint64(me)
-				budget = h.settings.Rules.SlowStartMultiple * h.settings.Rules.SlowStartShare * 8 * h.settings.Rules.SlowStartWindow.Seconds()
+				rules := h.settings.Rules
+				budget = rules.SlowStartMultiple * rules.SlowStartShare * 8 * rules.SlowStartWindow.Seconds()
 				h.at(0, list)
 				started := ready("a")
 				started.Kind = decision.ListPartial
