--- a/internal/controlserver/router_api.go
+++ b/internal/controlserver/version_stream.go
@@ -11,39 +11,18 @@
 	"strings"
 	"time"
 
+	"bankledge/internal/configregister"
+	"bankledge/internal/configversion"
 	"bankledge/internal/controlapi"
-	"bankledge/internal/lease"
-	"bankledge/internal/replica"
 )
 
 const (
-	maxRenewalBytes   = 4 << 10
 	maxStreams        = 4096
 	keepAliveInterval = time.Second     // of a stream: a router takes a silent one for dead
 	streamWriteLimit  = 5 * time.Second // for a router that reads nothing
 	keepAliveComment  = ":\n\n"
 )
 
-// handleRenewal answers a router's renewal of its lease.
-func (s *Server) handleRenewal(w http.ResponseWriter, r *http.Request) {
-	var renewal lease.Renewal
-	if err := readJSON(w, r, maxRenewalBytes, &renewal); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	ctx, cancel := context.WithTimeout(r.Context(), s.durations.LeaseDuration) // nobody waits longer
-	defer cancel()
-	answer, err := s.mailbox.call(ctx, func(callID uint64) replica.Event {
-		return replica.LeaseRequest{Event: lease.RenewalReceived{CallID: callID, Renewal: renewal}}
-	})
-	reply, ok := answer.(lease.SendReply)
-	if err != nil || !ok {
-		http.Error(w, errBusy.Error(), http.StatusServiceUnavailable)
-		return
-	}
-	writeJSON(w, http.StatusOK, reply.Reply)
-}
-
 // handleVersionStream sends versions as they are committed and activated, and a comment each second.
 func (s *Server) handleVersionStream(w http.ResponseWriter, r *http.Request) {
 	defer s.streams.Add(-1)
@@ -93,7 +72,7 @@
 func (s *Server) awaitEvents(ctx context.Context, cursor *streamCursor, keepAlive <-chan time.Time) string {
 	for {
 		changed := s.state.nextChange()
-		if text := cursor.advance(s.state.load()); text != "" {
+		if text := cursor.advance(s.state.load().register); text != "" {
 			return text
 		}
 		select {
@@ -112,21 +91,26 @@
 	activated uint64
 }
 
-// advance returns the events that bring the follower up to the view, "" if there are none.
-func (c *streamCursor) advance(view *stateView) string {
+// advance returns the events that bring the follower up to the register, "" if there are none.
+func (c *streamCursor) advance(register *configregister.Register) string {
 	var text strings.Builder
-	for _, version := range view.register.UpdatesAfter(c.known) {
+	for _, version := range register.UpdatesAfter(c.known) {
 		c.known = version.Number
-		c.activated = view.register.Activated
-		text.WriteString(formatEvent(version.Number, controlapi.VersionEvent{Lineage: view.register.Lineage, Activated: view.register.Activated, Version: version}))
+		c.activated = register.Activated
+		text.WriteString(formatEvent(version.Number, versionEvent(register, version)))
 	}
-	if view.register.Activated > c.activated {
-		c.activated = view.register.Activated
-		text.WriteString(formatEvent(0, controlapi.VersionEvent{Lineage: view.register.Lineage, Activated: view.register.Activated}))
+	if register.Activated > c.activated {
+		c.activated = register.Activated
+		text.WriteString(formatEvent(0, versionEvent(register, nil)))
 	}
 	return text.String()
 }
 
+// versionEvent is the event of a version, or without one that of an activation.
+func versionEvent(register *configregister.Register, version *configversion.Version) controlapi.VersionEvent {
+	return controlapi.VersionEvent{Lineage: register.Lineage, Activated: register.Activated, Version: version}
+}
+
 // formatEvent writes a server-sent event; an id of 0 is left out.
 func formatEvent(id uint64, event controlapi.VersionEvent) string {
 	raw, err := json.Marshal(event)
