--- a/internal/logevent/events.go
+++ b/internal/logevent/events.go
@@ -32,10 +32,10 @@
 
 // The life of an attempt, which is one run of a request at an engine.
 const (
-	AttemptStarted              = "upstream attempt started"
-	AttemptRejectedAfterFinish  = "upstream attempt of a finished request not started" // a defect of the decision module
-	AttemptCancelled            = "upstream attempt cancelled"
-	AttemptResultRecorded       = "upstream attempt result recorded"
+	UpstreamAttemptStarted      = "upstream attempt started"
+	UpstreamAttemptRefused      = "upstream attempt of a finished request not started" // a defect of the decision module
+	UpstreamAttemptCancelled    = "upstream attempt cancelled"
+	UpstreamAttemptRecorded     = "upstream attempt result recorded"
 	UpstreamAttemptEnded        = "upstream attempt ended"
 	UpstreamAttemptPanicked     = "upstream attempt panicked"
 	UpstreamAttemptNotConnected = "upstream attempt has no connection"
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -50,7 +50,7 @@
 func (l *eventLoop) startAttempt(start decision.StartAttempt) {
 	req := l.requests.find(start.Statement)
 	if req == nil || req.finished {
-		l.router.log.Error(logevent.AttemptRejectedAfterFinish, logevent.RequestID(start.Statement))
+		l.router.log.Error(logevent.UpstreamAttemptRefused, logevent.RequestID(start.Statement))
 		return
 	}
 	violation := req.invariants.BeginAttempt(l.locations.of(start.Engine), l.decidedAt) // by the clock that it was decided by
@@ -58,7 +58,7 @@
 	if violation != nil {
 		attempt.Deadline = expiredDeadline()
 	}
-	l.router.log.Debug(logevent.AttemptStarted, logevent.RequestID(req.id), logevent.Attempt(attempt.Attempt),
+	l.router.log.Debug(logevent.UpstreamAttemptStarted, logevent.RequestID(req.id), logevent.Attempt(attempt.Attempt),
 		logevent.Endpoint(start.Engine), zap.Stringers("earlier_outcomes", req.outcomes),
 		logevent.Milliseconds("time_left_ms", time.Until(attempt.Deadline)))
 	req.attemptsInFlight++
@@ -104,6 +104,6 @@
 	if req == nil || int(cancel.Attempt) >= len(req.attempts) {
 		return
 	}
-	l.router.log.Debug(logevent.AttemptCancelled, logevent.RequestID(req.id), logevent.Attempt(cancel.Attempt), logevent.Reason(cancel.Reason))
+	l.router.log.Debug(logevent.UpstreamAttemptCancelled, logevent.RequestID(req.id), logevent.Attempt(cancel.Attempt), logevent.Reason(cancel.Reason))
 	req.attempts[cancel.Attempt].Cancel()
 }
--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -148,15 +148,8 @@
 		return errors.Join(err, group.Wait())
 	}
 	r.discovery.LastEventID = r.config.LastEventID
-	group.Go(func() error { return r.upstream.Run(ctx) })
-	group.Go(func() error { return r.downstream.Serve(ctx, listener) })
-	group.Go(func() error { return r.discovery.Watch(ctx) })
+	r.startServices(ctx, group, listener)
 	group.Go(func() error { return r.awaitReload(ctx, reload, load) })
-	group.Go(func() error { return r.awaitReachableEngine(ctx) })
-	group.Go(func() error { return r.reportMetrics(ctx) })
-	if lease := r.loop.lease; lease != nil {
-		group.Go(func() error { return lease.run(ctx) })
-	}
 	group.Go(func() error {
 		defer cancel()
 		defer listener.Close()
@@ -171,12 +164,24 @@
 	return err
 }
 
+// startServices starts what serves clients, engines and the control plane until ctx ends.
+func (r *Router) startServices(ctx context.Context, group *errgroup.Group, listener net.Listener) {
+	group.Go(func() error { return r.upstream.Run(ctx) })
+	group.Go(func() error { return r.downstream.Serve(ctx, listener) })
+	group.Go(func() error { return r.discovery.Watch(ctx) })
+	group.Go(func() error { return r.awaitReachableEngine(ctx) })
+	group.Go(func() error { return r.reportMetrics(ctx) })
+	if lease := r.loop.lease; lease != nil {
+		group.Go(func() error { return lease.run(ctx) })
+	}
+}
+
 func (r *Router) newUpstream(ctx context.Context) *upstream.Client {
-	sockets := r.config.Module.Connections
-	upstream := upstream.New(ctx, r, r.limits.engineSockets, sockets.IdleTimeout, sockets.ConnectTimeout, r.log)
-	upstream.AwaitDiscovery = r.awaitDiscovery
-	upstream.Violations = r.violations
-	return upstream
+	connections := r.config.Module.Connections
+	client := upstream.New(ctx, r, r.limits.engineSockets, connections.IdleTimeout, connections.ConnectTimeout, r.log)
+	client.AwaitDiscovery = r.awaitDiscovery
+	client.Violations = r.violations
+	return client
 }
 
 // Serving receives the router's address once clients can connect.
