--- a/decision/report.go
+++ b/decision/report.go
@@ -26,7 +26,7 @@
 	LoadReportsByHealthCheck
 )
 
-// LoadReportSettings says how load reports come and which fields they hold.
+// LoadReportSettings says how load reports come and which fields they have.
 type LoadReportSettings struct {
 	Source LoadReportSource
 	Fields []LoadReportField
--- a/decision/workload.go
+++ b/decision/workload.go
@@ -64,7 +64,7 @@
 	RatePerSecond float64 // over all routers
 }
 
-// Quotas holds the quotas of all tenants that have one.
+// Quotas are the quotas of all tenants that have one.
 type Quotas struct {
 	Tenants []Quota
 	// OverQuotaFactor times its priority weight is what the answer to a statement beyond its tenant's quota counts.
--- a/internal/estimate/peerload_test.go
+++ b/internal/estimate/peerload_test.go
@@ -19,6 +19,6 @@
 	assert.InDelta(t, 40, p.Estimate(now, 40, now-3*time.Second), 1e-9)
 	assert.InDelta(t, 10+30/math.E, p.Estimate(now, 40, now-6*time.Second), 0.1)
 	assert.InDelta(t, 10, p.Estimate(now, 0, now-time.Minute), 0.1, "an engine without reports is not empty")
-	assert.InDelta(t, 0, p.Estimate(now+time.Minute, 40, now), 0.1, "no engine is heard of: try again")
+	assert.InDelta(t, 0, p.Estimate(now+time.Minute, 40, now), 0.1, "no engine reports: send again")
 	assert.Less(t, p.Estimate(now+7*time.Second, 40, now), 13.0)
 }
--- a/internal/estimate/slowstart_test.go
+++ b/internal/estimate/slowstart_test.go
@@ -71,7 +71,7 @@
 
 // The sum over all routers, each of which knows only its own arrivals: what an engine in slow start is sent in any
 // window, over what it can take then. SEEDS=1000 in the environment plays more fleets.
-func TestRoutersTogetherKeepTheSlowStartCapacity(t *testing.T) {
+func TestRoutersTogetherStayWithinSlowStartCapacity(t *testing.T) {
 	seeds := 12
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		seeds = n
--- a/policy/bulk_load.go
+++ b/policy/bulk_load.go
@@ -8,10 +8,10 @@
 	"bankledge/decision"
 )
 
-// loadNoteIntervals is how many progress intervals a message about another router's bulk load counts.
-const loadNoteIntervals = 4
+// loadMessageIntervals is how many progress intervals a message about another router's bulk load counts.
+const loadMessageIntervals = 4
 
-// waitsForLoads reports whether a statement stands still while a bulk load locks one of its table groups.
+// waitsForLoads reports whether a statement is blocked at its engine while a bulk load locks one of its table groups.
 func waitsForLoads(s *statement) bool {
 	return s.classifiedAs.WaitsForBulkLoads || s.classifiedAs.BulkLoad
 }
@@ -28,8 +28,8 @@
 	})
 }
 
-// noteLoad notes until when a bulk load of another router locks a table group, and drops entries that have expired.
-func (e *engine) noteLoad(tables decision.TableGroup, now, until time.Duration) {
+// recordLoad records until when a bulk load of another router locks a table group, and drops entries that have expired.
+func (e *engine) recordLoad(tables decision.TableGroup, now, until time.Duration) {
 	maps.DeleteFunc(e.loadsUntil, func(_ decision.TableGroup, t time.Duration) bool { return t <= now })
 	e.loadsUntil[tables] = until
 }
@@ -37,6 +37,6 @@
 // attemptWaitsForLoad handles the message that an attempt waits for another router's bulk load: for a while nothing of
 // its table group goes there.
 func (m *Module) attemptWaitsForLoad(a *attempt) {
-	a.engine.noteLoad(a.statement.tables, m.now, m.now+loadNoteIntervals*m.traits.ProgressInterval)
+	a.engine.recordLoad(a.statement.tables, m.now, m.now+loadMessageIntervals*m.traits.ProgressInterval)
 	m.moveElsewhere(a, decision.ReasonWaitingForBulkLoad)
 }
--- a/policy/bulk_load_test.go
+++ b/policy/bulk_load_test.go
@@ -14,7 +14,7 @@
 )
 
 // A bulk load and what waits for it do not meet on one engine.
-func TestLoadKeepsReadsOff(t *testing.T) {
+func TestBulkLoadExcludesReads(t *testing.T) {
 	h := newHarness(t).at(0, ready("a", "b"))
 	e := h.at(1, write("w")).sentTo()
 	for i := range 4 {
@@ -22,13 +22,13 @@
 	}
 }
 
-// A note of waiting for another router's bulk load keeps its table group off that engine.
+// A message that an attempt waits for another router's bulk load excludes that engine for its table group.
 func TestLoadOfAnotherRouter(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Engines.ProgressInterval = 500 * ms
 	h.settings.Workloads[0].LatencyObjective = 3 * time.Second
 	e := h.at(0, ready("a", "b"), read("s")).sentTo()
-	h.at(500*ms, note("s", e, decision.ProgressWaiting, decision.WaitingForBulkLoad))
+	h.at(500*ms, progress("s", e, decision.ProgressWaiting, decision.WaitingForBulkLoad))
 	require.Len(t, pick[decision.CancelAttempt](h), 1)
 	assert.NotEqual(t, e, h.at(501*ms, read("s2")).sentTo(), "the group it waits for")
 	other := read("s3")
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -15,12 +15,12 @@
 	full := inFlightReport(8 * maxStatementsPerCore)
 	h.at(ms, decision.HealthCheckEnded{Engine: "a", Outcome: decision.Completed, Report: full})
 	assert.Empty(t, h.at(2*ms, read("s")).sentTo())
-	assert.Empty(t, h.at(900*ms, read("s2")).sentTo(), "silence is no sign of room")
+	assert.Empty(t, h.at(900*ms, read("s2")).sentTo(), "silence is no sign of capacity")
 	assert.NotEmpty(t, h.at(3*time.Second, read("s3")).sentTo(), "an old report no longer counts")
 }
 
-// Heavy work leaves room to the light work of any router.
-func TestRoomForLightWork(t *testing.T) {
+// Heavy work leaves capacity to the light work of any router.
+func TestCapacityForLightWork(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		inFlight float64
--- a/policy/classification_test.go
+++ b/policy/classification_test.go
@@ -60,7 +60,7 @@
 		h.at(0).at(time.Second, classified(read("s"), decision.Classification{Workload: 1}))
 		assert.Equal(t, decision.Deduplicated, h.module.statements["s"].idempotency)
 	})
-	t.Run("reads of any group that a load holds keep off", func(t *testing.T) {
+	t.Run("reads of any group that a load locks are not sent there", func(t *testing.T) {
 		for _, c := range []struct {
 			name   string
 			others []decision.TableGroup
@@ -73,13 +73,14 @@
 			r := classified(read("r"), decision.Classification{Workload: 0, OtherTableGroups: c.others})
 			r.TableGroup = 3
 			assert.Equal(t, c.sent, h.at(time.Second+10*ms, r).sentTo(), c.name)
-			h.engine("a").noteLoad(9, h.module.now, h.module.now+time.Minute) // another router's load, once the own one is over
+			// Another router's load, once the own one has finished.
+			h.engine("a").recordLoad(9, h.module.now, h.module.now+time.Minute)
 			h.at(2*time.Second, end("load", 0, "a", decision.Completed))
 			r.Statement = "r2"
 			assert.Equal(t, c.sent, h.at(2*time.Second+10*ms, r).sentTo(), c.name)
 		}
 	})
-	t.Run("a lookup treated as a load holds its group", func(t *testing.T) {
+	t.Run("a lookup classified as a load locks its group", func(t *testing.T) {
 		h := newHarness(t).at(0, ready("a"))
 		ev := classified(read("w"), decision.Classification{Workload: 1, Writes: true})
 		ev.TableGroup = 9
--- a/policy/congestion_window_test.go
+++ b/policy/congestion_window_test.go
@@ -24,7 +24,7 @@
 		{"halves on utilization past 90 percent", 8, 16, 4, utilization(0.95), 0, 0},
 		{"halves on memory waits", 8, 16, 4, queue(2), 0, 0},
 		{"never below one", 1, 16, 1, queue(2), 0, 0},
-		{"own latency stands in for a missing field", 8, 16, 4, queue(0), 3, 4},
+		{"own latency replaces a missing field", 8, 16, 4, queue(0), 3, 4},
 		{"own latency does not count where utilization is reported", 8, 16, 16, utilization(0.5), 3, 4},
 		{"an empty report is no congestion", 8, 16, 16, &decision.LoadReport{}, 0, 0},
 		{"no report, no step", 8, 16, 8, nil, 0, 0},
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -43,7 +43,7 @@
 	pace            float64       // time taken over what its workload usually takes
 	errorShare      float64       // learned: of its attempts that errored there while the statement completed elsewhere
 	passedOverUntil int           // count of arrivals before which nothing is sent there
-	checking        bool          // a health check is out
+	checking        bool          // a health check is in flight
 	checkedAt       time.Duration // last health check
 
 	// Slow start.
--- a/policy/fleet_quota.go
+++ b/policy/fleet_quota.go
@@ -72,7 +72,7 @@
 	return attempts * q.attemptMemory / max(1, q.attempts)
 }
 
-// isWithinFleetQuota reports whether the quota has room for a statement, on average. Heavier workloads do not hold up
+// isWithinFleetQuota reports whether a statement is within the quota, on average. Heavier workloads do not delay
 // lighter ones. What is late already takes only what nobody else needs.
 func (m *Module) isWithinFleetQuota(s *statement) bool {
 	q := &m.fleetQuota
--- a/policy/fleet_quota_test.go
+++ b/policy/fleet_quota_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A router keeps its quota of the fleet on average, and heavy work does not hold up lighter work.
+// A router stays within its quota of the fleet on average, and heavy work does not delay lighter work.
 func TestFleetQuotaOnAverage(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Identity.Routers = 16 // the quota: 3.2 x 8 / 16 = 1.6 threads, a write takes two
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -111,7 +111,7 @@
 	}{
 		{"twice the demand, clients that try again twice",
 			func(f *simulatedFleet) { f.rate *= 2 }, func(f *simulatedFleet) { f.rate /= 2 }, 0.6, 0.9},
-		{"all engines half as fast, none of them sick",
+		{"all engines half as fast, none of them faulty",
 			func(f *simulatedFleet) { setSlowness(f, 2) }, func(f *simulatedFleet) { setSlowness(f, 1) }, 0.45, 0.9},
 		{"one of eight errs at once",
 			func(f *simulatedFleet) { f.engines["e00"].errs = true },
--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -22,7 +22,7 @@
 	if a.StartBefore > 0 && s.now+after > a.StartBefore && s.chance(0.3) {
 		outcome = decision.NotSent
 	}
-	s.notes(key, statement, after)
+	s.scheduleProgress(key, statement, after)
 	if outcome == decision.Completed && s.chance(0.3) {
 		s.schedule(after*9/10, func() []decision.Event {
 			if s.attempts[key] == nil || s.open[key.statement] == nil {
@@ -66,13 +66,13 @@
 	return decision.Completed, run
 }
 
-// notes has the engine tell of a running attempt, where engines do.
-func (s *generatedSite) notes(key attemptKey, statement *generatedStatement, run time.Duration) {
+// scheduleProgress has the engine report the progress of a running attempt, where engines do.
+func (s *generatedSite) scheduleProgress(key attemptKey, statement *generatedStatement, run time.Duration) {
 	every := s.opening.Engines.ProgressInterval
 	if every == 0 || s.attempts[key].engine.fault == silent {
 		return
 	}
-	note := func(after time.Duration, kind decision.ProgressKind, value float64) {
+	schedule := func(after time.Duration, kind decision.ProgressKind, value float64) {
 		s.schedule(after, func() []decision.Event {
 			attempt := s.attempts[key]
 			if attempt == nil {
@@ -87,13 +87,13 @@
 		done = 0.05
 	}
 	for at := every; at < run; at += every {
-		note(at, decision.ProgressShareDone, done*float64(at)/float64(run))
+		schedule(at, decision.ProgressShareDone, done*float64(at)/float64(run))
 	}
 	if s.chance(0.15) {
-		note(s.between(0, run), decision.ProgressSpilling, s.factor(10, 500))
+		schedule(s.between(0, run), decision.ProgressSpilling, s.factor(10, 500))
 	}
 	if s.chance(0.05) {
-		note(s.between(0, run), decision.ProgressWaiting, float64(1+s.random.IntN(2)))
+		schedule(s.between(0, run), decision.ProgressWaiting, float64(1+s.random.IntN(2)))
 	}
 }
 
@@ -135,7 +135,7 @@
 	})
 }
 
-// report holds the settings' fields; now and then one is missing.
+// report has the settings' fields; now and then one is missing.
 func (s *generatedSite) report(engine *generatedEngine) *decision.LoadReport {
 	report := &decision.LoadReport{}
 	for _, field := range s.opening.LoadReports.Fields {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -39,8 +39,8 @@
 	return true
 }
 
-// freshlyReported keeps the engines with a fresh load report. If none of these is free of congestion it checks the
-// statement's first few; none is returned while one of those checks is out: the statement waits for it.
+// freshlyReported returns the engines with a fresh load report. If none of these is free of congestion it checks the
+// statement's first few; none is returned while one of those checks is in flight: the statement waits for it.
 func (m *Module) freshlyReported(s *statement, engines []*engine, width int) []*engine {
 	var fresh []*engine
 	for _, e := range engines {
@@ -61,7 +61,8 @@
 	return fresh
 }
 
-// awaitReport checks an engine whose report is not fresh, if the budget allows it, and tells whether a check is out.
+// awaitReport checks an engine whose report is not fresh, if the budget allows it, and reports whether a check is in
+// flight.
 func (m *Module) awaitReport(e *engine) bool {
 	if e.checking && m.now < e.checkedAt+reportPeriod {
 		return true
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -15,10 +15,10 @@
 	h.settings.LoadReports.Source = decision.LoadReportsByHealthCheck
 	h.at(0, ready("a", "b", "c", "d"))
 	assert.Empty(t, pick[decision.HealthCheck](h), "none on a clock")
-	asked := pick[decision.HealthCheck](h.at(ms, read("s")))
-	require.NotEmpty(t, asked)
-	assert.LessOrEqual(t, len(asked), healthCheckWidth, "two a statement at most")
+	checks := pick[decision.HealthCheck](h.at(ms, read("s")))
+	require.NotEmpty(t, checks)
+	assert.LessOrEqual(t, len(checks), healthCheckWidth, "two a statement at most")
 	assert.Empty(t, h.sentTo())
-	h.at(2*ms, decision.HealthCheckEnded{Engine: asked[0].Engine, Outcome: decision.Completed, Report: inFlightReport(0)})
-	assert.Equal(t, asked[0].Engine, h.sentTo())
+	h.at(2*ms, decision.HealthCheckEnded{Engine: checks[0].Engine, Outcome: decision.Completed, Report: inFlightReport(0)})
+	assert.Equal(t, checks[0].Engine, h.sentTo())
 }
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -17,7 +17,7 @@
 	h.settings.Workloads[0].LatencyObjective = 3 * time.Second
 	h.settings.Workloads[0].LateFactor = 0.5
 	e := h.at(0, ready("a", "b"), read("s")).sentTo()
-	h.at(500*ms, note("s", e, decision.ProgressShareDone, 0.05))
+	h.at(500*ms, progress("s", e, decision.ProgressShareDone, 0.05))
 	require.Len(t, pick[decision.CancelAttempt](h), 1)
 	other := h.at(501*ms, end("s", 0, e, decision.Cancelled)).sentTo()
 	assert.NotEmpty(t, other)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -90,9 +90,11 @@
 	return decision.AttemptEnded{Statement: id, Attempt: n, Engine: e, Outcome: o, Finished: o == decision.Completed}
 }
 
-// note is progress of a statement's first attempt.
-func note(id decision.StatementID, e decision.EngineID, n decision.ProgressKind, v float64) decision.AttemptProgress {
-	return decision.AttemptProgress{Statement: id, Engine: e, Kind: n, Value: v}
+// progress is a progress message of a statement's first attempt.
+func progress(
+	id decision.StatementID, engine decision.EngineID, kind decision.ProgressKind, value float64,
+) decision.AttemptProgress {
+	return decision.AttemptProgress{Statement: id, Engine: engine, Kind: kind, Value: value}
 }
 
 // pick returns the actions of one type from the last call.
--- a/policy/key_queue.go
+++ b/policy/key_queue.go
@@ -25,7 +25,7 @@
 	k[s.key].statements = append(k[s.key].statements, s)
 }
 
-// leave takes a statement that finishes out of its queue; its open attempts still hold up the next one.
+// leave takes a statement that finishes out of its queue; its open attempts still delay the next one.
 func (k keyQueues) leave(s *statement, now time.Duration) {
 	queue := k[s.key]
 	if queue == nil {
--- a/policy/memory_grant_test.go
+++ b/policy/memory_grant_test.go
@@ -17,7 +17,7 @@
 	ev.EstimatedMemoryMB = 100
 	e := h.at(0, ready("a"), ev).sentTo()
 	require.Equal(t, int64(125), pick[decision.SetResources](h)[0].MemoryGrantMB)
-	h.at(ms, note("s", e, decision.ProgressSpilling, 40))
+	h.at(ms, progress("s", e, decision.ProgressSpilling, 40))
 	ev.Statement = "s2"
 	assert.Greater(t, pick[decision.SetResources](h.at(2*ms, ev))[0].MemoryGrantMB, int64(125))
 }
--- a/policy/module_test.go
+++ b/policy/module_test.go
@@ -15,7 +15,7 @@
 // Events of statements and engines that are finished or unknown are ignored.
 func TestUnknownStatementsAreIgnored(t *testing.T) {
 	h := newHarness(t).at(0, ready("a"))
-	h.at(1, end("x", 0, "a", decision.Completed), end("x", 0, "zz", decision.Overloaded), note("x", "a", 1, 0.5),
+	h.at(1, end("x", 0, "a", decision.Completed), end("x", 0, "zz", decision.Overloaded), progress("x", "a", 1, 0.5),
 		decision.ClientCancelled{Statement: "x"}, decision.HealthCheckEnded{Engine: "zz"}, decision.TimerFired{Token: "?"})
 	assert.Empty(t, pick[decision.Reject](h))
 }
@@ -46,7 +46,7 @@
 		arrival.TableGroup = decision.TableGroup(i)
 		h.at(now, ready(e), arrival)
 		require.Equal(t, e, h.sentTo(), "those that are gone get nothing")
-		h.at(now+1, note(s, e, decision.ProgressWaiting, decision.WaitingForBulkLoad), end(s, 0, e, decision.Cancelled))
+		h.at(now+1, progress(s, e, decision.ProgressWaiting, decision.WaitingForBulkLoad), end(s, 0, e, decision.Cancelled))
 		h.at(now+2, decision.ClientCancelled{Statement: s})
 	}
 	require.Less(t, len(h.module.endpoints.all), 200)
@@ -56,7 +56,7 @@
 	one := newHarness(t).at(0, ready("a"))
 	for i := range 2 * maxTableGroups { // one engine all the while
 		one.module.endpoints.ranked(decision.TableGroup(i))
-		one.engine("a").noteLoad(decision.TableGroup(i), time.Duration(i)*ms, time.Duration(i+10)*ms)
+		one.engine("a").recordLoad(decision.TableGroup(i), time.Duration(i)*ms, time.Duration(i+10)*ms)
 	}
 	require.LessOrEqual(t, len(one.module.endpoints.rankings), maxTableGroups)
 	require.Less(t, len(one.engine("a").loadsUntil), 20)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -23,11 +23,11 @@
 	// openAttemptPaceDivisor: an attempt without an outcome says something of its engine's pace only after so many
 	// usual times.
 	openAttemptPaceDivisor = 2.0
-	// Where engines send no progress notes, an attempt is silent after this share of its objective and so many usual
+	// Where engines send no progress messages, an attempt is silent after this share of its objective and so many usual
 	// run times: a router that rarely gets a message about an engine learns nothing from a pause.
 	silentObjectiveShare = 0.6
 	silentPaces          = 10.0
-	// silentProgressIntervals is the number of missed progress notes, each with the time of a maintenance, after which
+	// silentProgressIntervals is the number of missed progress messages, each with the time of a maintenance, after which
 	// an attempt is silent.
 	silentProgressIntervals = 2
 	// overloadFactor times the statements that an engine takes at most is a load under which little ends there.
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -40,7 +40,7 @@
 	assert.False(t, h.engine(e).ejected)
 }
 
-// A connection reset beside attempts that are alive does not eject the engine.
+// A connection reset while other attempts are in flight does not eject the engine.
 func TestResetBesideLiveAttempts(t *testing.T) {
 	h := newHarness(t).at(0, ready("a"), read("s"), read("s2"))
 	h.at(ms, end("s", 0, "a", decision.ConnectionReset))
--- a/policy/priority_test.go
+++ b/policy/priority_test.go
@@ -29,9 +29,9 @@
 	h.settings.Engines.Priorities = true
 	h.settings.Engines.ProgressInterval = 500 * ms
 	h.at(0, ready("a"), heavyWrite("s"))
-	h.at(500*ms, note("s", "a", decision.ProgressShareDone, 0.4))
+	h.at(500*ms, progress("s", "a", decision.ProgressShareDone, 0.4))
 	assert.Empty(t, pick[decision.SetResources](h))
-	h.at(time.Second, note("s", "a", decision.ProgressShareDone, 0.6))
+	h.at(time.Second, progress("s", "a", decision.ProgressShareDone, 0.6))
 	require.Len(t, pick[decision.SetResources](h), 1)
 	assert.Equal(t, 3, pick[decision.SetResources](h)[0].Priority)
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -47,8 +47,8 @@
 	q.waiting = q.waiting[:q.examined]
 }
 
-// leavesQueue starts a statement's next attempt or sheds it, and tells whether it no longer waits. The slice counts, by
-// workload, the statements that found no engine in this pass.
+// leavesQueue starts a statement's next attempt or sheds it, and reports whether it no longer waits. The slice counts,
+// by workload, the statements that found no engine in this pass.
 func (m *Module) leavesQueue(s *statement, withoutEngine []int) bool {
 	if m.isTooLate(s) {
 		m.endUnanswered(s, decision.ReasonTooLate)
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -20,7 +20,7 @@
 	assert.Len(t, pick[decision.Reject](h), 1)
 }
 
-// The host may hold few attempts: what is beyond them is queued, and goes as others end.
+// The host may allow few attempts at once: what is beyond them is queued, and sent as others end.
 func TestMaxInFlightAttempts(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Limits.MaxInFlightAttempts = 1
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// actionRecord hashes actions in a form that holds no name of a Go type, field or constant.
+// actionRecord hashes actions in a form without the name of a Go type, field or constant.
 type actionRecord struct {
 	t      *testing.T
 	hash   hash.Hash
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -124,7 +124,7 @@
 }
 
 // candidates are the engines that a statement's table group is spread over: engines with the group in their caches
-// first, then those of the own zone, each by rendezvous hash. A bulk load would hold its table group where that is
+// first, then those of the own zone, each by rendezvous hash. A bulk load would lock its table group where that is
 // read, and wait behind other loads: it takes the half of the hash where the group is read least, and has available
 // reversed.
 func (m *Module) candidates(s *statement, available []*engine) []*engine {
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -78,7 +78,7 @@
 	return speed
 }
 
-// worstWindow is the most work that the engine was sent in any window so long, as a share of what it bears then.
+// worstWindow is the most work that the engine was sent in any window so long, as a share of its capacity then.
 func (e *simulatedEngine) worstWindow(window time.Duration, multiple float64) float64 {
 	worst := 0.0
 	for i, first := range e.sent {
@@ -89,8 +89,8 @@
 			}
 			total += s.work
 		}
-		bears := multiple * e.cores * window.Seconds() * warmUpShare(first.at-e.endpoint.StartedAt)
-		worst = max(worst, total/bears)
+		capacity := multiple * e.cores * window.Seconds() * warmUpShare(first.at-e.endpoint.StartedAt)
+		worst = max(worst, total/capacity)
 	}
 	return worst
 }
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -36,7 +36,7 @@
 	cancelled  int // attempts
 }
 
-// simulatedRouter is one router with the statements that it holds.
+// simulatedRouter is one router with its open statements.
 type simulatedRouter struct {
 	*harness
 	inbox       []decision.Event
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -15,8 +15,8 @@
 	slowStartUsableShare = 0.85
 	// slowStartMargin widens the rules' times, since the host's clock and the engines' differ.
 	slowStartMargin = 500 * time.Millisecond
-	// slowStartMinDemand is the share of all cores that all routers are asked for at least, so that settings that name
-	// too few routers do no harm.
+	// slowStartMinDemand is the share of all cores that the demand on all routers is taken to be at least, so that
+	// settings that name too few routers do no harm.
 	slowStartMinDemand = 1
 )
 
@@ -39,7 +39,7 @@
 	}}
 }
 
-// start notes the time of the first call.
+// start records the time of the first call.
 func (s *slowStart) start(now time.Duration) {
 	if s.startedAt < 0 {
 		s.startedAt = now
@@ -110,7 +110,7 @@
 	}
 }
 
-// advance notes that time has passed, and the cores of all engines as if none were in slow start.
+// advance records that time has passed, and the cores of all engines as if none were in slow start.
 func (s *slowStart) advance(now, since time.Duration, cores float64) {
 	s.budget.Advance(now-max(since, s.startedAt), cores)
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -15,7 +15,7 @@
 	// The same traffic at any number of routers: 210 statements a second of 0.1 core seconds, before ten engines of which
 	// one starts meanwhile.
 	for _, routers := range []int{1, 3, 300} {
-		t.Run(fmt.Sprintf("%d routers together keep under the budget and use it", routers), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d routers together stay within the budget and use it", routers), func(t *testing.T) {
 			sent, budget := 0, 0.0
 			for me := range routers {
 				h, list := newHarness(t), ready("b", "c", "d", "e", "f", "g", "h", "i", "j")
--- a/policy/tenant_quota.go
+++ b/policy/tenant_quota.go
@@ -7,7 +7,7 @@
 	"bankledge/decision"
 )
 
-// quotaBurstFactor is, of the root of a tenant's rate in statements a second, what its bucket holds beyond one second:
+// quotaBurstFactor is, of the root of a tenant's rate in statements a second, the size of its bucket beyond one second:
 // few statements a second vary much.
 const quotaBurstFactor = 3.0
 
@@ -22,7 +22,7 @@
 	return t
 }
 
-// change gives tenants that are known other rates; what a bucket holds stays in proportion.
+// change gives tenants that are known other rates; the tokens of a bucket stay in proportion.
 func (t tenantQuotas) change(quotas []decision.Quota, routers float64) {
 	for _, q := range quotas {
 		if bucket := t[q.Tenant]; bucket != nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// take counts a statement of a tenant, and tells whether it is within the quota. A tenant without a quota always is.
+// take counts a statement of a tenant, and reports whether it is within the quota. A tenant without a quota always is.
 func (t tenantQuotas) take(tenant decision.Tenant, now time.Duration) bool {
 	bucket := t[tenant]
 	return bucket == nil || bucket.perSecond <= 0 || bucket.take(now)
@@ -51,7 +51,7 @@
 	return &tokenBucket{perSecond: perSecond, capacity: capacity, tokens: capacity}
 }
 
-// changeRate gives the bucket another rate, with what it holds in proportion.
+// changeRate gives the bucket another rate, with its tokens in proportion.
 func (b *tokenBucket) changeRate(perSecond float64) {
 	fresh := newTokenBucket(perSecond)
 	fresh.tokens = fresh.capacity * b.tokens / max(1e-9, b.capacity)
