--- a/cmd/bankledge/client_protocol_test.go
+++ b/cmd/bankledge/client_protocol_test.go
@@ -141,7 +141,7 @@
 	for _, c := range []struct{ name, first, last string }{
 		{"nothing", "", ""},
 		{"half a frame", string(fakes.Frame(frameStatement, 1, statement("lookup", 1))[:20]), "the frame did not come whole in time"},
-		{"half a frame after a whole one", string(fakes.Frame(frameReadyAsked, 0, "\x00")) + "\x00\x00\x00", "the frame did not come whole in time"},
+		{"half a frame after a complete one", string(fakes.Frame(frameReadyAsked, 0, "\x00")) + "\x00\x00\x00", "the frame did not come whole in time"},
 		{"a frame that is large, and endless", "\x00\x04\x00\x00\x07", "the frame did not come whole in time"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/bankledge/shutdown_test.go
+++ b/cmd/bankledge/shutdown_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// Half of the engines hang when the signal comes, and it comes twice, with a reload between: a statement of which the last byte comes after the
+// Half of the engines hang when the signal comes, and it comes twice, with a reload between: a request of which the last byte comes after the
 // signal is answered, what may have run is aborted, each once and before the connection ends.
 func TestShutdownWhileEnginesHang(t *testing.T) {
 	hung := newEngine(t, "hung", map[string][]step{"POST": {says(202, "")}, "GET 0": {silent}, "DELETE": {silent}})
--- a/cmd/bankledge/wall_clock_test.go
+++ b/cmd/bankledge/wall_clock_test.go
@@ -68,8 +68,8 @@
 var wallClockSteps = map[string]time.Duration{"an hour on": time.Hour, "three seconds on": 3 * time.Second, "not at all": 0,
 	"three seconds back": -3 * time.Second, "an hour back": -time.Hour}
 
-// The wall clock steps while an attempt is in flight and its engine does not answer. The attempt is cancelled, and the engine is told
-// so before the request goes to another one: else it would run on both.
+// The wall clock steps while an attempt is in flight and its engine does not answer. The attempt is cancelled, and the engine is notified
+// before the request goes to another one: else it would run on both.
 func TestWallClockStepsBeforeAnAttemptIsCancelled(t *testing.T) {
 	for name, by := range wallClockSteps {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 			first := await(t, f.began)
 			host.StepWallClock(by)
 			await(t, f.second)
-			assert.Positive(t, first.CallCount("DELETE"), "the first engine was not told to cancel it")
+			assert.Positive(t, first.CallCount("DELETE"), "the first engine was not asked to cancel it")
 			c.expect(answer(1, codeCompleted, "one\n"))
 		})
 	}
