--- a/cmd/bankledge/peers_test.go
+++ b/cmd/bankledge/peers_test.go
@@ -134,9 +134,9 @@
 	return frame{kind: frameAnswer, stream: stream, code: code, body: body}
 }
 
-func (c *client) tryRead() (f frame, err error) {
-	f.kind, f.stream, f.code, f.body, err = fakes.ReadFrame(c.reader)
-	return f, err
+func (c *client) tryRead() (frame, error) {
+	received, err := fakes.ReadFrame(c.reader)
+	return frame{kind: received.Kind, stream: received.Stream, code: received.Code, body: received.Body}, err
 }
 
 func (c *client) read() frame {
--- a/cmd/bankledge/shutdown_test.go
+++ b/cmd/bankledge/shutdown_test.go
@@ -120,8 +120,8 @@
 func readAnswer(from io.Reader) error {
 	reader := bufio.NewReader(from)
 	for {
-		kind, _, _, _, err := fakes.ReadFrame(reader)
-		if err != nil || kind == frameAnswer {
+		frame, err := fakes.ReadFrame(reader)
+		if err != nil || frame.Kind == frameAnswer {
 			return err
 		}
 	}
--- a/cmd/bankledge/slow_clients_test.go
+++ b/cmd/bankledge/slow_clients_test.go
@@ -148,14 +148,14 @@
 			case <-late:
 				s.Close()
 			}
-			codes, streams, _, _ := s.Answers()
-			for stream, n := range streams {
+			received := s.Answers()
+			for stream, n := range received.ByStream {
 				assert.Equal(t, 1, n, "stream %d has one answer", stream)
 			}
-			if len(streams) == 32 {
+			if len(received.ByStream) == 32 {
 				withAllAnswers++
 			}
-			for code, n := range codes {
+			for code, n := range received.ByCode {
 				answers[code] += n
 			}
 		}
@@ -211,17 +211,17 @@
 		case <-time.After(testTimeout):
 			t.Fatal("a slow reader was not released")
 		}
-		_, streams, _, _ := s.Answers()
-		for stream, n := range streams {
+		answers := s.Answers()
+		for stream, n := range answers.ByStream {
 			assert.Equal(t, 1, n, "stream %d has one answer", stream)
 		}
 	}
 	for _, s := range append(honest, pausing...) {
 		s.Close()
-		codes, streams, bytes, _ := s.Answers()
-		assert.Equal(t, map[byte]int{codeCompleted: reports}, codes)
-		assert.Len(t, streams, reports)
-		assert.Greater(t, bytes, reports*47_200)
+		answers := s.Answers()
+		assert.Equal(t, map[byte]int{codeCompleted: reports}, answers.ByCode)
+		assert.Len(t, answers.ByStream, reports)
+		assert.Greater(t, answers.Bytes, reports*47_200)
 	}
 	group(2, 0) // stalled when the router stops: it ends all the same, and no connection of those before is left
 	b.stop(t)
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -2,9 +2,7 @@
 
 import (
 	"bufio"
-	"encoding/binary"
 	"fmt"
-	"io"
 	"net"
 	"sync"
 	"time"
@@ -12,62 +10,35 @@
 	"bankledge/internal/downstream"
 )
 
-// Frame is a frame of the clients' protocol.
-func Frame(kind byte, stream uint32, payload string) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(5+len(payload)))
-	return append(binary.BigEndian.AppendUint32(append(b, kind), stream), payload...)
-}
-
-// Payload is a statement's: fields, then the text.
-func Payload(fields map[string]string, text string) string {
-	b := []byte{byte(len(fields))}
-	for name, value := range fields {
-		b = append(append(b, byte(len(name))), name...)
-		b = append(binary.BigEndian.AppendUint16(b, uint16(len(value))), value...)
-	}
-	return string(b) + text
-}
+// readyPoll is the time between two questions of AwaitReady.
+const readyPoll = 5 * time.Millisecond
 
-// ReadFrame reads a frame; the code and the body are those of an answer.
-func ReadFrame(r *bufio.Reader) (kind byte, stream uint32, code byte, body string, err error) {
-	head := make([]byte, 9)
-	if _, err = io.ReadFull(r, head); err != nil {
-		return
-	}
-	payload := make([]byte, binary.BigEndian.Uint32(head)-5)
-	if _, err = io.ReadFull(r, payload); err != nil {
-		return
-	}
-	if len(payload) > 1 {
-		code, body = payload[0], string(payload[2:])
-	}
-	return head[4], binary.BigEndian.Uint32(head[5:]), code, body, nil
-}
-
-// Answer is one final answer.
+// Answer is the final answer of a statement.
 type Answer struct {
 	Code downstream.Code
 	Body string
 	Took time.Duration
-	Err  error // the connection ended first
+	Err  error // the connection ended first, or the statement could not be sent; the code is not set
 }
 
 // Client is a connection that has many statements open at once.
 type Client struct {
-	OnDuplicate func(stream uint32) // hears of a second answer; nil: nobody does
-
-	conn   net.Conn
-	mu     sync.Mutex
-	stream uint32
-	open   map[uint32]*sent
-	left   map[uint32]bool // streams that nobody waits for: an answer may still be on its way
-	err    error
-	going  bool // the router has said that it ends
-	ended  chan struct{}
+	OnDuplicate func(stream uint32) // called for a second answer; nil: nobody listens
+
+	conn  net.Conn
+	ended chan struct{}
+
+	mu        sync.Mutex
+	stream    uint32 // the last one used
+	open      map[uint32]*request
+	cancelled map[uint32]bool // streams whose answer may still be in flight
+	err       error
+	goingAway bool // the router takes no new statements
 }
 
-type sent struct {
-	at     time.Time
+// request is what waits for an answer.
+type request struct {
+	sentAt time.Time
 	answer chan Answer
 }
 
@@ -77,7 +48,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{conn: conn, open: map[uint32]*sent{}, left: map[uint32]bool{}, ended: make(chan struct{})}
+	c := &Client{
+		conn:      conn,
+		ended:     make(chan struct{}),
+		open:      map[uint32]*request{},
+		cancelled: map[uint32]bool{},
+	}
 	go c.read()
 	return c, nil
 }
@@ -88,37 +64,53 @@
 	<-c.ended
 }
 
-// Ended tells whether the connection has ended, or the router wants nothing new on it.
+// Ended reports whether the connection has ended, or the router takes no new statements on it.
 func (c *Client) Ended() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.err != nil || c.going
+	return c.err != nil || c.goingAway
 }
 
 func (c *Client) read() {
 	defer close(c.ended)
 	r := bufio.NewReader(c.conn)
 	for {
-		kind, stream, code, body, err := ReadFrame(r)
-		c.mu.Lock()
+		frame, err := ReadFrame(r)
 		if err != nil {
-			for _, s := range c.open {
-				s.answer <- Answer{Err: err, Took: time.Since(s.at)}
-			}
-			c.open, c.err = nil, err
-			c.mu.Unlock()
+			c.fail(err)
 			return
 		}
-		c.going = c.going || kind == typeNoMore
-		if s := c.open[stream]; s != nil && (kind == typeAnswer || kind == typeReadyTold) {
-			delete(c.open, stream)
-			s.answer <- Answer{Code: downstream.Code(code), Body: body, Took: time.Since(s.at)}
-		} else if kind == typeAnswer && c.left[stream] {
-			delete(c.left, stream)
-		} else if kind == typeAnswer && stream > 0 && c.OnDuplicate != nil {
-			c.OnDuplicate(stream)
-		}
-		c.mu.Unlock()
+		c.receive(frame)
+	}
+}
+
+// fail answers all that is open with an error.
+func (c *Client) fail(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.open {
+		r.answer <- Answer{Err: err, Took: time.Since(r.sentAt)}
+	}
+	c.open = nil
+	c.err = err
+}
+
+func (c *Client) receive(f ReceivedFrame) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if f.Kind == frameGoAway {
+		c.goingAway = true
+	}
+	isAnswer := f.Kind == frameAnswer
+	r := c.open[f.Stream]
+	switch {
+	case r != nil && (isAnswer || f.Kind == frameReadyAnswer):
+		delete(c.open, f.Stream)
+		r.answer <- Answer{Code: downstream.Code(f.Code), Body: f.Body, Took: time.Since(r.sentAt)}
+	case isAnswer && c.cancelled[f.Stream]:
+		delete(c.cancelled, f.Stream)
+	case isAnswer && f.Stream > 0 && c.OnDuplicate != nil:
+		c.OnDuplicate(f.Stream)
 	}
 }
 
@@ -128,57 +120,49 @@
 	return answer
 }
 
-// Open sends a statement, and tells its stream beside.
+// Open is Send, and returns the statement's stream as well.
 func (c *Client) Open(fields map[string]string, text string) (stream uint32, answer <-chan Answer) {
-	return c.ask(typeStatement, Payload(fields, text))
+	return c.send(frameStatement, Payload(fields, text))
 }
 
-// Cancel says that nobody waits for a stream any more. No answer comes through its channel.
+// Cancel tells the router that nobody waits for a stream any more. No answer comes through its channel.
 func (c *Client) Cancel(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, open := c.open[stream]; open {
-		delete(c.open, stream)
-		c.left[stream] = true
-		c.conn.Write(Frame(typeLeft, stream, "")) // one that is broken tells the router as much
+	if _, open := c.open[stream]; !open {
+		return
 	}
+	delete(c.open, stream)
+	c.cancelled[stream] = true
+	c.conn.Write(Frame(frameCancel, stream, "")) // a connection that is broken tells the router as much
 }
 
-// The kinds of frames.
-const (
-	typeReady     = 1
-	typeReadyTold = 2
-	typeNoMore    = 3
-	typeStatement = 7
-	typeAnswer    = 8
-	typeLeft      = 9
-)
-
-func (c *Client) ask(kind byte, payload string) (stream uint32, answer <-chan Answer) {
-	s := &sent{at: time.Now(), answer: make(chan Answer, 1)}
+func (c *Client) send(kind byte, payload string) (stream uint32, answer <-chan Answer) {
+	r := &request{sentAt: time.Now(), answer: make(chan Answer, 1)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
-		s.answer <- Answer{Err: c.err}
-		return 0, s.answer
+		r.answer <- Answer{Err: c.err}
+		return 0, r.answer
 	}
 	c.stream++
-	c.open[c.stream] = s
+	c.open[c.stream] = r
 	if _, err := c.conn.Write(Frame(kind, c.stream, payload)); err != nil {
 		delete(c.open, c.stream)
-		s.answer <- Answer{Err: err}
+		r.answer <- Answer{Err: err}
 	}
-	return c.stream, s.answer
+	return c.stream, r.answer
 }
 
-// AwaitReady asks the router until it is ready.
+// AwaitReady asks the router until it is ready. The error is that of the connection, or that the patience is over.
 func (c *Client) AwaitReady(patience time.Duration) error {
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(5 * time.Millisecond) {
-		_, answer := c.ask(typeReady, "\x00")
-		switch a := <-answer; {
-		case a.Err != nil:
+	for began := time.Now(); time.Since(began) < patience; time.Sleep(readyPoll) {
+		_, answer := c.send(frameReady, "\x00")
+		a := <-answer
+		if a.Err != nil {
 			return a.Err
-		case a.Code == downstream.CodeCompleted:
+		}
+		if a.Code == downstream.CodeCompleted {
 			return nil
 		}
 	}
--- /dev/null
+++ b/internal/fakes/mix_text.go
@@ -0,0 +1,95 @@
+package fakes
+
+import (
+	"fmt"
+	"math"
+	"strings"
+
+	"bankledge/decision"
+)
+
+const (
+	schemaNumbers = 13
+	maxListLength = 12
+	literalRange  = 1e6
+	lineBreakOdds = 16 // one in so many spaces becomes a line break
+)
+
+// newShape draws a shape: a template with names put in.
+func (m *Mix) newShape(w decision.WorkloadID) mixShape {
+	text := m.putNames(m.oneOf(mixTemplates[w]))
+	if m.options.Mutated {
+		text = m.moveCondition(text, w)
+	}
+	s := mixShape{workload: w, text: text, estimateFactor: m.options.EstimateOff}
+	s.logWork = math.Log(mixWorkloads[w].medianWork) + shapeSpread*m.normal.Rand()
+	s.alwaysMislabelled = w == Report && m.random.Float64() < alwaysMislabelled
+	if m.random.IntN(2) == 0 && s.estimateFactor > 0 {
+		s.estimateFactor = 1 / s.estimateFactor
+	}
+	return s
+}
+
+func (m *Mix) oneOf(list []string) string { return list[m.random.IntN(len(list))] }
+
+// putNames replaces the placeholders of a template. All names are drawn for each of them.
+func (m *Mix) putNames(text string) string {
+	schema := fmt.Sprintf("%s_%d", m.oneOf(mixSchemas), m.random.IntN(schemaNumbers))
+	for {
+		i := strings.IndexByte(text, '{')
+		if i < 0 {
+			return text
+		}
+		names := map[byte]string{'s': schema, 't': m.oneOf(mixTables), 'c': m.oneOf(mixColumns), 'k': m.oneOf(mixKeys)}
+		placeholder := text[i+1]
+		name := names[placeholder]
+		if m.options.Mutated && placeholder != 's' {
+			name = "x" + name
+		}
+		text = text[:i] + name + text[i+len("{c}"):]
+	}
+}
+
+// moveCondition puts another condition before those of every second text that has any.
+func (m *Mix) moveCondition(text string, w decision.WorkloadID) string {
+	const where = " where "
+	lower := strings.ToLower(text)
+	i := strings.Index(lower, where)
+	if w == PriceLoad || i < 0 || strings.HasPrefix(lower, "with") {
+		return text
+	}
+	if m.random.IntN(2) > 0 {
+		return text
+	}
+	return text[:i] + " /* moved */ WHERE xdeleted IS NULL AND" + text[i+len(where)-1:]
+}
+
+// withLiterals replaces the literals of a shape's text, and breaks some lines.
+func (m *Mix) withLiterals(text string) []byte {
+	var b strings.Builder
+	for i := range len(text) {
+		switch c := text[i]; {
+		case c == '?' && m.random.IntN(2) == 0:
+			fmt.Fprintf(&b, "%d", m.random.IntN(literalRange))
+		case c == '?':
+			fmt.Fprintf(&b, "'%x'", m.random.Uint32())
+		case c == '#':
+			m.writeList(&b)
+		case c == ' ' && m.random.IntN(lineBreakOdds) == 0:
+			b.WriteString("\n  ")
+		default:
+			b.WriteByte(c)
+		}
+	}
+	return []byte(b.String())
+}
+
+// writeList writes a list of one to maxListLength literals.
+func (m *Mix) writeList(b *strings.Builder) {
+	for i := range 1 + m.random.IntN(maxListLength) {
+		if i > 0 {
+			b.WriteString(", ")
+		}
+		fmt.Fprintf(b, "%d", m.random.IntN(literalRange))
+	}
+}
--- a/internal/fakes/slow_reader.go
+++ b/internal/fakes/slow_reader.go
@@ -3,13 +3,19 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"net"
+	"os"
 	"sync/atomic"
 	"syscall"
 	"time"
 )
 
-const smallBuffer = 4 << 10 // of a slow peer's socket, so that what it has not read is not taken in by its kernel either
+const (
+	smallReceiveBuffer = 4 << 10 // bytes of a slow peer's socket, so that its kernel does not take in what it has not read
+	slowReadBuffer     = 64 << 10
+	slowReadsPerSecond = 20
+)
 
 // SlowReader is a client that sends its statements at once and reads its answers at a rate.
 type SlowReader struct {
@@ -22,10 +28,12 @@
 
 // DialSlow connects a reader of so many bytes a second; 0: it reads nothing until SetRate says so.
 func DialSlow(address string, rate int64) (*SlowReader, error) {
-	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallBuffer) })
+	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) {
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallReceiveBuffer)
+		})
 	}}
-	conn, err := d.Dial("tcp", address)
+	conn, err := dialer.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +48,7 @@
 
 // Send sends a statement on a stream.
 func (s *SlowReader) Send(stream uint32, fields map[string]string, text string) error {
-	return s.Write(Frame(7, stream, Payload(fields, text)))
+	return s.Write(Frame(frameStatement, stream, Payload(fields, text)))
 }
 
 // Write sends bytes as they are.
@@ -62,44 +70,52 @@
 	defer close(s.ended)
 	began := time.Now()
 	defer func() { s.took = time.Since(began) }()
-	const steps = 20 // a second
-	buf, tick := make([]byte, 64<<10), time.NewTicker(time.Second/steps)
-	defer tick.Stop()
-	owed := 0.0
-	for range tick.C {
-		owed += float64(s.rate.Load()) / steps
-		if owed < 1 {
+	const interval = time.Second / slowReadsPerSecond
+	buffer := make([]byte, slowReadBuffer)
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	due := 0.0 // bytes
+	for range ticker.C {
+		rate := float64(s.rate.Load())
+		due += rate / slowReadsPerSecond
+		if due < 1 {
 			continue
 		}
-		s.conn.SetReadDeadline(time.Now().Add(time.Second / steps))
-		n, err := s.conn.Read(buf[:min(len(buf), int(owed))])
-		s.read.Write(buf[:n])
-		owed = min(owed-float64(n), float64(s.rate.Load()))
-		if err != nil {
-			if t, ok := err.(net.Error); ok && t.Timeout() {
-				continue
-			}
+		s.conn.SetReadDeadline(time.Now().Add(interval))
+		n, err := s.conn.Read(buffer[:min(len(buffer), int(due))])
+		s.read.Write(buffer[:n])
+		due = min(due-float64(n), float64(s.rate.Load()))
+		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 	}
 }
 
-// Answers is what came, by code, on streams above 0, each stream's once; whole tells of each whether it is; and how long the
-// connection lasted. Only after Ended.
-func (s *SlowReader) Answers() (codes map[byte]int, streams map[uint32]int, bytesWhole int, took time.Duration) {
-	codes, streams = map[byte]int{}, map[uint32]int{}
+// SlowAnswers is what a slow reader has read: answers on streams above 0 that came whole.
+type SlowAnswers struct {
+	ByCode   map[byte]int
+	ByStream map[uint32]int
+	Bytes    int           // without the lengths of the frames
+	Took     time.Duration // how long the connection lasted
+}
+
+// Answers returns what was read. It may be called only after Ended is closed.
+func (s *SlowReader) Answers() SlowAnswers {
+	answers := SlowAnswers{ByCode: map[byte]int{}, ByStream: map[uint32]int{}, Took: s.took}
 	b := s.read.Bytes()
-	for len(b) >= 9 {
-		n := int(binary.BigEndian.Uint32(b))
-		if len(b) < 4+n {
+	for len(b) >= headerBytes {
+		length := int(binary.BigEndian.Uint32(b))
+		if len(b) < lengthBytes+length {
 			break // not whole, as its client can tell
 		}
-		if stream := binary.BigEndian.Uint32(b[5:]); b[4] == 8 && stream > 0 {
-			codes[b[9]]++
-			streams[stream]++
-			bytesWhole += n
+		kind := b[lengthBytes]
+		stream := binary.BigEndian.Uint32(b[lengthBytes+1:])
+		if kind == frameAnswer && stream > 0 {
+			answers.ByCode[b[headerBytes]]++
+			answers.ByStream[stream]++
+			answers.Bytes += length
 		}
-		b = b[4+n:]
+		b = b[lengthBytes+length:]
 	}
-	return codes, streams, bytesWhole, s.took
+	return answers
 }
--- /dev/null
+++ b/internal/fakes/workloads.go
@@ -0,0 +1,46 @@
+package fakes
+
+import (
+	"time"
+
+	"bankledge/decision"
+)
+
+// The workloads of a mix, as decision.WorkloadID has them.
+const (
+	Lookup = iota
+	Report
+	PriceLoad
+)
+
+// Workloads returns what a decision module is told of the workloads of a mix.
+func Workloads() []decision.Workload {
+	return []decision.Workload{
+		{
+			Name:              "lookup",
+			PriorityWeight:    1,
+			LatencyObjective:  800 * time.Millisecond,
+			StatementTimeout:  4 * time.Second,
+			Threads:           1,
+			WaitsForBulkLoads: true,
+		},
+		{
+			Name:             "report",
+			PriorityWeight:   7.5,
+			LateFactor:       0.3,
+			LatencyObjective: 3 * time.Second,
+			StatementTimeout: 15 * time.Second,
+			Threads:          2,
+		},
+		{
+			Name:             "price-load",
+			PriorityWeight:   10,
+			LateFactor:       0.6,
+			LatencyObjective: 3 * time.Second,
+			StatementTimeout: 25 * time.Second,
+			Threads:          2,
+			Idempotency:      decision.NonIdempotent,
+			BulkLoad:         true,
+		},
+	}
+}
--- a/internal/faultinject/hostfault.go
+++ b/internal/faultinject/host.go
@@ -1,13 +1,11 @@
-// Package faultinject gives a process under test the faults of a bad host: a wall clock that steps and socket calls that fail. It
+// Package faultinject injects the faults of a bad host into a process under test: a wall clock that steps, and socket calls that fail. It
 // works by a library that the dynamic linker preloads, so the process has to be linked dynamically. It needs no privileges, and
-// touches nothing but that process.
+// touches nothing but that process. It needs Linux on x86-64, and gcc.
 package faultinject
 
 import (
-	_ "embed"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"sync/atomic"
 	"syscall"
@@ -15,25 +13,6 @@
 	"unsafe"
 )
 
-//go:embed preload/hostfault.c
-var source []byte
-
-// Build compiles the library into a folder, with gcc, and returns its path.
-func Build(dir string) (library string, err error) {
-	code := filepath.Join(dir, "hostfault.c")
-	if err := os.WriteFile(code, source, 0o600); err != nil {
-		return "", err
-	}
-	library = filepath.Join(dir, "hostfault.so")
-	// The clock function runs on stacks of the Go runtime: no stack protector, no vector registers to be saved.
-	out, err := exec.Command("gcc", "-O2", "-Wall", "-Werror", "-fPIC", "-shared", "-pthread", "-fno-stack-protector", "-mgeneral-regs-only",
-		"-o", library, code).CombinedOutput()
-	if err != nil {
-		return "", fmt.Errorf("hostfault: %w: %s", err, out)
-	}
-	return library, nil
-}
-
 // Call is a system call that may be made to fail.
 type Call int
 
@@ -42,30 +21,31 @@
 	Accept Call = iota
 	Connect
 	Socket
-	calls
+	numCalls
 )
 
-// callFault and control have the layout of the structs of the same names in hostfault.c.
+// callFault has the layout of the struct of the same name in hostfault.c.
 type callFault struct {
 	oneIn  uint32
 	errno  int32
 	failed uint64
 }
 
+// control has the layout of the struct of the same name in hostfault.c.
 type control struct {
 	wallOffset int64 // nanoseconds
-	calls      [calls]callFault
+	calls      [numCalls]callFault
 }
 
-// Host is what one process, and those started after it with the same environment, take for their host. Close gives it back.
+// Host is what one process, and those started after it with the same environment, take for their host. Close gives its memory back.
 type Host struct {
 	library string
-	path    string
-	memory  []byte
+	path    string // of the file through which control is shared
+	memory  []byte // the file, mapped
 	control *control
 }
 
-// NewHost prepares a host whose control file lies in a folder. name sets it apart from others there.
+// NewHost prepares a host whose control file lies in a folder. name sets it apart from others there. library is the path that Build returned.
 func NewHost(library, dir, name string) (*Host, error) {
 	path := filepath.Join(dir, name+".hostfault")
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -84,13 +64,13 @@
 	return &Host{library: library, path: path, memory: memory, control: (*control)(unsafe.Pointer(&memory[0]))}, nil
 }
 
-// Close gives the memory back. Processes that were started go on with what was set last.
+// Close gives the memory back. Processes that were started go on with what was set last. The host must not be used afterwards.
 func (h *Host) Close() error {
 	h.control = nil
 	return syscall.Munmap(h.memory)
 }
 
-// Environment is what a process has to be started with, beside its own. sockets: its socket calls may be failed, too.
+// Environment returns what a process has to be started with, beside its own environment. sockets: its socket calls may be failed, too.
 func (h *Host) Environment(sockets bool) []string {
 	env := []string{"LD_PRELOAD=" + h.library, "HOSTFAULT_CONTROL=" + h.path}
 	if sockets {
@@ -99,10 +79,10 @@
 	return env
 }
 
-// StepWallClock moves the wall clock by so much, forwards or back. The monotonic clock runs on.
+// StepWallClock moves the wall clock by a duration, forwards or back. The monotonic clock runs on.
 func (h *Host) StepWallClock(by time.Duration) { atomic.AddInt64(&h.control.wallOffset, int64(by)) }
 
-// Fail has one call in oneIn fail with an error from now on; oneIn 0: none does.
+// Fail has one in so many calls fail with an error from now on; oneIn 0: none does.
 func (h *Host) Fail(call Call, with syscall.Errno, oneIn uint32) {
 	fault := &h.control.calls[call]
 	atomic.StoreInt32(&fault.errno, int32(with))
--- a/internal/faultinject/hostfault_test.go
+++ b/internal/faultinject/host_test.go
@@ -28,7 +28,8 @@
 	if err != nil {
 		panic(err)
 	}
-	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
+	lines := bufio.NewScanner(os.Stdin)
+	for lines.Scan() {
 		switch lines.Text() {
 		case "clocks":
 			now := time.Now()
@@ -51,6 +52,7 @@
 }
 
 func startChild(t *testing.T, h *Host, sockets bool) *child {
+	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(append(os.Environ(), childVariable+"=1"), h.Environment(sockets)...)
 	cmd.Stderr = os.Stderr
@@ -76,6 +78,7 @@
 }
 
 func newHost(t *testing.T) *Host {
+	t.Helper()
 	dir := t.TempDir()
 	library, err := Build(dir)
 	require.NoError(t, err)
@@ -86,7 +89,7 @@
 }
 
 // The wall clock of the process steps, its monotonic clock runs on.
-func TestTheWallClockSteps(t *testing.T) {
+func TestStepWallClock(t *testing.T) {
 	h := newHost(t)
 	c := startChild(t, h, false)
 	since := func() (wall, monotonic time.Duration) {
@@ -107,7 +110,7 @@
 }
 
 // Calls fail with the error that was set, as often as was said.
-func TestCallsFail(t *testing.T) {
+func TestFailCalls(t *testing.T) {
 	h := newHost(t)
 	c := startChild(t, h, true)
 	assert.Equal(t, "<nil>", c.ask("connect"))
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -210,9 +210,9 @@
 	close(fail)
 	r.await(t, "it is attempted again", func() bool { return r.metrics.attempts.Load() == 2 })
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout/3))) // well before its client's deadline
-	kind, _, code, _, err := fakes.ReadFrame(bufio.NewReader(conn))
+	frame, err := fakes.ReadFrame(bufio.NewReader(conn))
 	require.NoError(t, err)
-	assert.Equal(t, []byte{8, 50}, []byte{kind, code}, "who drops its repeats may be asked again")
+	assert.Equal(t, []byte{8, 50}, []byte{frame.Kind, frame.Code}, "who drops its repeats may be asked again")
 	accept()
 	go rejectBytes(t, listener, "it was sent after its window")
 	r.await(t, "all has ended", func() bool {
--- a/internal/proxy/deployments_test.go
+++ b/internal/proxy/deployments_test.go
@@ -97,9 +97,9 @@
 	fields := map[string]string{"c": workload, "i": fmt.Sprintf("%016x", r.stream), "d": "3000", "t": tenant, "h": "5", "heap_mb": "8"}
 	_, err := r.conn.Write(fakes.Frame(7, r.stream, fakes.Payload(fields, fmt.Sprintf("select a from sales_%d.b where id = 1", r.stream))))
 	require.NoError(t, err)
-	_, stream, code, body, err := fakes.ReadFrame(r.reader)
+	answer, err := fakes.ReadFrame(r.reader)
 	require.NoError(t, err)
-	r.log = append(r.log, fmt.Sprintf("%s of %s: %d %q on %d, forwarded %d times", workload, tenant, code, body, stream, r.engine.CallCount("POST")-before))
+	r.log = append(r.log, fmt.Sprintf("%s of %s: %d %q on %d, forwarded %d times", workload, tenant, answer.Code, answer.Body, answer.Stream, r.engine.CallCount("POST")-before))
 }
 
 func (r *scenarioRun) last() string { return r.log[len(r.log)-1] }
