--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -28,7 +28,12 @@
 			if s.attempts[key] == nil || s.open[key.statement] == nil {
 				return nil
 			}
-			return []decision.Event{decision.ResponseStarted{Statement: key.statement, Attempt: key.attempt, Engine: engine.entry.Engine, Elapsed: after}}
+			return []decision.Event{decision.ResponseStarted{
+				Statement: key.statement,
+				Attempt:   key.attempt,
+				Engine:    engine.entry.Engine,
+				Elapsed:   after,
+			}}
 		})
 	}
 	s.schedule(after, func() []decision.Event { return s.end(key, outcome) })
@@ -144,7 +149,7 @@
 			value = math.Floor(inFlight * s.factor(0.9, 1.1))
 		case decision.FieldQueueDepth:
 			value = math.Floor(max(0, inFlight-engine.cores) / 2)
-		case decision.FieldUtilisation:
+		case decision.FieldUtilization:
 			value = min(1, inFlight/engine.cores*s.factor(0.8, 1.2))
 		}
 		report.Set(field, value)
