--- a/decision/settings.go
+++ b/decision/settings.go
@@ -2,6 +2,17 @@
 
 import "time"
 
+// Settings is all that an instance of the module is given at its start.
+type Settings struct {
+	Identity    Identity
+	Workloads   []Workload // by workload ID
+	Engines     EngineTraits
+	Quotas      Quotas
+	Limits      Limits
+	Rules       Rules // at the start; RulesChanged replaces them
+	LoadReports LoadReportSettings
+}
+
 // MachineSpec is what is known of a type of machine.
 type MachineSpec struct {
 	Cores    float64
@@ -39,11 +50,11 @@
 
 	MaxAttempts         int // for each statement, 0: any number
 	MaxOpenStatements   int // at once, 0: any number
-	MaxInFlightAttempts int // that the host can hold at once, 0: any number
+	MaxInFlightAttempts int // that the host can have open at once, 0: any number
 	// MaxSendDelay bounds the time between the decision to start an attempt and its sending.
 	MaxSendDelay time.Duration
 
-	PollEndpoints        bool // changes of the endpoint list come only when asked for
+	PollEndpoints        bool // changes of the endpoint list come only when fetched
 	EndpointPollInterval time.Duration
 }
 
--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -28,7 +28,12 @@
 			if s.attempts[key] == nil || s.open[key.statement] == nil {
 				return nil
 			}
-			return []decision.Event{decision.ResponseStarted{Statement: key.statement, Attempt: key.attempt, Engine: engine.entry.Engine, Elapsed: after}}
+			return []decision.Event{decision.ResponseStarted{
+				Statement: key.statement,
+				Attempt:   key.attempt,
+				Engine:    engine.entry.Engine,
+				Elapsed:   after,
+			}}
 		})
 	}
 	s.schedule(after, func() []decision.Event { return s.end(key, outcome) })
@@ -138,15 +143,16 @@
 			continue
 		}
 		inFlight := float64(engine.running) + engine.others
-		report.Known[field] = true
+		value := 0.0
 		switch field {
 		case decision.FieldInFlight:
-			report.Value[field] = math.Floor(inFlight * s.factor(0.9, 1.1))
+			value = math.Floor(inFlight * s.factor(0.9, 1.1))
 		case decision.FieldQueueDepth:
-			report.Value[field] = math.Floor(max(0, inFlight-engine.cores) / 2)
-		case decision.FieldUtilisation:
-			report.Value[field] = min(1, inFlight/engine.cores*s.factor(0.8, 1.2))
+			value = math.Floor(max(0, inFlight-engine.cores) / 2)
+		case decision.FieldUtilization:
+			value = min(1, inFlight/engine.cores*s.factor(0.8, 1.2))
 		}
+		report.Set(field, value)
 	}
 	return report
 }
--- a/policy/generated_changes_test.go
+++ b/policy/generated_changes_test.go
@@ -63,7 +63,11 @@
 
 func (s *generatedSite) changed(engine *generatedEngine) []decision.Event {
 	s.listVersion++
-	return []decision.Event{decision.EndpointList{Kind: decision.ListPartial, Version: s.listVersion, Endpoints: []decision.Endpoint{engine.entry}}}
+	return []decision.Event{decision.EndpointList{
+		Kind:      decision.ListPartial,
+		Version:   s.listVersion,
+		Endpoints: []decision.Endpoint{engine.entry},
+	}}
 }
 
 func (s *generatedSite) changeFault() []decision.Event {
@@ -132,7 +136,6 @@
 	for _, engine := range s.engines {
 		engine.running = 0
 	}
-	o := s.opening
-	s.module = policy.New(o.Identity, o.Workloads, o.Engines, o.Quotas, o.Limits, o.Rules, o.LoadReports)
+	s.module = policy.New(s.opening.Settings)
 	s.schedule(0, func() []decision.Event { return []decision.Event{s.list(decision.ListPersisted)} })
 }
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -9,44 +9,45 @@
 const (
 	// reportPeriod is the time between steps of a window; a load report is fresh for as long.
 	reportPeriod = time.Second
-	// peerLoadLearningRate is the weight of one report in the mean of what other routers hold on an engine.
+	// peerLoadLearningRate is the weight of one report in the mean of what other routers have in flight on an engine.
 	peerLoadLearningRate = 0.1
 )
 
-// receiveReport takes a load report; nil: the engine sent none.
+// receiveReport handles a load report; nil: the engine sent none.
 func (m *Module) receiveReport(e *engine, report *decision.LoadReport) {
 	if report == nil {
 		return
 	}
 	e.reportedAt = m.now
 	e.applyReport(report, m.now)
-	if report.Known[decision.FieldInFlight] {
+	if _, known := report.Get(decision.FieldInFlight); known {
 		m.peerLoad.Observe(m.now, e.othersInFlight)
 		if m.isOverloaded(e) {
 			m.eject(e, false)
 		}
 	}
 	if m.now >= e.windowsSteppedAt+reportPeriod {
-		m.stepWindows(e, report.Known[decision.FieldUtilisation])
+		_, utilizationKnown := report.Get(decision.FieldUtilization)
+		m.stepWindows(e, utilizationKnown)
 	}
 }
 
 // applyReport takes the fields of a load report that are known.
 func (e *engine) applyReport(report *decision.LoadReport, now time.Duration) {
-	if report.Known[decision.FieldUtilisation] {
-		e.utilization = report.Value[decision.FieldUtilisation]
+	if utilization, known := report.Get(decision.FieldUtilization); known {
+		e.utilization = utilization
 		e.utilizationKnown = true
 	}
-	if report.Known[decision.FieldQueueDepth] {
-		e.queueDepth = report.Value[decision.FieldQueueDepth]
+	if queueDepth, known := report.Get(decision.FieldQueueDepth); known {
+		e.queueDepth = queueDepth
 	}
-	if report.Known[decision.FieldInFlight] {
-		e.othersInFlight = max(0, report.Value[decision.FieldInFlight]-float64(len(e.attempts)))
+	if inFlight, known := report.Get(decision.FieldInFlight); known {
+		e.othersInFlight = max(0, inFlight-float64(len(e.attempts)))
 		e.othersReportedAt = now
 	}
 }
 
-// replaceMissingReports has own latencies stand in for the reports of an engine that sends none.
+// replaceMissingReports steps the windows by own latencies while an engine sends no reports.
 func (m *Module) replaceMissingReports(e *engine) {
 	if m.now < e.windowsSteppedAt+missedReports*reportPeriod {
 		return
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -15,8 +15,8 @@
 // A silent engine is ejected, and what is stuck there goes elsewhere.
 func TestSilentEngineIsEjected(t *testing.T) {
 	h := newHarness(t)
-	h.traits.ProgressInterval = 500 * ms
-	h.workloads[0].LatencyObjective = 3 * time.Second
+	h.settings.Engines.ProgressInterval = 500 * ms
+	h.settings.Workloads[0].LatencyObjective = 3 * time.Second
 	e := h.at(0, ready("a", "b"), read("s")).sentTo()
 	h.at(1200 * ms)
 	require.Len(t, pick[decision.CancelAttempt](h), 1)
@@ -27,7 +27,7 @@
 // A health check does not readmit an ejected engine, an attempt does.
 func TestOnlyAttemptsReadmit(t *testing.T) {
 	h := newHarness(t)
-	h.workloads[0].LatencyObjective = time.Second
+	h.settings.Workloads[0].LatencyObjective = time.Second
 	e := h.at(0, ready("a"), read("s")).sentTo()
 	h.at(2 * time.Second)
 	require.True(t, h.engine(e).ejected)
@@ -101,8 +101,8 @@
 	}
 }
 
-// An engine that all routers together overload is ejected, and tried by one statement after a time that grows, whatever a
-// router estimates of an engine without a recent report. An attempt that completes and reports capacity readmits it.
+// An engine that all routers together overload is ejected, and tried by one statement after a time that grows, whatever
+// a router estimates of an engine without a recent report. An attempt that completes and reports capacity readmits it.
 func TestOverloadedEngineIsEjected(t *testing.T) {
 	completed := func(id decision.StatementID, inFlight float64) decision.AttemptEnded {
 		ended := end(id, 0, "a", decision.Completed)
