--- a/cmd/bankledge/shutdown_test.go
+++ b/cmd/bankledge/shutdown_test.go
@@ -120,14 +120,14 @@
 func readAnswer(from io.Reader) error {
 	reader := bufio.NewReader(from)
 	for {
-		kind, _, _, _, err := fakes.ReadFrame(reader)
-		if err != nil || kind == frameAnswer {
+		frame, err := fakes.ReadFrame(reader)
+		if err != nil || frame.Kind == frameAnswer {
 			return err
 		}
 	}
 }
 
-// Half of the engines hang when the signal comes, and it comes twice, with a reload between: a statement of which the last byte comes after the
+// Half of the engines hang when the signal comes, and it comes twice, with a reload between: a request of which the last byte comes after the
 // signal is answered, what may have run is aborted, each once and before the connection ends.
 func TestShutdownWhileEnginesHang(t *testing.T) {
 	hung := newEngine(t, "hung", map[string][]step{"POST": {says(202, "")}, "GET 0": {silent}, "DELETE": {silent}})
