--- a/internal/estimate/slowstart_test.go
+++ b/internal/estimate/slowstart_test.go
@@ -116,79 +116,121 @@
 	sent, fairShare float64 // work
 }
 
-func (r *fleetResult) add(o fleetResult) {
-	r.over += o.over
-	r.windows += o.windows
-	r.worst = max(r.worst, o.worst)
-	r.sent += o.sent
-	r.fairShare += o.fairShare
+func (r *fleetResult) add(other fleetResult) {
+	r.over += other.over
+	r.windows += other.windows
+	r.worst = max(r.worst, other.worst)
+	r.sent += other.sent
+	r.fairShare += other.fairShare
 }
 
-// playFleet plays 300 routers and 80 engines of 16 cores, one of which starts after 20 s.
-func playFleet(seed uint64, o fleetOptions) (result fleetResult) {
-	const (
-		routers, engines, cores = 300, 80, 16.0
-		step                    = 100 * time.Millisecond
-		start                   = 20 * time.Second
-		windowSteps             = 15
-	)
-	r := rand.New(rand.NewPCG(seed, 9))
-	means, mix := []float64{0.1, 1, 3}, []float64{0.80, 0.15, 0.05}
-	rate := o.load * engines * cores / routers / 0.38 // statements a second and router
-	all := make([]*SlowStartBudget, routers)
-	for i := range all {
-		all[i] = newSlowStartBudget(o.statedRouters * routers)
+// The fleet that playFleet plays: one of its engines starts after startTime.
+const (
+	fleetRouters   = 300
+	fleetEngines   = 80
+	engineCores    = 16.0
+	fleetStep      = 100 * time.Millisecond
+	startTime      = 20 * time.Second
+	slowStartTime  = 15 * time.Second
+	windowSteps    = 15
+	meanOfWorkload = 0.38 // core seconds of a statement, over the three workloads below
+)
+
+// workloadMeans and workloadShares give, by workload, the mean work of a statement and its share of all statements.
+var (
+	workloadMeans  = []float64{0.1, 1, 3}
+	workloadShares = []float64{0.80, 0.15, 0.05}
+)
+
+// simulatedFleet is a fleet whose routers divide the capacity of the engine in slow start.
+type simulatedFleet struct {
+	fleetOptions
+	random  *rand.Rand
+	routers []*SlowStartBudget
+	window  []float64 // work sent to the engine, in each of the last steps
+	result  fleetResult
+}
+
+// playFleet returns what a fleet sent to an engine until the end of its slow start.
+func playFleet(seed uint64, options fleetOptions) fleetResult {
+	f := &simulatedFleet{fleetOptions: options, random: rand.New(rand.NewPCG(seed, 9))}
+	for range fleetRouters {
+		f.routers = append(f.routers, f.newRouter())
 	}
-	var window []float64
-	for now := step; now < start+15*time.Second; now += step {
-		age, sent := now-start, 0.0
-		for i, b := range all {
-			if o.restart && now == start-3*time.Second && i%10 < 7 {
-				b = newSlowStartBudget(o.statedRouters * routers)
-				all[i] = b
-			}
-			b.Advance(step, engines*cores)
-			probability := 0.0
-			if age >= 0 {
-				probability = b.SendProbability(cores, age)
-			}
-			mean := rate * step.Seconds()
-			if i == 0 {
-				mean *= o.busiest
-			}
-			for next := r.ExpFloat64(); next < mean; next += r.ExpFloat64() {
-				workload, x := 0, r.Float64()
-				for workload < 2 && x >= mix[workload] {
-					x -= mix[workload]
-					workload++
-				}
-				work := means[workload] * r.ExpFloat64()
-				b.ObserveStatement(work, means[workload], false)
-				if age >= 0 {
-					result.fairShare += work / engines
-					if r.Float64() < probability {
-						sent += work
-					}
-				}
+	for now := fleetStep; now < startTime+slowStartTime; now += fleetStep {
+		sent := 0.0
+		for i := range f.routers {
+			if f.restart && now == startTime-3*time.Second && i%10 < 7 {
+				f.routers[i] = f.newRouter()
 			}
+			sent = f.stepRouter(i, now-startTime, sent)
 		}
-		result.sent += sent
-		window = append(window, sent)
-		if len(window) > windowSteps {
-			window = window[1:]
+		f.recordStep(now-startTime, sent)
+	}
+	return f.result
+}
+
+func (f *simulatedFleet) newRouter() *SlowStartBudget {
+	return newSlowStartBudget(f.statedRouters * fleetRouters)
+}
+
+// stepRouter plays the arrivals of one step at a router, and returns the sum of sent and what it sends to the engine.
+func (f *simulatedFleet) stepRouter(i int, age time.Duration, sent float64) float64 {
+	router := f.routers[i]
+	router.Advance(fleetStep, fleetEngines*engineCores)
+	probability := 0.0
+	if age >= 0 {
+		probability = router.SendProbability(engineCores, age)
+	}
+	mean := f.load * fleetEngines * engineCores / fleetRouters / meanOfWorkload * fleetStep.Seconds()
+	if i == 0 {
+		mean *= f.busiest
+	}
+	for next := f.random.ExpFloat64(); next < mean; next += f.random.ExpFloat64() {
+		workload := f.drawWorkload()
+		work := workloadMeans[workload] * f.random.ExpFloat64()
+		router.ObserveStatement(work, workloadMeans[workload], false)
+		if age < 0 {
+			continue
 		}
-		if age >= windowSteps*step {
-			sum := 0.0
-			for _, x := range window {
-				sum += x
-			}
-			capacity := 4 * min(1, 0.3+0.7*(age-windowSteps*step).Seconds()/15) * cores * 1.5
-			result.windows++
-			result.worst = max(result.worst, sum/capacity)
-			if sum > capacity {
-				result.over++
-			}
+		f.result.fairShare += work / fleetEngines
+		if f.random.Float64() < probability {
+			sent += work
 		}
 	}
-	return result
+	return sent
+}
+
+// drawWorkload draws the workload of a statement.
+func (f *simulatedFleet) drawWorkload() int {
+	workload := 0
+	x := f.random.Float64()
+	for workload < len(workloadShares)-1 && x >= workloadShares[workload] {
+		x -= workloadShares[workload]
+		workload++
+	}
+	return workload
+}
+
+// recordStep compares what was sent in the window that ends now with the engine's capacity at its begin.
+func (f *simulatedFleet) recordStep(age time.Duration, sent float64) {
+	f.result.sent += sent
+	f.window = append(f.window, sent)
+	if len(f.window) > windowSteps {
+		f.window = f.window[1:]
+	}
+	if age < windowSteps*fleetStep {
+		return
+	}
+	sum := 0.0
+	for _, work := range f.window {
+		sum += work
+	}
+	ageAtBegin := (age - windowSteps*fleetStep).Seconds()
+	capacity := 4 * min(1, 0.3+0.7*ageAtBegin/slowStartTime.Seconds()) * engineCores * 1.5
+	f.result.windows++
+	f.result.worst = max(f.result.worst, sum/capacity)
+	if sum > capacity {
+		f.result.over++
+	}
 }
