--- a/cmd/bankledge-faultlab/main.go
+++ b/cmd/bankledge-faultlab/main.go
@@ -32,7 +32,7 @@
 // errViolations has the program end with 1 after it has printed all there is to print.
 var errViolations = errors.New("rules were broken: see above")
 
-// interrupted returns a context that is done when the program is told to end.
+// interrupted returns a context that is done when the program receives SIGINT or SIGTERM.
 func interrupted() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -134,7 +134,7 @@
 	}
 	delete(c.open, stream)
 	c.cancelled[stream] = true
-	c.conn.Write(Frame(frameCancel, stream, "")) // a connection that is broken tells the router as much
+	c.conn.Write(Frame(frameCancel, stream, "")) // a broken connection says as much to the router
 }
 
 func (c *Client) send(kind byte, payload string) (stream uint32, answer <-chan Answer) {
--- a/internal/fakes/router_config.go
+++ b/internal/fakes/router_config.go
@@ -16,7 +16,7 @@
 	"feedback":{"fields":["concurrent","load_share"],"via":"inline"},"guarantees":{"drainGrace":1000000},
 	"machineTypes":["k"],"tick":1000,"zone":"z"}`
 
-// Config returns the configuration of a router, which is told of the members by it. memoryMB and sockets are the limits of its process.
+// Config returns the configuration of a router, which lists the members as the first event of its control feed. memoryMB and sockets are the limits of its process.
 func Config(feed, settings string, memoryMB, sockets int, members ...string) []byte {
 	quotedFeed, _ := json.Marshal(feed) // a string has an encoding
 	return fmt.Appendf(nil, `{"name":"n1","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","feed":%s,
--- a/internal/fakes/slow_reader.go
+++ b/internal/fakes/slow_reader.go
@@ -106,7 +106,7 @@
 	for len(b) >= headerBytes {
 		length := int(binary.BigEndian.Uint32(b))
 		if len(b) < lengthBytes+length {
-			break // not whole, as its client can tell
+			break // incomplete
 		}
 		kind := b[lengthBytes]
 		stream := binary.BigEndian.Uint32(b[lengthBytes+1:])
--- a/internal/fakes/workloads.go
+++ b/internal/fakes/workloads.go
@@ -13,7 +13,7 @@
 	PriceLoad
 )
 
-// Workloads returns what a decision module is told of the workloads of a mix.
+// Workloads returns the workloads of a mix as a decision module is configured with them.
 func Workloads() []decision.Workload {
 	return []decision.Workload{
 		{
--- a/internal/faultlab/audit_test.go
+++ b/internal/faultlab/audit_test.go
@@ -10,7 +10,7 @@
 
 const sec = time.Second
 
-// Each auditor finds what must not be, and lets pass what may.
+// Each auditor finds its violations, and nothing in a history without any.
 func TestAuditors(t *testing.T) {
 	sent := Event{At: sec, Kind: StatementSent, Statement: "a0", Workload: "lookup", Budget: 2 * sec}
 	load := Event{At: sec, Kind: AttemptStarted, Statement: "l0", Workload: "price-load", Engine: "e1"}
@@ -83,7 +83,7 @@
 	return list
 }
 
-func TestBackToNormal(t *testing.T) {
+func TestRecovery(t *testing.T) {
 	play := func(serves func(second int) bool) *History {
 		h := &History{Schedule: &Schedule{Seconds: 20, Engines: 1, Faults: []Fault{{Kind: "reset", At: 5}, {Kind: "stop", At: 5, For: 2}}}}
 		for i := range 20 {
--- a/internal/faultlab/consistency.go
+++ b/internal/faultlab/consistency.go
@@ -26,8 +26,8 @@
 	auditorAcknowledged  = "acknowledged"
 )
 
-// consistencySlack is by how much a router's log and the lab's own events may differ: a process resumes, is notified or is heard a little
-// later than recorded.
+// consistencySlack is by how much a router's log and the lab's own events may differ: a process resumes, is notified or writes its
+// log a little later than recorded.
 const consistencySlack = 150 * time.Millisecond
 
 // appliedConfiguration is what a router acts on.
--- a/internal/faultlab/control_feed.go
+++ b/internal/faultlab/control_feed.go
@@ -95,7 +95,7 @@
 }
 
 // deliveries returns a function that is to be called with the bytes that have passed the router's link. It calls delivered for each
-// event that has come to the router completely.
+// event that the router has received completely.
 func (f *controlFeed) deliveries(delivered func(notification)) func([]byte) {
 	var mu sync.Mutex
 	var line []byte
--- a/internal/faultlab/engine.go
+++ b/internal/faultlab/engine.go
@@ -85,7 +85,7 @@
 	return time.Duration(workMillis) * time.Millisecond, threads
 }
 
-// stop ends engines at once: their links are reset and refuse connections.
+// stopEngines ends engines at once: their links are reset and refuse connections.
 func (f *fleet) stopEngines(engines []*engine) {
 	for _, e := range engines {
 		for _, r := range f.routers {
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// slowEngines has engines take some times as long, and fail all statements if told so.
+// slowEngines has engines take some times as long. failing: all statements that start there end with an error.
 func (f *fleet) slowEngines(fault Fault, factor float64, failing bool) (repair func() error) {
 	for _, e := range f.enginesAt(fault.Engines) {
 		e.model.Slow(factor, failing)
--- a/internal/faultlab/history.go
+++ b/internal/faultlab/history.go
@@ -58,7 +58,7 @@
 // Kinds of events of routers.
 const (
 	InvariantViolated EventKind = "violated" // Text is the line of the router's log
-	EndpointNotified  EventKind = "told"     // the control feed's event has come to the router; Text is the engine's new state
+	EndpointNotified  EventKind = "told"     // the router has received the control feed's event; Text is the engine's new state
 	RouterDown        EventKind = "down"     // Text says how
 	RouterUp          EventKind = "up"       // it serves again; Text says whether it was stopped
 	RulesApplied      EventKind = "acts"     // the router acts on other rules from here on
--- a/internal/faultlab/link_test.go
+++ b/internal/faultlab/link_test.go
@@ -11,15 +11,20 @@
 	"go.uber.org/goleak"
 )
 
-const patience = 10 * time.Second
+const (
+	patience  = 10 * time.Second
+	silence   = 50 * time.Millisecond // in which nothing may come
+	testDelay = 80 * time.Millisecond
+)
 
-// echo answers each byte with itself.
-func echo(t *testing.T) net.Listener {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startEchoServer answers each byte with itself.
+func startEchoServer(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -29,99 +34,144 @@
 			}()
 		}
 	}()
-	return l
+	t.Cleanup(func() { listener.Close() })
+	return listener
 }
 
-func TestLink(t *testing.T) {
-	defer goleak.VerifyNone(t)
-	server := echo(t)
-	defer server.Close()
-	l, err := NewLink(server.Addr().String())
-	require.NoError(t, err)
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Address())
+func startLink(t *testing.T, target net.Listener) *Link {
+	t.Helper()
+	link, err := NewLink(target.Addr().String())
 	require.NoError(t, err)
-	defer c.Close()
-	say := func(text string) {
-		_, err := c.Write([]byte(text))
-		require.NoError(t, err)
-	}
-	hear := func(n int, within time.Duration) (string, error) {
-		b := make([]byte, n)
-		c.SetReadDeadline(time.Now().Add(within))
-		n, err := io.ReadFull(c, b)
-		return string(b[:n]), err
-	}
-	say("one")
-	got, err := hear(3, patience)
+	t.Cleanup(link.Close)
+	return link
+}
+
+// linkClient is a connection through a link to an echo server.
+type linkClient struct {
+	t    *testing.T
+	link *Link
+	conn net.Conn
+}
+
+func connectThroughLink(t *testing.T) *linkClient {
+	t.Helper()
+	t.Cleanup(func() { goleak.VerifyNone(t) }) // after all other cleanups
+	link := startLink(t, startEchoServer(t))
+	conn, err := net.Dial("tcp", link.Address())
 	require.NoError(t, err)
-	assert.Equal(t, "one", got)
-
-	for name, ways := range map[string][2]Impairment{"cut there": {{Blocked: true}, {}}, "cut back": {{}, {Blocked: true}}, "cut both ways": {{Blocked: true}, {Blocked: true}}} {
-		l.Impair(ways[0], ways[1])
-		say("two")
-		_, err = hear(1, 50*time.Millisecond)
-		assert.Error(t, err, name)
-		l.Impair(Impairment{}, Impairment{})
-		got, err = hear(3, patience)
-		assert.NoError(t, err, name)
-		assert.Equal(t, "two", got, "what was on its way comes when the link is whole")
+	t.Cleanup(func() { conn.Close() })
+	return &linkClient{t: t, link: link, conn: conn}
+}
+
+func (c *linkClient) send(text string) {
+	c.t.Helper()
+	_, err := c.conn.Write([]byte(text))
+	require.NoError(c.t, err)
+}
+
+// receive reads n bytes, or what comes of them within a time.
+func (c *linkClient) receive(n int, within time.Duration) (string, error) {
+	b := make([]byte, n)
+	c.conn.SetReadDeadline(time.Now().Add(within))
+	n, err := io.ReadFull(c.conn, b)
+	return string(b[:n]), err
+}
+
+func (c *linkClient) expect(text string) {
+	c.t.Helper()
+	got, err := c.receive(len(text), patience)
+	require.NoError(c.t, err)
+	assert.Equal(c.t, text, got)
+}
+
+func TestLinkRelays(t *testing.T) {
+	c := connectThroughLink(t)
+	c.send("one")
+	c.expect("one")
+	assert.Positive(t, c.link.Connections())
+}
+
+// What was in flight while a link was blocked passes when it is restored.
+func TestLinkBlocked(t *testing.T) {
+	blocked := Impairment{Blocked: true}
+	for name, impaired := range map[string]linkImpairments{
+		"forward":   {forward: blocked},
+		"reverse":   {reverse: blocked},
+		"both ways": {forward: blocked, reverse: blocked},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := connectThroughLink(t)
+			c.link.Impair(impaired.forward, impaired.reverse)
+			c.send("two")
+			_, err := c.receive(1, silence)
+			assert.Error(t, err)
+			c.link.Restore()
+			c.expect("two")
+		})
 	}
+}
 
-	l.Impair(Impairment{}, Impairment{Delay: 80 * time.Millisecond})
+func TestLinkDelayed(t *testing.T) {
+	c := connectThroughLink(t)
+	c.link.Impair(Impairment{}, Impairment{Delay: testDelay})
 	began := time.Now()
-	say("three")
-	_, err = hear(5, patience)
-	assert.NoError(t, err)
-	assert.GreaterOrEqual(t, time.Since(began), 80*time.Millisecond)
-
-	l.Impair(Impairment{}, Impairment{Throttled: true})
-	began = time.Now()
-	say("four")
-	_, err = hear(4, patience)
-	assert.NoError(t, err)
+	c.send("three")
+	c.expect("three")
+	assert.GreaterOrEqual(t, time.Since(began), testDelay)
+}
+
+func TestLinkThrottled(t *testing.T) {
+	c := connectThroughLink(t)
+	c.link.Impair(Impairment{}, Impairment{Throttled: true})
+	began := time.Now()
+	c.send("four")
+	c.expect("four")
 	assert.GreaterOrEqual(t, time.Since(began), 3*throttleInterval)
-	l.Impair(Impairment{}, Impairment{})
+}
 
-	require.NoError(t, l.RefuseConnections(true))
-	_, err = net.Dial("tcp", l.Address())
+// While connections are refused, those that stand go on.
+func TestLinkRefusesConnections(t *testing.T) {
+	c := connectThroughLink(t)
+	c.send("one")
+	c.expect("one")
+	require.NoError(t, c.link.RefuseConnections(true))
+	_, err := net.Dial("tcp", c.link.Address())
 	assert.Error(t, err, "refused")
-	say("five")
-	got, err = hear(4, patience)
-	assert.NoError(t, err, "what stands goes on")
-	assert.Equal(t, "five", got)
-	require.NoError(t, l.RefuseConnections(false))
-	again, err := net.Dial("tcp", l.Address())
+	c.send("five")
+	c.expect("five")
+	require.NoError(t, c.link.RefuseConnections(false))
+	again, err := net.Dial("tcp", c.link.Address())
 	require.NoError(t, err)
 	again.Close()
+}
 
-	l.Reset()
-	_, err = hear(1, patience)
+func TestLinkReset(t *testing.T) {
+	c := connectThroughLink(t)
+	c.send("one")
+	c.expect("one")
+	c.link.Reset()
+	_, err := c.receive(1, patience)
 	assert.ErrorContains(t, err, "reset")
-	assert.Positive(t, l.Connections())
 }
 
-// What its sender has reset never comes, even if it was on its way when the link was cut.
-func TestResetOvertakesWhatIsOnItsWay(t *testing.T) {
-	defer goleak.VerifyNone(t)
+// What its sender has reset never comes, even if it was in flight when the link was blocked.
+func TestResetOvertakesDataInFlight(t *testing.T) {
+	t.Cleanup(func() { goleak.VerifyNone(t) })
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer server.Close()
-	l, err := NewLink(server.Addr().String())
-	require.NoError(t, err)
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Address())
+	t.Cleanup(func() { server.Close() })
+	link := startLink(t, server)
+	c, err := net.Dial("tcp", link.Address())
 	require.NoError(t, err)
 	to, err := server.Accept()
 	require.NoError(t, err)
-	defer to.Close()
-	l.Impair(Impairment{Blocked: true}, Impairment{Blocked: true})
+	t.Cleanup(func() { to.Close() })
+	link.Impair(Impairment{Blocked: true}, Impairment{Blocked: true})
 	c.Write([]byte("late"))
-	time.Sleep(20 * time.Millisecond) // for the link to have read it
-	c.(*net.TCPConn).SetLinger(0)
-	c.Close()
-	time.Sleep(20 * time.Millisecond)
-	l.Impair(Impairment{}, Impairment{})
+	require.Eventually(t, func() bool { return link.InFlight() == 1 }, patience, time.Millisecond)
+	resetConnection(c)
+	require.Eventually(t, func() bool { return link.Resets() == 1 }, patience, time.Millisecond)
+	link.Restore()
 	to.SetReadDeadline(time.Now().Add(patience))
 	n, err := to.Read(make([]byte, 10))
 	assert.Zero(t, n)
--- a/internal/faultlab/process.go
+++ b/internal/faultlab/process.go
@@ -42,7 +42,7 @@
 	name    string
 	logFile string
 	cmd     *exec.Cmd
-	serving chan string   // receives the listen address that the log tells, once
+	serving chan string   // receives the listen address of the log, once
 	ended   chan struct{} // closed when the process has ended and its log is written
 }
 
@@ -95,7 +95,7 @@
 	}
 }
 
-// awaitServing waits until the process serves, and returns the address that its log tells; empty: it tells none.
+// awaitServing waits until the process serves, and returns its listen address; empty: the log has none.
 // The error is a *StartError, or that of the context.
 func (p *process) awaitServing(ctx context.Context) (string, error) {
 	select {
--- a/internal/faultlab/router.go
+++ b/internal/faultlab/router.go
@@ -18,7 +18,7 @@
 	"bankledge/internal/logevent"
 )
 
-// unusedAddress is the target of a router's link until its process tells where it listens.
+// unusedAddress is the target of a router's link until its process has logged where it listens.
 const unusedAddress = "127.0.0.1:1"
 
 // router is a process of the real router, with all links that lead to it and from it.
@@ -213,7 +213,7 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// observeLog records what a line of the router's log tells the auditors.
+// observeLog records what the auditors need of a line of the router's log.
 func (r *router) observeLog(line []byte) {
 	r.recordActiveRules(line)
 	violated := bytes.Contains(line, []byte(logevent.InvariantViolated))
--- a/internal/faultlab/schedule_test.go
+++ b/internal/faultlab/schedule_test.go
@@ -1,6 +1,9 @@
 package faultlab
 
 import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
 	"os"
 	"path/filepath"
 	"slices"
@@ -10,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSchedulesSayWhatIsWrong(t *testing.T) {
+func TestLoadScheduleErrors(t *testing.T) {
 	for text, says := range map[string]string{
 		`{`:               "schedule",
 		`{routers: 3}`:    "engines: 0 is not",
@@ -44,7 +47,7 @@
 	assert.Error(t, err)
 }
 
-func TestASeedGivesTheSameSchedule(t *testing.T) {
+func TestGeneratedSchedulesRepeat(t *testing.T) {
 	seen := map[FaultKind]bool{}
 	for seed := range uint64(200) {
 		s := GenerateSchedule(seed, 12)
@@ -71,7 +74,19 @@
 	assert.Equal(t, GenerateSchedule(7, 12), again)
 }
 
-func TestShrinkLeavesOnlyWhatFails(t *testing.T) {
+// Seeds stand in histories and in reports, so they have to give the same schedules and settings as ever.
+func TestGeneratedSchedulesStayTheSame(t *testing.T) {
+	recorded := sha256.New()
+	for seed := range uint64(200) {
+		for _, s := range []*Schedule{GenerateSchedule(seed, 12), GenerateGroupSchedule(seed, 7), GenerateSoakSchedule(seed, 20)} {
+			require.NoError(t, json.NewEncoder(recorded).Encode(s))
+			recorded.Write([]byte(fleetSettings(s, 3)))
+		}
+	}
+	assert.Equal(t, "3f8e58ffeab38644d28876bb0abecae554978b5c3ab990bdcdd3faeccb514fd5", hex.EncodeToString(recorded.Sum(nil)))
+}
+
+func TestShrink(t *testing.T) {
 	s := &Schedule{Routers: 9, Engines: 8, Seconds: 12, Load: 0.5, Retries: 2, Faults: []Fault{
 		{Kind: "stop", At: 1, For: 2, Routers: []int{0, 1, 2, 3}}, {Kind: "cut", At: 2, For: 3, Routers: []int{1, 4, 5}, Engines: []int{0, 3, 6}}, {Kind: "feed", At: 2, For: 1, Routers: []int{8}}}}
 	plays := 0
--- a/internal/faultlab/versions.go
+++ b/internal/faultlab/versions.go
@@ -22,8 +22,8 @@
 	collectStatusTimeout = 5 * time.Second
 )
 
-// errNoVersions: no member of the control group has told its versions.
-var errNoVersions = errors.New("no member of the control group tells its versions")
+// errNoVersions: no member of the control group has answered.
+var errNoVersions = errors.New("no member of the control group answers with its versions")
 
 // recordVersions records the versions of the control group while it runs: the group itself keeps the last ones only.
 func (f *fleet) recordVersions(ctx context.Context) {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// askForVersions asks all members once, and returns the newest number that any has told so far.
+// askForVersions asks all members once, and returns the newest number that is known by then.
 func (f *fleet) askForVersions(addresses []string, newest uint64) (uint64, error) {
 	for _, address := range addresses {
 		list, err := adminclient.New([]string{address}, collectTimeout).Versions(context.Background())
