--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -16,7 +16,7 @@
 	endpointRetryDelayJitter = 1.0 // seconds
 )
 
-// endpointList holds all engines ever listed, by ID, and their order by rendezvous hash.
+// endpointList is all engines ever listed, by ID, and their order by rendezvous hash.
 type endpointList struct {
 	all         []*engine // sorted by ID
 	maxRankings int       // table groups whose order is cached; 0: any number
@@ -120,7 +120,7 @@
 		e = newEngine(endpoint, m.traits.Machines[endpoint.MachineType], m.now)
 		m.endpoints.add(e)
 		e.windows = m.endpoints.firstWindows(e, m.workloads)
-	case endpoint.StartedAt > e.StartedAt: // it started anew: its caches are empty
+	case endpoint.StartedAt > e.StartedAt: // it restarted: its caches are empty
 		e.restarted(m.endpoints.firstWindows(e, m.workloads), m.now)
 	}
 	e.Endpoint = endpoint
--- a/policy/statement.go
+++ b/policy/statement.go
@@ -19,7 +19,7 @@
 	arrivedAt      time.Duration
 	objectiveAt    time.Duration // end of its latency objective
 	answerBy       time.Duration // latest time for an answer that is to arrive before the deadline
-	deadline       time.Duration // its client gives up
+	deadline       time.Duration // when its client stops waiting
 	expectedRun    time.Duration // on an idle engine
 	memoryMB       float64       // estimated need
 	work           float64       // seconds on one thread: estimated, or its workload's mean where that is more
