--- a/internal/configregister/recording_test.go
+++ b/internal/configregister/recording_test.go
@@ -34,7 +34,7 @@
 
 func (r *recording) sum() string { return hex.EncodeToString(r.hash.Sum(nil)) }
 
-// chance tells whether something of this probability happens.
+// chance reports whether something of this probability happens.
 func (r *recording) chance(probability float64) bool { return r.random.Float64() < probability }
 
 func (r *recording) json(value any) string {
--- a/internal/configregister/register.go
+++ b/internal/configregister/register.go
@@ -33,7 +33,7 @@
 )
 
 var (
-	// ErrRolloutInProgress tells that a proposal has to wait until the version before it is activated. Clients of the control
+	// ErrRolloutInProgress reports that a proposal has to wait until the version before it is activated. Clients of the control
 	// group recognize its text.
 	ErrRolloutInProgress = errors.New("still spreading")
 
--- a/internal/configversion/version.go
+++ b/internal/configversion/version.go
@@ -33,7 +33,7 @@
 	maxLineageBytes = 100
 )
 
-// ErrHashMismatch tells that a version's content is not what was hashed: it was changed or damaged.
+// ErrHashMismatch reports that a version was changed or damaged after its hash was computed.
 var ErrHashMismatch = errors.New("hash: it is not what was hashed")
 
 var (
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -48,7 +48,7 @@
 	reopenStreamAt time.Duration // 0: the stream is open
 }
 
-// NewClient returns the client of a router that has heard nothing yet and acts on its local settings.
+// NewClient returns the client of a router that has received no version yet and acts on its local settings.
 func NewClient(settings ClientSettings) *Client {
 	return &Client{
 		settings:       settings,
@@ -112,7 +112,7 @@
 	return deadline
 }
 
-// LeaseExpiry is the end of the lease, or 0 if none is held. An action that was decided under the lease must not be carried out later.
+// LeaseExpiry is when the lease expires, or 0 without a lease. An action that was decided under the lease must not be carried out after it.
 func (c *Client) LeaseExpiry() time.Duration { return c.leaseExpiry }
 
 func (c *Client) expireLease(now time.Duration) []ClientAction {
--- a/internal/lease/client_events.go
+++ b/internal/lease/client_events.go
@@ -80,7 +80,7 @@
 func (ReopenStream) clientAction() {}
 func (LogMessage) clientAction()   {}
 
-// ActiveConfiguration tells which versions a router acts on.
+// ActiveConfiguration identifies the versions that a router acts on.
 type ActiveConfiguration struct {
 	Leased    bool   // a lease is held; without one the local settings apply, too
 	Activated uint64 // activated version, 0 if none is known
--- a/internal/lease/client_renewal.go
+++ b/internal/lease/client_renewal.go
@@ -7,14 +7,16 @@
 
 // sentRenewal is a renewal that has no reply yet. The lease is counted from when it was sent, however late the reply is.
 type sentRenewal struct {
-	seq    uint64 // 0: none, or it has its reply
+	seq    uint64 // 0: none, or its reply was received
 	sentAt time.Duration
 }
 
 // Jitter of the interval between renewals and of backoffs, as fractions of the nominal time, so that routers do not act all at once.
 const (
-	minRenewJitter, renewJitterRange     = 0.8, 0.4
-	minBackoffJitter, backoffJitterRange = 0.5, 1.0
+	minRenewJitter     = 0.8
+	renewJitterRange   = 0.4
+	minBackoffJitter   = 0.5
+	backoffJitterRange = 1.0
 )
 
 // renew sends a renewal. The lease is counted from now, before anything is written to the network.
@@ -51,7 +53,7 @@
 	}
 }
 
-// failRenewal goes on with the next address after a backoff.
+// failRenewal schedules a retry at the next address, after a backoff.
 func (c *Client) failRenewal(now time.Duration) {
 	c.awaitingReply = false
 	c.addressIndex = (c.addressIndex + 1) % c.addresses()
@@ -60,7 +62,7 @@
 }
 
 // backoff is the time to wait after a number of failures in a row. It grows to the renewal interval once each address has failed twice,
-// and is jittered, so that a group that comes back is not overloaded.
+// and is jittered, so that a group that recovers is not overloaded.
 func (c *Client) backoff(failures int) time.Duration {
 	rounds := min(failures/c.addresses(), 2)
 	nominal := c.settings.Durations.RenewInterval / time.Duration(4>>rounds)
@@ -70,7 +72,8 @@
 // addresses is the number of addresses to choose from.
 func (c *Client) addresses() int { return max(1, c.settings.AddressCount) }
 
-// takeSent returns when a renewal was sent, and forgets it: each counts once. It returns false if the renewal is not remembered.
+// takeSent returns when a renewal was sent, and forgets it, so that a duplicate reply has no effect. It returns false if the renewal is
+// not remembered.
 func (c *Client) takeSent(seq uint64) (time.Duration, bool) {
 	sent := c.sent[seq%rememberedRenewals]
 	if seq == 0 || sent.seq != seq {
@@ -109,14 +112,14 @@
 	return nil
 }
 
-// grantApplies tells whether a reply grants a lease on the newest version that this client knows.
+// grantApplies reports whether a reply grants a lease on the newest version that this client knows.
 func (c *Client) grantApplies(reply Reply) bool {
 	newest := c.newest()
 	return reply.Granted && newest != nil && reply.Newest == newest.Number && reply.Lineage == c.lineage
 }
 
-// expectMissingVersion gives an open stream a moment to bring a version that is known to exist, and has it reopened if it does not: the
-// connection may be dead, or its process behind.
+// expectMissingVersion lets the stream be reopened unless it delivers, within a short time, a version that is known to exist: the
+// connection may be dead, or the process at its other end may lag behind.
 func (c *Client) expectMissingVersion(now time.Duration) {
 	if c.reopenStreamAt == 0 {
 		c.reopenStreamAt = now + c.settings.Durations.RenewInterval/4
--- a/internal/lease/client_versions.go
+++ b/internal/lease/client_versions.go
@@ -9,7 +9,7 @@
 	"bankledge/internal/rules"
 )
 
-// errPreviousMissing tells that a version can't be taken yet: the intersection would lack the version before it.
+// errPreviousMissing is returned for a version that can't be accepted yet: the intersection would lack the version before it.
 var errPreviousMissing = errors.New("the one before it, which is still in force beside it, is missing")
 
 // newest is the newest version that the client knows, or nil.
@@ -27,7 +27,7 @@
 	return 0
 }
 
-// receiveVersion takes a version, or rejects it and reports why. After a rejection the client gets no lease any more, as it does not
+// receiveVersion accepts a version, or rejects it and reports the reason. After a rejection the client gets no lease any more, as it does not
 // know the newest version.
 func (c *Client) receiveVersion(now time.Duration, v *configversion.Version, activated uint64) []ClientAction {
 	c.streamFailures = 0
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// checkVersion returns why a version is not taken.
+// checkVersion returns an error that says why a version is rejected.
 func (c *Client) checkVersion(v *configversion.Version, activated uint64) error {
 	if c.lineage != "" && v.Lineage != c.lineage {
 		return fmt.Errorf("version %d turned down: it is of lineage %s, this router follows %s", v.Number, v.Lineage, c.lineage)
@@ -77,7 +77,7 @@
 	return c.checkGuards(newest.Rules, v)
 }
 
-// checkGuards applies this router's own guards. The floor is the control group's to guard.
+// checkGuards applies this router's own guards. The control group alone checks the floor.
 func (c *Client) checkGuards(previous *rules.Rules, v *configversion.Version) error {
 	if err := c.settings.Guards.Check(previous, nil, v.Rules, v.ForcedGuards); err != nil {
 		return fmt.Errorf("version %d turned down: %w", v.Number, err)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// activate notes that all versions of a lineage up to a number are activated.
+// activate records that all versions of a lineage up to a number are activated.
 func (c *Client) activate(lineage string, number uint64) {
 	if lineage == "" || lineage != c.lineage {
 		return
--- a/internal/lease/coordinator.go
+++ b/internal/lease/coordinator.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// gainLeadership starts over with the replicated state alone.
+// gainLeadership keeps only the replicated state: which leases an earlier leader granted is not known.
 func (c *Coordinator) gainLeadership(now time.Duration) {
 	*c = Coordinator{
 		durations:         c.durations,
@@ -99,7 +99,7 @@
 	}
 }
 
-// loseLeadership answers all that wait: a process that does not lead promises nothing.
+// loseLeadership rejects all waiting requests and proposals: only a leader may grant leases.
 func (c *Coordinator) loseLeadership() []CoordinatorAction {
 	actions := c.rejectRequests()
 	actions = append(actions, c.rejectProposals()...)
@@ -120,7 +120,7 @@
 	return actions
 }
 
-// activateNewest proposes the activation of the newest version once no lease runs whose client does not know it. A proposal that
+// activateNewest proposes to activate the newest version once each client with a lease knows that version. A proposal that
 // has no effect is repeated after a lease duration.
 func (c *Coordinator) activateNewest(now time.Duration) []CoordinatorAction {
 	if c.activated >= c.newest || now < c.earlierLeasesEnd {
@@ -151,7 +151,7 @@
 	return max(deadline, now+time.Millisecond)
 }
 
-// activationDeadline is when the next of the leases ends that hold back an activation.
+// activationDeadline is when the next lease expires that delays the activation of the newest version.
 func (c *Coordinator) activationDeadline(now time.Duration) time.Duration {
 	deadline := now + c.durations.RenewInterval
 	for _, s := range c.sessions {
--- a/internal/lease/coordinator_events.go
+++ b/internal/lease/coordinator_events.go
@@ -2,15 +2,15 @@
 
 import "bankledge/internal/configregister"
 
-// CoordinatorEvent is something that happened to a process of the control group. A CallID identifies who waits for an answer.
+// CoordinatorEvent is something that happened to a process of the control group. A CallID identifies the caller that waits for an answer.
 type CoordinatorEvent interface{ coordinatorEvent() }
 
 // The events of a coordinator.
 type (
-	// LeadershipGained reports that this process leads from now on, and has applied all that earlier leaders committed.
+	// LeadershipGained reports that this process is now the leader, and has applied all that earlier leaders committed.
 	LeadershipGained struct{}
 
-	// LeadershipLost reports that this process leads no longer.
+	// LeadershipLost reports that this process is no longer the leader.
 	LeadershipLost struct{}
 
 	// StateApplied reports the replicated state, and the outcomes of proposals that were applied since the last one.
@@ -46,7 +46,7 @@
 	// LeadershipCheckRequested asks for a proof that this process leads. The answer is a SendOutcome with the newest version's number.
 	LeadershipCheckRequested struct{ CallID uint64 }
 
-	// CallCancelled reports that nobody waits for the answer to a proposal any more.
+	// CallCancelled reports that the caller no longer waits for the outcome of its proposal.
 	CallCancelled struct{ CallID uint64 }
 
 	// CoordinatorTick lets time pass. It is due no later than Coordinator.NextDeadline.
--- a/internal/lease/coordinator_proposals.go
+++ b/internal/lease/coordinator_proposals.go
@@ -7,7 +7,7 @@
 	"bankledge/internal/configregister"
 )
 
-// maxProposals bounds the proposals that wait.
+// maxProposals bounds the proposals that wait for their outcome.
 const maxProposals = 512
 
 // proposal is a proposal whose call waits for the outcome.
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// checkProposal returns why a proposal is rejected at once.
+// checkProposal returns an error if a proposal has to be rejected before it is queued.
 func (c *Coordinator) checkProposal(p proposal) error {
 	switch {
 	case !c.isLeader:
@@ -55,7 +55,7 @@
 	return []CoordinatorAction{AppendEntry{p.entry}}
 }
 
-// finishProposal answers a proposal that was applied, unless its call was cancelled or came to another process.
+// finishProposal answers a proposal that was applied, unless its call was cancelled or made to another process.
 func (c *Coordinator) finishProposal(outcome configregister.Outcome) []CoordinatorAction {
 	p, waits := c.appendedProposals[outcome.ID]
 	if !waits {
@@ -70,14 +70,14 @@
 	return c.finishProposal(configregister.Outcome{ID: id, Error: err.Error()})
 }
 
-// cancelProposal forgets a proposal for which nobody waits. One that was written to the log may still be committed.
+// cancelProposal forgets a proposal whose caller has left. One that was written to the log may still be committed.
 func (c *Coordinator) cancelProposal(callID uint64) {
 	c.queuedProposals = slices.DeleteFunc(c.queuedProposals, func(p proposal) bool { return p.callID == callID })
 	maps.DeleteFunc(c.appendedProposals, func(_ string, p proposal) bool { return p.callID == callID })
 }
 
-// rejectProposals answers all proposals that wait, as this process no longer leads. Whether one that was appended will be committed is not
-// known: its author asks again with the same id.
+// rejectProposals answers all waiting proposals with ErrNotLeader. Whether an appended one will be committed is not
+// known, so its author has to retry with the same id.
 func (c *Coordinator) rejectProposals() []CoordinatorAction {
 	var actions []CoordinatorAction
 	for _, p := range c.queuedProposals {
--- a/internal/lease/coordinator_renewal.go
+++ b/internal/lease/coordinator_renewal.go
@@ -8,7 +8,7 @@
 	"bankledge/internal/configregister"
 )
 
-// maxWaitingRequests bounds the requests that have come since the last ConfirmLeadership.
+// maxWaitingRequests bounds the requests received since the last ConfirmLeadership.
 const maxWaitingRequests = 8192
 
 // request is a renewal, or a request for a leadership check, that waits for a confirmation of leadership.
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// checkAdmission returns why a renewal is rejected at once.
+// checkAdmission returns an error if a renewal has to be rejected before it is queued.
 func (c *Coordinator) checkAdmission(renewal Renewal) error {
 	switch {
 	case !c.isLeader:
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// confirmLeadership asks for one confirmation for all requests that wait. One is outstanding at a time; if it is overdue, another is
-// asked for, and the requests for which a lease would have expired by now are dropped.
+// confirmLeadership requests one confirmation for all waiting requests. One is outstanding at a time; if it is overdue, another is
+// requested, and the requests for which a lease would have expired by now are dropped.
 func (c *Coordinator) confirmLeadership(now time.Duration) []CoordinatorAction {
 	if len(c.confirming)+len(c.unconfirmed) == 0 {
 		return nil
@@ -80,7 +80,8 @@
 	return []CoordinatorAction{ConfirmLeadership{c.confirmationToken}}
 }
 
-// receiveConfirmation answers the requests that came before the confirmation was asked for. An earlier token proves nothing for them.
+// receiveConfirmation answers the requests that were received before the confirmation was requested. An earlier token proves nothing
+// for them.
 func (c *Coordinator) receiveConfirmation(now time.Duration, token uint64) []CoordinatorAction {
 	if token != c.confirmationToken {
 		return nil
@@ -114,7 +115,7 @@
 		return reply
 	}
 	if renewal.KnownVersion == 0 || renewal.KnownVersion < c.newest {
-		// The client has to catch up first. That it does not know the newest version ends no lease: an older renewal may come late.
+		// The client has to catch up first. Its lease continues nevertheless, as this may be an older renewal that was delayed.
 		return reply
 	}
 	session.KnownVersion = max(session.KnownVersion, renewal.KnownVersion)
@@ -123,7 +124,7 @@
 	return reply
 }
 
-// checkRenewal returns why a client can't be granted a lease by this group, whatever it catches up with.
+// checkRenewal returns an error if this group can't grant the client a lease even once the client knows the newest version.
 func (c *Coordinator) checkRenewal(renewal Renewal) error {
 	switch {
 	case renewal.DurationsKey != c.durations.CompatibilityKey():
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// rejectRequests answers all requests that wait, as this process no longer leads.
+// rejectRequests answers all waiting requests with ErrNotLeader.
 func (c *Coordinator) rejectRequests() []CoordinatorAction {
 	var actions []CoordinatorAction
 	for _, r := range slices.Concat(c.confirming, c.unconfirmed) {
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -7,8 +7,8 @@
 //
 // A router acts on a version only while it holds a lease. It renews the lease by periodic requests, and counts it from when it sent the
 // request; the coordinator counts it from when it received the request. A lease is granted only to a client that knows the newest
-// version. So once the last lease on an older version has expired, which takes one lease duration, nobody does any more what a new
-// version forbids. What a new version permits takes effect only once the coordinator knows that this is so and the version is
+// version. So once the last lease on an older version has expired, which takes one lease duration, no router does any more what a new
+// version forbids. What a new version permits takes effect only once the coordinator knows that these leases have expired and the version is
 // activated; until then a router acts on the intersection of the two versions.
 //
 // The protocol and the proof of its bound are described in docs/control.md.
--- a/internal/lease/durations.go
+++ b/internal/lease/durations.go
@@ -18,7 +18,7 @@
 	MaxClockDrift float64
 	// MaxBatch is the longest time from when a router checks its lease until the last decision that rests on the check is carried out.
 	MaxBatch time.Duration
-	// MaxPause is the longest pause of a router's process, between the check and an action, that the router can't notice.
+	// MaxPause is the longest pause of a router's process, between the check and an action, that the router can't detect.
 	MaxPause time.Duration
 }
 
@@ -70,7 +70,7 @@
 }
 
 // Validate returns an error that names the first setting with which the proof of MaxContradiction does not hold, or with which leases
-// could not be kept up.
+// could not be renewed in time.
 func (d Durations) Validate() error {
 	for _, setting := range []struct {
 		name            string
@@ -90,7 +90,7 @@
 	if !(d.MaxClockDrift >= 0 && d.MaxClockDrift <= maxClockDrift) { // also refuses NaN
 		return fmt.Errorf("drift: %v is not from 0 to %v", d.MaxClockDrift, maxClockDrift)
 	}
-	// Room for two renewals: one lost reply must not end a lease.
+	// The lease has to last for two renewals: one lost reply must not end a lease.
 	if lowest := 2 * (d.RenewInterval + d.ReplyTimeout); d.ClientLease() < lowest {
 		return fmt.Errorf("term: %v, less drift, is under %v: one answer that is lost would end it", d.LeaseDuration, lowest)
 	}
--- a/internal/lease/helpers_test.go
+++ b/internal/lease/helpers_test.go
@@ -103,7 +103,7 @@
 	return Reply{}
 }
 
-// activates tells whether the last step proposed to activate a version.
+// activates reports whether the last step proposed to activate a version.
 func (f *coordinatorFixture) activates() bool {
 	for _, entry := range f.appendedEntries() {
 		if entry.Kind == configregister.EntryActivate {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -12,7 +12,7 @@
 	Incarnation     string `json:"incarnation"` // generated at the router's start: two processes under one name have two leases
 	Seq             uint64 `json:"seq"`         // increases with each renewal of an incarnation, from 1
 	Lineage         string `json:"lineage"`     // that the router follows; empty as long as it knows none
-	KnownVersion    uint64 `json:"known"`       // newest version that the router has taken; 0 if none
+	KnownVersion    uint64 `json:"known"`       // newest version that the router has accepted; 0 if none
 	KnownHash       string `json:"hash"`        // of that version
 	DurationsKey    string `json:"spans"`       // Durations.CompatibilityKey of the router
 	RemainingMillis int64  `json:"term"`        // left of the current lease, in milliseconds; 0 if there is none
--- a/internal/lease/recording_test.go
+++ b/internal/lease/recording_test.go
@@ -42,10 +42,10 @@
 
 func (r *recording) sum() string { return hex.EncodeToString(r.hash.Sum(nil)) }
 
-// chance tells whether something of this probability happens.
+// chance reports whether something of this probability happens.
 func (r *recording) chance(probability float64) bool { return r.random.Float64() < probability }
 
-// advance lets a drawn time pass: mostly little, at times more than a term.
+// advance lets a random time pass: mostly short, at times more than a lease duration.
 func (r *recording) advance() {
 	switch {
 	case r.chance(0.5):
--- a/internal/rules/sets.go
+++ b/internal/rules/sets.go
@@ -28,7 +28,7 @@
 	return merged
 }
 
-// anyAbove tells whether a permits a higher amount than b anywhere. A name that is missing is not bounded.
+// anyAbove reports whether a permits a higher amount than b anywhere. A name that is missing is not bounded.
 func anyAbove(a, b map[string]float64) bool {
 	for name, boundOfB := range b {
 		boundOfA, bounded := a[name]
@@ -54,7 +54,7 @@
 	})
 }
 
-// subset tells whether the sorted list b holds all of a.
+// subset reports whether the sorted list b holds all of a.
 func subset(a, b []string) bool {
 	return !slices.ContainsFunc(a, func(name string) bool { return !contains(b, name) })
 }
