--- a/cmd/bankledge-faultlab/main_test.go
+++ b/cmd/bankledge-faultlab/main_test.go
@@ -57,46 +57,65 @@
 	}
 }
 
-// The cases that are hard for a fleet, each with processes of the router that are killed, stopped, woken or cut off. Rules are held in all.
+// The cases that are hard for a fleet, each with processes of the router that are killed, stopped, resumed or cut off. No rule is broken in any.
 func TestHardCases(t *testing.T) {
 	plays(t)
 	defer goleak.VerifyNone(t)
 	program := routerProgram(t)
-	three, half := []int{0, 1, 2}, []int{0, 1, 2, 3}
+	three := []int{0, 1, 2}
+	half := []int{0, 1, 2, 3}
 	for name, c := range map[string]struct {
-		load   float64
-		killed int // processes that have to be killed
-		woken  int // that have to be stopped and woken
-		faults []faultlab.Fault
+		load    float64
+		killed  int // processes that have to be killed
+		resumed int // that have to be stopped and resumed
+		faults  []faultlab.Fault
 	}{
-		"five of nine are killed in the same second and started again": {0.5, 5, 0, []faultlab.Fault{{Kind: "kill", At: 2, For: 1, Routers: []int{0, 2, 4, 6, 8}}}},
-		"three are stopped for two seconds and woken":                  {0.5, 0, 3, []faultlab.Fault{{Kind: "stop", At: 2, For: 2, Routers: three}}},
-		"a third is cut off from a third of the engines in overload":   {1.1, 0, 0, []faultlab.Fault{{Kind: "cut", At: 2, For: 2, Routers: three, Engines: three}}},
-		"the same one way: they are heard and hear nothing":            {1.1, 0, 0, []faultlab.Fault{{Kind: "cut-back", At: 2, For: 2, Routers: three, Engines: three}}},
-		"answers come two seconds late":                                {0.5, 0, 0, []faultlab.Fault{{Kind: "delay", At: 2, For: 2, Amount: 2, Routers: three, Engines: half}}},
-		"all connections are reset at once":                            {0.7, 0, 0, []faultlab.Fault{{Kind: "reset", At: 3, Routers: allRouters, Engines: allEngines}}},
-		"no feed while a third of the engines are replaced":            {0.5, 0, 0, []faultlab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}, {Kind: "lose", At: 2, For: 1, Engines: three}}},
-		"killed while stopped ones wake and links are cut": {0.6, 2, 2, []faultlab.Fault{{Kind: "stop", At: 2, For: 1.5, Routers: []int{0, 1}},
-			{Kind: "kill", At: 3, For: 1, Routers: []int{2, 3}}, {Kind: "cut-there", At: 2.5, For: 1.5, Routers: []int{4, 5}, Engines: half}}},
+		"five of nine are killed in the same second and started again": {load: 0.5, killed: 5, faults: []faultlab.Fault{
+			{Kind: "kill", At: 2, For: 1, Routers: []int{0, 2, 4, 6, 8}},
+		}},
+		"three are stopped for two seconds and resumed": {load: 0.5, resumed: 3, faults: []faultlab.Fault{
+			{Kind: "stop", At: 2, For: 2, Routers: three},
+		}},
+		"a third is cut off from a third of the engines in overload": {load: 1.1, faults: []faultlab.Fault{
+			{Kind: "cut", At: 2, For: 2, Routers: three, Engines: three},
+		}},
+		"the same one way: they are heard and hear nothing": {load: 1.1, faults: []faultlab.Fault{
+			{Kind: "cut-back", At: 2, For: 2, Routers: three, Engines: three},
+		}},
+		"answers come two seconds late": {load: 0.5, faults: []faultlab.Fault{
+			{Kind: "delay", At: 2, For: 2, Amount: 2, Routers: three, Engines: half},
+		}},
+		"all connections are reset at once": {load: 0.7, faults: []faultlab.Fault{
+			{Kind: "reset", At: 3, Routers: allRouters, Engines: allEngines},
+		}},
+		"no feed while a third of the engines are replaced": {load: 0.5, faults: []faultlab.Fault{
+			{Kind: "feed", At: 1.5, For: 3, Routers: allRouters},
+			{Kind: "lose", At: 2, For: 1, Engines: three},
+		}},
+		"killed while stopped ones resume and links are cut": {load: 0.6, killed: 2, resumed: 2, faults: []faultlab.Fault{
+			{Kind: "stop", At: 2, For: 1.5, Routers: []int{0, 1}},
+			{Kind: "kill", At: 3, For: 1, Routers: []int{2, 3}},
+			{Kind: "cut-there", At: 2.5, For: 1.5, Routers: []int{4, 5}, Engines: half},
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &faultlab.Schedule{Name: name, Seed: 1, Routers: 9, Engines: 8, Seconds: 7, Load: c.load, Retries: 2, BusiestFactor: 1, Faults: c.faults}
 			h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
 			require.NoError(t, err)
-			killed, woken, back := 0, 0, 0
+			killed, resumed, restarted := 0, 0, 0
 			for _, e := range h.Events {
 				switch {
 				case e.Kind == faultlab.RouterDown && e.Text == "kill":
 					killed++
 				case e.Kind == faultlab.RouterUp && e.Text == "stop":
-					woken++
+					resumed++
 				case e.Kind == faultlab.RouterUp:
-					back++
+					restarted++
 				}
 			}
 			assert.Equal(t, c.killed, killed)
-			assert.Equal(t, c.killed, back, "each is started again, and is ready")
-			assert.Equal(t, c.woken, woken)
+			assert.Equal(t, c.killed, restarted, "each is started again, and is ready")
+			assert.Equal(t, c.resumed, resumed)
 			assert.Greater(t, faultlab.Measure(h).InTime, 0.2)
 			for _, b := range faultlab.Audit(h) {
 				if b.Auditor != "back" {
@@ -107,7 +126,7 @@
 	}
 }
 
-// Whatever overlaps, the rules hold: soaks drawn from seeds, with faults of routers' hosts and clocks.
+// Whatever overlaps, the rules hold: soaks drawn from seeds, with faults of routers' hosts and wall clocks.
 func TestSoaks(t *testing.T) {
 	n := plays(t)
 	defer goleak.VerifyNone(t)
--- a/internal/faultlab/audit_test.go
+++ b/internal/faultlab/audit_test.go
@@ -75,10 +75,20 @@
 	}
 }
 
-// many events of a kind within a second, all of one statement.
-func many(n int, what EventKind) (list []Event) {
+// many returns events of a kind within a second: attempts of one statement, anything else of a statement each.
+func many(n int, kind EventKind) (list []Event) {
 	for i := range n {
-		list = append(list, Event{At: sec + time.Duration(i)*time.Millisecond, Kind: what, Statement: fmt.Sprintf("%s0", map[bool]string{true: "x", false: fmt.Sprint(i)}[what == AttemptStarted]), Workload: "lookup", Budget: 2 * sec})
+		statement := fmt.Sprintf("%d0", i)
+		if kind == AttemptStarted {
+			statement = "x0"
+		}
+		list = append(list, Event{
+			At:        sec + time.Duration(i)*time.Millisecond,
+			Kind:      kind,
+			Statement: statement,
+			Workload:  "lookup",
+			Budget:    2 * sec,
+		})
 	}
 	return list
 }
