--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -25,32 +25,32 @@
 	repeatGuard   = "s.firstRun == nil || s.idempotency == decision.Idempotent {\n		return true\n	}\n	return s.idempotency == decision.Deduplicated && m.now"
 )
 
-// roomy has engines never full: at this scale the room that routers keep is as good a guard for cold engines as their budget is.
-var roomy = edit{"policy/capacity.go", "	others := m.othersOn(e)\n	if !m.priorities.isLight(s, m.now)", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.priorities.isLight(s, m.now)"}
+// unlimitedCapacity has engines never full: at this scale the capacity that routers keep free guards cold engines as well as their budget.
+var unlimitedCapacity = edit{"policy/capacity.go", "	others := m.othersOn(e)\n	if !m.priorities.isLight(s, m.now)", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.priorities.isLight(s, m.now)"}
 
-// noBackstop has the router leave open what the module has forgotten.
-var noBackstop = edit{"internal/proxy/event_loop.go", "if !req.finished && now.After(req.deadline) {", "if false {"}
+// noDeadlineWatchdog has the router leave open what the decision module has forgotten.
+var noDeadlineWatchdog = edit{"internal/proxy/event_loop.go", "if !req.finished && now.After(req.deadline) {", "if false {"}
 
-// repeats has the module take every repeat for harmless; unguarded has the run-time guard do so, too.
+// allowRepeats has the decision module take every statement for idempotent; noRepeatCheck has the check at run time do so, too.
 var (
-	repeats   = edit{"policy/rules.go", "	if " + repeatGuard, "	if true || " + repeatGuard}
-	unguarded = edit{"internal/invariant/request.go", "	return r.checkRepeat(location, now)", "	return nil"}
+	allowRepeats  = edit{"policy/rules.go", "	if " + repeatGuard, "	if true || " + repeatGuard}
+	noRepeatCheck = edit{"internal/invariant/request.go", "	return r.checkRepeat(location, now)", "	return nil"}
 )
 
 // sharedTimeFile keeps when an engine was last sent a request for an attempt.
 const sharedTimeFile = "internal/upstream/shared_time.go"
 
 var (
-	allRouters = []int{0, 1, 2, 3, 4, 5, 6, 7, 8}
-	allEngines = []int{0, 1, 2, 3, 4, 5, 6, 7}
-	someCut    = []faultlab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: []int{0, 1, 2, 3, 4}, Engines: []int{0, 1, 2, 3}}}
-	drained    = []faultlab.Fault{{Kind: "replace", At: 2, For: 3, Engines: []int{0, 1, 2}}}
-	lost       = []faultlab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2}}}
-	lostMost   = []faultlab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2, 3, 4, 5}}}
-	crawling   = []faultlab.Fault{{Kind: "crawl", At: 2, For: 4, Engines: allEngines, Amount: 5}}
-	heldUp     = []faultlab.Fault{{Kind: "cut-there", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}}
-	flapping   = withClockSteps([]faultlab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}})
-	erring     = []faultlab.Fault{{Kind: "err", At: 2, For: 3, Engines: []int{0, 1}}}
+	allRouters      = []int{0, 1, 2, 3, 4, 5, 6, 7, 8}
+	allEngines      = []int{0, 1, 2, 3, 4, 5, 6, 7}
+	blockedAnswers  = []faultlab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: []int{0, 1, 2, 3, 4}, Engines: []int{0, 1, 2, 3}}}
+	drainedEngines  = []faultlab.Fault{{Kind: "replace", At: 2, For: 3, Engines: []int{0, 1, 2}}}
+	lostEngines     = []faultlab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2}}}
+	mostEnginesLost = []faultlab.Fault{{Kind: "lose", At: 2, For: 2, Engines: []int{0, 1, 2, 3, 4, 5}}}
+	slowEngines     = []faultlab.Fault{{Kind: "crawl", At: 2, For: 4, Engines: allEngines, Amount: 5}}
+	blockedStarts   = []faultlab.Fault{{Kind: "cut-there", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}}
+	clockSteps      = withClockSteps([]faultlab.Fault{{Kind: "cut-back", At: 2, For: 3, Routers: allRouters, Engines: []int{0, 1, 2, 3}}})
+	failingEngines  = []faultlab.Fault{{Kind: "err", At: 2, For: 3, Engines: []int{0, 1}}}
 )
 
 // withClockSteps adds wall clocks of all routers that step there and back while links are cut.
@@ -76,9 +76,9 @@
 				old:  deadlineTimer,
 				new:  "m.timers.Schedule(s.deadline+time.Second, func() { m.endUnanswered(s, decision.ReasonDeadline) })",
 			},
-			noBackstop,
+			noDeadlineWatchdog,
 		},
-		faults: someCut,
+		faults: blockedAnswers,
 		load:   0.5,
 	},
 	{
@@ -103,28 +103,28 @@
 				old:  lostAttempt,
 				new:  "	default:\n		_ = decision.ReasonNotRetryable\n		m.finish(s)",
 			},
-			noBackstop,
+			noDeadlineWatchdog,
 		},
-		faults: erring,
+		faults: failingEngines,
 		load:   0.5,
 	},
 	{
 		name:    "what may have run goes again, whatever it is",
 		auditor: "once",
 		edits: []edit{
-			repeats,
-			unguarded,
+			allowRepeats,
+			noRepeatCheck,
 		},
-		faults: erring,
+		faults: failingEngines,
 		load:   0.5,
 	},
 	{
 		name:    "the same, with the run-time guard",
 		auditor: "guard",
 		edits: []edit{
-			repeats,
+			allowRepeats,
 		},
-		faults: erring,
+		faults: failingEngines,
 		load:   0.5,
 	},
 	{
@@ -142,7 +142,7 @@
 				new:  "return origin.Round(0).Add(time.Duration(t.nanosSinceOrigin.Load()))",
 			},
 		},
-		faults: flapping,
+		faults: clockSteps,
 		load:   0.5,
 	},
 	{
@@ -155,7 +155,7 @@
 				new:  "	p.close(conn)",
 			},
 		},
-		faults: heldUp,
+		faults: blockedStarts,
 		load:   0.5,
 	},
 	{
@@ -181,7 +181,7 @@
 				new:  "return true &&",
 			},
 		},
-		faults: drained,
+		faults: drainedEngines,
 		load:   0.5,
 	},
 	{
@@ -194,7 +194,7 @@
 				new:  "e.listed = true\n\te.State = decision.Ready",
 			},
 		},
-		faults: drained,
+		faults: drainedEngines,
 		load:   0.5,
 	},
 	{
@@ -206,9 +206,9 @@
 				old:  "return e.StartedAt > 0 && now < e.StartedAt+s.warmUpTime() && s.budget.Rules.SlowStartWindow > 0",
 				new:  "return false && e.StartedAt > 0",
 			},
-			roomy,
+			unlimitedCapacity,
 		},
-		faults: lostMost,
+		faults: mostEnginesLost,
 		load:   1.2,
 	},
 	{
@@ -220,9 +220,9 @@
 				old:  "func (s *slowStart) mayStart(st *statement, e *engine, now time.Duration) bool {\n",
 				new:  "func (s *slowStart) mayStart(st *statement, e *engine, now time.Duration) bool {\n	if st != nil {\n		return true\n	}\n",
 			},
-			roomy,
+			unlimitedCapacity,
 		},
-		faults: lostMost,
+		faults: mostEnginesLost,
 		load:   1.2,
 	},
 	{
@@ -235,7 +235,7 @@
 				new:  "elapsed+remaining > slowAttemptFactor*0 && remaining > 0*expected",
 			},
 		},
-		faults: crawling,
+		faults: slowEngines,
 		load:   0.8,
 	},
 	{
@@ -274,7 +274,7 @@
 				new:  "silenceTimeout = 2500 * time.Second",
 			},
 		},
-		faults: append([]faultlab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}}, lost...),
+		faults: append([]faultlab.Fault{{Kind: "feed", At: 1.5, For: 3, Routers: allRouters}}, lostEngines...),
 		load:   0.6,
 	},
 }
