--- a/internal/downstream/answer_writer.go
+++ b/internal/downstream/answer_writer.go
@@ -11,11 +11,11 @@
 
 const (
 	maxQueuedFrames   = 256         // frames on stream 0 that a client has not read, before its connection is closed
-	alwaysQueuedBytes = 256         // a frame up to this size is queued whatever waits
-	writeTimeout      = time.Minute // for one write; a slow client is disconnected long before
-	flushTimeout      = time.Second // for what is left to be written once the client is gone, or disconnected
+	alwaysQueuedBytes = 256         // a frame up to this size is queued even if the queue is full
+	writeTimeout      = time.Minute // for one write; the rate check disconnects a slow client long before
+	flushTimeout      = time.Second // for the remaining writes after the client has closed or was disconnected
 
-	// Between looks at what the client has acknowledged.
+	// The bounds of the backoff between checks of how much the client has acknowledged.
 	minFlushBackoff = 2 * time.Millisecond
 	maxFlushBackoff = 50 * time.Millisecond
 )
@@ -42,13 +42,13 @@
 // queueResult is what queueing a frame led to.
 type queueResult struct {
 	duplicate bool // the stream was answered before, so the frame was dropped
-	shortened bool // there was no room: the answer was replaced by a short abort
-	stalled   bool // so much waits by now that nothing further is read from the client
+	shortened bool // the client's queue was full: the answer was replaced by a short abort
+	stalled   bool // the client's queue is so long that nothing more is read from the client
 }
 
-// enqueue hands a frame to the writer. stream is the one that it answers, or 0. An answer for which there is no room, since the
-// client does not read what it was sent, becomes a short abort; a client that reads nothing loses its connection before its
-// queue grows.
+// enqueue hands a frame to the writer. stream is the one that it answers, or 0. If the queue is full, since the client does not
+// read its answers, a short abort replaces the answer; a client that reads nothing at all is disconnected before its queue of short
+// frames exceeds maxQueuedFrames.
 func (c *Conn) enqueue(bytes []byte, stream uint32) (stalled bool) {
 	c.mu.Lock()
 	result := c.addToQueue(bytes, stream)
@@ -69,7 +69,7 @@
 	return result.stalled
 }
 
-// addToQueue is called with mu held.
+// addToQueue appends a frame to the queue if the client may have it. The caller holds mu.
 func (c *Conn) addToQueue(bytes []byte, stream uint32) queueResult {
 	state, open := c.openStreams[stream]
 	switch {
@@ -96,14 +96,14 @@
 	if stream != 0 {
 		c.answersQueued++
 	}
-	if len(bytes) > alwaysQueuedBytes && !c.stalled { // also where this one could not be kept
+	if len(bytes) > alwaysQueuedBytes && !c.stalled { // also if this frame was replaced by a short abort
 		c.withPeer(func(_ time.Duration, peer *flowcontrol.Peer) { c.stalled = peer.Stalled() })
 		result.stalled = c.stalled
 	}
 	return result
 }
 
-// takeQueueRoom takes room for a frame in the client's queue, if there is any. It is called with mu held.
+// takeQueueRoom reserves memory for a frame in the client's queue, if the queue is not full. The caller holds mu.
 func (c *Conn) takeQueueRoom(bytes int) bool {
 	if bytes <= alwaysQueuedBytes {
 		c.forceQueue(bytes)
@@ -115,7 +115,7 @@
 	if c.tryQueue(bytes) {
 		return true
 	}
-	c.updateUnsent() // the client may have read since this was last looked at
+	c.updateUnsent() // the client may have read since the last check
 	return c.tryQueue(bytes)
 }
 
@@ -127,14 +127,14 @@
 }
 
 // frameWriter writes a connection's queue. It hands the kernel complete frames, and no more than the client's flow control allows:
-// what the kernel holds cannot be taken back.
+// what is in the kernel's send buffer cannot be replaced by an abort.
 type frameWriter struct {
 	conn   *Conn
-	frames []queuedFrame // being written; kept for its memory
-	batch  net.Buffers   // the same
+	frames []queuedFrame // being written; reused to avoid an allocation for each write
+	batch  net.Buffers   // the frames' bytes; reused likewise
 }
 
-// writeFrames writes what is queued until the connection has ended and nothing is left.
+// writeFrames writes queued frames until the connection has ended and the queue is empty.
 func (c *Conn) writeFrames() {
 	writer := frameWriter{conn: c}
 	for range c.writeReady {
@@ -171,7 +171,7 @@
 	}
 }
 
-// dequeue takes the frames that may be written now. It returns whether there are others, for which the kernel holds too much.
+// dequeue takes the frames that may be written now. blocked reports whether others have to wait until the kernel's send buffer shrinks.
 func (w *frameWriter) dequeue() (blocked bool) {
 	c := w.conn
 	w.frames = w.frames[:0]
@@ -208,7 +208,7 @@
 	if err != nil {
 		return false
 	}
-	if stalled { // perhaps only as it has not had time to read what it was sent at once
+	if stalled { // perhaps only because a burst was written: checked again at once
 		c.checkFlow()
 	}
 	return true
@@ -239,7 +239,7 @@
 	return c.stalled
 }
 
-// drained returns whether the connection has ended and nothing is left to be written.
+// drained returns whether the connection has ended and the queue is empty.
 func (c *Conn) drained() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/client_departure.go
+++ b/internal/downstream/client_departure.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// peekBytes bounds how much of what lies unread is searched for cancel frames.
+// peekBytes bounds how many unread bytes are searched for cancel frames.
 const peekBytes = 64 << 10
 
 // newPeekBuffer makes a buffer for peekForDeparture.
 func newPeekBuffer() any { return new([peekBytes]byte) }
 
-// peekForDeparture searches, without consuming it, what a client has sent while nothing is read from it, or less than it
-// sends: a client that does not read its answers, or that sends invalid frames, may leave like any other. Streams that it has
-// cancelled are handled. pending is what was read and not handled yet. It returns whether the connection has ended.
+// peekForDeparture searches unread input for cancel frames without consuming it, while reading from the client is stopped or slowed
+// down: a client that does not read its answers, or that sends invalid frames, may still cancel or close. Cancelled streams are
+// handled. pending is input that was read and not handled yet. It returns whether the client has closed the connection.
 func (c *Conn) peekForDeparture(pending []byte) (ended bool) {
 	scratch := c.server.peekBuffers.Get().(*[peekBytes]byte)
 	defer c.server.peekBuffers.Put(scratch)
@@ -27,7 +27,7 @@
 	return ended || c.clientClosed()
 }
 
-// peek copies what lies unread without consuming it. It returns whether the connection has ended.
+// peek copies unread input without consuming it. It returns whether the client has closed the connection.
 func (c *Conn) peek(into []byte) (n int, ended bool) {
 	c.withDescriptor(func(fd int) {
 		received, _, err := unix.Recvfrom(fd, into, unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -42,8 +42,8 @@
 	return n, ended
 }
 
-// cancelledStreams lists the streams of the cancel frames in what was read and in what lies unread behind it. A frame may begin
-// in the one and end in the other; one that is not complete is left out.
+// cancelledStreams lists the streams of the cancel frames in input that was read and in the unread input behind it. A frame may
+// begin in the one and end in the other; an incomplete one is ignored.
 func cancelledStreams(read, unread []byte) (streams []uint32) {
 	for {
 		head := read
--- a/internal/downstream/client_departure_test.go
+++ b/internal/downstream/client_departure_test.go
@@ -78,8 +78,8 @@
 			write(t, client, statementFrame(1), c.sends)
 			await(t, handler.statements)
 			c.leaves(client)
-			if left := await(t, unread); !c.dropped {
-				assert.Greater(t, left, much/2, "it was not read to its end before that was noticed")
+			if remaining := await(t, unread); !c.dropped {
+				assert.Greater(t, remaining, much/2, "it was not read to its end before that was noticed")
 			}
 			assert.Equal(t, uint32(1), await(t, handler.cancelled))
 		})
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -25,7 +25,7 @@
 	closeReason atomic.Pointer[closeReason] // nil while the connection is not known to end
 
 	mu             sync.Mutex
-	ended          bool // its end has begun: nothing more is handled
+	ended          bool // finish was called: nothing more is handled
 	endedAt        time.Time
 	queue          []queuedFrame
 	framesInWrite  int                    // frames that were taken from queue and are not with the kernel yet
@@ -35,8 +35,8 @@
 	hasSentFrame   bool      // a complete frame has arrived
 	invalidFrames  int       // frames that could not be used
 	idleSince      time.Time // since when no stream is open
-	stalled        bool      // so much waits for the client that nothing is read from it
-	disconnectedAt time.Time // since when only short frames are queued, as the client is too slow; zero: it is not
+	stalled        bool      // the client's queue is so long that nothing is read from it
+	disconnectedAt time.Time // since when only short frames are queued because the client is too slow; zero: not disconnected
 }
 
 // newConn returns a connection that was accepted at a time.
@@ -105,7 +105,7 @@
 	return unanswered
 }
 
-// flushExpired returns whether what is left need not be written: the client is gone, or was disconnected, and had time for it.
+// flushExpired returns whether the rest of the queue is dropped: flushTimeout has passed since the client closed or was disconnected.
 func (c *Conn) flushExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/connection_test.go
+++ b/internal/downstream/connection_test.go
@@ -12,7 +12,7 @@
 	"bankledge/internal/invariant"
 )
 
-// A second answer on a stream is recorded and does not come to the client.
+// A second answer on a stream is recorded and not sent to the client.
 func TestSecondAnswerIsDropped(t *testing.T) {
 	server, handler, address := serve(t)
 	client := dial(t, address)
@@ -25,11 +25,11 @@
 	assert.Zero(t, server.Violations.Total())
 	conn.Answer(1, CodeAborted, nil)
 	assert.Equal(t, int64(1), server.Violations.Recorded(invariant.OneAnswer))
-	write(t, client, appendFrame(nil, frameReadinessQuery, 0, 0)) // what comes next is the answer to that
+	write(t, client, appendFrame(nil, frameReadinessQuery, 0, 0)) // its answer has to be the next frame
 	assert.Equal(t, frameReadinessReply, readFrame(t, r).kind)
 }
 
-// A connection that this side closes while a statement on it is owed an answer is recorded, but not one that its client has closed.
+// Closing a connection with an unanswered statement is recorded if this side closes it, but not if its client does.
 func TestLostStatementIsRecorded(t *testing.T) {
 	for reason, recorded := range map[closeReason]int64{closeEvicted: 1, closeIdle: 1, closeByClient: 0} {
 		t.Run(string(reason), func(t *testing.T) {
--- a/internal/downstream/frame.go
+++ b/internal/downstream/frame.go
@@ -127,7 +127,7 @@
 	return string(raw[1:nameEnd]), string(after[:valueLength]), after[valueLength:], nil
 }
 
-// appendFrame appends the length, type and stream of a frame whose payload has payloadBytes; the payload is left to the caller.
+// appendFrame appends the length, type and stream of a frame whose payload has payloadBytes; the caller appends the payload.
 func appendFrame(to []byte, kind frameType, stream uint32, payloadBytes int) []byte {
 	to = binary.BigEndian.AppendUint32(to, uint32(minFrameLength+payloadBytes))
 	to = append(to, byte(kind))
--- a/internal/downstream/frame_reader.go
+++ b/internal/downstream/frame_reader.go
@@ -10,17 +10,17 @@
 const (
 	// idleTimeout is after how long without a frame a connection with nothing open is closed.
 	idleTimeout = 60 * time.Second
-	// lateReadTimeout bounds a read of what arrived in time while the router was held up.
+	// lateReadTimeout bounds a read, after its deadline, of bytes that arrived in time while the router did not run.
 	lateReadTimeout = 20 * time.Millisecond
-	// peekInterval is how often an unread connection is searched for signs that its client leaves.
+	// peekInterval is how often an unread connection is checked for cancel frames and a close by its client.
 	peekInterval = 50 * time.Millisecond
-	// smallFrameBytes is up to which size a frame needs no room from the memory that all connections share.
+	// smallFrameBytes is the largest frame that needs no reservation in the frame memory that all connections share.
 	smallFrameBytes = 4 << 10
 
 	maxInvalidFrames     = 128                  // of a connection, which then ends
 	invalidFrameDelay    = 2 * time.Millisecond // before the next read, for each invalid frame so far
 	maxInvalidFrameDelay = 50 * time.Millisecond
-	discardLinger        = time.Second // for which input is discarded once all is answered
+	discardLinger        = time.Second // how long input is still discarded after the last answer
 )
 
 // frameReader reads the frames of a connection.
@@ -75,13 +75,13 @@
 	}
 }
 
-// restartGrace gives the present frame all its time again: the client was not the one who was waited for.
+// restartGrace restarts the present frame's time limit: the router, not the client, caused the delay.
 func (r *frameReader) restartGrace() {
 	r.awaitedSince = time.Now()
 	r.lateBytes = 0
 }
 
-// delayInvalid slows down a client that sends invalid frames. Their answers are on their way by now.
+// delayInvalid slows down a client that sends invalid frames. Their answers were queued before.
 func (r *frameReader) delayInvalid() bool {
 	if r.invalidFrames == 0 {
 		return true
@@ -98,7 +98,7 @@
 	return !closed
 }
 
-// reserveMemory takes room for the present frame, if it is a large one, from what all connections share.
+// reserveMemory reserves memory for the present frame, if it is a large one, in the frame memory that all connections share.
 func (r *frameReader) reserveMemory() bool {
 	size := claimedFrameSize(r.buffer.Bytes())
 	if size <= smallFrameBytes || r.reservedMemory != 0 {
@@ -117,7 +117,7 @@
 	r.reservedMemory = 0
 }
 
-// awaitClient waits while so much waits for the client that nothing is read from it.
+// awaitClient waits while the client is stalled.
 func (r *frameReader) awaitClient() bool {
 	waited, closed := r.conn.awaitReadResumed(r.buffer.Bytes())
 	if !r.checkDeparture(closed) {
@@ -143,7 +143,7 @@
 		return true
 	}
 	if isTimeout(err) {
-		if r.conn.hasOpenStreams() { // not before what is open is answered
+		if r.conn.hasOpenStreams() { // a connection with open streams is not idle
 			r.restartGrace()
 			return true
 		}
@@ -155,7 +155,7 @@
 	return false
 }
 
-// deadline is until when the next bytes are awaited.
+// deadline returns until when the next bytes are awaited.
 func (r *frameReader) deadline(idle bool) time.Time {
 	if idle {
 		return time.Now().Add(idleTimeout)
@@ -163,7 +163,7 @@
 	return time.Now().Add(r.limits.FrameReadTimeout(time.Since(r.awaitedSince), r.lateBytes))
 }
 
-// readBefore reads once, before a deadline. What arrived in time while the router was held up is read all the same.
+// readBefore reads once, before a deadline. Bytes that arrived in time while the router did not run are read after it.
 func (r *frameReader) readBefore(deadline time.Time) (int, error) {
 	raw := r.conn.raw
 	raw.SetReadDeadline(deadline)
@@ -175,8 +175,8 @@
 	return n, err
 }
 
-// awaitReadResumed waits while so much waits for the client that nothing is read from it. It returns whether it had to, and
-// whether the client has closed the connection meanwhile. pending is what was read and not handled yet.
+// awaitReadResumed waits while the client is stalled. It returns whether it had to wait, and whether the client has closed the
+// connection meanwhile. pending is input that was read and not handled yet.
 func (c *Conn) awaitReadResumed(pending []byte) (waited, closed bool) {
 	for c.readingStopped() {
 		waited = true
@@ -222,7 +222,7 @@
 		if n > 0 { // no faster than invalid frames
 			time.Sleep(maxInvalidFrameDelay)
 		}
-		if c.clientClosed() { // whatever is left to be read
+		if c.clientClosed() { // even if input is still unread
 			return
 		}
 	}
--- a/internal/downstream/idle_eviction.go
+++ b/internal/downstream/idle_eviction.go
@@ -13,7 +13,7 @@
 type evictionRank int
 
 const (
-	notEvictable     evictionRank = iota // a client might be left without an answer
+	notEvictable     evictionRank = iota // a client might not receive an answer
 	evictIdle                            // nothing open, and nothing sent for a while
 	evictSilent                          // has never sent a frame
 	evictMisbehaving                     // has sent an invalid frame
@@ -37,7 +37,7 @@
 	}
 }
 
-// Evicted is the number of connections that were closed to make room for others.
+// Evicted returns the number of connections that were closed to free a slot for another one, since the start.
 func (s *Server) Evicted() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 		return notEvictable
 	case c.invalidFrames > 0:
 		return evictMisbehaving
-	case c.unreadBytes() > 0: // it arrived while the router was held up
+	case c.unreadBytes() > 0: // it arrived while the router did not run
 		return notEvictable
 	case !c.hasSentFrame && time.Since(c.acceptedAt) < newConnGrace:
 		return notEvictable
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -21,17 +21,17 @@
 	"bankledge/internal/logevent"
 )
 
-// acceptRetryInterval is the pause before the next attempt to accept a connection, or to find a place for one.
+// acceptRetryInterval is the delay before the next attempt to accept a connection, or to acquire a slot for one.
 const acceptRetryInterval = 20 * time.Millisecond
 
 // Handler handles what clients send. No call may block on a socket; slices are valid for the call only.
 type Handler interface {
-	// HandleStatement takes a statement, which is then owed one Answer on its stream, or none after HandleCancel. It returns
+	// HandleStatement takes a statement. The handler then has to call Answer once for its stream, unless HandleCancel is called. It returns
 	// whether the statement was valid; an invalid one has been answered already.
 	HandleStatement(c *Conn, stream uint32, fields Fields, text []byte) (valid bool)
 	// HandleCancel is called when the client does not wait for these streams any more.
 	HandleCancel(c *Conn, streams []uint32)
-	// HandleBackpressure is called when so much waits for a client that nothing is read from it any more, and when this is over.
+	// HandleBackpressure is called when reading from a client stops, since it does not read its answers, and when reading resumes.
 	HandleBackpressure(c *Conn, stalled bool)
 	// AbortOpenStatements has to answer all open statements of a connection: its client is disconnected for the reason given.
 	AbortOpenStatements(c *Conn, reason string)
@@ -47,7 +47,7 @@
 	handler     Handler
 	log         *zap.Logger
 	connSlots   chan struct{} // holds an element for each open connection
-	frameMemory atomic.Int64  // bytes left for large frames that are not complete
+	frameMemory atomic.Int64  // free bytes for large frames that are not complete
 	peekBuffers sync.Pool     // of *[peekBytes]byte
 
 	awaitingSlot atomic.Int64 // connections that were accepted and wait for a slot
@@ -99,7 +99,7 @@
 		}
 		if err != nil {
 			s.log.Warn(logevent.ClientAcceptFailed, zap.Error(err))
-			if !sleep(ctx, acceptRetryInterval) { // out of descriptors, say: not a reason to end
+			if !sleep(ctx, acceptRetryInterval) { // e.g. no file descriptor is free: the server goes on
 				return nil
 			}
 			continue
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -11,8 +11,8 @@
 	}
 }
 
-// sendDraining queues the frame that asks for no new statements. It is called with Server.mu held, which enqueue would lock to count a
-// slow client; a frame as short as this one never makes a client count as slow.
+// sendDraining queues the frame that asks for no new statements. The caller holds Server.mu, which enqueue would lock to count a slow
+// client; that cannot happen here, since a frame as short as this one never makes a client count as slow.
 func (c *Conn) sendDraining() {
 	c.enqueue(appendFrame(nil, frameDraining, 0, 0), 0)
 }
@@ -24,7 +24,7 @@
 	defer s.mu.Unlock()
 	for c := range s.connections {
 		pending += c.pendingFrames()
-		if unsent, ok := c.unsentBytes(); ok && unsent > 0 { // an exit now might have the kernel drop it
+		if unsent, ok := c.unsentBytes(); ok && unsent > 0 { // the kernel might drop it if the process ended now
 			pending++
 		}
 	}
@@ -37,8 +37,8 @@
 	return len(c.queue) + c.framesInWrite + c.answersQueued
 }
 
-// PendingReads is the number of connections that wait for a slot, or on which something lies that was not read yet: it may be
-// a statement whose last byte came in time.
+// PendingReads returns the number of connections that wait for a slot, or that have unread input: it may be a statement that arrived
+// in time.
 func (s *Server) PendingReads() int {
 	pending := int(s.awaitingSlot.Load())
 	s.mu.Lock()
--- a/internal/downstream/slow_client.go
+++ b/internal/downstream/slow_client.go
@@ -29,7 +29,7 @@
 	Shortened int64 // answers that were replaced by a short abort
 }
 
-// FlowControlStats returns what slow clients led to so far, and how many bytes of answers and of statements' texts are held now.
+// FlowControlStats returns what slow clients led to so far, and how many bytes of answers and of statements' texts are in memory now.
 func (s *Server) FlowControlStats() (stats SlowClientStats, answerBytes, textBytes int64) {
 	s.mu.Lock()
 	stats = s.slowClients
@@ -99,7 +99,7 @@
 	if !change.stalled || change.disconnect || change.close { // the reader has to see a disconnected client's connection end
 		c.resumeReading()
 	}
-	if change.close { // what the kernel holds is still sent
+	if change.close { // what is in the kernel's send buffer is still sent
 		c.setCloseReason(closeSlowClient)
 		c.raw.Close()
 	}
@@ -184,7 +184,7 @@
 	return replaced
 }
 
-// tooSlowAbort is the short answer that takes the place of one that cannot be kept for a slow client.
+// tooSlowAbort returns the short answer that replaces one for which a slow client's queue is too long.
 func tooSlowAbort(stream uint32) []byte {
 	return appendAnswer(nil, frameAnswer, stream, CodeAborted, []byte(tooSlowReason))
 }
--- a/internal/downstream/socket.go
+++ b/internal/downstream/socket.go
@@ -45,7 +45,7 @@
 	raw.Control(func(fd uintptr) { do(int(fd)) })
 }
 
-// unsentBytes is how much the kernel holds that the client has not acknowledged; ok is false where the kernel cannot be asked.
+// unsentBytes returns how many written bytes the client has not acknowledged; ok is false if the kernel does not report it.
 func (c *Conn) unsentBytes() (unsent int, ok bool) {
 	c.withDescriptor(func(fd int) {
 		n, err := unix.IoctlGetInt(fd, unix.TIOCOUTQ)
@@ -55,7 +55,7 @@
 	return unsent, ok
 }
 
-// unreadBytes is how much the kernel holds that was not read yet.
+// unreadBytes returns how many received bytes were not read yet.
 func (c *Conn) unreadBytes() (unread int) {
 	c.withDescriptor(func(fd int) {
 		n, err := unix.IoctlGetInt(fd, unix.TIOCINQ)
@@ -66,7 +66,7 @@
 	return unread
 }
 
-// clientClosed returns whether the client has closed its connection, also where its end lies behind bytes not read yet.
+// clientClosed returns whether the client has closed its connection, also if unread bytes precede the close.
 func (c *Conn) clientClosed() (closed bool) {
 	c.withDescriptor(func(fd int) {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -85,7 +85,7 @@
 	if !c.usedStreams.add(stream) {
 		return &streamUsedError{stream}
 	}
-	if !c.disconnectedAt.IsZero() { // it ends soon, but what arrives before that is owed an answer
+	if !c.disconnectedAt.IsZero() { // statements that arrive before it is closed have to be answered
 		return errClientTooSlow
 	}
 	if len(c.openStreams)-c.answersQueued >= maxOpenStatements { // a client may know of an answer before its write returns here
@@ -114,14 +114,14 @@
 	return true
 }
 
-// CloseStream ends a stream for which no answer is owed.
+// CloseStream closes a stream that needs no answer.
 func (c *Conn) CloseStream(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deleteStream(stream)
 }
 
-// deleteStream is called with mu held.
+// deleteStream removes an open stream. The caller holds mu.
 func (c *Conn) deleteStream(stream uint32) {
 	delete(c.openStreams, stream)
 	c.idleSince = time.Now()
@@ -157,7 +157,7 @@
 		return false
 	}
 	s.outOfOrder[stream] = true
-	if len(s.outOfOrder) > maxOutOfOrderStreams { // streams below that were left out count as used
+	if len(s.outOfOrder) > maxOutOfOrderStreams { // lower streams that were skipped count as used
 		clear(s.outOfOrder)
 		s.upTo = max(s.upTo, stream)
 	}
--- a/internal/downstream/wire_test.go
+++ b/internal/downstream/wire_test.go
@@ -37,11 +37,11 @@
 
 func (w *wireHandler) HandleStatement(c *Conn, stream uint32, fields Fields, text []byte) bool {
 	w.conns <- c
-	told := string(text)
-	if len(told) > 100 {
-		told = fmt.Sprintf("%s and so on, %d", told[:1], len(told))
+	shown := string(text)
+	if len(shown) > 100 {
+		shown = fmt.Sprintf("%s and so on, %d", shown[:1], len(shown))
 	}
-	w.events <- fmt.Sprintf("statement %d %q %q", stream, map[string]string(fields), told)
+	w.events <- fmt.Sprintf("statement %d %q %q", stream, map[string]string(fields), shown)
 	return string(text) != "unfit"
 }
 
