--- a/policy/deadline_test.go
+++ b/policy/deadline_test.go
@@ -10,7 +10,7 @@
 	"bankledge/decision"
 )
 
-// Every statement is answered once, before its client gives up.
+// Every statement is answered once, before its deadline.
 func TestAnswerBeforeDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -10,7 +10,7 @@
 	"bankledge/decision"
 )
 
-// What cannot end before its client gives up is rejected at once.
+// What cannot end before its deadline is rejected at once.
 func TestShedsWhatCannotEndInTime(t *testing.T) {
 	h := newHarness(t).at(0, ready("a"))
 	endless := read("s")
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -112,7 +112,7 @@
 			assert.Empty(t, h.at(0, list, read("s")).sentTo())
 			h.at(4*time.Second-10*ms, decision.TimerFired{})
 			assert.Empty(t, h.sentTo())
-			assert.Empty(t, h.module.statements, "answered before the client gives up")
+			assert.Empty(t, h.module.statements, "answered before the deadline")
 		})
 	}
 	t.Run("no engine at all", func(t *testing.T) {
