--- a/internal/configregister/entry.go
+++ b/internal/configregister/entry.go
@@ -25,6 +25,6 @@
 // Outcome is the result of a proposal.
 type Outcome struct {
 	ID     string `json:"id"`              // of the proposal
-	Number uint64 `json:"number"`          // of the version that it became
-	Error  string `json:"error,omitempty"` // why it became none; empty if it did
+	Number uint64 `json:"number"`          // of the version that was created
+	Error  string `json:"error,omitempty"` // why no version was created; empty on success
 }
--- a/internal/configregister/register.go
+++ b/internal/configregister/register.go
@@ -29,7 +29,7 @@
 // Limits of what a register keeps.
 const (
 	maxVersions = 64
-	maxOutcomes = 1024 // by which a proposal that is written again is recognized
+	maxOutcomes = 1024 // a duplicate proposal is recognized by its outcome
 )
 
 var (
@@ -56,7 +56,7 @@
 	return 0
 }
 
-// ByNumber returns the version with a number, or nil if it is not kept.
+// ByNumber returns the version with a number, or nil if the register does not have it.
 func (r *Register) ByNumber(number uint64) *configversion.Version {
 	i := slices.IndexFunc(r.Versions, func(v *configversion.Version) bool { return v.Number == number })
 	if i < 0 {
@@ -142,7 +142,7 @@
 	r.Versions = r.Versions[max(0, len(r.Versions)-maxVersions):]
 }
 
-// newVersion returns the version that a proposal asks for, or why it is refused.
+// newVersion returns the version that a proposal requests, or an error that says why the proposal is rejected.
 func (r *Register) newVersion(entry Entry) (*configversion.Version, error) {
 	if r.Lineage == "" {
 		return nil, errNotFounded
@@ -161,7 +161,7 @@
 		return nil, err
 	}
 	v := configversion.New(r.Newest(), r.Lineage, proposed, entry.ForcedGuards, entry.Note)
-	if _, err := configversion.Decode(v.Encode()); err != nil { // such as a note that is too long: no router would take it
+	if _, err := configversion.Decode(v.Encode()); err != nil { // such as a note that is too long: every router would reject it
 		return nil, err
 	}
 	return v, nil
@@ -178,7 +178,7 @@
 	return earlier.Rules, nil
 }
 
-// checkChange applies the guards, and refuses rules that do not differ from the newest ones.
+// checkChange applies the guards, and rejects rules that do not differ from the newest ones.
 func (r *Register) checkChange(proposed *rules.Rules, forcedGuards []string) error {
 	var previous *rules.Rules
 	if newest := r.Newest(); newest != nil {
--- a/internal/configversion/guards.go
+++ b/internal/configversion/guards.go
@@ -31,7 +31,7 @@
 	return []string{GuardAllEngines, GuardShareOfEngines, GuardKind, GuardPlacement, GuardNothingInBetween, GuardFloor}
 }
 
-// CheckGuardNames returns an error for the first name that is no guard.
+// CheckGuardNames returns an error for the first name that is not the name of a guard.
 func CheckGuardNames(names []string) error {
 	for _, name := range names {
 		if !slices.Contains(GuardNames(), name) {
@@ -41,10 +41,10 @@
 	return nil
 }
 
-// Violation is a guard that refuses a version, with the reason.
+// Violation is a guard that rejects a version, with the reason.
 type Violation struct{ Guard, Message string }
 
-// GuardError is the error of a version that guards refuse.
+// GuardError is returned for a version that guards reject.
 type GuardError struct{ Violations []Violation }
 
 func (e *GuardError) Error() string {
@@ -120,7 +120,7 @@
 	return []Violation{{GuardShareOfEngines, message}}
 }
 
-// checkOverlap refuses a change during which routers, acting on the intersection of both versions, would have no engine.
+// checkOverlap rejects a change during which routers, acting on the intersection of both versions, would have no engine.
 func checkOverlap(previous, next *rules.Rules) []Violation {
 	if previous == nil || previous.Engines == nil || next.Engines == nil {
 		return nil
@@ -134,7 +134,7 @@
 	return []Violation{{GuardNothingInBetween, "no engine is active before and after: between the two, routers would have none"}}
 }
 
-// checkFloor refuses a version that forbids what the floor permits. Lists of engines are not covered: see docs/control.md, "What is
+// checkFloor rejects a version that forbids what the floor permits. Lists of engines are not covered: see docs/control.md, "What is
 // not promised".
 func checkFloor(floor, next *rules.Rules) []Violation {
 	if floor == nil {
--- a/internal/configversion/version.go
+++ b/internal/configversion/version.go
@@ -1,5 +1,5 @@
 // Package configversion defines numbered versions of the fleet's configuration: the rules with their number, lineage and hash, the
-// canonical encoding in which they are stored and sent, the guards that refuse a version that is likely a mistake, and the differences
+// canonical encoding in which they are stored and sent, the guards that reject a version that is likely a mistake, and the differences
 // between two versions. It does no I/O and has no clock.
 package configversion
 
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// CheckFollows returns why v can't be taken after previous, or beside it: another lineage, another version of the same number, or another
-// predecessor. A gap between the numbers is no error, and without a previous version there is none.
+// CheckFollows returns an error if v can't be accepted after previous, or beside it: another lineage, another version of the same number,
+// or another predecessor. A gap between the numbers is allowed. Without a previous version the result is nil.
 func (v *Version) CheckFollows(previous *Version) error {
 	switch {
 	case previous == nil:
--- a/internal/consensus/effects.go
+++ b/internal/consensus/effects.go
@@ -9,7 +9,7 @@
 )
 
 // Effects are what has to be done, in this order: Persist is written, and synced if MustSync; then Messages are sent, Snapshot and
-// CommittedEntries applied, and Advance called. A process whose disk fails must do none of what follows.
+// CommittedEntries applied, and Advance called. A process whose disk fails must not carry out the steps after Persist.
 type Effects struct {
 	Persist          PersistentState
 	MustSync         bool
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// A leader is silenced when it has heard from no quorum for so many election timeouts.
+	// A leader is silenced after this many election timeouts without a response from a quorum.
 	quorumContactTimeouts = 2
-	// A leader that was paused for longer than so many heartbeat intervals makes up for none of them.
+	// A leader that was paused for more heartbeat intervals than this does not make up for the missed heartbeats.
 	maxHeartbeatBacklog = 4
 )
 
@@ -60,7 +60,7 @@
 	return n.electionDeadline
 }
 
-// resetElectionTimer draws when the next election is called: after one to two election timeouts.
+// resetElectionTimer chooses at random when the next election is called: after one to two election timeouts.
 func (n *Node) resetElectionTimer(now time.Duration) {
 	timeout := n.settings.ElectionTimeout
 	n.electionDeadline = now + timeout + time.Duration(n.random.Float64()*float64(timeout))
@@ -69,20 +69,21 @@
 // isVoter reports whether this process may vote: a learner or a removed process calls no election.
 func (n *Node) isVoter() bool { return slices.Contains(n.confState.GetVoters(), n.settings.ID) }
 
-// hasLiveLeader reports whether this process leads or has heard from the leader within an election timeout. Then it does not help to
-// replace the leader, so that a process behind a broken link can't depose it.
+// hasLiveLeader reports whether this process leads or has received a message of the leader within an election timeout. Such a process
+// does not help to replace the leader, so that a process behind a broken link can't depose it.
 func (n *Node) hasLiveLeader(now time.Duration) bool {
 	return n.role.IsLeader || now < n.lastLeaderContact+n.settings.ElectionTimeout
 }
 
-// updateSilenced silences a leader that hears from no quorum, and ends that when it does again. Such a leader would otherwise keep
-// its followers from electing another one while it can commit nothing.
+// updateSilenced silences a leader without a response from a quorum, and ends that once a quorum responds. Otherwise such a leader would
+// keep its followers from electing another one while it can commit nothing.
 func (n *Node) updateSilenced(now time.Duration) {
 	graceOver := now >= n.leaderSince+quorumContactTimeouts*n.settings.ElectionTimeout
 	n.silenced = (n.silenced || graceOver) && !n.hasQuorumContact(now)
 }
 
-// hasQuorumContact reports whether a majority of the voters, this process included, has responded to this leader lately.
+// hasQuorumContact reports whether a majority of the voters, this process included, has responded to this leader within
+// quorumContactTimeouts.
 func (n *Node) hasQuorumContact(now time.Duration) bool {
 	voters := n.confState.GetVoters()
 	responsive := 0
@@ -94,7 +95,7 @@
 	return 2*responsive > len(voters)
 }
 
-// updateRole takes over the library's state and returns the role if it has changed.
+// updateRole derives the role from the library's state and returns it if it has changed.
 func (n *Node) updateRole(now time.Duration) *Role {
 	status := n.rawNode.BasicStatus()
 	raftLeader := status.RaftState == raft.StateLeader
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -2,7 +2,7 @@
 // I/O or reads a clock: a Node is given messages and the time, and Effects returns what has to be done, in which order. The same
 // code runs in the control service, on a disk and sockets, and in the simulation.
 //
-// The library draws its election timeouts from a random source of its own, which no seed repeats. So its election timer is disabled,
+// The library draws its election timeouts from a random source of its own, which can't be seeded. So its election timer is disabled,
 // and this package calls elections at times drawn from a seed. It also ignores votes while the leader is alive, and silences a leader
 // that hears from no quorum (see election.go).
 package consensus
@@ -44,7 +44,7 @@
 	effectsOpen  bool       // the last effects were returned, and Advance was not called yet
 	appliedIndex uint64
 
-	electionDeadline  time.Duration // when an election is called, unless the leader is heard before
+	electionDeadline  time.Duration // when an election is called, unless a message of the leader arrives before
 	lastLeaderContact time.Duration
 	nextHeartbeat     time.Duration
 	raftLeader        bool                     // the library's view; role.IsLeader is false while silenced
@@ -53,8 +53,8 @@
 	lastResponse      map[uint64]time.Duration // to this leader, by process
 }
 
-// New restores a process from what it had stored, or founds its part of a new group if that is empty and the settings name voters.
-// appliedIndex is how far the caller's own state machine has applied the log, and now the caller's monotonic clock.
+// New restores a process from what it had stored, or creates the state of a new group's founding member if that is empty and the settings
+// name voters. appliedIndex is how far the caller's own state machine has applied the log, and now the caller's monotonic clock.
 func New(settings Settings, stored PersistentState, appliedIndex uint64, now time.Duration) (*Node, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 	return PersistentState{HardState: hardState, Snapshot: snapshot}
 }
 
-// Receive takes a message from another process. One that is not meant for this process, or that the library rejects, is dropped
+// Receive takes a message from another process. One that is not addressed to this process, or that the library rejects, is dropped
 // with an error, as if the network had lost it.
 func (n *Node) Receive(now time.Duration, message *pb.Message) error {
 	if message.GetTo() != n.settings.ID || message.GetFrom() == n.settings.ID || raft.IsLocalMsg(message.GetType()) {
@@ -153,15 +153,15 @@
 	return n.rawNode.Propose(data)
 }
 
-// RequestReadConfirmation asks a quorum to confirm that this process still leads. The answer comes as a ConfirmedRead with the same
-// token, or never if it leads no longer.
+// RequestReadConfirmation asks a quorum to confirm that this process still leads. The answer is a ConfirmedRead with the same
+// token; there is none if this process no longer leads.
 func (n *Node) RequestReadConfirmation(token uint64) {
 	if n.role.IsLeader {
 		n.rawNode.ReadIndex(strconv.AppendUint(nil, token, 10))
 	}
 }
 
-// Role is what this process is at present.
+// Role is the present role of this process.
 func (n *Node) Role() Role { return n.role }
 
 // AppliedIndex is the index of the last entry that was applied.
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -15,8 +15,8 @@
 	foundingTerm  = 1
 )
 
-// PersistentState is what has to outlive the process. As a change it holds only what is written anew: nil fields stay as they are,
-// and entries replace all stored entries from the index of the first one on.
+// PersistentState is what has to survive a restart of the process. As a change it holds only what is written anew: nil fields stay as
+// they are, and entries replace all stored entries from the index of the first one on.
 type PersistentState struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
@@ -44,8 +44,8 @@
 	}
 }
 
-// withCommitAtSnapshot returns the state with a commit index that covers the snapshot. The commit index is not synced by itself,
-// while a snapshot that was taken since may have been; what it holds was committed.
+// withCommitAtSnapshot returns the state with a commit index that covers the snapshot. The commit index is not synced on its own,
+// while a later snapshot may have been; what a snapshot contains was committed.
 func withCommitAtSnapshot(state PersistentState) PersistentState {
 	snapshotIndex := state.Snapshot.GetMetadata().GetIndex()
 	if state.HardState == nil || state.HardState.GetCommit() >= snapshotIndex {
--- a/internal/consensus/store/sequence.go
+++ b/internal/consensus/store/sequence.go
@@ -11,12 +11,12 @@
 )
 
 // sequenceFile holds the number of the last change that was synced, and its checksum, both big-endian. It is not synced itself: an
-// older number only asks for less.
+// older number only makes the check weaker.
 type sequenceFile struct{ file vfs.File }
 
 const sequenceFileBytes = uint64Bytes + checksumBytes
 
-// read returns the number; ok is false if there is none or it can't be read, which says nothing about the database.
+// read returns the number; ok is false if there is none or it can't be read, which does not mean that the database is damaged.
 func (f *sequenceFile) read() (number uint64, ok bool) {
 	raw := make([]byte, sequenceFileBytes)
 	n, err := f.file.ReadAt(raw, 0)
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -1,5 +1,5 @@
 // Package store keeps one process's part of the replicated log on disk, in the embedded key-value store Pebble. Each change is one
-// batch that is synced before Save returns, so whatever was acknowledged outlives a crash at any byte.
+// batch that is synced before Save returns, so whatever was acknowledged survives a crash at any point.
 //
 // Pebble verifies checksums on all that it reads and drops a tail of its log that was not synced; each record here has a checksum of
 // its own in addition. Damage near the end of Pebble's log looks like an unsynced tail, so changes are numbered, and the number of
@@ -32,10 +32,10 @@
 	memTableBytes = 4 << 20
 )
 
-// ErrCorrupted reports that what was read is not what was written, or that synced data is missing.
+// ErrCorrupted reports that stored data was damaged, or that synced data is missing.
 var ErrCorrupted = errors.New("the store is damaged: remove this process from the group, and add it anew with an empty folder")
 
-// errOtherOwner reports a folder that belongs to a process with another id.
+// errOtherOwner is returned for a folder that belongs to a process with another id.
 var errOtherOwner = errors.New("it is another process's: its id differs")
 
 // Store is one process's part of the log on disk. It is used by one goroutine.
@@ -172,7 +172,7 @@
 }
 
 // Save writes a change and syncs it before it returns: a snapshot replaces the entries that it covers, entries replace all from the
-// index of the first one on. After an error nothing that rests on the change may leave the process.
+// index of the first one on. After an error nothing that depends on the change may leave the process.
 func (s *Store) Save(change consensus.PersistentState) (err error) {
 	defer recoverError(&err)
 	batch := s.db.NewBatch()
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -48,7 +48,7 @@
 	return append(actions, r.compact()...)
 }
 
-// serveConfirmedReads hands the coordinator the confirmations up to whose index the log is applied by now.
+// serveConfirmedReads hands the coordinator each confirmation whose index the log has been applied up to.
 func (r *Replica) serveConfirmedReads() []Action {
 	var actions []Action
 	r.confirmedReads = slices.DeleteFunc(r.confirmedReads, func(read consensus.ConfirmedRead) bool {
@@ -67,13 +67,13 @@
 	if !role.IsLeader && r.isLeader {
 		actions = r.stepDown()
 	}
-	if role.IsLeader { // a silenced leader that is heard again has applied its first entry before
+	if role.IsLeader { // a leader that is no longer silenced applied its first entry before
 		actions = append(actions, r.startLeading(role.Term)...)
 	}
 	return append(actions, RoleChanged{role})
 }
 
-// stepDown ends the duties of a leader, and answers all calls that wait.
+// stepDown ends the duties of a leader, and answers all waiting calls.
 func (r *Replica) stepDown() []Action {
 	r.isLeader = false
 	r.confirmedReads = nil
@@ -99,7 +99,7 @@
 	return actions
 }
 
-// appendEntry proposes an entry to the log. The proposer is told if that fails; an entry without a proposer is asked for again by the
+// appendEntry proposes an entry to the log. If that fails, the proposer is notified; an entry without a proposer is requested again by the
 // coordinator itself.
 func (r *Replica) appendEntry(entry configregister.Entry) []Action {
 	raw, err := json.Marshal(entry)
@@ -112,7 +112,7 @@
 	return r.stepCoordinator(lease.AppendFailed{ProposalID: entry.ID, Err: err})
 }
 
-// applyEntries applies committed entries to the register and the members, and tells the coordinator of the result.
+// applyEntries applies committed entries to the register and the members, and notifies the coordinator of the result.
 func (r *Replica) applyEntries(entries []*pb.Entry) []Action {
 	if len(entries) == 0 {
 		return nil
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -15,10 +15,10 @@
 	"bankledge/internal/lease"
 )
 
-// maxPromotionLag is how many entries a learner may lack when it is made a voter.
+// maxPromotionLag is how many entries a learner may lag behind the leader when it is made a voter.
 const maxPromotionLag = 16
 
-// Why a membership change is rejected; operators read the texts.
+// Reasons for which a membership change is rejected; operators read the texts.
 var (
 	errIncompleteMember = errors.New("a member needs an id, and addresses for the others and for routers")
 	errChangeUnderWay   = errors.New("another change of members is under way")
@@ -109,7 +109,7 @@
 		return nil
 	}
 	var context changeContext
-	json.Unmarshal(change.GetContext(), &context) // a promotion has none
+	json.Unmarshal(change.GetContext(), &context) // a promotion has no context
 	id := change.GetNodeId()
 	switch change.GetType() {
 	case pb.ConfChangeRemoveNode:
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,7 +1,7 @@
 // Package replica is one process of the control group as a state machine. It combines the replicated log (consensus), the register of
 // configuration versions that the log holds, and, while the process leads, the lease coordinator.
 //
-// Step takes an event and returns actions, which have to be carried out in their order: what is persisted is synced before any action
+// Step takes an event and returns actions, which have to be carried out in order: what is persisted is synced before any action
 // behind it, and a process whose disk fails carries out nothing more. There is no I/O and no clock here, so the same code runs in the
 // service and in the simulation.
 package replica
@@ -103,7 +103,7 @@
 }
 
 // publishLast moves PublishState behind all other actions, at most once: the state that it publishes is the one after all of them,
-// and a version that is seen before it is synced could be lost, and its number given to another one.
+// and a version that is published before it is synced could be lost, and its number given to another one.
 func publishLast(actions []Action) []Action {
 	publish := false
 	actions = slices.DeleteFunc(actions, func(action Action) bool {
@@ -117,7 +117,7 @@
 	return actions
 }
 
-// stepCoordinator hands the lease coordinator an event, and carries out or returns what it asks for.
+// stepCoordinator hands the lease coordinator an event, and carries out or returns the actions that it requests.
 func (r *Replica) stepCoordinator(event lease.CoordinatorEvent) []Action {
 	return r.handleCoordinatorActions(r.coordinator.Step(r.now, event))
 }
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -21,7 +21,7 @@
 	Consensus          consensus.Settings
 	LeaseDurations     lease.Durations
 	Guards             configversion.Guards
-	InitialMembers     map[uint64]Member // the founding members; for a process that joins, the members that there are
+	InitialMembers     map[uint64]Member // the founding members; for a process that joins, the present members
 	Joining            bool              // the group exists already
 	Lineage            string            // of a group that is founded by this process
 	CompactionInterval uint64            // entries after which the log is replaced by a snapshot; 0: never
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -12,7 +12,7 @@
 	"bankledge/internal/consensus"
 )
 
-// snapshotData is what a snapshot holds. Its form is stored, and sent to processes that are far behind.
+// snapshotData is the content of a snapshot, as it is stored and sent to processes that are far behind.
 type snapshotData struct {
 	Register json.RawMessage   `json:"register"`
 	Members  map[uint64]Member `json:"members"`
@@ -28,7 +28,7 @@
 		return err
 	}
 	r.members = data.Members
-	// Under which addresses this process reaches the members that its own settings name is its own matter.
+	// A snapshot does not change the addresses of members that this process's own settings name: they may differ from process to process.
 	for id, configured := range r.settings.InitialMembers {
 		member, isMember := r.members[id]
 		if !isMember {
--- a/internal/rules/compare.go
+++ b/internal/rules/compare.go
@@ -8,7 +8,7 @@
 
 	conflicts func(a, b *Rules) bool    // a permits what b forbids
 	intersect func(a, b, result *Rules) // sets the field of result to the value that permits what both permit
-	check     func(r *Rules) error      // why the value is not valid
+	check     func(r *Rules) error      // returns an error if the value is not valid
 }
 
 // Fields returns the description of each field of Rules, in the order of a document. The caller must not change it.
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,4 +1,4 @@
-// Package rules defines the part of the configuration on which all routers of a fleet have to agree, tells when two routers that act on
+// Package rules defines the part of the configuration on which all routers of a fleet have to agree, reports when two routers that act on
 // different rules conflict, and computes the most permissive rules that conflict with neither of two others. It does no I/O and has no
 // clock.
 //
