--- /dev/null
+++ b/cmd/bankledge/measurement_test.go
@@ -0,0 +1,186 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"bankledge/internal/fakes"
+	"bankledge/internal/logevent"
+)
+
+// measuredBinaries are the programs that a measurement compares, such as this version's and an earlier one's. Measurements run by
+// hand only.
+func measuredBinaries(t *testing.T) []string {
+	t.Helper()
+	binaries := os.Getenv("BANKLEDGE_BINARIES")
+	if binaries == "" {
+		t.Skip("by hand: BANKLEDGE_BINARIES names programs to compare")
+	}
+	return strings.Split(binaries, ":")
+}
+
+// Resident memory of the program with 32 MB and 256 descriptors, idle and after 20,000 requests of 300 fingerprints.
+func TestResidentMemory(t *testing.T) {
+	for _, binary := range measuredBinaries(t) {
+		measureResidentMemory(t, binary)
+	}
+}
+
+func measureResidentMemory(t *testing.T, binary string) {
+	t.Helper()
+	e := fakes.NewSimulatedEngine(64, func(string, string) (time.Duration, int) { return 100 * time.Microsecond, 1 })
+	defer e.Close()
+	feed := fakes.NewControlFeed()
+	defer feed.Close()
+	config := routerConfig{feed: feed, settings: fakes.Settings, memoryMB: 32, sockets: 256,
+		members: []string{fakes.Member("e", e.Server.Listener.Addr().String(), "active")}}
+	began := time.Now()
+	r := startProcess(t, exec.Command(binary, "serve"), config)
+	c, err := fakes.Dial(r.address)
+	require.NoError(t, err)
+	defer c.Close()
+	require.NoError(t, c.AwaitReady(testTimeout))
+	ready := time.Since(began)
+	idle := residentMemory(t, r)
+	mix := fakes.NewMix(1, fakes.MixOptions{Shapes: 300, EstimateOff: 1})
+	send := func(id string) <-chan fakes.Answer {
+		item := mix.Next()
+		return c.Send(map[string]string{"c": fakes.Workloads()[item.Declared].Name, "i": id, "d": "4000", "t": "x", "h": "0.1", "heap_mb": "8"}, string(item.Text))
+	}
+	<-send("ffffffffffffffff")
+	answered := time.Since(began)
+	var wait sync.WaitGroup
+	inFlight := make(chan struct{}, 24)
+	for n := range 20_000 {
+		inFlight <- struct{}{}
+		answer := send(fmt.Sprintf("%016x", n))
+		wait.Go(func() {
+			<-answer
+			<-inFlight
+		})
+	}
+	wait.Wait()
+	t.Logf("%s: ready after %v, first answer after %v, idle %s, after 20,000 requests %s", binary, ready, answered, idle, residentMemory(t, r))
+}
+
+const (
+	slowReaders           = 150
+	reportsPerSlowReader  = 32
+	slowReaderRate        = 200 // bytes a second
+	slowReaderMeasurement = 16 * time.Second
+)
+
+// Slow readers, each with reports open, beside fast clients.
+func TestManySlowReaders(t *testing.T) {
+	for _, binary := range measuredBinaries(t) {
+		measureSlowReaders(t, binary)
+	}
+}
+
+func measureSlowReaders(t *testing.T, binary string) {
+	t.Helper()
+	b := startSlowClientFixture(t, binary)
+	alone := make(chan struct{})
+	time.AfterFunc(4*time.Second, func() { close(alone) })
+	calm, _ := b.fast(t, 8, alone)
+	before := residentMemory(t, b.routerProcess)
+	readers := b.openSlowReaders(t)
+	stop := make(chan struct{})
+	peakKB := int64(0)
+	go func() {
+		for began := time.Now(); time.Since(began) < slowReaderMeasurement; time.Sleep(100 * time.Millisecond) {
+			peakKB = max(peakKB, residentKB(b.routerProcess))
+		}
+		close(stop)
+	}()
+	took, others := b.fast(t, 8, stop)
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", b.cmd.Process.Pid))
+	require.NoError(t, err)
+	t.Logf("CPU ticks, user and system: %v", strings.Fields(string(stat))[13:15])
+	t.Logf("%s: lookups alone p50 %v p99 %v (%d); beside %d slow readers p50 %v p99 %v (%d), others %v; lines of disconnections %d",
+		filepath.Base(binary), quantile(calm, 0.5), quantile(calm, 0.99), len(calm), slowReaders,
+		quantile(took, 0.5), quantile(took, 0.99), len(took), others, b.log.countEvent(logevent.SlowClientDisconnected))
+	t.Logf("resident before %s, peak %d kB; %s", before, peakKB, b.log.lastLine(logevent.Metrics))
+	logSlowReaders(t, readers)
+}
+
+func (b *slowClientFixture) openSlowReaders(t *testing.T) (readers []*fakes.SlowReader) {
+	t.Helper()
+	for range slowReaders {
+		reader, err := fakes.DialSlow(b.address, slowReaderRate)
+		require.NoError(t, err)
+		readers = append(readers, reader)
+		for stream := range uint32(reportsPerSlowReader) {
+			require.NoError(t, reader.Send(stream+1, b.fields("report"), "select a, count(*) from sales_1.b where d > 1 group by a"))
+		}
+	}
+	return readers
+}
+
+// logSlowReaders reads what is left, whose last frames lie behind what the readers have not read, and logs what they were answered.
+func logSlowReaders(t *testing.T, readers []*fakes.SlowReader) {
+	t.Helper()
+	for _, reader := range readers {
+		reader.SetRate(1 << 30)
+	}
+	disconnected, withAllAnswers := 0, 0
+	byCode := map[byte]int{}
+	late := time.After(2 * time.Second)
+	for _, reader := range readers {
+		select {
+		case <-reader.Ended():
+			disconnected++
+		case <-late:
+			reader.Close()
+		}
+		answers := reader.Answers()
+		for stream, n := range answers.ByStream {
+			assert.Equal(t, 1, n, "stream %d has one answer", stream)
+		}
+		if len(answers.ByStream) == reportsPerSlowReader {
+			withAllAnswers++
+		}
+		for code, n := range answers.ByCode {
+			byCode[code] += n
+		}
+	}
+	t.Logf("%d of %d slow readers were disconnected within %v; answers %v; %d have an answer to each request",
+		disconnected, len(readers), slowReaderMeasurement, byCode, withAllAnswers)
+}
+
+// quantile is a quantile of sorted durations.
+func quantile(sorted []time.Duration, q float64) time.Duration {
+	return sorted[int(q*float64(len(sorted)-1))]
+}
+
+var residentLines = regexp.MustCompile(`(?m)^Vm(?:RSS|HWM):.*$`)
+
+// residentMemory is the process's memory now and at its peak, as the kernel tells it.
+func residentMemory(t *testing.T, r *routerProcess) string {
+	t.Helper()
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
+	require.NoError(t, err)
+	return strings.Join(residentLines.FindAllString(string(status), -1), " ")
+}
+
+// residentKB is the process's resident memory; 0: it has ended.
+func residentKB(r *routerProcess) (kb int64) {
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
+	if err != nil {
+		return 0
+	}
+	if i := strings.Index(string(status), "VmRSS:"); i >= 0 {
+		fmt.Sscan(string(status[i+len("VmRSS:"):]), &kb)
+	}
+	return kb
+}
--- a/cmd/bankledge/process_test.go
+++ b/cmd/bankledge/process_test.go
@@ -227,3 +227,13 @@
 func (l *logBuffer) countEvent(event string) int {
 	return strings.Count(l.String(), fmt.Sprintf(`"msg":%q`, event))
 }
+
+// lastLine is the last line of an event, or empty.
+func (l *logBuffer) lastLine(event string) (last string) {
+	for line := range strings.Lines(l.String()) {
+		if strings.Contains(line, fmt.Sprintf(`"msg":%q`, event)) {
+			last = line
+		}
+	}
+	return last
+}
--- a/cmd/bankledge/slow_clients_test.go
+++ b/cmd/bankledge/slow_clients_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"fmt"
-	"os"
 	"os/exec"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
@@ -17,7 +15,6 @@
 
 	"bankledge/internal/downstream"
 	"bankledge/internal/fakes"
-	"bankledge/internal/logevent"
 )
 
 // slowClientFixture is a router of 48 MB and 512 descriptors before two modelled engines: lookups have short results, reports of
@@ -88,81 +85,6 @@
 	return took, others
 }
 
-func at(took []time.Duration, q float64) time.Duration { return took[int(q*float64(len(took)-1))] }
-
-// 150 readers of 200 bytes a second, each with 32 reports open, beside fast clients. By hand: BANKLEDGE_BINARIES is a list of
-// programs to compare.
-func TestManySlowReaders(t *testing.T) {
-	const readers = 150
-	binaries := os.Getenv("BANKLEDGE_BINARIES")
-	if binaries == "" {
-		t.Skip("by hand: BANKLEDGE_BINARIES names programs to compare")
-	}
-	for _, binary := range strings.Split(binaries, ":") {
-		b := startSlowClientFixture(t, binary)
-		alone := make(chan struct{})
-		time.AfterFunc(4*time.Second, func() { close(alone) })
-		calm, _ := b.fast(t, 8, alone)
-		before := resident(t, b.routerProcess)
-		var slow []*fakes.SlowReader
-		for range readers {
-			s, err := fakes.DialSlow(b.address, 200)
-			require.NoError(t, err)
-			slow = append(slow, s)
-			for stream := range uint32(32) {
-				require.NoError(t, s.Send(stream+1, b.fields("report"), "select a, count(*) from sales_1.b where d > 1 group by a"))
-			}
-		}
-		stop, peak := make(chan struct{}), int64(0)
-		released, began := 0, time.Now()
-		go func() {
-			for time.Since(began) < 16*time.Second {
-				peak = max(peak, residentKB(b.routerProcess))
-				time.Sleep(100 * time.Millisecond)
-			}
-			close(stop)
-		}()
-		took, others := b.fast(t, 8, stop)
-		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", b.cmd.Process.Pid))
-		t.Logf("CPU ticks, user and system: %v", strings.Fields(string(stat))[13:15])
-		released = strings.Count(b.log.String(), logevent.SlowClientDisconnected)
-		var metrics string
-		for _, line := range strings.Split(b.log.String(), "\n") {
-			if strings.Contains(line, logevent.Metrics) {
-				metrics = line
-			}
-		}
-		t.Logf("%s: lookups alone p50 %v p99 %v (%d); beside %d slow readers p50 %v p99 %v (%d), others %v; lines of release %d", filepath.Base(binary), at(calm, 0.5), at(calm, 0.99), len(calm),
-			readers, at(took, 0.5), at(took, 0.99), len(took), others, released)
-		t.Logf("resident before %s, peak %d kB; %s", before, peak, metrics)
-		ends, withAllAnswers := 0, 0
-		answers := map[byte]int{}
-		for _, s := range slow { // those that the router has ended have its last words on the way behind what they have not read
-			s.SetRate(1 << 30)
-		}
-		late := time.After(2 * time.Second)
-		for _, s := range slow {
-			select {
-			case <-s.Ended():
-				ends++
-			case <-late:
-				s.Close()
-			}
-			received := s.Answers()
-			for stream, n := range received.ByStream {
-				assert.Equal(t, 1, n, "stream %d has one answer", stream)
-			}
-			if len(received.ByStream) == 32 {
-				withAllAnswers++
-			}
-			for code, n := range received.ByCode {
-				answers[code] += n
-			}
-		}
-		t.Logf("%d of %d slow readers were released within 16 s; answers %v; %d have an answer to each request", ends, readers, answers, withAllAnswers)
-	}
-}
-
 // Slow peers of all kinds beside fast clients: those below the least rate end with a last answer each within grace and
 // window, those above it get every answer complete, and fast clients lose nothing.
 func TestSlowReaders(t *testing.T) {
@@ -256,14 +178,3 @@
 	assert.Equal(t, answer(1, codeCompleted, got.body), got)
 	assert.Len(t, got.body, 47_200)
 }
-
-func residentKB(r *routerProcess) (kb int64) {
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
-	if err != nil {
-		return 0
-	}
-	if i := strings.Index(string(status), "VmRSS:"); i >= 0 {
-		fmt.Sscan(string(status[i+6:]), &kb)
-	}
-	return kb
-}
