--- a/internal/downstream/answer_writer.go
+++ b/internal/downstream/answer_writer.go
@@ -13,7 +13,7 @@
 	maxQueuedFrames   = 256         // frames on stream 0 that a client has not read, before its connection is closed
 	alwaysQueuedBytes = 256         // a frame up to this size is queued even if the queue is full
 	writeTimeout      = time.Minute // for one write; the rate check disconnects a slow client long before
-	flushTimeout      = time.Second // for the remaining writes after the client has closed or was disconnected
+	flushTimeout      = time.Second // for the remaining writes after the connection has ended
 
 	// The bounds of the backoff between checks of how much the client has acknowledged.
 	minFlushBackoff = 2 * time.Millisecond
@@ -47,8 +47,7 @@
 }
 
 // enqueue hands a frame to the writer. stream is the one that it answers, or 0. If the queue is full, since the client does not
-// read its answers, a short abort replaces the answer; a client that reads nothing at all is disconnected before its queue of short
-// frames exceeds maxQueuedFrames.
+// read its answers, a short abort replaces the answer. When maxQueuedFrames wait, an error of the connection ends it instead.
 func (c *Conn) enqueue(bytes []byte, stream uint32) (stalled bool) {
 	c.mu.Lock()
 	result := c.addToQueue(bytes, stream)
@@ -87,7 +86,7 @@
 	}
 	var result queueResult
 	queued := queuedFrame{bytes: bytes, stream: stream}
-	if !c.takeQueueRoom(len(bytes)) {
+	if !c.reserveQueueSpace(len(bytes)) {
 		queued.bytes = tooSlowAbort(stream)
 		c.forceQueue(len(queued.bytes))
 		result.shortened = true
@@ -103,8 +102,8 @@
 	return result
 }
 
-// takeQueueRoom reserves memory for a frame in the client's queue, if the queue is not full. The caller holds mu.
-func (c *Conn) takeQueueRoom(bytes int) bool {
+// reserveQueueSpace reserves memory for a frame in the client's queue, if the queue is not full. The caller holds mu.
+func (c *Conn) reserveQueueSpace(bytes int) bool {
 	if bytes <= alwaysQueuedBytes {
 		c.forceQueue(bytes)
 		return true
@@ -208,7 +207,7 @@
 	if err != nil {
 		return false
 	}
-	if stalled { // perhaps only because a burst was written: checked again at once
+	if stalled { // this write may have ended the stall: do not wait for the periodic check
 		c.checkFlow()
 	}
 	return true
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -105,7 +105,7 @@
 	return unanswered
 }
 
-// flushExpired returns whether the rest of the queue is dropped: flushTimeout has passed since the client closed or was disconnected.
+// flushExpired returns whether flushTimeout has passed since the connection ended, so that the rest of the queue is dropped.
 func (c *Conn) flushExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/frame_reader.go
+++ b/internal/downstream/frame_reader.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// restartGrace restarts the present frame's time limit: the router, not the client, caused the delay.
+// restartGrace restarts the present frame's time limit after a delay that does not count against the client.
 func (r *frameReader) restartGrace() {
 	r.awaitedSince = time.Now()
 	r.lateBytes = 0
@@ -143,7 +143,7 @@
 		return true
 	}
 	if isTimeout(err) {
-		if r.conn.hasOpenStreams() { // a connection with open streams is not idle
+		if r.conn.hasOpenStreams() { // the connection stays open until they are answered
 			r.restartGrace()
 			return true
 		}
--- a/internal/readbuffer/buffer.go
+++ b/internal/readbuffer/buffer.go
@@ -15,10 +15,10 @@
 // ErrFull is returned when what is awaited is larger than the buffer may grow.
 var ErrFull = errors.New("larger than the buffer may grow")
 
-// Buffer holds what was read and not yet discarded. It is not safe for concurrent use.
+// Buffer stores bytes that were read and not yet discarded. It is not safe for concurrent use.
 type Buffer struct {
 	data    []byte
-	start   int // of the unread part of data
+	start   int // of the unread bytes in data
 	end     int
 	maxSize int
 }
@@ -26,7 +26,7 @@
 // New returns a buffer that grows to maxSize bytes.
 func New(maxSize int) *Buffer { return &Buffer{maxSize: maxSize} }
 
-// Bytes is what was read and not yet discarded; it is valid until the next Fill.
+// Bytes returns the bytes read and not yet discarded; the slice is valid until the next Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
 // Discard drops the first n of Bytes.
@@ -45,7 +45,7 @@
 // Fill reads once, behind what is there already, and returns the number of bytes read. Its error is the reader's, or ErrFull.
 func (b *Buffer) Fill(r io.Reader) (int, error) {
 	if b.end == len(b.data) {
-		if err := b.makeRoom(); err != nil {
+		if err := b.ensureSpace(); err != nil {
 			return 0, err
 		}
 	}
@@ -54,8 +54,8 @@
 	return n, err
 }
 
-// makeRoom compacts the buffer, or grows it where there is nothing to be gained by that.
-func (b *Buffer) makeRoom() error {
+// ensureSpace compacts the buffer, or grows it where compacting frees too little.
+func (b *Buffer) ensureSpace() error {
 	if b.start > 0 {
 		b.end = copy(b.data, b.data[b.start:b.end])
 		b.start = 0
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -23,7 +23,7 @@
 	minTimeLeft = time.Millisecond
 )
 
-// AttemptRequest says what is to be run where.
+// AttemptRequest describes one attempt: the statement, the engine and the time limits.
 type AttemptRequest struct {
 	Statement   decision.StatementID
 	Attempt     decision.AttemptID
@@ -54,12 +54,12 @@
 	lastAbort     sharedTime // when a connection was reset because a request had no response
 
 	// Only the goroutine in run uses these.
-	conn            *connection // nil: none is held
+	conn            *connection // nil: none is in use
 	unusableAnswers int
 	lastProgress    string // the last progress report's headers
 }
 
-// attemptPhase is the part of an attempt's life that decides whether it can still be cancelled without the engine.
+// attemptPhase records whether an attempt can still be cancelled without a request to the engine.
 type attemptPhase = int32
 
 const (
@@ -99,7 +99,7 @@
 // onContextDone reports its end then.
 func (a *Attempt) run() (end attemptEnd, known bool) {
 	defer func() {
-		if cause := recover(); cause != nil { // ends this attempt alone
+		if cause := recover(); cause != nil { // a panic ends this attempt only
 			end, known = a.endFromPanic(cause), true
 		}
 	}()
@@ -181,7 +181,7 @@
 
 // markStarted makes an attempt a started one, unless it was cancelled, it is too late to start it, or its engine is
 // draining, removed or elsewhere by now. The engine may run it from here on. The time of the last request is stored
-// before the phase: who finds the attempt started and cancels it counts from that time.
+// before the phase, since a concurrent cancellation that finds the attempt started computes the engine's retention from it.
 func (a *Attempt) markStarted() bool {
 	if a.client.AwaitDiscovery != nil {
 		a.client.AwaitDiscovery()
@@ -206,8 +206,8 @@
 	return time.Since(a.lastRequest.load(a.client.clockOrigin))
 }
 
-// releaseConnection gives back the connection, if one is held. It is the only place where an attempt does so after a
-// response.
+// releaseConnection returns the attempt's connection, if any, to the pool. It is the only place where an attempt does
+// so after a response.
 func (a *Attempt) releaseConnection(usable bool) {
 	if a.conn == nil {
 		return
--- a/internal/upstream/attempt_cancel.go
+++ b/internal/upstream/attempt_cancel.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// engineRetention is how long an engine keeps an attempt that it is not asked for.
+	// engineRetention is how long an engine keeps an attempt without a poll or page request for it.
 	engineRetention = 2 * time.Second
-	// retentionMargin is for a request that was still on its way to the engine when its response was given up.
+	// retentionMargin covers a request that was still on its way to the engine when the wait for its response ended.
 	retentionMargin = 300 * time.Millisecond
-	// resetMargin is the same after the connection was reset: only what the network itself holds arrives later.
+	// resetMargin is the same after the connection was reset: only packets in the network can still arrive then.
 	resetMargin = 100 * time.Millisecond
 )
 
@@ -53,7 +53,7 @@
 	})
 }
 
-// expiresAtEngine returns when the engine will have dropped the attempt at the latest, if it is not asked for it again.
+// expiresAtEngine returns when the engine will have dropped the attempt at the latest, if no further request keeps it alive.
 // A request with a response reached the engine, which may have held it, before that response: 2.55 s after the last
 // request. One without may have reached it until its connection was reset: 2.35 s after that, if it is later.
 func (a *Attempt) expiresAtEngine() time.Time {
@@ -70,9 +70,9 @@
 
 // cancelAtEngine makes sure that the engine does not run the attempt any more, and returns how that is known. There are
 // three ways: the engine has confirmed a cancellation that was sent after it had answered the start (a start that is
-// still on its way would begin the attempt anew); the attempt's end was received; or the engine must have dropped what
-// it was not asked for. A refused connection proves nothing: a draining engine accepts no new connections and runs on.
-// It can be reached on a connection that it has accepted before, such as the poll's.
+// still on its way would begin the attempt anew); the attempt's end was received; or the engine's retention of an
+// attempt without requests has passed. A refused connection proves nothing: a draining engine accepts no new
+// connections but keeps running attempts, and can be reached on a connection accepted before, such as the poll's.
 func (a *Attempt) cancelAtEngine() EndProof {
 	for {
 		proof, proven := a.cancelAtEngineUntil(a.expiresAtEngine())
@@ -88,7 +88,7 @@
 	}
 }
 
-// cancelAtEngineUntil sends cancellations until one counts or a time has passed.
+// cancelAtEngineUntil sends cancellations until one is a proof of the end or the time has passed.
 func (a *Attempt) cancelAtEngineUntil(deadline time.Time) (proof EndProof, proven bool) {
 	ctx, cancel := context.WithDeadline(a.client.lifetime, deadline)
 	defer cancel()
--- a/internal/upstream/attempt_end.go
+++ b/internal/upstream/attempt_end.go
@@ -21,7 +21,7 @@
 //     header that nothing ran, or 500, which counts once no start can arrive behind it.
 //   - ProofCancelConfirmed: a DELETE was answered with 204, or with 500 by an engine that does not know the attempt any
 //     more, and was sent after the start was answered.
-//   - ProofExpiredAtEngine: engines drop what they are not asked for, see expiresAtEngine.
+//   - ProofExpiredAtEngine: engines drop attempts without requests for them, see expiresAtEngine.
 //
 // Any other end, such as an unknown status, is followed by a cancellation and counts with its proof.
 type EndProof int
@@ -31,7 +31,7 @@
 	ProofNotSent          EndProof = iota // the start never reached the engine complete
 	ProofReportedByEngine                 // the engine reported the end
 	ProofCancelConfirmed                  // the engine confirmed the cancellation
-	ProofExpiredAtEngine                  // the engine was not asked for it for so long that it has dropped it
+	ProofExpiredAtEngine                  // the engine has dropped it, since no request kept it alive
 	ProofShutdown                         // none: the client shuts down and starts nothing any more
 )
 
@@ -74,7 +74,7 @@
 	return end, true
 }
 
-// endFromError returns the end of an attempt of which nothing more can be received; err is one that isFinal holds of.
+// endFromError returns the end of an attempt of which nothing more can be received. isFinal must be true of err.
 func (a *Attempt) endFromError(err error) (end attemptEnd, known bool) {
 	switch {
 	case errors.Is(err, errAttemptStopped):
@@ -109,7 +109,7 @@
 	})
 }
 
-// proofViolation says why a proof does not hold, checked apart from whatever came to it; nil: it holds.
+// proofViolation returns why a proof does not hold, or nil. It does not rely on the decisions that led to the proof.
 func (a *Attempt) proofViolation(proof EndProof) *invariant.Violation {
 	reason := ""
 	switch {
@@ -126,8 +126,8 @@
 	return &invariant.Violation{Rule: invariant.ProvenAttemptEnd, Statement: a.Statement, Detail: "attempt " + number + ": " + reason}
 }
 
-// logEnd logs how the attempt ended and by what proof. One that no word of the engine proves is rare and means that the
-// engine or its network fails, so it is logged at a higher level.
+// logEnd logs how the attempt ended and by what proof. An end that no response of the engine proves is rare and means
+// that the engine or its network fails, so it is logged at a higher level.
 func (a *Attempt) logEnd(end attemptEnd) {
 	level := zap.DebugLevel
 	if end.proof == ProofExpiredAtEngine {
--- a/internal/upstream/attempt_end_test.go
+++ b/internal/upstream/attempt_end_test.go
@@ -189,7 +189,7 @@
 			},
 			outcome: decision.ConnectionReset,
 		},
-		"the address is another engine's, the connections are gone": {
+		"the address is another engine's, the connections are closed": {
 			script: holdPolls,
 			act: func(t *testing.T, engine *persistentEngine, client *Client, _ *Attempt) {
 				engine.awaitRequest(t, http.MethodGet)
@@ -221,7 +221,7 @@
 			},
 			outcome: decision.Errored,
 		},
-		"the cancellation is answered by somebody who does not know the attempt": {
+		"the cancellation is answered by a server that does not know the attempt": {
 			script: func(engine *persistentEngine, method string, connection int) string {
 				if method == http.MethodDelete && connection < 4 {
 					return "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -252,7 +252,7 @@
 			assert.Equal(t, test.outcome, ended.Outcome)
 			cancel()
 			require.NoError(t, client.Run(ctx))
-			assert.Zero(t, client.ConnectionsInUse(), "all given back")
+			assert.Zero(t, client.ConnectionsInUse(), "all released")
 			assert.Empty(t, ends, "one end")
 		})
 	}
@@ -265,10 +265,10 @@
 		violations int64
 		cancelled  bool // before the end is reported
 	}{
-		"it is said to be dropped, and was asked for just now": {ProofExpiredAtEngine, 1, true},
-		"it is said not to be sent, and was":                   {ProofNotSent, 1, true},
-		"a shutdown is claimed, and there is none":             {ProofShutdown, 1, true},
-		"the engine has reported the end":                      {ProofReportedByEngine, 0, false},
+		"reported as expired, but requested just now": {ProofExpiredAtEngine, 1, true},
+		"reported as not sent, but sent":              {ProofNotSent, 1, true},
+		"a shutdown is claimed, and there is none":    {ProofShutdown, 1, true},
+		"the engine has reported the end":             {ProofReportedByEngine, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine := startPersistentEngine(t, holdPolls)
--- a/internal/upstream/attempt_poll.go
+++ b/internal/upstream/attempt_poll.go
@@ -25,7 +25,8 @@
 	pollTimeout = pollHoldTime + pageTimeout
 	// retryDelay lies between repeats of a poll, a page or a cancellation.
 	retryDelay = 50 * time.Millisecond
-	// minPollHoldTime: a response without progress that arrives sooner was not held, so it may be an earlier one's duplicate.
+	// minPollHoldTime: a response without progress that arrives sooner may be the duplicate of an earlier one, since the
+	// engine would have delayed it.
 	minPollHoldTime = pollHoldTime / 4
 
 	progressSeparator = " " // between the kind and the value of a progress report
@@ -157,7 +158,7 @@
 	}
 }
 
-// ensureConnection makes sure that a connection is held on which nothing unexpected has arrived. A refused connection
+// ensureConnection makes sure that the attempt has a connection without unexpected data on it. A refused connection
 // proves nothing before the engine has dropped the attempt: a draining engine does not listen any more and runs on.
 func (a *Attempt) ensureConnection(forceNew bool) error {
 	if a.conn != nil && a.conn.inspect() != stateQuiet {
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// roundTrip sends a request on the connection that is held. The connection is given up where it must not be used again.
+// roundTrip sends a request on the attempt's connection and closes the connection where it must not be used again.
 func (a *Attempt) roundTrip(timeout time.Duration, request []byte) (response, error) {
 	now := time.Now()
 	a.lastRequest.store(a.client.clockOrigin, now)
@@ -190,7 +191,7 @@
 	state := a.conn.inspect()
 	received.extraBytes = state == stateUnexpectedData
 	if state != stateQuiet || received.Close || saysNeverRan(received.Header) {
-		// A late duplicate of "never ran" would be believed of the next attempt on this connection.
+		// A late duplicate of "never ran" would be taken for the response to the next attempt on this connection.
 		a.releaseConnection(false)
 	}
 	return received, nil
--- a/internal/upstream/attempt_status.go
+++ b/internal/upstream/attempt_status.go
@@ -21,7 +21,7 @@
 	headerLoadReport    = "X-Gauges"
 )
 
-// attemptStatus is what an engine's response to a start or to a poll says.
+// attemptStatus is the state of an attempt in an engine's response to a start or a poll.
 type attemptStatus struct {
 	ended      bool
 	outcome    decision.Outcome // if ended
@@ -36,8 +36,8 @@
 	"waits":  decision.ProgressWaiting,
 }
 
-// outcomeOf maps a response to the outcome of the attempt. Nothing ran only where the response says so; what the
-// protocol does not know may have run.
+// outcomeOf maps a response to the outcome of the attempt. The attempt counts as not run only if the response states
+// so; after a response outside the protocol it may have run.
 func outcomeOf(status int, neverRan bool) (outcome decision.Outcome, ended bool) {
 	switch {
 	case status == http.StatusAccepted:
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -59,7 +59,7 @@
 
 	cancel()
 	require.NoError(t, client.Run(ctx))
-	assert.Zero(t, client.ConnectionsInUse(), "all given back")
+	assert.Zero(t, client.ConnectionsInUse(), "all released")
 	for len(started) > 0 {
 		assert.NotEqual(t, decision.NotSent, outcomes[decision.StatementID(<-started)])
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -46,7 +46,7 @@
 	Violations *invariant.Recorder
 
 	// AwaitDiscovery is called before an attempt is started: it waits until what was announced about engines has
-	// been taken in. It may be nil.
+	// been processed. It may be nil.
 	AwaitDiscovery func()
 }
 
@@ -84,7 +84,7 @@
 // Engines returns the listed engines in ascending order.
 func (c *Client) Engines() []decision.EngineID { return c.pool.engines() }
 
-// RemoveEngine drops what is kept about an engine that has left the endpoint list. Attempts in flight there go on.
+// RemoveEngine forgets an engine that was removed from the endpoint list. Attempts in flight there go on.
 func (c *Client) RemoveEngine(engine decision.EngineID) { c.pool.removeEngine(engine) }
 
 // RetainEngines removes all engines but the listed ones.
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -57,13 +57,13 @@
 	}
 }
 
-// connectionState is what lies on a connection between two requests.
+// connectionState is the state of a connection between two requests.
 type connectionState int
 
 const (
 	stateQuiet          connectionState = iota // nothing: it may be used
 	stateEnded                                 // the engine has closed it, or it broke
-	stateUnexpectedData                        // unrequested bytes: responses can no longer be told apart
+	stateUnexpectedData                        // unrequested bytes: responses can no longer be matched to requests
 )
 
 // inspect determines the state without blocking. It clears the read deadline of the previous request first: a socket
@@ -93,7 +93,7 @@
 	return state
 }
 
-// peek looks at a socket's receive queue and leaves it as it is.
+// peek reads a socket's receive queue without consuming it.
 func peek(descriptor int) connectionState {
 	var buffer [1]byte
 	received, _, err := syscall.Recvfrom(descriptor, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -183,7 +183,7 @@
 	return oldest
 }
 
-// release gives a connection back after a response that left it usable. It is closed where it would not be used again.
+// release returns a connection to the pool after a response that keeps it usable, or closes it where it is not reusable.
 func (p *connectionPool) release(conn *connection) {
 	p.mu.Lock()
 	reusable := p.isReusable(conn)
@@ -199,7 +199,7 @@
 	}
 }
 
-// isReusable reports whether a connection is worth keeping. One to an engine that has left the endpoint list is kept
+// isReusable reports whether a connection may be used again. One to an engine removed from the endpoint list is kept
 // while attempts are in flight there, since the engine may accept no new connections. The caller holds mu.
 func (p *connectionPool) isReusable(conn *connection) bool {
 	if p.closed || p.slotWaiters > 0 {
@@ -212,7 +212,7 @@
 	return !listed && p.attemptsInFlight[conn.engine] > 0 && p.engineAt[conn.address] == ""
 }
 
-// releaseOrClose gives a connection back after a response, unless the response or what follows it makes it unusable.
+// releaseOrClose returns a connection to the pool after a response, unless the response or data behind it makes it unusable.
 func (p *connectionPool) releaseOrClose(conn *connection, header http1.Header) {
 	if header.Close || conn.inspect() != stateQuiet {
 		p.close(conn)
@@ -229,7 +229,7 @@
 	p.close(conn)
 }
 
-// close closes a connection. It is the one place where the slot of a connection that was open is given back.
+// close closes a connection. It is the only place where the slot of an open connection is released.
 func (p *connectionPool) close(conn *connection) {
 	conn.socket.Close()
 	p.mu.Lock()
@@ -261,7 +261,7 @@
 		for count < len(idle) && time.Since(idle[count].idleSince) >= duration {
 			count++
 		}
-		expired = append(expired, idle[:count]...) // copied: Delete moves the rest into their place
+		expired = append(expired, idle[:count]...) // copied, since Delete overwrites these elements
 		p.idle[engine] = slices.Delete(idle, 0, count)
 		if len(p.idle[engine]) == 0 {
 			delete(p.idle, engine)
@@ -290,8 +290,8 @@
 }
 
 // shutDown closes all sockets, also those in use: a request to an engine that hangs would hold up the program's end. A
-// connection with the start of an attempt on its way is reset, so that the start does not arrive when nobody is left
-// to cancel it.
+// connection with the start of an attempt on its way is reset, so that the start does not arrive after this program has
+// ended and cannot cancel it any more.
 func (p *connectionPool) shutDown() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -73,7 +73,7 @@
 }
 
 // The router shuts down while a start is delayed on its way to an engine: the start must not arrive any more, since
-// nobody is left to cancel the attempt.
+// the attempt can no longer be cancelled.
 func TestShutdownResetsADelayedStart(t *testing.T) {
 	listener := listenOnLoopback(t)
 	requests := serveAtOnce(t, listener)
--- a/internal/upstream/connection_stats.go
+++ b/internal/upstream/connection_stats.go
@@ -12,7 +12,7 @@
 	Dialled        int           // dials, those that failed included
 	Failed         int           // dials that failed
 	Stale          int           // closed by the engine, at an old address or idle for too long when about to be used
-	Surplus        int           // closed after use, since the descriptor or the engine is not kept
+	Surplus        int           // closed after use: the descriptor was needed, or the engine was removed
 	UnexpectedData int           // of the stale ones: those with unrequested bytes
 	SlowestDial    time.Duration // of all dials, those that failed included
 }
--- a/internal/upstream/engine_addresses.go
+++ b/internal/upstream/engine_addresses.go
@@ -32,7 +32,7 @@
 	p.closeIdle(displaced)
 }
 
-// removeEngine drops what is kept about an engine that has left the endpoint list. Attempts in flight there go on at
+// removeEngine forgets an engine that was removed from the endpoint list. Attempts in flight there go on at
 // the address that they have, until another engine takes it over; connections are kept that long, since the engine may
 // accept no new ones.
 func (p *connectionPool) removeEngine(engine decision.EngineID) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// drainEngine notes that no attempt is started at an engine any more. An engine that is not listed is started nothing at anyway.
+// drainEngine prevents further starts at an engine. An engine that is not listed needs no mark: none is started there.
 func (p *connectionPool) drainEngine(engine decision.EngineID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +111,7 @@
 }
 
 // attemptFinished ends what attemptStarted began. The connections to an engine that has left the endpoint list are
-// closed with the last attempt there.
+// closed when the last attempt there ends.
 func (p *connectionPool) attemptFinished(engine decision.EngineID) {
 	p.mu.Lock()
 	p.attemptsInFlight[engine]--
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -9,8 +9,8 @@
 
 const healthCheckPath = "/busy"
 
-// CheckHealth asks an engine for a sign of life and its load report, and notifies the listener of the outcome. Connecting
-// and the response together have the connect timeout.
+// CheckHealth requests an engine's load report and notifies the listener of the outcome. The connect timeout bounds
+// connecting and the response together.
 func (c *Client) CheckHealth(engine decision.EngineID) {
 	c.tasks.Go(func() {
 		began := time.Now()
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -10,7 +10,7 @@
 )
 
 // parseLoadReport reads pairs NAME:VALUE separated by semicolons, and ignores unknown names and invalid values; nil if
-// nothing is left.
+// no valid pair remains.
 func parseLoadReport(text string) *decision.LoadReport {
 	var report *decision.LoadReport
 	for pair := range strings.SplitSeq(text, ";") {
