--- a/internal/faultlab/audit_test.go
+++ b/internal/faultlab/audit_test.go
@@ -10,7 +10,7 @@
 
 const sec = time.Second
 
-// Each auditor finds what must not be, and lets pass what may.
+// Each auditor finds its violations, and nothing in a history without any.
 func TestAuditors(t *testing.T) {
 	sent := Event{At: sec, Kind: StatementSent, Statement: "a0", Workload: "lookup", Budget: 2 * sec}
 	load := Event{At: sec, Kind: AttemptStarted, Statement: "l0", Workload: "price-load", Engine: "e1"}
@@ -75,15 +75,25 @@
 	}
 }
 
-// many events of a kind within a second, all of one statement.
-func many(n int, what EventKind) (list []Event) {
+// many returns events of a kind within a second: attempts of one statement, anything else of a statement each.
+func many(n int, kind EventKind) (list []Event) {
 	for i := range n {
-		list = append(list, Event{At: sec + time.Duration(i)*time.Millisecond, Kind: what, Statement: fmt.Sprintf("%s0", map[bool]string{true: "x", false: fmt.Sprint(i)}[what == AttemptStarted]), Workload: "lookup", Budget: 2 * sec})
+		statement := fmt.Sprintf("%d0", i)
+		if kind == AttemptStarted {
+			statement = "x0"
+		}
+		list = append(list, Event{
+			At:        sec + time.Duration(i)*time.Millisecond,
+			Kind:      kind,
+			Statement: statement,
+			Workload:  "lookup",
+			Budget:    2 * sec,
+		})
 	}
 	return list
 }
 
-func TestBackToNormal(t *testing.T) {
+func TestRecovery(t *testing.T) {
 	play := func(serves func(second int) bool) *History {
 		h := &History{Schedule: &Schedule{Seconds: 20, Engines: 1, Faults: []Fault{{Kind: "reset", At: 5}, {Kind: "stop", At: 5, For: 2}}}}
 		for i := range 20 {
