--- a/cmd/bankledge-control/main.go
+++ b/cmd/bankledge-control/main.go
@@ -1,5 +1,5 @@
 // Bankledge-control is the control service: a group of one, three or five processes that replicates numbered versions of the rules and
-// engine lists, so that no two routers act on contradicting ones for longer than a stated time. Its other commands are the operators'.
+// engine lists, so that no two routers act on contradicting ones for longer than a stated time. The other commands are for operators.
 package main
 
 import (
--- a/cmd/bankledge-control/propose.go
+++ b/cmd/bankledge-control/propose.go
@@ -57,7 +57,7 @@
 	return propose(ctx, c.client(), entry, c.Wait, c.JSON)
 }
 
-// propose sends a proposal under an id of its own, so that one that is sent again because no answer came counts once, and prints its
+// propose sends a proposal with a new id, which makes its retries idempotent, and prints its
 // outcome.
 func propose(ctx context.Context, client *adminclient.Client, entry configregister.Entry, wait, asJSON bool) error {
 	entry.ID = newProposalID()
--- a/cmd/bankledge-control/serve.go
+++ b/cmd/bankledge-control/serve.go
@@ -46,7 +46,7 @@
 	Settings string `arg:"" help:"Settings, Jsonnet or JSON."`
 }
 
-// Run prints what follows from the settings.
+// Run validates the settings and prints the bounds that follow from them.
 func (c *checkCommand) Run() error {
 	settings, err := controlserver.LoadSettings(c.Settings)
 	if err != nil {
--- a/cmd/bankledge-control/status.go
+++ b/cmd/bankledge-control/status.go
@@ -16,7 +16,7 @@
 	"bankledge/internal/lease"
 )
 
-// watchInterval is the time between two looks of status --watch.
+// watchInterval is the time between two polls of status --watch.
 const watchInterval = time.Second
 
 type statusCommand struct {
@@ -25,7 +25,7 @@
 	JSON  bool `help:"Write it as JSON, a line each time."`
 }
 
-// Run prints the status of the group, once or until it is stopped. While it watches, a group that does not answer is no reason to end.
+// Run prints the status of the group, once or until it is stopped. With --watch it continues when the group does not answer.
 func (c *statusCommand) Run(ctx context.Context) error {
 	if !c.Watch {
 		return c.print(ctx)
--- a/cmd/bankledge-control/versions.go
+++ b/cmd/bankledge-control/versions.go
@@ -21,7 +21,7 @@
 	To   string `arg:"" name:"b" help:"The same."`
 }
 
-// Run prints the fields that differ, and which way.
+// Run prints the fields that differ, and whether each becomes looser or tighter.
 func (c *diffCommand) Run(ctx context.Context) error {
 	from, err := c.rules(ctx, c.From)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// rules are those of a version, or of a file.
+// rules returns the rules of a version, if the argument is a number, or else of a file.
 func (c *diffCommand) rules(ctx context.Context, numberOrPath string) (*rules.Rules, error) {
 	number, err := strconv.ParseUint(numberOrPath, 10, 64)
 	if err != nil {
@@ -53,7 +53,7 @@
 	JSON bool `help:"Write the versions as JSON."`
 }
 
-// Run lists the versions that are kept.
+// Run lists the versions that the group still has.
 func (c *logCommand) Run(ctx context.Context) error {
 	list, err := c.client().Versions(ctx)
 	if err != nil {
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,5 +1,5 @@
 // Package adminclient is the operators' HTTP client of a control group: it finds the leader among the group's processes and retries
-// what was not answered, until a timeout.
+// unanswered requests until a timeout.
 package adminclient
 
 import (
@@ -20,8 +20,8 @@
 const (
 	requestTimeout   = 10 * time.Second       // of one attempt at one address
 	retryInterval    = 100 * time.Millisecond // between two rounds over all addresses
-	activationPoll   = 20 * time.Millisecond  // between two looks at the status while a version is awaited
-	maxStatusTimeout = 3 * time.Second        // a status is wanted soon, also from a group without a leader
+	activationPoll   = 20 * time.Millisecond  // between two polls of the status in AwaitActivated
+	maxStatusTimeout = 3 * time.Second        // so that Status returns soon, also without a leader
 	maxResponseBytes = 64 << 20
 )
 
@@ -30,7 +30,7 @@
 	addresses []string
 	timeout   time.Duration
 	http      *http.Client
-	next      int // index of the address to ask first: the one that answered last
+	next      int // index of the address to try first: the one that answered last
 }
 
 // New returns a client of the group at these addresses; each of its calls retries for as long as timeout.
@@ -42,9 +42,9 @@
 	}
 }
 
-// Propose proposes a configuration version and returns its outcome, which holds its number. The entry's id makes it idempotent: however often it is sent, it
-// counts once. While an earlier version is being rolled out the proposal is retried. The error is a *RejectedError or an
-// *UnavailableError.
+// Propose proposes a configuration version and returns its outcome, which holds its number. The entry's id makes it idempotent: however
+// often it is sent, it counts once. While an earlier version is being rolled out the proposal is retried. The error is a *RejectedError
+// or an *UnavailableError.
 func (c *Client) Propose(ctx context.Context, entry configregister.Entry) (configregister.Outcome, error) {
 	return call(ctx, c, http.MethodPost, controlapi.ProposalsPath, entry, outcomeError)
 }
@@ -55,7 +55,7 @@
 	return err
 }
 
-// Status returns the leader's status, or when there is none in time that of a process that can't prove to be the leader.
+// Status returns the leader's status, or, without a leader in time, that of a process that can't prove that it is the leader.
 func (c *Client) Status(ctx context.Context) (*controlapi.Status, error) {
 	impatient := *c
 	impatient.timeout = min(c.timeout, maxStatusTimeout)
@@ -110,7 +110,7 @@
 	}
 }
 
-// call sends a request to one address after the other, until one brings a response that accept takes, or a final error.
+// call sends a request to one address after the other, until accept returns nil for a response or the error is final.
 func call[T any](ctx context.Context, c *Client, method, path string, request any, accept func(T) error) (response T, err error) {
 	deadline := time.Now().Add(c.timeout)
 	var body []byte
@@ -142,7 +142,7 @@
 	}
 }
 
-// attempt sends a request once. errNotLeader says that another process has to be asked.
+// attempt sends a request once. errNotLeader means that another process has to be tried.
 func attempt[T any](ctx context.Context, c *Client, method, address, path string, body []byte) (response T, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -9,16 +9,16 @@
 )
 
 var (
-	// ErrVersionNotKept is returned for a version that the group does not have, or has no longer.
+	// ErrVersionNotKept is returned for a version that the group does not have or has dropped.
 	ErrVersionNotKept = errors.New("not kept")
 	// ErrVersionNotActive is returned when a version does not come into force in time.
 	ErrVersionNotActive = errors.New("not in force yet: see status")
 )
 
-// errNotLeader says that another process has to be asked.
+// errNotLeader means that another process has to be tried.
 var errNotLeader = errors.New("this process does not lead")
 
-// RejectedError says why the group rejected a request. Its text is the group's.
+// RejectedError is returned for a request that the group rejected, with the group's reason as its text.
 type RejectedError struct {
 	Message string
 	Cause   error // configregister.ErrRolloutInProgress: a retry may succeed; nil: it would be rejected again
@@ -29,7 +29,7 @@
 // Unwrap returns the cause, if it is known.
 func (e *RejectedError) Unwrap() error { return e.Cause }
 
-// outcomeError is the error of an outcome, which on the wire is a text only; nil for a success.
+// outcomeError returns the error of an outcome, which is sent as text only; nil on success.
 func outcomeError(outcome configregister.Outcome) error {
 	switch {
 	case outcome.Error == "":
@@ -41,7 +41,7 @@
 	}
 }
 
-// isFinal reports whether a retry would bring the same error.
+// isFinal reports whether a retry would return the same error.
 func isFinal(err error) bool {
 	var rejected *RejectedError
 	return errors.As(err, &rejected) && !errors.Is(err, configregister.ErrRolloutInProgress)
--- a/internal/controlapi/api.go
+++ b/internal/controlapi/api.go
@@ -18,8 +18,8 @@
 	StatusPath        = "/v1/status"          // GET Status
 )
 
-// PeerMessagesPath is where a process takes the messages of the replicated log, on its peer address: each message is a protobuf
-// behind its length, which is a varint. The answer to a batch that was taken is 204.
+// PeerMessagesPath is where a process receives the messages of the replicated log, on its peer address: each message is a protobuf
+// behind its length, which is a varint. The response to an accepted batch is 204.
 const PeerMessagesPath = "/v1/messages"
 
 // Headers.
@@ -40,11 +40,11 @@
 	Version   *configversion.Version `json:"version,omitempty"` // nil: only Activated has changed
 }
 
-// Member is where a process of the group is found.
+// Member holds the addresses of a process of the group.
 type Member struct {
 	Peer   string `json:"peer"`   // address for the other processes
 	Client string `json:"client"` // address for routers and operators
-	Voter  bool   `json:"votes"`  // else it is a learner, until it has caught up
+	Voter  bool   `json:"votes"`  // false: a learner, until it has caught up
 }
 
 // Status is what a process knows of the group.
--- a/internal/controlclient/config.go
+++ b/internal/controlclient/config.go
@@ -22,14 +22,14 @@
 // field that is missing or 0 has its default.
 type Config struct {
 	Addresses           []string `json:"addresses"` // of the group's processes, for routers
-	Lineage             string   `json:"lineage"`   // the only one to follow; "": the first one that the router hears of
+	Lineage             string   `json:"lineage"`   // the only one to follow; "": the first one that is received
 	LeaseMillis         int64    `json:"term_ms"`
 	RenewIntervalMillis int64    `json:"renew_ms"`
 	ReplyTimeoutMillis  int64    `json:"answer_ms"`
 	MaxBatchMillis      int64    `json:"batch_ms"`
 	MaxPauseMillis      int64    `json:"pause_ms"`
-	MaxClockDrift       float64  `json:"drift"`     // a share: 0.01 is one percent
-	MaxRemovedShare     float64  `json:"most_gone"` // of the engines, that one version may take away
+	MaxClockDrift       float64  `json:"drift"`     // fraction: 0.01 is one percent
+	MaxRemovedShare     float64  `json:"most_gone"` // fraction of the engines that one version may remove
 }
 
 // LoadConfig reads a control file, which is JSON. An error names the field.
@@ -50,7 +50,7 @@
 	return config, nil
 }
 
-// LeaseDurations are the durations that the router and the group have in common.
+// LeaseDurations returns the durations on which the router and the group have to agree.
 func (c *Config) LeaseDurations() lease.Durations {
 	durations := lease.DefaultDurations()
 	setMillis(&durations.LeaseDuration, c.LeaseMillis)
@@ -71,7 +71,7 @@
 	}
 }
 
-// Guards are the guards by which this router checks versions, beside the group.
+// Guards returns the guards by which this router checks versions, in addition to the group.
 func (c *Config) Guards() configversion.Guards {
 	if c.MaxRemovedShare == 0 {
 		return configversion.Guards{MaxRemovedShare: defaultMaxRemovedShare}
@@ -79,7 +79,7 @@
 	return configversion.Guards{MaxRemovedShare: c.MaxRemovedShare}
 }
 
-// Validate says what is wrong; an error names the field.
+// Validate returns an error that names the first invalid field by its key in the file.
 func (c *Config) Validate() error {
 	if len(c.Addresses) == 0 || len(c.Addresses) > maxAddresses {
 		return fmt.Errorf("addresses: %d, not from 1 to %d", len(c.Addresses), maxAddresses)
@@ -89,7 +89,7 @@
 			return fmt.Errorf("addresses: %w", err)
 		}
 	}
-	if !(c.MaxRemovedShare >= 0 && c.MaxRemovedShare <= 1) { // so that NaN fails
+	if !(c.MaxRemovedShare >= 0 && c.MaxRemovedShare <= 1) { // in this form so that NaN is rejected
 		return errors.New("most_gone: not from 0 to 1")
 	}
 	return c.LeaseDurations().Validate()
--- a/internal/controlclient/renewal.go
+++ b/internal/controlclient/renewal.go
@@ -17,13 +17,13 @@
 	"bankledge/internal/logevent"
 )
 
-// idleProbe is how long a read of an idle connection waits for what should not be there.
+// idleProbe is the timeout of the read that checks that an idle connection has no unexpected data.
 const idleProbe = 50 * time.Microsecond
 
 // errOtherRenewal is returned for a reply whose sequence number is that of another renewal.
 var errOtherRenewal = errors.New("the answer to another renewal")
 
-// renew sends a renewal and delivers its reply, or that there is none.
+// renew sends a renewal and delivers its reply, or lease.RenewalFailed.
 func (t *Transport) renew(ctx context.Context, renewal lease.SendRenewal) {
 	reply, err := t.exchangeRenewal(ctx, renewal)
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // exchange writes a request and reads the reply to the renewal with this sequence number. The connection is reusable if it stays open
-// and nothing more lies on it.
+// and no further data has been received on it.
 func exchange(conn net.Conn, request []byte, seq uint64) (reply lease.Reply, reusable bool, err error) {
 	if _, err := conn.Write(request); err != nil {
 		return reply, false, err
@@ -88,7 +88,7 @@
 	return reply, !header.Close && !reader.Buffered(), nil
 }
 
-// connect takes the idle connection, if it leads to this address and is still usable, or makes one.
+// connect returns the idle connection, if it is to this address and still usable, or a new one.
 func (t *Transport) connect(ctx context.Context, address string) (net.Conn, error) {
 	select {
 	case conn := <-t.idleConnection:
--- a/internal/controlclient/transport.go
+++ b/internal/controlclient/transport.go
@@ -1,5 +1,5 @@
 // Package controlclient connects a router to the control group: it sends the renewals and follows the stream of configuration versions
-// that the router's side of the leases (lease.Client) asks for, and hands back what comes of them. It takes no decision of its own.
+// that the router's side of the leases (lease.Client) requests, and hands it the results as events. It makes no decisions of its own.
 package controlclient
 
 import (
@@ -17,8 +17,8 @@
 
 const (
 	connectTimeout   = 500 * time.Millisecond
-	maxRenewals      = 4  // that may wait for late replies at once
-	maxQueuedActions = 16 // renewals that Run has not taken yet
+	maxRenewals      = 4  // that may wait for replies at the same time
+	maxQueuedActions = 16 // renewals that Run has not started yet
 )
 
 // statusError is returned for a response of the group that is not 200.
@@ -34,13 +34,13 @@
 	log           *zap.Logger
 
 	renewals       chan lease.SendRenewal
-	reopenings     chan lease.ReopenStream // the last one counts
+	reopenings     chan lease.ReopenStream // buffers one; a newer action replaces it
 	calls          sync.WaitGroup
 	idleConnection chan net.Conn // for the next renewal
 }
 
 // NewTransport returns a transport to the group's processes at these addresses. It hands events to deliver, which must not block and
-// which several goroutines call. Nothing is sent before Run is called.
+// is called by several goroutines. Nothing is sent before Run is called.
 func NewTransport(addresses []string, durations lease.Durations, deliver func(lease.ClientEvent), log *zap.Logger) *Transport {
 	return &Transport{
 		addresses:      addresses,
@@ -53,7 +53,7 @@
 	}
 }
 
-// Execute takes an action; it never blocks. A renewal that finds the queue full is dropped, as if it had been lost on the network.
+// Execute starts an action; it never blocks. A renewal that finds the queue full is dropped, as if it had been lost on the network.
 func (t *Transport) Execute(action lease.ClientAction) {
 	switch action := action.(type) {
 	case lease.SendRenewal:
@@ -122,7 +122,7 @@
 	}
 }
 
-// address maps an index of the lease client, which counts on, to an address.
+// address maps an address index of the lease client, which may exceed the number of addresses, to an address.
 func (t *Transport) address(index int) string { return t.addresses[index%len(t.addresses)] }
 
 // dial connects to a process of the group.
--- a/internal/controlclient/version_stream.go
+++ b/internal/controlclient/version_stream.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// streamSilence is after how long without a byte a stream is dead: the group sends a comment each second.
+	// streamSilence is how long a stream may deliver no byte until it is treated as broken: the group sends a comment each second.
 	streamSilence = 2500 * time.Millisecond
 
-	// maxEventBytes leaves room for the fields of an event beside its version.
+	// maxEventBytes bounds an event: a version of the maximum size, and the other fields.
 	maxEventBytes = configversion.MaxEncodedBytes + 4<<10
 )
 
-// followStream follows the stream of versions until it ends, and delivers that it has, unless ctx ended it.
+// followStream follows the stream of versions until it ends, and then delivers lease.StreamLost, unless ctx ended it.
 func (t *Transport) followStream(ctx context.Context, reopening lease.ReopenStream) {
 	address := t.address(reopening.AddressIndex)
 	err := t.readStream(ctx, address, reopening.AfterVersion)
@@ -38,7 +38,7 @@
 	t.deliver(lease.StreamLost{})
 }
 
-// readStream opens the stream after a version and delivers its events. It returns an error in any case.
+// readStream opens the stream after a version and delivers its events. It never returns nil.
 func (t *Transport) readStream(ctx context.Context, address string, after uint64) error {
 	conn, err := dial(ctx, address)
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // deliverEvent delivers an event of the stream. One that can't be read is delivered as invalid and ends the stream; the next stream
-// brings it again.
+// delivers it again.
 func (t *Transport) deliverEvent(ctx context.Context, event sse.Event) error {
 	clientEvent, err := decodeVersionEvent([]byte(event.Data))
 	if ctx.Err() != nil {
@@ -99,7 +99,7 @@
 	return lease.VersionReceived{Version: version, Activated: event.Activated}, nil
 }
 
-// silenceLimitedConn fails when nothing comes for streamSilence.
+// silenceLimitedConn is a connection whose reads fail when no data is received for streamSilence.
 type silenceLimitedConn struct{ net.Conn }
 
 func (c silenceLimitedConn) Read(p []byte) (int, error) {
--- a/internal/controlserver/driver.go
+++ b/internal/controlserver/driver.go
@@ -26,8 +26,8 @@
 	calls   map[uint64]chan<- lease.CoordinatorAction // by call id
 }
 
-// run works until ctx ends or the storage fails. The raft library panics when the leader refers to entries that this process has
-// acknowledged and does not have: then its disk has lost what was synced, and the process must not go on.
+// run handles messages until ctx ends or the storage fails. The raft library panics when the leader refers to entries that this process has
+// acknowledged and does not have: then its disk has lost synced data, and the process must not continue.
 func (d *driver) run(ctx context.Context, actions []replica.Action) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// execute carries out what the replica asks for. The order has to be kept: nothing is sent or answered before what comes ahead of it
-// is synced. The error is the storage's.
+// execute carries out the replica's actions in order: nothing is sent or answered before the changes ahead of it
+// are synced. It returns the error of the storage, if any.
 func (d *driver) execute(actions []replica.Action) error {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// answer hands an answer to the call that waits for it, if one still does.
+// answer delivers an answer to its caller, unless the call was cancelled.
 func (d *driver) answer(action lease.CoordinatorAction) {
 	var callID uint64
 	switch action := action.(type) {
--- a/internal/controlserver/http.go
+++ b/internal/controlserver/http.go
@@ -22,7 +22,7 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// discardLog takes what libraries log about connections and elections, which this process reports in its own events.
+// discardLog drops the log output of libraries about connections and elections, which this process reports in its own events.
 var discardLog = log.New(io.Discard, "", 0)
 
 // clientHandler serves routers and operators.
--- a/internal/controlserver/jsonnet.go
+++ b/internal/controlserver/jsonnet.go
@@ -2,7 +2,7 @@
 
 import "github.com/google/go-jsonnet"
 
-// maxJsonnetStack ends templates that call themselves for ever.
+// maxJsonnetStack bounds the call depth of a template, so that endless recursion is an error.
 const maxJsonnetStack = 200
 
 // EvaluateJsonnet evaluates a Jsonnet or JSON file and decodes the result. A field that is not known is an error.
--- a/internal/controlserver/mailbox.go
+++ b/internal/controlserver/mailbox.go
@@ -22,21 +22,21 @@
 	lastCallID atomic.Uint64
 }
 
-// message is something for the driver.
+// message is an input of the driver.
 type message interface{ message() }
 
 type (
-	// eventMessage is an event for the replica that nobody waits for.
+	// eventMessage is an event for the replica that needs no answer.
 	eventMessage struct{ event replica.Event }
 
-	// callMessage is an event for the replica whose answer somebody waits for.
+	// callMessage is an event for the replica whose answer a caller waits for.
 	callMessage struct {
 		callID uint64
 		event  replica.Event
-		reply  chan<- lease.CoordinatorAction // has room for the answer
+		reply  chan<- lease.CoordinatorAction // buffered, so that the driver never blocks on it
 	}
 
-	// cancelMessage says that nobody waits for the answer to a call any more.
+	// cancelMessage reports that the caller no longer waits for the answer to a call.
 	cancelMessage struct{ callID uint64 }
 
 	// inspectMessage runs a function that reads the replica.
@@ -54,7 +54,7 @@
 	return &mailbox{messages: make(chan message, mailboxSize)}
 }
 
-// send waits until the mailbox has room.
+// send blocks until the mailbox accepts the message. It returns errBusy if ctx ends before.
 func (m *mailbox) send(ctx context.Context, msg message) error {
 	select {
 	case m.messages <- msg:
@@ -72,7 +72,7 @@
 	}
 }
 
-// call hands the replica an event that carries a call's id and waits for the answer. The error is errBusy.
+// call hands the replica an event that carries a call's id and waits for the answer. It returns errBusy if ctx ends before.
 func (m *mailbox) call(ctx context.Context, newEvent func(callID uint64) replica.Event) (lease.CoordinatorAction, error) {
 	callID := m.lastCallID.Add(1)
 	reply := make(chan lease.CoordinatorAction, 1)
@@ -83,7 +83,7 @@
 	case answer := <-reply:
 		return answer, nil
 	case <-ctx.Done():
-		m.trySend(cancelMessage{callID: callID}) // what was begun may go on
+		m.trySend(cancelMessage{callID: callID}) // work that has begun may still complete
 		return nil, errBusy
 	}
 }
--- a/internal/controlserver/operator_api.go
+++ b/internal/controlserver/operator_api.go
@@ -18,7 +18,7 @@
 	statusTimeout      = time.Second
 )
 
-// handleProposal takes a proposal and answers once it has its outcome.
+// handleProposal answers a proposal with its outcome, once that is known.
 func (s *Server) handleProposal(w http.ResponseWriter, r *http.Request) {
 	var entry configregister.Entry
 	if err := readJSON(w, r, configversion.MaxEncodedBytes, &entry); err != nil {
@@ -30,7 +30,7 @@
 	})
 }
 
-// handleMembershipChange takes a change of members and answers once it has its outcome.
+// handleMembershipChange answers a membership change with its outcome, once that is known.
 func (s *Server) handleMembershipChange(w http.ResponseWriter, r *http.Request) {
 	var change controlapi.MembershipChange
 	if err := readJSON(w, r, maxMembershipBytes, &change); err != nil {
@@ -55,7 +55,7 @@
 	writeJSON(w, outcomeStatus(result.Outcome), result.Outcome)
 }
 
-// outcomeStatus is the HTTP status of an outcome. Outcomes are kept in the replicated state, where their error is a text.
+// outcomeStatus is the HTTP status of an outcome. Outcomes are stored in the replicated state, with their error as a text.
 func outcomeStatus(outcome configregister.Outcome) int {
 	switch outcome.Error {
 	case "":
@@ -72,8 +72,8 @@
 	writeJSON(w, http.StatusOK, controlapi.VersionList{Lineage: view.register.Lineage, Activated: view.register.Activated, Versions: view.register.Versions})
 }
 
-// handleStatus answers with the state of the group. A process calls itself the leader only once a quorum has confirmed it, so a
-// leader that is cut off does not.
+// handleStatus answers with the state of the group. A process reports itself as the leader only once a quorum has confirmed it, so an
+// isolated leader does not.
 func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
--- a/internal/controlserver/peer_api.go
+++ b/internal/controlserver/peer_api.go
@@ -21,7 +21,7 @@
 
 var errInvalidMessageLength = errors.New("messages: a length that can't be")
 
-// handlePeerMessages takes messages of the replicated log from another process. Those of another lineage are rejected: they come from
+// handlePeerMessages receives messages of the replicated log from another process. Those of another lineage are rejected: they come from
 // a group that had this process's address before.
 func (s *Server) handlePeerMessages(w http.ResponseWriter, r *http.Request) {
 	lineage := s.state.load().register.Lineage
@@ -37,7 +37,7 @@
 	}
 	for _, message := range messages {
 		if err := s.mailbox.send(r.Context(), eventMessage{replica.MessageReceived{Message: message}}); err != nil {
-			return // the caller has left
+			return // the caller has disconnected
 		}
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/controlserver/peer_transport.go
+++ b/internal/controlserver/peer_transport.go
@@ -20,12 +20,12 @@
 	maxQueuedMessages  = 1024 // to one process; beyond it they are lost, as on a network
 	maxMessagesPerCall = 64
 	peerTimeout        = time.Second
-	maxIgnoredBytes    = 1 << 10 // of a peer's answer, whose text does not matter
+	maxIgnoredBytes    = 1 << 10 // of a peer's response body, which is discarded
 )
 
 var errNotMember = errors.New("not a member")
 
-// peerStatusError is returned when another process did not take a batch of messages.
+// peerStatusError is returned when another process rejected a batch of messages.
 type peerStatusError struct {
 	peerID uint64
 	status int
--- a/internal/controlserver/renewal_api.go
+++ b/internal/controlserver/renewal_api.go
@@ -17,7 +17,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), s.durations.LeaseDuration) // nobody waits longer
+	ctx, cancel := context.WithTimeout(r.Context(), s.durations.LeaseDuration) // a later grant would have expired already
 	defer cancel()
 	answer, err := s.mailbox.call(ctx, func(callID uint64) replica.Event {
 		return replica.LeaseRequest{Event: lease.RenewalReceived{CallID: callID, Renewal: renewal}}
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -1,5 +1,5 @@
 // Package controlserver runs one process of the control group. A replica (package replica) makes all decisions; the driver hands it
-// what comes from the sockets, the disk and the clock, and carries out its actions in their order. Handlers of HTTP requests reach the
+// the events of the sockets, the disk and the clock, and carries out its actions in order. Handlers of HTTP requests reach the
 // replica through the driver's mailbox, or read the state that was last published.
 package controlserver
 
@@ -24,7 +24,7 @@
 	"bankledge/internal/replica"
 )
 
-// Storage keeps the replicated log and its state over a restart. Save returns once the change is synced.
+// Storage preserves the replicated log and its state over a restart. Save returns once the change is synced.
 type Storage interface {
 	Load() (consensus.PersistentState, error)
 	Save(consensus.PersistentState) error
@@ -99,7 +99,7 @@
 // clock is the monotonic time that the replica counts in.
 func (s *Server) clock() time.Duration { return time.Since(s.origin) }
 
-// Run serves until ctx ends or the storage fails; it then answers nobody any more and returns the storage's error. It closes the
+// Run serves until ctx ends or the storage fails; after a storage error it answers no more requests and returns that error. It closes the
 // storage and the sockets, and returns when all its goroutines have ended.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.close()
@@ -121,7 +121,7 @@
 	return err
 }
 
-// replicaSettings adds to the settings of the file what is drawn at each start.
+// replicaSettings adds to the settings of the file the values that are generated at each start.
 func (s *Server) replicaSettings() (replica.Settings, error) {
 	settings, err := s.settings.ReplicaSettings()
 	if err != nil {
--- a/internal/controlserver/settings.go
+++ b/internal/controlserver/settings.go
@@ -17,23 +17,23 @@
 	"bankledge/internal/settings"
 )
 
-// Settings of one process, as they stand in its file. A field that is missing or 0 has its default.
+// Settings of one process, as in its settings file. A field that is missing or 0 has its default.
 type Settings struct {
 	ID                    uint64            `json:"id"`
 	DataDir               string            `json:"dir"`     // of the replicated log, relative to the folder of the file
-	Members               map[string]Member `json:"members"` // by id: those that found the group, or for one that joins those that there are
-	Joining               bool              `json:"joins"`   // the group is there already, and this process was added to it
-	PeerAddress           string            `json:"peer"`    // for the other processes; its own among the members if empty
-	ClientAddress         string            `json:"client"`  // for routers and operators, likewise
+	Members               map[string]Member `json:"members"` // by id: the founding members, or for a process that joins, the present members
+	Joining               bool              `json:"joins"`   // the group exists already, and this process was added to it
+	PeerAddress           string            `json:"peer"`    // for the other processes; if empty, this process's address in Members
+	ClientAddress         string            `json:"client"`  // for routers and operators; if empty, as for PeerAddress
 	LeaseMillis           int64             `json:"term_ms"`
 	RenewIntervalMillis   int64             `json:"renew_ms"`
 	ReplyTimeoutMillis    int64             `json:"answer_ms"`
 	MaxBatchMillis        int64             `json:"batch_ms"`
 	MaxPauseMillis        int64             `json:"pause_ms"`
-	MaxClockDrift         *float64          `json:"drift"` // a share: 0.01 is one percent; 0 is no default
+	MaxClockDrift         *float64          `json:"drift"` // fraction: 0.01 is one percent; nil: the default
 	HeartbeatMillis       int64             `json:"heartbeat_ms"`
 	ElectionTimeoutMillis int64             `json:"election_ms"`
-	MaxRemovedShare       float64           `json:"most_gone"` // of the engines, that one version may take away
+	MaxRemovedShare       float64           `json:"most_gone"` // fraction of the engines that one version may remove
 	CompactionInterval    uint64            `json:"compact"`   // entries after which the log is replaced by a snapshot
 }
 
@@ -54,10 +54,10 @@
 	defaultPeerAddress           = "127.0.0.1:7100"
 )
 
-// provisionalLineage passes the check of the settings. The lineage of a group is drawn when its processes start.
+// provisionalLineage stands for the lineage while settings are validated: the lineage of a new group is generated when a process starts.
 const provisionalLineage = "not drawn yet"
 
-// LoadSettings reads a file, Jsonnet or JSON. An empty path stands for one process alone, in the folder bankledge-control. An error
+// LoadSettings reads a file, Jsonnet or JSON. An empty path means a group of one process, in the folder bankledge-control. An error
 // names the field.
 func LoadSettings(path string) (*Settings, error) {
 	s := &Settings{DataDir: defaultDataDir}
@@ -122,7 +122,7 @@
 	}
 }
 
-// LeaseDurations are the times that routers and group have in common.
+// LeaseDurations returns the durations on which routers and group have to agree.
 func (s *Settings) LeaseDurations() lease.Durations {
 	return lease.Durations{
 		LeaseDuration: milliseconds(s.LeaseMillis),
@@ -136,7 +136,7 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// ReplicaSettings are the settings of the replica; an error names the field. The lineage, the seed and the logger are still to be set.
+// ReplicaSettings are the settings of the replica; an error names the field. The caller sets the lineage, the seed and the logger.
 func (s *Settings) ReplicaSettings() (replica.Settings, error) {
 	result := replica.Settings{
 		LeaseDurations:     s.LeaseDurations(),
@@ -162,7 +162,7 @@
 	return result, nil
 }
 
-// Validate says what is wrong; an error names the field.
+// Validate returns an error that names the first invalid field by its key in the file.
 func (s *Settings) Validate() error {
 	if s.ID == 0 {
 		return errors.New("id: missing")
@@ -183,9 +183,9 @@
 	return replicaSettings.Validate()
 }
 
-// validateMembers refuses addresses that are none, or that two members share.
+// validateMembers rejects invalid addresses and those that two members share.
 func (s *Settings) validateMembers() error {
-	owners := map[string]string{} // of each address
+	owners := map[string]string{} // member by address
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		member := s.Members[name]
 		for _, field := range []struct{ name, address string }{{"peer", member.Peer}, {"client", member.Client}} {
--- a/internal/controlserver/state.go
+++ b/internal/controlserver/state.go
@@ -11,10 +11,10 @@
 	"bankledge/internal/replica"
 )
 
-// loggedHashLength is how many digits of a version's hash a log line holds.
+// loggedHashLength is how many digits of a version's hash are logged.
 const loggedHashLength = 12
 
-// stateView is what this process knew at one moment. It is never changed, so that handlers read it without a lock.
+// stateView is an immutable snapshot of what this process knew at one moment, which handlers read without a lock.
 type stateView struct {
 	register *configregister.Register // a copy
 	members  map[uint64]controlapi.Member
@@ -36,7 +36,7 @@
 	return view
 }
 
-// publishedState is the newest stateView, and wakes those that wait for the next one.
+// publishedState is the newest stateView, and notifies goroutines that wait for the next one.
 type publishedState struct {
 	log     *zap.Logger
 	view    atomic.Pointer[stateView]
@@ -51,7 +51,7 @@
 // load returns the newest view.
 func (s *publishedState) load() *stateView { return s.view.Load() }
 
-// nextChange returns a channel that the next publication closes. It is to be taken before the view is read that it follows on.
+// nextChange returns a channel that the next publication closes. To miss no publication, call it before load.
 func (s *publishedState) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	s.changed = make(chan struct{})
 }
 
-// logChanges logs new versions, but those that were there when the process started.
+// logChanges logs new versions, except those that existed when the process started.
 func (s *publishedState) logChanges(before, after *stateView) {
 	if before == nil {
 		return
--- a/internal/controlserver/version_stream.go
+++ b/internal/controlserver/version_stream.go
@@ -18,7 +18,7 @@
 
 const (
 	maxStreams        = 4096
-	keepAliveInterval = time.Second     // of a stream: a router takes a silent one for dead
+	keepAliveInterval = time.Second     // of a stream: a router treats a silent one as broken
 	streamWriteLimit  = 5 * time.Second // for a router that reads nothing
 	keepAliveComment  = ":\n\n"
 )
@@ -68,7 +68,7 @@
 	return number, nil
 }
 
-// awaitEvents returns the next events of a stream, or a comment once keepAlive ticks; "" when ctx ends.
+// awaitEvents returns the next encoded events of a stream, or a comment once keepAlive ticks; "" when ctx ends.
 func (s *Server) awaitEvents(ctx context.Context, cursor *streamCursor, keepAlive <-chan time.Time) string {
 	for {
 		changed := s.state.nextChange()
@@ -85,7 +85,7 @@
 	}
 }
 
-// streamCursor is what one follower of the stream has been sent.
+// streamCursor records what one follower of the stream has been sent.
 type streamCursor struct {
 	known     uint64 // number of the newest version
 	activated uint64
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -21,7 +21,7 @@
 // Event is one event; a field that was not sent is empty.
 type Event struct{ ID, Name, Data string }
 
-// Handler takes what a stream brings.
+// Handler receives the events and comments of a stream.
 type Handler struct {
 	OnEvent   func(Event) error // an error ends the reading
 	OnComment func()            // nil: comments are ignored
@@ -60,7 +60,7 @@
 	size     int // of data, in bytes
 }
 
-// takeLine takes a line without its end; an empty one ends the event.
+// takeLine handles a line without its line ending; an empty one ends the event.
 func (p *parser) takeLine(line string) error {
 	if line == "" {
 		return p.endEvent()
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// endEvent hands out the event, unless it has no data.
+// endEvent passes the event to the handler, unless it has no data.
 func (p *parser) endEvent() error {
 	event := p.event
 	data := p.data
@@ -100,7 +100,8 @@
 	return p.handler.OnEvent(event)
 }
 
-// splitLine is a bufio.SplitFunc for lines that end with CR LF, LF or CR. A CR at the end of what was read waits for what follows.
+// splitLine is a bufio.SplitFunc for lines that end with CR LF, LF or CR. A CR at the end of the buffered data is held back until the
+// next byte shows whether an LF follows.
 func splitLine(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	end := bytes.IndexAny(data, "\r\n")
 	switch {
