--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -27,27 +27,27 @@
 // concurrent use.
 type Client struct {
 	address     string
-	LastEventID int64            // number of the last event that was handled
+	LastEventID int64            // number of the last event handled
 	onEvent     func(WatchEvent) // called by Watch for each event that holds a list
 	log         *zap.Logger
 
 	startTimes       startTimes
 	syncedAt         time.Time                   // when all events of the feed were known; zero: never yet
 	conn             atomic.Pointer[net.TCPConn] // the connection that is read
-	reading          atomic.Bool                 // a read waits: all that was read has been handled
+	reading          atomic.Bool                 // a read is blocked, so everything read before was handled
 	stream           *liveConn                   // conn, for the goroutine that watches
-	spare            net.Conn                    // one that is to take the place of conn; nil: none
+	spare            net.Conn                    // the connection to use after conn; nil: none
 	emptyConnections int                         // connections in a row that brought no line
 
-	eventErrors  int  // attempts at the event that could not be read
-	gapRequested bool // what is missing was requested again already
+	eventErrors  int  // failed attempts to read the next event
+	gapRequested bool // the events missing before the next one were requested again already
 
 	mu               sync.Mutex
-	relocation       *relocation        // where to go on, if elsewhere
-	cancelConnection context.CancelFunc // ends the present connection, or the pause before the next
+	relocation       *relocation        // the new address, if one was set; nil: none
+	cancelConnection context.CancelFunc // ends the present connection, or the backoff before the next
 }
 
-// relocation is where the feed is to be found, and the events that are known from elsewhere.
+// relocation is a new address of the feed, with the events that are known from another source.
 type relocation struct {
 	address     string
 	knownEvents []json.RawMessage
@@ -119,8 +119,7 @@
 	return connCtx, cancel, true
 }
 
-// applyNewerEvents handles what is new of a list of events, as far as it follows on what was handled without a gap. What it leaves out
-// the feed itself will send.
+// applyNewerEvents handles the new events of a list, up to the first gap. The feed itself sends those behind the gap.
 func (c *Client) applyNewerEvents(events []json.RawMessage) {
 	for _, raw := range events {
 		event, hasList, err := c.parseReceived(raw)
@@ -137,7 +136,7 @@
 	}
 }
 
-// Watch follows the feed until ctx ends. A connection that ends or falls silent is made anew at once, then with growing pauses while
+// Watch follows the feed until ctx ends. A connection that ends or falls silent is replaced at once, and with increasing backoff while
 // nothing is received. Its error is always nil.
 func (c *Client) Watch(ctx context.Context) error {
 	defer c.closeSpare()
@@ -145,7 +144,7 @@
 	for ctx.Err() == nil {
 		connCtx, cancel, relocated := c.applyRelocation(ctx)
 		if relocated {
-			c.closeSpare() // it leads to the old address
+			c.closeSpare() // it is connected to the old address
 			c.emptyConnections = 0
 			retry.reset()
 		}
@@ -157,7 +156,7 @@
 			retry.reset()
 		}
 		if !replaced {
-			c.pauseBeforeRetry(connCtx, err, retry.pause)
+			c.waitBackoff(connCtx, err, retry.pause)
 			retry.increase()
 		}
 		cancel()
@@ -165,8 +164,8 @@
 	return nil
 }
 
-// pauseBeforeRetry waits after a connection was lost, until ctx ends at the latest.
-func (c *Client) pauseBeforeRetry(ctx context.Context, lost error, pause time.Duration) {
+// waitBackoff waits after a connection was lost, until ctx ends at the latest.
+func (c *Client) waitBackoff(ctx context.Context, lost error, pause time.Duration) {
 	if ctx.Err() == nil {
 		c.log.Warn(logevent.ControlFeedLost,
 			zap.Error(lost), zap.Int64("last_event_id", c.LastEventID), logevent.Milliseconds("backoff_ms", pause))
@@ -177,8 +176,8 @@
 	}
 }
 
-// handleEvent handles one event. Repeats are skipped; a gap is requested again once, and so is, a few times, an event that cannot be
-// read. An error ends the connection.
+// handleEvent handles one event. Repeats are skipped. The events missing before it are requested again once, an event that cannot be
+// read is requested maxEventErrors times in all. An error ends the connection, so that the next one requests again.
 func (c *Client) handleEvent(id, data string) error {
 	event, hasList, err := c.parseReceived([]byte(data))
 	if number, idErr := strconv.ParseInt(id, 10, 64); idErr == nil {
@@ -214,9 +213,9 @@
 	return nil
 }
 
-// gapError is an event before which others are missing.
+// gapError reports an event before which others are missing.
 type gapError struct{ number, last int64 }
 
 func (e *gapError) Error() string {
-	return fmt.Sprintf("event %d after %d: asking for what is between", e.number, e.last)
+	return fmt.Sprintf("event %d after %d: requesting the events in between", e.number, e.last)
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -27,7 +27,7 @@
 		{"lines that end in CR", "id: 5\rdata: {\"n\":5,\"members\":{}}\r\r" + eventText("6", "6"), 1, []int64{5, 6}, 6, "EOF"},
 		{"repeats", eventText("3", "3") + eventText("4", "4") + eventText("5", "5"), 1, []int64{5}, 5, "EOF"},
 		{"the number in the data stands in for the id", "data: {\"n\":5,\"members\":{}}\n\n", 1, []int64{5}, 5, "EOF"},
-		{"a gap is requested again", eventText("7", "7"), 1, nil, 4, "asking for what is between"},
+		{"a gap is requested again", eventText("7", "7"), 1, nil, 4, "requesting the events in between"},
 		{"a gap that stays is skipped", eventText("7", "7"), 2, []int64{7}, 7, "EOF"},
 		{"an event that holds no list counts", "id: 5\ndata: {\"n\":5,\"purge\":{}}\n\n", 1, nil, 5, "EOF"},
 		{"an event not ended is none", strings.TrimSuffix(eventText("5", "5"), "\n"), 1, nil, 4, "EOF"},
@@ -64,7 +64,7 @@
 	})
 }
 
-// unusedAddress is one where nobody listens.
+// unusedAddress returns an address without a listener.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 	partial := func(n string) json.RawMessage { return json.RawMessage(`{"n":` + n + `,"members":{}}`) }
 	for _, c := range []struct {
 		name   string
-		silent bool // the old address; else nobody listens there
+		silent bool // the old address accepts and sends nothing; else it has no listener
 		known  []json.RawMessage
 		last   string
 	}{
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -25,8 +25,8 @@
 
 func (e *statusError) Error() string { return fmt.Sprintf("control feed answered %d", e.status) }
 
-// watchOnce follows the feed on one connection: the spare one or a new one. It returns why the connection ended, errReplaced where
-// there is another one to go on with.
+// watchOnce follows the feed on one connection: the spare one or a new one. It returns why the connection ended, errReplaced if
+// the spare connection replaces it.
 func (c *Client) watchOnce(ctx context.Context) error {
 	conn, err := c.takeConnection(ctx)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return c.connect(ctx)
 }
 
-// connectSpare makes a connection that may take the present one's place.
+// connectSpare opens a connection that may replace the present one.
 func (c *Client) connectSpare(ctx context.Context) bool {
 	var err error
 	c.spare, err = c.connect(ctx)
@@ -94,8 +94,8 @@
 	return conn, nil
 }
 
-// firstLineTimeout is how long a new connection is given for its first line. The connections that may fail one after another before an
-// event is received have to fit in maxNotificationDelay, and a feed that is slow to begin has to be given time in the end.
+// firstLineTimeout returns the time limit for a new connection's first line. It starts short, so that several connections can fail one
+// after another within maxNotificationDelay, and increases, so that a feed that is slow to begin is read in the end.
 func (c *Client) firstLineTimeout() time.Duration {
 	timeout := initialLineTimeout
 	for range c.emptyConnections {
@@ -156,7 +156,7 @@
 		return true
 	}
 	raw, err := conn.SyscallConn()
-	if err != nil { // closed: there is nothing more to come
+	if err != nil { // closed: no more events arrive on it
 		return false
 	}
 	raw.Control(func(fd uintptr) {
--- a/internal/discovery/start_time.go
+++ b/internal/discovery/start_time.go
@@ -8,16 +8,15 @@
 )
 
 const (
-	// maxNotificationDelay is after how long at the latest what happens counts as notified (protocol, Figures).
+	// maxNotificationDelay is the time after which a change counts as notified at the latest (protocol, Figures).
 	maxNotificationDelay = 7 * time.Second
-	// maxStartTimes is how many engines' starts are remembered; beyond that those that were removed are forgotten.
+	// maxStartTimes is how many engines' start times are stored; beyond that, those of removed engines are deleted.
 	maxStartTimes = 8192
 )
 
 // startTimes works out when engines started, on the router's clock. The control feed sends that in Unix time, and the wall clock of
-// this host may be wrong by seconds or hours. Too great an age would have an engine that is warming up sent what only a warm one can
-// serve, so an age that contradicts the events received so far is not believed: the engine has started just now. It is not safe for
-// concurrent use.
+// this host may be wrong by seconds or hours. With too great an age an engine that is warming up would be sent full load, so an age
+// that contradicts the events received so far is ignored and the engine counts as just started. It is not safe for concurrent use.
 type startTimes struct {
 	origin   time.Time // of the router's clock, with a monotonic reading; Unix times are compared with its wall clock reading
 	byEngine map[decision.EngineID]startTime
@@ -46,8 +45,8 @@
 	}
 }
 
-// startedAt is when an engine started, on the router's clock; 0: long ago. What was worked out for a start stays, whatever the clocks do
-// later.
+// startedAt is when an engine started, on the router's clock; 0: long ago. The result for a start is stored, so that it stays
+// the same when a clock is stepped later.
 func (s *startTimes) startedAt(engine decision.EngineID, unixMillis int64, syncedAt, now time.Time) time.Duration {
 	if unixMillis <= 0 {
 		return 0
--- a/internal/discovery/start_time_test.go
+++ b/internal/discovery/start_time_test.go
@@ -12,8 +12,8 @@
 	"bankledge/decision"
 )
 
-// An engine's start is taken from the wall clock only where the events received so far do not contradict it. A wall clock that is wrong by an
-// amount is one that says so of every start.
+// An engine's start time is taken from the wall clock only where the events received so far do not contradict it. A wall clock that is
+// wrong shifts every start time by the same amount.
 func TestStartTimes(t *testing.T) {
 	origin := time.Now()
 	now := origin.Add(time.Hour)
@@ -72,7 +72,7 @@
 	assert.Contains(t, s.byEngine, decision.EngineID("back"))
 }
 
-// An engine that the feed lists as new, while it is watched, has just started, whatever this host's wall clock says of that.
+// An engine that the feed lists as new, while it is watched, has just started, even if this host's wall clock contradicts that.
 func TestListedEngineHasJustStarted(t *testing.T) {
 	const ago = 30 * time.Minute // by a wall clock that is ahead
 	late := fmt.Sprintf(`{"n":2,"members":{"members":[{"id":"e2","host_port":"127.0.0.1:9","phase":"active","up_since_ms":%d}]}}`, time.Now().Add(-ago).UnixMilli())
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// silenceTimeout is after how long without a complete line a stream is dead: the feed sends a comment each second.
+	// silenceTimeout is the time without a complete line after which a stream is dead: the feed sends a comment each second.
 	silenceTimeout = 2500 * time.Millisecond
 	// initialLineTimeout is how long a new connection is given for its first line; half as much more after each that brought none.
 	initialLineTimeout = 1250 * time.Millisecond
 	// progressBytes of one line count as progress, too: an event may be long.
 	progressBytes = 4 << 10
-	// eventTimeout is after how long without an event, comments or not, another connection is made: it may bring one.
+	// eventTimeout is the time without an event, comments or not, after which another connection is opened, in case this one misses events.
 	eventTimeout = 4 * time.Second
 )
 
 // errReplaced is returned when another connection has taken the place of the one that was read.
 var errReplaced = errors.New("another connection has taken its place")
 
-// liveConn is a connection of which a read fails when it makes no progress for long. Not every byte is progress: a line that arrives a
-// byte at a time brings no event, and neither does a connection that brings a response header and no more.
+// liveConn is a connection whose reads fail after a time without progress. Not every byte is progress: a line that arrives a byte at a
+// time yields no event, and neither does a response header without a body.
 type liveConn struct {
 	net.Conn
 	lastProgress       time.Time
@@ -34,7 +34,7 @@
 	bodyStarted        bool      // lines of the response's body have arrived
 	lastEvent          time.Time // or the start
 	reading            *atomic.Bool
-	connectReplacement func() bool // makes a connection that may take this one's place
+	connectReplacement func() bool // opens a connection that may replace this one
 }
 
 // Read reads from the connection. It fails with os.ErrDeadlineExceeded after a time without progress, and with errReplaced where there
@@ -51,10 +51,10 @@
 		if !timedOut || !l.bodyStarted || now.Sub(l.lastProgress) >= l.progressTimeout {
 			return n, err
 		}
-		if l.connectReplacement() { // from here on only this connection's events are missed
+		if l.connectReplacement() { // the replacement requests all events that this connection did not deliver
 			return 0, errReplaced
 		}
-		l.lastEvent = now.Add(initialLineTimeout - eventTimeout) // tried again a while later: this one is better than none
+		l.lastEvent = now.Add(initialLineTimeout - eventTimeout) // tried again after initialLineTimeout; this connection is used until then
 	}
 }
 
--- a/internal/flowcontrol/controller.go
+++ b/internal/flowcontrol/controller.go
@@ -1,5 +1,5 @@
-// Package flowcontrol accounts for what waits on behalf of each peer, and decides when it is too much or moves too slowly. A peer
-// is one connection; all connections of one address make up a host; one Controller accounts for all. It records bytes and times
+// Package flowcontrol accounts for the answers and texts in memory for each peer, and decides when they are too many or are read too
+// slowly. A peer is one connection; all connections of one address make up a host; one Controller accounts for all. It records bytes and times
 // and returns decisions: no I/O, no clock, no goroutines. Nothing in it is safe for concurrent use; its owner locks.
 //
 // Times are durations on one monotonic clock of the owner's.
@@ -10,7 +10,7 @@
 	limits       Limits
 	answerBytes  int64
 	textBytes    int64
-	pendingHosts int // hosts with answers that wait
+	pendingHosts int // hosts with pending answers
 	hosts        map[string]*host
 }
 
@@ -20,7 +20,7 @@
 	peers        int
 	answerBytes  int64
 	textBytes    int64
-	pendingPeers int // peers with answers that wait
+	pendingPeers int // peers with pending answers
 }
 
 // NewController returns a controller without peers.
@@ -28,10 +28,10 @@
 	return &Controller{limits: limits, hosts: map[string]*host{}}
 }
 
-// Limits are those in force.
+// Limits returns the limits that the controller was made with.
 func (c *Controller) Limits() Limits { return c.limits }
 
-// Usage is what waits in all: bytes of answers, bytes of texts, and the number of peers.
+// Usage returns the totals: bytes of pending answers, bytes of texts, and the number of peers.
 func (c *Controller) Usage() (answerBytes, textBytes int64, peers int) {
 	for _, h := range c.hosts {
 		peers += h.peers
--- a/internal/flowcontrol/limits.go
+++ b/internal/flowcontrol/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits are how much may wait, and how fast clients have to read and write. Bytes, and bytes a second.
+// Limits bound the bytes in memory for clients, and the rates, in bytes per second, at which clients have to read and write.
 type Limits struct {
 	AnswerBytes     int64         // of answers, for all peers: queued, or written and not yet acknowledged
 	TextBytes       int64         // of statements' texts, for all peers
@@ -16,7 +16,7 @@
 
 // What limits are derived by, and the rates and times that hold on any machine.
 const (
-	answerMemoryDivisor = 8 // of the memory: what is queued is heap, and a full heap costs more than answers are worth
+	answerMemoryDivisor = 8 // of the memory: queued answers are on the heap, and a full heap slows down every request
 	textMemoryDivisor   = 6
 	minSendBufferBytes  = 16 << 10
 	maxSendBufferBytes  = 64 << 10 // a complete result, and the beginning of the next one
@@ -28,7 +28,7 @@
 	frameReadSlack      = 500 * time.Millisecond
 )
 
-// DeriveLimits works out limits for a memory in MB and a number of connections.
+// DeriveLimits returns the limits for a memory in MiB and a number of connections.
 func DeriveLimits(memoryMB int64, maxPeers int) Limits {
 	memory := memoryMB << 20
 	answerBytes := memory / answerMemoryDivisor
@@ -45,8 +45,9 @@
 	}
 }
 
-// FrameReadTimeout is how long to wait for the next bytes of a frame that has been arriving for elapsed, and of which lateBytes have
-// arrived since the grace ended: from there on it has to arrive at the least rate, half a second's worth ahead.
+// FrameReadTimeout returns how long to wait for the next bytes of a frame whose first byte arrived elapsed ago, and of which lateBytes
+// have arrived since FrameGrace ended. From then on it has to arrive at MinWriteRate or faster, with frameReadSlack to spare. The
+// result is negative once the frame is too late.
 func (l Limits) FrameReadTimeout(elapsed time.Duration, lateBytes int64) time.Duration {
 	earned := time.Duration(float64(lateBytes) / float64(l.MinWriteRate) * float64(time.Second))
 	return l.FrameGrace + frameReadSlack + earned - elapsed
--- a/internal/flowcontrol/peer.go
+++ b/internal/flowcontrol/peer.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	reserveDivisor    = 4 // one part in so many of Limits.AnswerBytes is for peers for which nothing waits
-	trustFactor       = 4 // times an answer's size that a peer has to have read before, for more to be queued for it
+	reserveDivisor    = 4 // 1/4 of Limits.AnswerBytes is reserved for peers without pending answers
+	trustFactor       = 4 // a peer is trusted with an answer after it has read this many times its size
 	maxTrustedBytes   = 4 * maxSendBufferBytes
 	maxUntrustedBytes = 2 * maxSendBufferBytes
-	pressureDivisor   = 4 // from one part in so many of Limits.AnswerBytes, no peer is trusted that has not read answers before
-	stallDivisor      = 2 // a peer stalls at one part in so many of its fair share
-	sharedTextDivisor = 2 // one part in so many of Limits.TextBytes is shared by hosts; the rest is first come, first served
+	pressureDivisor   = 4 // above 1/4 of Limits.AnswerBytes in use, only trusted peers may have pending answers without stalling
+	stallDivisor      = 2 // a peer stalls at 1/2 of its fair share
+	sharedTextDivisor = 2 // 1/2 of Limits.TextBytes is divided among hosts; the rest is first come, first served
 )
 
 // Peer is one connection's account.
@@ -17,15 +17,15 @@
 	controller      *Controller
 	host            *host
 	queuedBytes     int64 // of answers not written yet
-	sendBufferBytes int64 // written and, as last seen, not yet acknowledged
+	sendBufferBytes int64 // written and, at the last check, not yet acknowledged
 	textBytes       int64
 	receivedBytes   int64 // acknowledged in all
-	refused         bool  // an answer could not be kept for it; nothing more is done for it until there is room again
+	refused         bool  // TryQueue rejected an answer; the peer is stalled until enough memory is free again
 	readRate        rateMeter
 	closed          bool
 }
 
-// Close releases what waits for a peer, but for texts, which ReleaseText releases one by one.
+// Close releases the peer's pending answers. Its texts stay accounted for until ReleaseText is called for each.
 func (p *Peer) Close() {
 	if p.closed {
 		return
@@ -38,20 +38,20 @@
 	p.removeIdleHost()
 }
 
-// removeIdleHost forgets the host once nothing of it is left.
+// removeIdleHost deletes the host once it has neither peers nor texts.
 func (p *Peer) removeIdleHost() {
 	if p.host.peers == 0 && p.host.textBytes == 0 {
 		delete(p.controller.hosts, p.host.name)
 	}
 }
 
-// PendingBytes is how much waits for the peer.
+// PendingBytes returns the bytes of answers that are queued for the peer, or written and not yet acknowledged.
 func (p *Peer) PendingBytes() int64 { return p.queuedBytes + p.sendBufferBytes }
 
-// SendBufferBytes is what was written to the peer and, as last seen, not yet acknowledged.
+// SendBufferBytes returns the bytes written to the peer and, at the last check, not yet acknowledged.
 func (p *Peer) SendBufferBytes() int64 { return p.sendBufferBytes }
 
-// addPending changes what waits for the host and in all, by what is about to change for the peer.
+// addPending updates the host's and the controller's sums. It must be called before the peer's own counts change.
 func (p *Peer) addPending(bytes int64) {
 	before := p.PendingBytes()
 	if p.host.answerBytes == 0 && bytes > 0 {
@@ -70,12 +70,13 @@
 	}
 }
 
-// sharedAnswerBytes is what of the memory for answers is not in reserve for peers for which nothing waits.
+// sharedAnswerBytes returns the memory for answers that is not reserved for peers without pending answers.
 func (c *Controller) sharedAnswerBytes() int64 {
 	return c.limits.AnswerBytes - c.limits.AnswerBytes/reserveDivisor
 }
 
-// fairShare is how much may wait for one peer: what is not in reserve is divided among hosts, and a host's part among its peers.
+// fairShare returns the peer's fair share of the shared memory, which is divided among hosts with pending answers, and within a host
+// among its peers with pending answers.
 func (p *Peer) fairShare() int64 {
 	hosts := p.controller.pendingHosts
 	if p.host.answerBytes == 0 {
@@ -88,7 +89,7 @@
 	return p.controller.sharedAnswerBytes() / int64(max(1, hosts)) / int64(max(1, peers))
 }
 
-// TryQueue asks whether an answer of so many bytes may wait for the peer, and accounts for it if so.
+// TryQueue accounts for an answer to be queued for the peer, and returns false if it may not be queued.
 func (p *Peer) TryQueue(now time.Duration, bytes int64) bool {
 	if p.closed || !p.mayQueue(bytes) {
 		p.refused = true
@@ -98,8 +99,8 @@
 	return true
 }
 
-// mayQueue decides whether an answer may wait. A peer for which nothing waits may have one more, and one that has read its answers so
-// far a few, as long as there is memory: what waits for others, in the part of it that is shared, does not count against these.
+// mayQueue decides whether an answer may be queued. While there is memory at all, a peer without pending answers may have one, and one
+// that has read its answers so far may have several, even if other peers have used up the shared memory.
 func (p *Peer) mayQueue(bytes int64) bool {
 	c := p.controller
 	total := c.answerBytes + bytes
@@ -107,18 +108,18 @@
 	switch {
 	case total > c.limits.AnswerBytes:
 		return false
-	case p.PendingBytes() == 0: // one is kept for anyone
+	case p.PendingBytes() == 0: // every peer may have one answer
 		return true
 	case p.sendBufferBytes == 0 && p.receivedBytes >= trustFactor*bytes && pending <= maxTrustedBytes:
 		return true
-	case total <= c.limits.AnswerBytes/2 && pending <= maxUntrustedBytes: // an answer that was in hand when the peer turned out to be slow
+	case total <= c.limits.AnswerBytes/2 && pending <= maxUntrustedBytes: // e.g. an answer that was in flight when the peer became slow
 		return true
 	}
 	return total <= c.sharedAnswerBytes() && pending <= p.fairShare()
 }
 
-// ForceQueue accounts for what has to be sent whatever waits: the short frames that end a statement or a connection. A negative
-// number releases what was queued and is not sent.
+// ForceQueue accounts for frames that have to be queued in any case: the short ones that end a statement or a connection. A negative
+// number releases queued bytes that are not sent.
 func (p *Peer) ForceQueue(now time.Duration, bytes int64) {
 	if p.closed {
 		return
@@ -128,12 +129,12 @@
 	p.readRate.setWaiting(now, true)
 }
 
-// CanWrite returns whether so much may be written now without the kernel holding more than it should.
+// CanWrite returns whether so many bytes may be written now without exceeding Limits.SendBufferBytes in the kernel's send buffer.
 func (p *Peer) CanWrite(bytes int64) bool {
 	return p.sendBufferBytes == 0 || p.sendBufferBytes+bytes <= p.controller.limits.SendBufferBytes
 }
 
-// RecordWritten records that so much of what was queued was handed to the kernel.
+// RecordWritten records that so many queued bytes were written to the kernel.
 func (p *Peer) RecordWritten(bytes int64) {
 	if p.closed {
 		return
@@ -142,7 +143,7 @@
 	p.sendBufferBytes += bytes
 }
 
-// RecordUnsent records how much of what was written the peer has not acknowledged yet, by the kernel's count.
+// RecordUnsent records how many written bytes the peer has not acknowledged yet, by the kernel's count.
 func (p *Peer) RecordUnsent(now time.Duration, unsent int64) {
 	if p.closed || unsent >= p.sendBufferBytes {
 		return
@@ -155,7 +156,7 @@
 	p.readRate.setWaiting(now, p.PendingBytes() > 0)
 }
 
-// Stalled returns whether so much waits for the peer that nothing further is read from it, nor done for it.
+// Stalled returns whether the peer has so many pending answers that no more is read from it and no more of its statements are started.
 func (p *Peer) Stalled() bool {
 	c := p.controller
 	pending := p.PendingBytes()
@@ -171,8 +172,8 @@
 	return pending > p.fairShare()/stallDivisor || pending > maxUntrustedBytes || c.answerBytes > c.limits.AnswerBytes/pressureDivisor
 }
 
-// TooSlow returns whether the peer reads its answers at less than the least rate. It is judged only while something waits for
-// it, and not where all that waits is read within the window, however little that is.
+// TooSlow returns whether the peer reads its answers at less than Limits.MinReadRate. It is judged only while it has pending answers,
+// and is not too slow if it has read as many bytes within the window as are pending now, however few.
 func (p *Peer) TooSlow(now time.Duration) bool {
 	limits := p.controller.limits
 	moved, judged := p.readRate.movedWithin(now, limits.ReadGrace, limits.ReadWindow)
@@ -180,8 +181,8 @@
 	return judged && moved < p.PendingBytes() && moved < required
 }
 
-// ReserveText asks whether a statement's text may be held for the peer, and accounts for it if so. Half of the memory is first come,
-// first served; the rest is divided among hosts and within one among its peers, so that one that floods only limits itself.
+// ReserveText accounts for a statement's text, and returns false if the peer may not have it in memory. Half of the memory is first
+// come, first served; the rest is divided among hosts and within a host among its peers, so that a flooding peer only limits itself.
 func (p *Peer) ReserveText(bytes int64) bool {
 	c := p.controller
 	total := c.textBytes + bytes
@@ -196,13 +197,13 @@
 	return true
 }
 
-// textShare is how much of the shared part of the memory for texts one peer may hold.
+// textShare returns the peer's share, in bytes, of the memory for texts that is divided among hosts.
 func (p *Peer) textShare() int64 {
 	shared := p.controller.limits.TextBytes / sharedTextDivisor
 	return shared / int64(max(1, len(p.controller.hosts))) / int64(max(1, p.host.peers))
 }
 
-// ReleaseText releases a text; it may be called after Close.
+// ReleaseText releases a text's bytes; it may be called after Close.
 func (p *Peer) ReleaseText(bytes int64) {
 	p.addText(-bytes)
 	if p.closed {
--- a/internal/flowcontrol/peer_test.go
+++ b/internal/flowcontrol/peer_test.go
@@ -35,18 +35,18 @@
 	assert.False(t, slow[0].TryQueue(0, 48*kb), "no second one under pressure")
 	assert.False(t, slow[0].CanWrite(48*kb))
 	fresh := controller.OpenPeer("b")
-	assert.True(t, fresh.TryQueue(0, 40*kb), "one for which nothing waits has a part in reserve")
+	assert.True(t, fresh.TryQueue(0, 40*kb), "memory is reserved for a peer without pending answers")
 	fresh.RecordWritten(40 * kb)
 	fresh.RecordUnsent(time.Second, 0)
 	assert.False(t, fresh.Stalled())
 	refused := controller.OpenPeer("c")
 	assert.False(t, refused.TryQueue(0, 1024*kb))
-	assert.True(t, refused.Stalled(), "nothing more is done for one whose answer could not be kept")
+	assert.True(t, refused.Stalled(), "a peer whose answer was rejected is stalled")
 	for _, p := range slow {
 		p.Close()
 		p.Close()
 	}
-	assert.False(t, refused.Stalled(), "until there is room")
+	assert.False(t, refused.Stalled(), "until memory is free")
 	answerBytes, _, _ = controller.Usage()
 	assert.Zero(t, answerBytes)
 	assert.False(t, slow[0].TryQueue(0, 1), "nothing is accounted for one that has ended")
@@ -130,18 +130,18 @@
 			assert.Equal(t, c.at, at)
 		})
 	}
-	t.Run("judged only while something waits for it", func(t *testing.T) {
+	t.Run("judged only while answers are pending", func(t *testing.T) {
 		p := NewController(limits).OpenPeer("a")
 		p.TryQueue(0, 100)
 		p.RecordWritten(100)
 		p.RecordUnsent(time.Second, 0)
-		assert.False(t, p.TooSlow(time.Hour), "nothing waits for it")
+		assert.False(t, p.TooSlow(time.Hour), "no answer is pending")
 		p.TryQueue(time.Hour, 100<<10)
 		p.RecordWritten(100 << 10)
 		assert.False(t, p.TooSlow(time.Hour+11*time.Second), "its grace begins anew")
 		assert.True(t, p.TooSlow(time.Hour+12*time.Second))
 	})
-	t.Run("small answers that are read as they come", func(t *testing.T) {
+	t.Run("small answers that are read as they arrive", func(t *testing.T) {
 		p := NewController(limits).OpenPeer("a")
 		for second := range 60 { // the kernel always waits for the last one's acknowledgement
 			now := time.Duration(second) * time.Second
@@ -161,7 +161,7 @@
 	for flooding.ReserveText(16 * kb) {
 		texts++
 	}
-	assert.Equal(t, 32, texts, "half goes to whoever comes first")
+	assert.Equal(t, 32, texts, "half is first come, first served")
 	assert.True(t, other.ReserveText(200*kb), "the rest is shared")
 	assert.False(t, other.ReserveText(900*kb))
 	flooding.Close()
@@ -173,7 +173,7 @@
 	_, textBytes, peers := controller.Usage()
 	assert.Zero(t, textBytes)
 	assert.Zero(t, peers)
-	assert.Empty(t, controller.hosts, "nothing is kept of an address without connections")
+	assert.Empty(t, controller.hosts, "an address without connections is deleted")
 }
 
 // peerModel plays random operations on peers, and keeps the texts that they hold.
--- a/internal/http1/recorded_test.go
+++ b/internal/http1/recorded_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// describeAnswer reads an answer and says what came of it, with the whole text of an error.
+// describeAnswer reads a response and describes the result, with the complete text of an error.
 func describeAnswer(input string) string {
 	reader := NewReader(iotest.OneByteReader(strings.NewReader(input)))
 	head, body, err := reader.ReadResponse(bodyLimit)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -51,7 +51,7 @@
 func (r *Reader) Buffered() bool { return len(r.buffer.Bytes()) > 0 }
 
 // ReadResponse reads a complete response with a body of at most maxBody bytes. A body that announces more is not read.
-// A body that only the end of the connection ends is an error: nothing tells whether it is complete. With an error, the
+// A body that only the end of the connection ends is an error: it may be incomplete. With an error, the
 // header may be set and the body may hold the part that was read.
 func (r *Reader) ReadResponse(maxBody int) (Header, []byte, error) {
 	header, err := r.ReadHeader()
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -1,6 +1,6 @@
-// Package invariant checks at run time, beside whatever decided it, that each act in the life of a request keeps the rules: starting an
-// attempt, retrying, answering, ending an attempt and closing a connection. It has no clock, does no I/O and decides nothing: the
-// caller does not do what would break a rule, and the violation is counted and logged. A count above zero is a defect of the router.
+// Package invariant checks at run time, independently of the code that decides, that each step of a request keeps the rules: starting
+// an attempt, retrying, answering, ending an attempt and closing a connection. It has no clock, does no I/O and decides nothing: the
+// caller omits a step that would break a rule, and the violation is counted and logged. A count above zero is a defect of the router.
 package invariant
 
 import (
@@ -19,7 +19,7 @@
 	Cell   decision.Cell
 }
 
-// Request is what the rules need to know of one request that the router has admitted. One goroutine owns it. Times are on the
+// Request records the history of one admitted request, as far as the rules need it. One goroutine owns it. Times are on the
 // router's monotonic clock.
 type Request struct {
 	id       decision.StatementID
@@ -115,8 +115,8 @@
 	}
 }
 
-// EndAttempt records that an attempt is in flight no longer, and whether it is known that it did not run. An attempt that was never
-// recorded is ignored.
+// EndAttempt records that an attempt has ended, and whether it is known that it did not run. An attempt that was never recorded is
+// ignored.
 func (r *Request) EndAttempt(number decision.AttemptID, knownNotRun bool) {
 	if int(number) >= len(r.attempts) {
 		return
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// RecordCancellation records that nobody waits for an answer any more.
+// RecordCancellation records that the client does not wait for an answer any more.
 func (r *Request) RecordCancellation() { r.finished = true }
 
 func (r *Request) violates(rule Rule, format string, args ...any) *Violation {
--- a/internal/invariant/request_test.go
+++ b/internal/invariant/request_test.go
@@ -22,7 +22,7 @@
 	notRun     = true
 )
 
-// Each case is the life of a request up to an act that breaks a rule, or keeps all of them.
+// Each case is the history of a request up to a step that breaks one rule, or none.
 func TestRules(t *testing.T) {
 	once := decision.Workload{Idempotency: decision.NonIdempotent}
 	dedup := func(scope decision.DedupScope) decision.Workload {
@@ -35,7 +35,7 @@
 		notRun    bool       // all of these
 		inFlight  bool       // the last of these has not ended
 		answered  bool
-		cancelled bool // nobody waits
+		cancelled bool // the client cancelled the request
 		next      Location
 		at        time.Duration
 		breaks    Rule // numRules: none
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -6,7 +6,7 @@
 	"bankledge/decision"
 )
 
-// Rule is a rule that an act may break.
+// Rule is a rule that a step of a request may break.
 type Rule int
 
 // The rules.
@@ -18,8 +18,8 @@
 	Placement                        // a request runs only in the zones and on the machine types that its workload allows
 	OneAnswer                        // a request has one final answer
 	SafeRejection                    // a rejection says that nothing ran, or that a retry is harmless
-	ProvenAttemptEnd                 // an attempt that was started ends with a proof that its engine does not run it
-	NoLostRequest                    // a client connection is not closed while a request on it is owed an answer
+	ProvenAttemptEnd                 // the end of a started attempt is reported only with a proof that its engine does not run it
+	NoLostRequest                    // a client connection is not closed while a request on it has no answer
 	numRules
 )
 
@@ -43,10 +43,10 @@
 	return ruleNames[r]
 }
 
-// Violation is an act that would have broken a rule. It was not done.
+// Violation is a step that would have broken a rule, as the error that Recorder records.
 type Violation struct {
 	Rule      Rule
-	Statement decision.StatementID // empty: the act is of a connection
+	Statement decision.StatementID // empty: the step concerns a connection
 	Detail    string
 }
 
