--- a/internal/simulation/auditor.go
+++ b/internal/simulation/auditor.go
@@ -8,17 +8,17 @@
 	"bankledge/internal/configversion"
 )
 
-// maxViolations is how many violations are kept of one simulation.
+// maxViolations bounds the recorded violations of one simulation.
 const maxViolations = 20
 
-// Violation is a promise that was broken.
+// Violation is a guarantee of the design that did not hold.
 type Violation struct {
 	Auditor string        // which check found it
 	At      time.Duration // true time
 	Detail  string
 }
 
-// auditor observes a simulation and checks what the design promises. Each check has its own file and state.
+// auditor observes a simulation and checks the guarantees of the design. Each check has its own file and state.
 type auditor struct {
 	violations     []Violation
 	versions       versionAudit
@@ -41,14 +41,14 @@
 	}
 }
 
-// versionAudit checks that a number stands for one version, and that versions follow on each other.
+// versionAudit checks that a number stands for one version, and that each version follows the one before it.
 type versionAudit struct {
 	byNumber     map[uint64]*configversion.Version
 	newest       uint64
-	lastObserved time.Duration // when a new one left the group last
+	lastObserved time.Duration // when the group last sent a new one
 }
 
-// observeVersion checks a version that leaves the group.
+// observeVersion checks a version that the group sends.
 func (a *auditor) observeVersion(s *simulation, version *configversion.Version) {
 	known := a.versions.byNumber[version.Number]
 	if known != nil {
@@ -98,7 +98,7 @@
 	a.checkContradictions(s, sample)
 }
 
-// observeAcknowledgement notes a proposal that was acknowledged to its operator.
+// observeAcknowledgement records a proposal that was acknowledged to its operator.
 func (a *auditor) observeAcknowledgement(s *simulation, outcome configregister.Outcome) {
 	first, repeated := a.operations.acknowledged[outcome.ID]
 	if repeated && first.Number != outcome.Number {
--- a/internal/simulation/contradiction.go
+++ b/internal/simulation/contradiction.go
@@ -8,10 +8,10 @@
 	"bankledge/internal/rules"
 )
 
-// actingBasis names what the rules that a router acts on were made of.
+// actingBasis identifies the versions from which the rules that a router acts on were computed.
 type actingBasis struct {
 	activated uint64 // version that is in force, 0: none is known
-	pending   uint64 // newer version that is not, 0: none
+	pending   uint64 // newer version that is not in force yet, 0: none
 	leased    bool
 	starting  bool // the router has only just started and acts on its own settings
 }
@@ -22,7 +22,7 @@
 	leased         int
 	bases          []actingBasis // each once
 	rules          map[actingBasis]*rules.Rules
-	leasedVersions []uint64 // versions that routers with a lease go by, each once
+	leasedVersions []uint64 // versions on which routers with a lease act, each once
 }
 
 func sampleRouters(s *simulation) routerSample {
@@ -48,7 +48,7 @@
 	return sample
 }
 
-// contradiction is that a router acts on what a version forbids by which another router with a lease goes.
+// contradiction means that a router does what a version forbids on which another router with a lease acts.
 type contradiction struct {
 	basis   actingBasis
 	version uint64
@@ -56,45 +56,45 @@
 
 // contradictionAudit measures for how long routers contradict each other.
 type contradictionAudit struct {
-	since     map[actingBasis]time.Duration // first sample of those that go on; whichever versions they contradict
+	since     map[actingBasis]time.Duration // when each ongoing contradiction was first sampled, whatever the version
 	distinct  map[contradiction]struct{}
-	offenses  map[offenseKey]string // memo of offense
+	conflicts map[conflictKey]string // results of firstConflict
 	longest   time.Duration
 	overBound int
 }
 
-type offenseKey struct{ activated, pending, version uint64 }
+type conflictKey struct{ activated, pending, version uint64 }
 
 func newContradictionAudit() contradictionAudit {
 	return contradictionAudit{
-		since:    map[actingBasis]time.Duration{},
-		distinct: map[contradiction]struct{}{},
-		offenses: map[offenseKey]string{},
+		since:     map[actingBasis]time.Duration{},
+		distinct:  map[contradiction]struct{}{},
+		conflicts: map[conflictKey]string{},
 	}
 }
 
-// ContradictionBound is for how long routers may contradict each other in a simulation, where a batch takes no time and nothing is
-// paused between a router's look at its clock and its act: a lease, and what sampling may add at either end.
+// ContradictionBound is how long routers may contradict each other in a simulation, in which a batch takes no time and no router is paused
+// between the check of its lease and its action: one lease duration, and one sampling interval at either end.
 func ContradictionBound(durations lease.Durations) time.Duration {
 	return durations.LeaseDuration + 2*auditInterval
 }
 
-// checkContradictions compares what each router acts on with the versions that routers with a lease go by.
+// checkContradictions compares what each router acts on with the versions on which routers with a lease act.
 func (a *auditor) checkContradictions(s *simulation, sample routerSample) {
 	ongoing := map[actingBasis]bool{}
 	for _, basis := range sample.bases {
 		for _, version := range sample.leasedVersions {
-			offense := a.offense(basis, sample.rules[basis], version)
-			if offense == "" {
+			conflict := a.firstConflict(basis, sample.rules[basis], version)
+			if conflict == "" {
 				continue
 			}
 			ongoing[basis] = true
 			a.contradictions.distinct[contradiction{basis, version}] = struct{}{}
-			// What a version loosens waits for the last lease on what came before, so this must never be.
+			// A version takes effect where it is looser only once the last lease on the version before it has expired.
 			if basis.activated >= version && !s.PlainPush {
-				a.report("loosened", s.now, "a router acts on %+v while another has a lease on version %d: %s", basis, version, offense)
+				a.report("loosened", s.now, "a router acts on %+v while another has a lease on version %d: %s", basis, version, conflict)
 			}
-			a.measureContradiction(s, basis, version, offense)
+			a.measureContradiction(s, basis, version, conflict)
 		}
 	}
 	for basis := range a.contradictions.since {
@@ -104,12 +104,12 @@
 	}
 }
 
-func (a *auditor) measureContradiction(s *simulation, basis actingBasis, version uint64, offense string) {
+func (a *auditor) measureContradiction(s *simulation, basis actingBasis, version uint64, conflict string) {
 	audit := &a.contradictions
-	if _, goesOn := audit.since[basis]; !goesOn {
+	if _, known := audit.since[basis]; !known {
 		audit.since[basis] = s.now
 	}
-	earliestStart := max(audit.since[basis]-auditInterval, 0) // just behind the sample before
+	earliestStart := max(audit.since[basis]-auditInterval, 0) // right after the previous sample
 	duration := s.now - earliestStart
 	audit.longest = max(audit.longest, duration)
 	bound := ContradictionBound(s.LeaseDurations)
@@ -119,26 +119,26 @@
 	}
 	audit.overBound++
 	if !s.PlainPush {
-		a.report("contradiction", s.now, "for over %v a router acts on %+v while another goes by version %d: %s", bound, basis, version, offense)
+		a.report("contradiction", s.now, "for over %v a router acts on %+v while another goes by version %d: %s", bound, basis, version, conflict)
 	}
 }
 
-// offense is the first field in which who acts on these rules does what a version forbids; "" if none. Nothing is promised of
-// routers without a lease here: the floor of the versions bounds what they may do, and they can't know which engines have left
-// (docs/control.md).
-func (a *auditor) offense(basis actingBasis, acting *rules.Rules, versionNumber uint64) string {
+// firstConflict describes the first field in which a router that acts on these rules does what a version forbids; "" if there is none.
+// Routers without a lease are not checked: only the floor of the versions bounds what they may do, and they can't know which engines were
+// removed (docs/control.md).
+func (a *auditor) firstConflict(basis actingBasis, acting *rules.Rules, versionNumber uint64) string {
 	version := a.versions.byNumber[versionNumber]
 	if version == nil || acting == nil || !basis.leased {
 		return ""
 	}
-	key := offenseKey{basis.activated, basis.pending, versionNumber}
-	if offense, known := a.contradictions.offenses[key]; known {
-		return offense
+	key := conflictKey{basis.activated, basis.pending, versionNumber}
+	if conflict, known := a.contradictions.conflicts[key]; known {
+		return conflict
 	}
-	offense := ""
-	if offended := rules.Conflicts(acting, version.Rules); len(offended) > 0 {
-		offense = offended[0].Name + ": " + offended[0].Description
+	conflict := ""
+	if conflicting := rules.Conflicts(acting, version.Rules); len(conflicting) > 0 {
+		conflict = conflicting[0].Name + ": " + conflicting[0].Description
 	}
-	a.contradictions.offenses[key] = offense
-	return offense
+	a.contradictions.conflicts[key] = conflict
+	return conflict
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,7 +12,7 @@
 	maxSavesToCrash   = 3
 )
 
-// faults are what can befall the hosts and links; those that stand twice are twice as likely. Each schedules one fault from start on.
+// faults are the kinds of faults of hosts and links; one that is listed twice is twice as likely. Each schedules one fault at start.
 var faults = [...]func(s *simulation, start, duration time.Duration){
 	(*simulation).isolateRouter,
 	(*simulation).isolateRouter,
@@ -25,24 +25,24 @@
 	(*simulation).restartRouter,
 }
 
-// scheduleFaults draws what befalls whom and when. From quietFrom on nothing fails.
+// scheduleFaults chooses faults, their targets and times at random. After faultsEnd nothing fails.
 func (s *simulation) scheduleFaults() {
-	quiet := s.quietFrom()
+	faultsEnd := s.faultsEnd()
 	if s.oneIn(3) {
-		s.at(s.uniform(0, quiet), func() { s.network.maxExtraDelay = s.uniform(0, maxSlowExtraDelay) })
-		s.at(quiet, func() { s.network.maxExtraDelay = 0 })
+		s.at(s.uniform(0, faultsEnd), func() { s.network.maxExtraDelay = s.uniform(0, maxSlowExtraDelay) })
+		s.at(faultsEnd, func() { s.network.maxExtraDelay = 0 })
 	}
 	count := minFaults + s.random.IntN(maxFaults-minFaults+1)
 	for range count {
-		start := s.uniform(earliestFault, quiet)
-		duration := min(s.uniform(minFaultDuration, maxFaultDuration), quiet-start)
+		start := s.uniform(earliestFault, faultsEnd)
+		duration := min(s.uniform(minFaultDuration, maxFaultDuration), faultsEnd-start)
 		fault := faults[s.random.IntN(len(faults))]
 		fault(s, start, duration)
 	}
 }
 
-// faultsActive reports whether faults may occur by now.
-func (s *simulation) faultsActive() bool { return !s.NoFaults && s.now < s.quietFrom() }
+// faultsActive reports whether faults may occur now.
+func (s *simulation) faultsActive() bool { return !s.NoFaults && s.now < s.faultsEnd() }
 
 func (s *simulation) randomRouter() *routerHost { return s.routers[s.random.IntN(len(s.routers))] }
 
@@ -77,7 +77,7 @@
 	s.at(start+duration, func() { s.restoreLink(over) })
 }
 
-// isolateRouter cuts a router off from all or some of the processes.
+// isolateRouter cuts the links between a router and all or some of the processes.
 func (s *simulation) isolateRouter(start, duration time.Duration) {
 	router := s.randomRouter()
 	cut := s.randomDirection()
@@ -140,7 +140,7 @@
 	})
 }
 
-// crashProcess kills a process at one of its next saves, or at once.
+// crashProcess kills a process at one of its next saves, or immediately.
 func (s *simulation) crashProcess(start, duration time.Duration) {
 	process := s.randomProcess()
 	saves := s.random.IntN(maxSavesToCrash + 1)
@@ -174,7 +174,7 @@
 	})
 }
 
-// restartRouter kills a router, which comes back under its name with nothing that it knew.
+// restartRouter kills a router, which restarts under the same name without any state.
 func (s *simulation) restartRouter(start, duration time.Duration) {
 	router := s.randomRouter()
 	s.at(start, func() {
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// minTimerDelay keeps a host whose deadline has passed from taking all of the simulation's time.
+// minTimerDelay makes the simulated time advance although a host's deadline has already passed.
 const minTimerDelay = 100 * time.Microsecond
 
 // clock is a host's monotonic clock: it runs a little fast or slow, and started some time ago.
@@ -11,7 +11,7 @@
 	offset time.Duration
 }
 
-// newClock draws a clock that runs slow, right or fast by the drift that the lease durations allow for.
+// newClock returns a random clock that runs slow, exactly or fast, within the drift that the lease durations allow.
 func (s *simulation) newClock() clock {
 	drift := s.LeaseDurations.MaxClockDrift
 	return clock{
@@ -20,18 +20,17 @@
 	}
 }
 
-// at is what the clock shows at a true time.
+// at is the reading of the clock at a true time.
 func (c clock) at(trueTime time.Duration) time.Duration {
 	return c.offset + time.Duration(float64(trueTime)*c.rate)
 }
 
-// trueTime is when the clock shows a time.
+// trueTime is the true time of a reading of the clock.
 func (c clock) trueTime(shown time.Duration) time.Duration {
 	return time.Duration(float64(shown-c.offset)/c.rate) + 1
 }
 
-// host is what the group's processes and the routers have in common: a clock, and that they are paused, resumed, killed and started
-// again.
+// host is the common part of the group's processes and the routers: a clock, and the state of being paused, killed or restarted.
 type host struct {
 	sim             *simulation
 	id              int
@@ -39,7 +38,7 @@
 	up              bool
 	paused          bool
 	incarnation     int      // counts the starts
-	deferred        []func() // events that came while it was paused
+	deferred        []func() // events received while it was paused
 	timerGeneration int      // a timer of an earlier generation was replaced
 }
 
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -11,7 +11,7 @@
 
 const (
 	maxOperations      = 6000
-	oneReadChecked     = 4 // of so many
+	checkedReadOdds    = 4 // one in this many reads is checked
 	linearizableWithin = 20 * time.Second
 )
 
@@ -24,7 +24,7 @@
 	renewals     map[renewalKey]time.Duration
 }
 
-// renewalKey names a renewal that was sent.
+// renewalKey identifies a renewal that was sent.
 type renewalKey struct {
 	incarnation string
 	sequence    uint64
@@ -59,7 +59,7 @@
 	})
 }
 
-// observeProposal notes when a proposal is sent first.
+// observeProposal records when a proposal is first sent.
 func (a *auditor) observeProposal(id string, sent time.Duration) {
 	if _, known := a.operations.proposed[id]; !known {
 		a.operations.proposed[id] = sent
@@ -70,7 +70,7 @@
 	a.operations.renewals[renewalKey{renewal.Incarnation, renewal.Seq}] = s.now
 }
 
-// observeReply notes some of the replies as reads.
+// observeReply records a random part of the replies as reads.
 func (a *auditor) observeReply(s *simulation, router *routerHost, reply lease.Reply) {
 	audit := &a.operations
 	key := renewalKey{router.leaseIncarnation(), reply.Seq}
@@ -79,12 +79,12 @@
 		return
 	}
 	delete(audit.renewals, key)
-	if len(audit.operations) < maxOperations && s.oneIn(oneReadChecked) {
+	if len(audit.operations) < maxOperations && s.oneIn(checkedReadOdds) {
 		audit.addRead(reply.Newest, sent, s.now)
 	}
 }
 
-// addUnacknowledged adds the versions that were written but whose outcome reached nobody: writes that may have happened at any time.
+// addUnacknowledged adds the versions that were written but whose outcome no operator received: such a write may have happened at any time.
 func (o *operationAudit) addUnacknowledged(newest uint64, end time.Duration) {
 	acknowledged := map[uint64]bool{}
 	for _, outcome := range o.acknowledged {
@@ -97,15 +97,16 @@
 	}
 }
 
-// checkLinearizable reports if no order of the operations explains what was seen. A check that takes too long counts as passed.
+// checkLinearizable reports a violation if no order of the operations explains the observed results. A check that takes too long counts
+// as passed.
 func (a *auditor) checkLinearizable(s *simulation) {
 	operations := a.operations.operations
 	if porcupine.CheckOperationsTimeout(versionCounter, operations, linearizableWithin) == porcupine.Illegal {
-		a.report("linearizable", s.now, "no order of %d reads and writes explains what was seen", len(operations))
+		a.report("linearizable", s.now, "no order of %d reads and writes explains the observed results", len(operations))
 	}
 }
 
-// versionCounter is the sequential specification: a write moves the number up by one, to its own; a read sees it.
+// versionCounter is the sequential specification: a write increases the number by one, to its own; a read returns it.
 var versionCounter = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	minMessageDelay      = 200 * time.Microsecond
-	maxMessageDelay      = time.Millisecond // without the network's extra delay
-	maxRedeliveryDelay   = 2 * time.Millisecond
-	maxDuplicateDelay    = 300 * time.Millisecond
-	oneLostOnCutLink     = 2   // of so many messages; the others are delivered once the link is restored
-	oneDuplicateDelivery = 200 // of so many messages
+	minMessageDelay       = 200 * time.Microsecond
+	maxMessageDelay       = time.Millisecond // without the network's extra delay
+	maxRedeliveryDelay    = 2 * time.Millisecond
+	maxDuplicateDelay     = 300 * time.Millisecond
+	retransmitOdds        = 2   // one in this many messages on a cut link is delivered once it is restored; the others are lost
+	duplicateDeliveryOdds = 200 // one in this many messages is delivered twice
 )
 
 // link is one direction between two hosts, by their ids.
@@ -25,18 +25,18 @@
 	return network{cut: map[link]bool{}, retransmits: map[link][]func(){}}
 }
 
-// send delivers a message after a delay, unless the link is cut then. Now and then one is delivered twice.
+// send delivers a message after a delay, unless the link is cut then. At random a message is delivered twice.
 func (s *simulation) send(from, to int, deliver func()) {
 	over := link{from, to}
 	s.after(s.uniform(minMessageDelay, maxMessageDelay+s.network.maxExtraDelay), func() {
 		if s.network.cut[over] {
-			if s.oneIn(oneLostOnCutLink) {
+			if s.oneIn(retransmitOdds) {
 				s.network.retransmits[over] = append(s.network.retransmits[over], deliver)
 			}
 			return
 		}
 		deliver()
-		if !s.NoFaults && s.oneIn(oneDuplicateDelivery) {
+		if !s.NoFaults && s.oneIn(duplicateDeliveryOdds) {
 			s.after(s.uniform(0, maxDuplicateDelay), deliver)
 		}
 	})
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -24,7 +24,7 @@
 	electionTimeout    = 300 * time.Millisecond
 	compactionInterval = 40 // entries
 	maxRestartDelay    = time.Second
-	oneVersionLost     = 40 // of so many pushes to a router
+	pushLossOdds       = 40 // one in this many pushes to a router is lost
 )
 
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
@@ -34,7 +34,7 @@
 	host
 	replica         *replica.Replica
 	disk            consensus.PersistentState // what was synced
-	savesUntilCrash int                       // 0: no crash is planned
+	savesUntilCrash int                       // 0: no crash is scheduled
 	lastCallID      uint64
 	calls           map[uint64]call
 	streams         map[int]*stream // by router id
@@ -106,14 +106,14 @@
 	p.resetTimer()
 }
 
-// call hands the replica a call, and keeps who waits for its answer.
+// call hands the replica a call, and records the caller for its answer.
 func (p *processHost) call(caller call, event func(callID uint64) lease.CoordinatorEvent) {
 	p.lastCallID++
 	p.calls[p.lastCallID] = caller
 	p.step(replica.LeaseRequest{Event: event(p.lastCallID)})
 }
 
-// takeCall returns a call that is answered now; its zero value if it was made to an earlier incarnation.
+// takeCall removes and returns an answered call; it returns the zero value for a call to an earlier incarnation.
 func (p *processHost) takeCall(callID uint64) call {
 	caller := p.calls[callID]
 	delete(p.calls, callID)
@@ -143,7 +143,7 @@
 	}
 }
 
-// save writes to a disk that keeps what was synced.
+// save writes a change to the simulated disk, which survives a crash.
 func (p *processHost) save(change consensus.PersistentState) {
 	if change.HardState != nil {
 		p.disk.HardState = change.HardState
@@ -164,7 +164,7 @@
 	}
 }
 
-// countDownToCrash kills the process at the save at which its crash is planned, and has it started again.
+// countDownToCrash kills the process at the save for which its crash is scheduled, and schedules its restart.
 func (p *processHost) countDownToCrash() {
 	if p.savesUntilCrash == 0 {
 		return
@@ -208,15 +208,15 @@
 	})
 }
 
-// pushAll sends what is new to the routers that follow the versions here.
+// pushAll sends new versions and activations to the routers that follow the stream of this process.
 func (p *processHost) pushAll() {
 	for _, routerID := range slices.Sorted(maps.Keys(p.streams)) {
 		p.push(p.streams[routerID])
 	}
 }
 
-// push sends a router the versions and the activation that it has not been sent yet. Now and then a version is lost, so that the next
-// one arrives behind a gap.
+// push sends a router the versions and the activation that it has not been sent yet. At random a version is lost, so that the next
+// one arrives after a gap.
 func (p *processHost) push(to *stream) {
 	register := p.replica.Register()
 	for _, version := range register.UpdatesAfter(to.sentVersion) {
@@ -224,7 +224,7 @@
 		activated := register.Activated
 		to.sentVersion = version.Number
 		p.sim.auditor.observeVersion(p.sim, version)
-		if p.sim.faultsActive() && p.sim.oneIn(oneVersionLost) {
+		if p.sim.faultsActive() && p.sim.oneIn(pushLossOdds) {
 			continue
 		}
 		p.sim.send(p.id, to.router.id, func() {
--- a/internal/simulation/proposals.go
+++ b/internal/simulation/proposals.go
@@ -15,10 +15,10 @@
 	firstProposalAt     = 600 * time.Millisecond
 	proposalRetryDelay  = 1500 * time.Millisecond
 	maxProposalRetries  = 12
-	proposalGracePeriod = 2 * time.Second // after the quiet time, for retries
+	proposalGracePeriod = 2 * time.Second // after faultsEnd, for retries
 )
 
-// proposalIntervals are the mean paces of operators, of which each simulation has one.
+// proposalIntervals are the mean times between two proposals; each simulation uses one of them.
 var proposalIntervals = []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second}
 
 // forcedGuards are the guards that operators override, so that all rules can be proposed.
@@ -29,15 +29,15 @@
 	configversion.GuardNothingInBetween,
 }
 
-// quietFrom is when nothing fails any more and nobody proposes anything new.
-func (s *simulation) quietFrom() time.Duration { return s.SimulatedTime * 6 / 10 }
+// faultsEnd is when faults and new proposals end, so that the routers can converge.
+func (s *simulation) faultsEnd() time.Duration { return s.SimulatedTime * 6 / 10 }
 
 // proposal is one change that an operator wants.
 type proposal struct {
 	entry    configregister.Entry
 	proposed time.Duration // when it was sent first
 	retries  int
-	done     bool // it has its outcome, or was sent again
+	done     bool // it has its outcome, or was retried
 }
 
 // scheduleProposals has operators propose versions that tighten, loosen, or do both.
@@ -48,7 +48,7 @@
 	interval := proposalIntervals[s.random.IntN(len(proposalIntervals))]
 	var propose func()
 	propose = func() {
-		if s.now > s.quietFrom() {
+		if s.now > s.faultsEnd() {
 			return
 		}
 		s.changeRules(current)
@@ -112,7 +112,7 @@
 	}
 }
 
-// changeEngine moves one engine on: from missing to active under a new address, to leaving, to missing.
+// changeEngine moves one engine to its next phase: from missing to active under a new address, to leaving, to missing.
 func (s *simulation) changeEngine(engines map[string]rules.Engine) {
 	name := engineName(s.random.IntN(initialEngines))
 	engine, listed := engines[name]
@@ -128,7 +128,7 @@
 	}
 }
 
-// propose sends a proposal to the leader, if there is one, and again as long as it has no outcome.
+// propose sends a proposal to the leader, or to a random process if there is none, and retries until it has an outcome.
 func (s *simulation) propose(p proposal) {
 	to := s.leaderOrAny()
 	s.auditor.observeProposal(p.entry.ID, p.proposed)
@@ -141,7 +141,7 @@
 }
 
 func (s *simulation) retryProposal(p *proposal) {
-	if p.done || p.retries >= maxProposalRetries || s.now >= s.quietFrom()+proposalGracePeriod {
+	if p.done || p.retries >= maxProposalRetries || s.now >= s.faultsEnd()+proposalGracePeriod {
 		return
 	}
 	p.done = true
@@ -159,7 +159,7 @@
 	}
 }
 
-// leaderOrAny is the process that leads, or one that is drawn.
+// leaderOrAny is the process that leads, or a random one.
 func (s *simulation) leaderOrAny() *processHost {
 	chosen := s.processes[s.random.IntN(s.Processes)]
 	for _, process := range s.processes {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maxConvergenceDelay is how long before the end the last version may have been written for the routers not to be on it yet.
+// maxConvergenceDelay is the time that routers have to act on a new version: one written later than this before the end is not checked.
 const maxConvergenceDelay = 2 * time.Second
 
 // Result is what the auditor found in one simulation.
@@ -16,11 +16,11 @@
 	OverBound            int           // contradictions that were longer than ContradictionBound
 	Contradictions       int           // pairs of what a router acts on and a version that it contradicted
 	LeaseShare           float64       // mean share of the running routers that held a lease
-	ConvergenceDelay     time.Duration // from when nothing failed any more until all acted on the newest version
+	ConvergenceDelay     time.Duration // from the end of the faults until all acted on the newest version
 	Converged            bool          // all acted on the newest version at the end
 }
 
-// result ends the audit.
+// result runs the checks at the end and returns what the audit found.
 func (a *auditor) result(s *simulation) Result {
 	r := Result{
 		Seed:                 s.Seed,
@@ -48,21 +48,21 @@
 		a.checkLinearizable(s)
 	}
 	r.Converged = a.converged(s)
-	r.ConvergenceDelay = max(0, a.leases.lastNotConverged-s.quietFrom())
-	a.checkQuiet(s, r.Converged)
+	r.ConvergenceDelay = max(0, a.leases.lastNotConverged-s.faultsEnd())
+	a.checkConvergence(s, r.Converged)
 	r.Violations = a.violations
 	return r
 }
 
-// converged reports whether all routers acted on the newest version at the last sample, or that is so new that they need not.
+// converged reports whether all routers acted on the newest version at the last sample, or need not yet because it is too new.
 func (a *auditor) converged(s *simulation) bool {
 	return a.leases.lastNotConverged < s.now-auditInterval || a.versions.lastObserved >= s.now-maxConvergenceDelay
 }
 
-// checkQuiet reports if the routers have not converged although nothing has failed for long.
-func (a *auditor) checkQuiet(s *simulation, converged bool) {
+// checkConvergence reports a violation if the routers have not converged by the end, long after the last fault.
+func (a *auditor) checkConvergence(s *simulation, converged bool) {
 	stillWriting := a.versions.lastObserved >= s.now-maxConvergenceDelay
 	if !converged && !s.PlainPush && !stillWriting {
-		a.report("quiet", s.now, "nothing has failed for %v, and not all act on version %d", s.SimulatedTime-s.quietFrom(), a.versions.newest)
+		a.report("convergence", s.now, "nothing has failed for %v, and not all act on version %d", s.SimulatedTime-s.faultsEnd(), a.versions.newest)
 	}
 }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -11,7 +11,7 @@
 
 const (
 	streamCheckInterval = 250 * time.Millisecond
-	// A router gives up a stream that was silent at so many checks in a row.
+	// A router closes a stream that was silent at this many checks in a row.
 	maxSilentStreamChecks = 4
 	connectTimeout        = 300 * time.Millisecond
 )
@@ -26,7 +26,7 @@
 	followed *processHost           // whose stream of versions it reads
 }
 
-// localRules are the rules of a router's own settings: the most cautious that there are.
+// localRules are the rules of a router's own settings: the most restrictive ones.
 func localRules(routers int) *rules.Rules {
 	r := &rules.Rules{
 		Routers:                  routers,
@@ -63,7 +63,7 @@
 	r.step(lease.ClientTick{})
 }
 
-// leaseIncarnation names this incarnation of the router to the group.
+// leaseIncarnation is the id of this incarnation in renewals.
 func (r *routerHost) leaseIncarnation() string { return fmt.Sprintf("%d.%d", r.id, r.incarnation) }
 
 func (r *routerHost) receiveVersion(raw []byte, activated uint64) {
@@ -131,7 +131,7 @@
 	})
 }
 
-// checkLeaseExpiry is the look at the clock before a batch of decisions.
+// checkLeaseExpiry is the check of the lease before a batch of decisions.
 func (r *routerHost) checkLeaseExpiry() {
 	if !r.isRunning() || r.sim.PlainPush {
 		return
@@ -170,7 +170,7 @@
 	r.deliver(incarnation, func() { r.step(lease.StreamLost{}) })
 }
 
-// watchStream ends a stream whose process has died, or which was silent for long.
+// watchStream ends a stream whose process has crashed, or that was silent for too many checks.
 func (r *routerHost) watchStream(process *processHost, serving, incarnation int) {
 	silentChecks := 0
 	var check func()
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,6 +1,6 @@
 // Package simulation runs the state machines of the control group (replica) and of the routers (lease.Client) under one simulated
-// clock, on simulated disks and a simulated network, with faults drawn from a seed. An auditor observes all of them and checks what
-// the design promises. The same seed always gives the same history.
+// clock, on simulated disks and a simulated network, with random faults from a seed. An auditor observes all of them and checks the
+// guarantees of the design. The same seed always gives the same history.
 package simulation
 
 import (
@@ -16,9 +16,9 @@
 )
 
 const (
-	// auditInterval is how often routers look at their clocks and the auditor compares them.
+	// auditInterval is the time between two lease checks of the routers, after each of which the auditor compares them.
 	auditInterval = 10 * time.Millisecond
-	// clockDrift is the share by which clocks run fast or slow.
+	// clockDrift is the fraction by which clocks run fast or slow.
 	clockDrift = 0.05
 	// firstRouterID is the host id of the first router; those of the processes start at 0.
 	firstRouterID = 1000
@@ -61,7 +61,7 @@
 	processes    []*processHost
 	routers      []*routerHost
 	auditor      *auditor
-	lastEngineID int       // of the engine addresses that were given out
+	lastEngineID int       // last id that was used in an engine address
 	trace        io.Writer // nil: none
 	digest       hash.Hash64
 }
@@ -115,7 +115,7 @@
 	}
 }
 
-// audit has each router look at its clock, as it does before each batch of decisions, and the auditor compare what they act on.
+// audit has each router check its lease, as before each batch of decisions, and the auditor compare what the routers act on.
 func (s *simulation) audit() {
 	for _, router := range s.routers {
 		router.checkLeaseExpiry()
