--- a/internal/proxy/active_rules.go
+++ b/internal/proxy/active_rules.go
@@ -15,15 +15,15 @@
 const localHealthChecks = 2
 
 const (
-	// leastPositive stands for 0 where the module would take 0 for its own figure, or divide by it.
+	// leastPositive replaces 0 where the module would take 0 for its default, or divide by it.
 	leastPositive = 1e-9
 
 	// noMachineType is a type that no machine has.
 	noMachineType = decision.MachineType("\x00none")
 )
 
-// RulesFromSettings are the rules of a router's own settings, as far as they can be in a version. What the settings do not bound, such
-// as health checks, is the module's own figure.
+// RulesFromSettings returns the rules of a router's own settings in the form of a configuration version. What the settings do not
+// bound, such as health checks, has the module's default.
 func RulesFromSettings(moduleSettings *settings.ModuleSettings) *rules.Rules {
 	local := moduleSettings.Rules
 	own := &rules.Rules{
@@ -52,14 +52,14 @@
 	for _, quota := range moduleSettings.Quotas.Tenants {
 		own.TenantQuotas[string(quota.Tenant)] = quota.RatePerSecond
 	}
-	if own.Validate() != nil { // settings that no version could hold bind this router alone: the cautious side of nothing
+	if own.Validate() != nil { // settings that are not valid as a version: the most cautious rules, for this router only
 		own = &rules.Rules{Routers: max(1, moduleSettings.Identity.Routers)}
 		own.Validate()
 	}
 	return own
 }
 
-// rulesChanged is the event that hands the active rules to the module. What no version sets stays as the settings have it.
+// rulesChanged is the event that hands the active rules to the module. The settings apply where the version sets nothing.
 func (c *configurationLease) rulesChanged() decision.RulesChanged {
 	active := c.activeRules
 	changed := decision.RulesChanged{
@@ -87,7 +87,7 @@
 	return changed
 }
 
-// moduleRules are the settings' rules with what the active version says in their place.
+// moduleRules returns the settings' rules, overridden by those of the active version.
 func (c *configurationLease) moduleRules() decision.Rules {
 	active := c.activeRules
 	merged := c.moduleSettings.Rules
@@ -108,7 +108,7 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// excludedEngines are the engines that each table group may not use. Names that are no table groups are ignored.
+// excludedEngines returns the engines that each table group may not use. Names that are no table groups are ignored.
 func excludedEngines(active *rules.Rules) map[decision.TableGroup][]decision.EngineID {
 	excluded := map[decision.TableGroup][]decision.EngineID{}
 	for _, name := range slices.Sorted(maps.Keys(active.PlacementExclusions)) {
@@ -124,13 +124,13 @@
 	return excluded
 }
 
-// allowedMachineTypes are those that a workload may run on: those of the version that the settings allow, too.
+// allowedMachineTypes returns the machine types that both the settings and the version allow for a workload.
 func allowedMachineTypes(active *rules.Rules, workload decision.Workload) []decision.MachineType {
 	names, bound := active.AllowedMachineTypes[workload.Name]
 	if !bound {
 		return workload.AllowedMachineTypes
 	}
-	allowed := []decision.MachineType{noMachineType} // an empty list would be any
+	allowed := []decision.MachineType{noMachineType} // an empty list would allow all
 	for _, name := range names {
 		machineType := decision.MachineType(name)
 		if len(workload.AllowedMachineTypes) == 0 || slices.Contains(workload.AllowedMachineTypes, machineType) {
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -131,7 +131,7 @@
 	return utf8.Valid(text) && bytes.IndexByte(text, 0) < 0 && len(bytes.TrimSpace(text)) > 0
 }
 
-// analyse reads a text with an analyser of the pool; each has memory that is worth keeping. One that panics is not put back.
+// analyse analyses a text with an analyser of the pool, so that its buffers are reused. One that panics is not returned to the pool.
 func (r *Router) analyse(text []byte) *sqltext.Statement {
 	analyser := r.analysers.Get().(*sqltext.Analyser)
 	analysis := analyser.Analyse(text)
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// rejectBytes accepts connections, on which nothing may come, until the listener is closed.
+// rejectBytes accepts connections, on which no byte may arrive, until the listener is closed.
 func rejectBytes(t *testing.T, listener net.Listener, message string) {
 	for {
 		conn, err := listener.Accept()
@@ -129,8 +129,8 @@
 	}
 }
 
-// A request whose client leaves while it waits is not forwarded, wherever it waits, alone or with others that leave at once; what
-// comes after it is. Its place, its text and its account are released.
+// A request whose client leaves while it waits is not forwarded, wherever it waits, alone or with others that leave at once; the
+// next request is. Its queue slot, its text and its account are released.
 func TestCancelledRequestIsNotForwarded(t *testing.T) {
 	cancels := map[string]func(net.Conn){
 		"a frame":  func(c net.Conn) { c.Write(fakes.Frame(9, 1, "")) },
@@ -185,7 +185,7 @@
 }
 
 // A deduplicated request that may have run goes to another engine only while its first attempt is remembered: where the connection
-// there comes up later than that, nothing is sent, and its client hears so when the time is over.
+// there comes up later than that, nothing is sent, and its client is rejected when the time is over.
 func TestRetryIsNotSentAfterDeduplicationWindow(t *testing.T) {
 	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
@@ -212,7 +212,7 @@
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout/3))) // well before its client's deadline
 	frame, err := fakes.ReadFrame(bufio.NewReader(conn))
 	require.NoError(t, err)
-	assert.Equal(t, []byte{8, 50}, []byte{frame.Kind, frame.Code}, "who drops its repeats may be asked again")
+	assert.Equal(t, []byte{8, 50}, []byte{frame.Kind, frame.Code}, "the engines drop repeats, so a retry is harmless")
 	accept()
 	go rejectBytes(t, listener, "it was sent after its window")
 	r.await(t, "all has ended", func() bool {
--- a/internal/proxy/classification.go
+++ b/internal/proxy/classification.go
@@ -13,7 +13,7 @@
 	"bankledge/internal/sqltext"
 )
 
-// classificationCountsInterval lies between two copies of the classifier's counts for the metrics.
+// classificationCountsInterval is the time between two updates of the classifier's counts in the metrics.
 const classificationCountsInterval = metricsInterval / 5
 
 // classify adds to an arrival how the request is classified, beyond what its client declares. The text was read on the client's
@@ -24,11 +24,11 @@
 	if analysis == nil || l.router.config.ClassificationDisabled {
 		return
 	}
-	if analysis.Fingerprint != 0 { // what one tenant's requests have shown says nothing of another's
+	if analysis.Fingerprint != 0 { // tenants do not share what is learnt about a fingerprint
 		analysis.Fingerprint ^= xxhash.Sum64String(string(arrived.Tenant))
 	}
 	verdict := l.classifier.Classify(now, arrived.Workload, arrived.EstimatedWork, arrived.EstimatedMemoryMB, analysis, &req.observation)
-	if saysMoreThanDeclared(verdict, arrived.Workload) {
+	if differsFromDeclared(verdict, arrived.Workload) {
 		arrived.Classification = &decision.Classification{
 			Workload:          verdict.Workload,
 			EstimatedWork:     verdict.Work,
@@ -44,12 +44,12 @@
 	}
 }
 
-func saysMoreThanDeclared(verdict classify.Classification, declared decision.WorkloadID) bool {
+func differsFromDeclared(verdict classify.Classification, declared decision.WorkloadID) bool {
 	return verdict.Workload != declared || verdict.Work > 0 || verdict.MemoryMB > 0 || verdict.Writes || len(verdict.OtherTables) > 0
 }
 
-// learn has the end of an attempt teach what requests of its fingerprint are like. What never ran teaches nothing, and
-// neither does what ended with an error or broke off.
+// learn records how long an attempt ran in the history of its request's fingerprint. An attempt that never ran, failed or
+// lost its connection is not recorded, since its duration is not that of a run.
 func (l *eventLoop) learn(req *request, ended decision.AttemptEnded) {
 	switch ended.Outcome {
 	case decision.Completed:
@@ -59,7 +59,7 @@
 	}
 }
 
-// publishClassificationCounts lets the metrics see what was decided.
+// publishClassificationCounts copies the classifier's counts, which the event loop owns, to the metrics.
 func (l *eventLoop) publishClassificationCounts(now time.Time) {
 	if now.Sub(l.countsPublishedAt) < classificationCountsInterval {
 		return
--- a/internal/proxy/configuration_lease.go
+++ b/internal/proxy/configuration_lease.go
@@ -16,7 +16,7 @@
 	"bankledge/internal/settings"
 )
 
-// incarnationBytes are drawn at each start to distinguish this process from earlier ones of the same name.
+// incarnationBytes is the length of the random incarnation that distinguishes this process from earlier ones of the same name.
 const incarnationBytes = 8
 
 // configurationLease is the router's side of a control group: it acts on the group's configuration versions, under leases that the
@@ -68,7 +68,7 @@
 	return c.link.Run(ctx)
 }
 
-// hasExpired reports whether the lease under which a batch was decided has ended since: what it decided is not carried out any more.
+// hasExpired reports whether the lease under which a batch was decided has expired since, so that no attempt is started by it any more.
 func (c *configurationLease) hasExpired(now time.Duration) bool {
 	expiry := c.client.LeaseExpiry()
 	return expiry > 0 && now >= expiry
--- a/internal/proxy/deployments_test.go
+++ b/internal/proxy/deployments_test.go
@@ -147,7 +147,7 @@
 	assert.NotEqual(t, alone[0].log, alone[1].log)
 }
 
-// How one tenant's requests run says nothing of another's.
+// One tenant's requests teach nothing about another tenant's.
 func TestFingerprintsAreATenantsOwn(t *testing.T) {
 	g := newIdleRouter(decision.Workload{Name: "w", LatencyObjective: time.Second})
 	fingerprint := func(tenant decision.Tenant) uint64 {
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -45,15 +45,15 @@
 	}
 }
 
-// startAttempt hands an attempt to the connections. One that must not begin is handed over past its deadline, so that it ends as
-// not sent and the module receives that end as any other.
+// startAttempt passes an attempt to package upstream. One that must not begin is passed with an expired deadline, so that it ends as
+// not sent and the module receives that end like any other.
 func (l *eventLoop) startAttempt(start decision.StartAttempt) {
 	req := l.requests.find(start.Statement)
 	if req == nil || req.finished {
 		l.router.log.Error(logevent.UpstreamAttemptRefused, logevent.RequestID(start.Statement))
 		return
 	}
-	violation := req.invariants.BeginAttempt(l.locations.of(start.Engine), l.decidedAt) // by the clock that it was decided by
+	violation := req.invariants.BeginAttempt(l.locations.of(start.Engine), l.decidedAt) // at the time at which the module decided
 	attempt := l.newAttemptRequest(req, start)
 	if violation != nil {
 		attempt.Deadline = expiredDeadline()
@@ -64,7 +64,7 @@
 	req.attemptsInFlight++
 	l.router.metrics.attempts.Add(1)
 	req.attempts = append(req.attempts, l.router.upstream.StartAttempt(attempt))
-	if violation != nil { // what the module would try next is not known to be better
+	if violation != nil { // no further decision of the module is trusted for this request
 		l.router.violations.Record(violation)
 		l.reply(req, downstream.CodeAborted, nil, reasonInvariant)
 		l.followUps = append(l.followUps, decision.ClientCancelled{Statement: req.id})
@@ -87,7 +87,7 @@
 			attempt.Deadline = timeout
 		}
 	}
-	if l.lease != nil && l.lease.hasExpired(now) { // the router was stopped since the decision, which is made anew
+	if l.lease != nil && l.lease.hasExpired(now) { // the router did not run since the decision: the module has to decide again
 		attempt.Deadline = expiredDeadline()
 	}
 	if start.StartBefore > 0 {
--- a/internal/proxy/effective_endpoints.go
+++ b/internal/proxy/effective_endpoints.go
@@ -14,11 +14,11 @@
 	listed       decision.Endpoint
 	address      string
 	published    decision.Endpoint
-	warmingSince time.Duration // since when a version holds it to be warming up, 0: none does
+	warmingSince time.Duration // since when a version lists it as warming up; 0: none does
 }
 
-// mergeEndpoints records a list of the control feed and returns it as the module may see it: the cautious side of the list and of
-// the active version.
+// mergeEndpoints records a list of the control feed and returns it combined with the active version: of the two states of an engine,
+// the more cautious one counts.
 func (c *configurationLease) mergeEndpoints(now time.Duration, list decision.EndpointList, addresses []string) decision.EndpointList {
 	if list.Kind != decision.ListPartial {
 		clear(c.endpoints)
@@ -56,8 +56,8 @@
 	return list
 }
 
-// effective is an engine's entry by the control feed and by the active version: nothing new goes where either says no. An engine that
-// only the version has removed is drained, since the attempts there have not ended yet.
+// effective combines an engine's entry in the control feed with the active version: no attempt starts where either excludes the engine.
+// An engine that only the version has removed is drained, since the attempts there have not ended yet.
 func (c *configurationLease) effective(now time.Duration, view *endpointView) decision.Endpoint {
 	entry := view.listed
 	if c.activeRules.Engines == nil {
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -11,7 +11,7 @@
 	"bankledge/internal/logevent"
 )
 
-// reachabilityRetryInterval lies between two attempts to find an engine that accepts a connection.
+// reachabilityRetryInterval is the time between two attempts to find an engine that accepts a connection.
 const reachabilityRetryInterval = 100 * time.Millisecond
 
 // endpointListReceived is a change of the endpoint list, for the event loop.
@@ -44,9 +44,9 @@
 	r.applyWatchEvent(change, decision.ListComplete)
 }
 
-// applyWatchEvent publishes a change to the connections and to the module. Engines that may be used are made known before the module
-// receives them, since it may send at once; those that may not be used are withdrawn after it, so that what is not sent for that
-// reason comes back to a module that knows why.
+// applyWatchEvent publishes a change to package upstream and to the module. Engines that may be used are added upstream before the
+// module receives them, since it may start attempts at once. Those that may not be used are removed upstream after it, so that the
+// module knows the reason when an attempt ends as not sent.
 func (r *Router) applyWatchEvent(change discovery.WatchEvent, completeKind decision.ListKind) {
 	list := decision.EndpointList{Kind: decision.ListPartial, Version: change.Revision}
 	if change.Complete {
@@ -78,8 +78,8 @@
 	}
 }
 
-// awaitReachableEngine makes the router ready once one engine has accepted a connection. One is enough: a connection to each would
-// be a storm of handshakes at every engine, for none of which there is work yet.
+// awaitReachableEngine makes the router ready once one engine has accepted a connection. One is enough: if every starting router
+// connected to every engine, engines would have to accept many connections that are not needed yet.
 func (r *Router) awaitReachableEngine(ctx context.Context) error {
 	for !r.reachable.Load() && ctx.Err() == nil {
 		if r.reachAnyEngine(ctx) {
--- a/internal/proxy/engine_locations.go
+++ b/internal/proxy/engine_locations.go
@@ -5,7 +5,7 @@
 	"bankledge/internal/invariant"
 )
 
-// engineLocations are where the listed engines run, for the invariants.
+// engineLocations maps the listed engines to the locations where they run, for the invariants.
 type engineLocations map[decision.EngineID]invariant.Location
 
 // of returns where an engine runs, as last listed.
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -15,7 +15,7 @@
 
 const (
 	inboxSize        = 4096
-	watchdogInterval = 20 * time.Millisecond // within the grace that a client gives an answer
+	watchdogInterval = 20 * time.Millisecond // shorter than the time for which clients wait beyond their deadline
 )
 
 // message is an input that the event loop handles before it becomes an event for the module, if it does.
@@ -28,7 +28,7 @@
 type input struct {
 	event    decision.Event
 	message  message
-	postedAt time.Time // zero: the loop itself made it
+	postedAt time.Time // zero: created by the loop itself
 }
 
 // eventLoop is the one goroutine that owns the decision module and the records of requests. It hands the module batches of events in
@@ -37,14 +37,14 @@
 	router     *Router
 	module     *policy.Module
 	inbox      chan input
-	done       chan struct{} // closed when nobody reads the inbox any more
+	done       chan struct{} // closed when the loop has ended and the inbox is not read any more
 	requests   requestTable
 	locations  engineLocations
 	classifier *classify.Classifier
 	lease      *configurationLease // nil: no control group
 
 	timers            []decision.SetTimer
-	followUps         []decision.Event // what replies led to, for the module's next call
+	followUps         []decision.Event // events caused by replies, for the module's next call
 	decidedAt         time.Duration    // when the module was last called
 	watchdogRanAt     time.Time
 	countsPublishedAt time.Time // of the classifier
@@ -72,8 +72,8 @@
 	}
 }
 
-// run feeds the module until ctx ends. It does not sleep between calls: on a core that others use, too, that
-// would cost a turn of the scheduler for each answer.
+// run calls the module with batches of inputs until ctx ends. It does not sleep between calls: on a core shared with other
+// processes each sleep would delay answers by a time slice of the kernel's scheduler.
 func (l *eventLoop) run(ctx context.Context) error {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -91,7 +91,7 @@
 			l.router.awaitDiscovery()
 		}
 		l.router.checkWallClock()
-		runtime.Gosched() // whoever has something to post does so first: what is ready makes one batch
+		runtime.Gosched() // runnable goroutines post their inputs first, so that these make one batch
 		for n := len(l.inbox); n > 0; n-- {
 			batch = append(batch, <-l.inbox)
 		}
@@ -101,7 +101,7 @@
 	}
 }
 
-// untilNextWake is how long the loop may wait for an input.
+// untilNextWake returns how long the loop may wait for an input.
 func (l *eventLoop) untilNextWake() time.Duration {
 	wait := pauseThreshold / 2
 	for _, timer := range l.timers {
@@ -181,8 +181,8 @@
 	return events
 }
 
-// decide calls the module. A panic there loses this batch's actions and no more: the router goes on with the
-// module as it is, and the watchdog answers whoever it has forgotten.
+// decide calls the module. A panic there loses only this batch's actions: the router goes on with the module in its present
+// state, and the watchdog aborts the requests that it does not answer.
 func (l *eventLoop) decide(now time.Duration, events []decision.Event) (actions []decision.Action) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// What keeps the rules is done, and counts nothing.
+// Actions that keep the rules are carried out and not counted.
 func TestWhatKeepsTheRulesIsDone(t *testing.T) {
 	r := newGuardedRequest(t, decision.Workload{Idempotency: decision.NonIdempotent})
 	r.endAttempt(0, decision.Overloaded)
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -14,14 +14,14 @@
 	"bankledge/internal/logevent"
 )
 
-// metricsInterval lies between two lines of figures in the log.
+// metricsInterval is the time between two log lines with metrics.
 const metricsInterval = 5 * time.Second
 
-// metrics count what happened since the start. Goroutines share them.
+// metrics are counts since the start. They are safe for concurrent use.
 type metrics struct {
 	received     atomic.Int64
 	invalid      atomic.Int64 // requests rejected before they reached the module
-	open         atomic.Int64 // requests that are owed an answer now
+	open         atomic.Int64 // requests without an answer now
 	completed    atomic.Int64
 	rejected     atomic.Int64
 	aborted      atomic.Int64
@@ -47,7 +47,8 @@
 	}
 }
 
-// recordDecisionDelay is called by the event loop only, so the maximum needs no compare-and-swap.
+// recordDecisionDelay records the time from an input to the end of its actions. Only the event loop calls it, so the maximum needs no
+// compare-and-swap.
 func (m *metrics) recordDecisionDelay(delay time.Duration) {
 	m.decisions.Add(1)
 	m.decisionDelaySum.Add(int64(delay))
--- a/internal/proxy/pause_detector.go
+++ b/internal/proxy/pause_detector.go
@@ -7,18 +7,19 @@
 
 const (
 	pauseThreshold   = 250 * time.Millisecond // without a beat: the router did not run
-	catchUpDivisor   = 4                      // one part in so many of a pause is given to reading what came meanwhile
-	maxCatchUp       = 250 * time.Millisecond // and no more: what arrives fresh then is treated as old
-	maxDiscoveryWait = 500 * time.Millisecond // for what the control feed has sent meanwhile: a long list on a slow core
-	discoveryCheck   = time.Millisecond       // between two checks of that
+	catchUpDivisor   = 4                      // 1/4 of a pause is the time for reading input that arrived during it
+	maxCatchUp       = 250 * time.Millisecond // bounds that time, in which new input is taken for old
+	maxDiscoveryWait = 500 * time.Millisecond // for reading the control feed's events of the pause: a long list on a slow core
+	discoveryCheck   = time.Millisecond       // between two checks for unread events
 )
 
-// pauseDetector finds out that the router did not run for a while, stopped or without its core: what it then reads arrived during the pause,
-// and its client's time has been running since. One goroutine beats. All times are on the module's clock, in nanoseconds.
+// pauseDetector detects that the router did not run for a while, since it was stopped or had no CPU time: input read after the pause
+// arrived during it, and its client's deadline counts from then. One goroutine calls beat. All times are on the module's clock, in
+// nanoseconds.
 type pauseDetector struct {
 	lastBeat    atomic.Int64
 	pausedFrom  atomic.Int64 // when the last pause began
-	catchUpEnds atomic.Int64 // until when what is read may have come during it
+	catchUpEnds atomic.Int64 // until when input may have arrived during the last pause
 }
 
 // beat records that the router runs. It reports whether there was a pause before.
@@ -38,7 +39,7 @@
 	return lastBeat > 0 && now-lastBeat > pauseThreshold
 }
 
-// earliestArrival is the earliest time at which what is read now may have come.
+// earliestArrival returns the earliest time at which input read now may have arrived.
 func (p *pauseDetector) earliestArrival(now time.Duration) time.Duration {
 	if last := time.Duration(p.lastBeat.Load()); isPause(last, now) {
 		return last
@@ -49,8 +50,8 @@
 	return now
 }
 
-// awaitDiscovery waits, after a pause, until what the control feed sent meanwhile has been received: nothing
-// is decided, and no attempt begins, on a list that old.
+// awaitDiscovery waits, after a pause, until the control feed's events of the pause have been received, so that no decision is
+// made and no attempt begins with an outdated endpoint list.
 func (r *Router) awaitDiscovery() {
 	now := r.now()
 	if r.pauses.earliestArrival(now) == now {
@@ -60,6 +61,6 @@
 	caughtUp := false
 	for !caughtUp && time.Now().Before(deadline) {
 		caughtUp = !r.discovery.HasUnreadEvents()
-		time.Sleep(discoveryCheck) // also at the end: an event that was read at the instant of the check is still on its way
+		time.Sleep(discoveryCheck) // also at the end: an event read just before the check may not be posted yet
 	}
 }
--- a/internal/proxy/pause_detector_test.go
+++ b/internal/proxy/pause_detector_test.go
@@ -25,7 +25,7 @@
 			assert.Equal(t, now <= at(2650), p.earliestArrival(now+interval-1) == at(450), "for a quarter of the time, and a quarter second at most")
 		}
 	}
-	assert.Equal(t, at(3001), p.earliestArrival(at(3001)), "what comes later came then")
+	assert.Equal(t, at(3001), p.earliestArrival(at(3001)), "input after it is new")
 	p.beat(time.Hour + at(3000))
 	assert.Equal(t, at(3000), p.earliestArrival(time.Hour+at(3000)+maxCatchUp-1), "however long the pause")
 	assert.Equal(t, time.Hour+at(3000)+maxCatchUp, p.earliestArrival(time.Hour+at(3000)+maxCatchUp), "that ends soon")
--- a/internal/proxy/receive.go
+++ b/internal/proxy/receive.go
@@ -11,13 +11,13 @@
 	"bankledge/internal/logevent"
 )
 
-// client is what the router needs of a client's connection. No call blocks.
+// client is a client's connection, as far as the router uses it. No call blocks.
 type client interface {
-	// Answer queues the final answer of a stream. It reports whether so much waits for the client now that nothing is read from it.
+	// Answer queues the final answer of a stream. It reports whether reading from the client stops, since it does not read its answers.
 	Answer(stream uint32, code downstream.Code, body []byte) (stalled bool)
-	// CloseStream ends a stream that nobody waits for, without an answer.
+	// CloseStream closes a stream without an answer after its client has cancelled it.
 	CloseStream(stream uint32)
-	// ReserveText reserves memory for the text of a request. It reports whether there was any.
+	// ReserveText reserves memory for the text of a request. It reports whether enough was free.
 	ReserveText(n int) (fits bool)
 	// ReleaseText returns reserved memory.
 	ReleaseText(n int)
@@ -51,13 +51,13 @@
 	}
 }
 
-// HandleBackpressure receives that a client reads its answers too slowly just now, or that it has caught up.
+// HandleBackpressure receives that a client no longer reads its answers fast enough, or that it has caught up.
 func (r *Router) HandleBackpressure(c *downstream.Conn, stalled bool) {
 	r.loop.post(input{message: backpressureChanged{client: c, stalled: stalled}})
 }
 
-// AbortOpenStatements receives that a connection is to be closed because its client is too slow: the last answers of what is open on
-// it are due.
+// AbortOpenStatements receives that a connection is about to be closed because its client is too slow: its open requests have to be
+// aborted.
 func (r *Router) AbortOpenStatements(c *downstream.Conn, reason string) {
 	r.loop.post(input{message: slowClientDisconnected{client: c, reason: reason}})
 }
@@ -72,13 +72,13 @@
 }
 
 func (m *requestArrived) apply(l *eventLoop, now time.Duration) decision.Event {
-	if l.requests.isIDInUse(m.request.id) { // an engine knows it as another request: this one never ran
+	if l.requests.isIDInUse(m.request.id) { // an engine may know the id as another request's; this one never ran
 		l.reply(m.request, downstream.CodeRejected, []byte("id is in use"), reasonIDInUse)
 		return nil
 	}
 	l.requests.add(m.request)
 	l.classify(m.request, &m.event, now)
-	m.event.TimeBudget = m.request.deadline.Sub(l.router.clockOrigin) - now // less what has passed since it was received
+	m.event.TimeBudget = m.request.deadline.Sub(l.router.clockOrigin) - now // without the time since it was received
 	return m.event
 }
 
@@ -113,8 +113,8 @@
 	reason string
 }
 
-// apply aborts all that is open of the client at once: it may have run, and nobody will take a result. The module receives that its
-// client left.
+// apply aborts all open requests of the client at once: they may have run, and their results cannot be delivered any more. The module
+// receives that the client was disconnected.
 func (m slowClientDisconnected) apply(l *eventLoop, _ time.Duration) decision.Event {
 	ids := l.requests.openOf(m.client)
 	for _, id := range ids {
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -10,7 +10,7 @@
 	"bankledge/internal/logevent"
 )
 
-// Reasons for an answer that the decisions do not give.
+// Reasons of answers that the router gives without a decision of the module.
 const (
 	reasonCompleted  decision.Reason = "an attempt completed"
 	reasonIDInUse    decision.Reason = "the id is in use"
@@ -54,7 +54,7 @@
 		zap.Int("attempts", len(req.attempts)), logevent.Duration(time.Since(req.receivedAt)))
 }
 
-// finishUnanswered ends a request for which nobody waits any more.
+// finishUnanswered finishes a request that its client has cancelled.
 func (l *eventLoop) finishUnanswered(req *request) {
 	req.invariants.RecordCancellation()
 	req.client.CloseStream(req.stream)
--- a/internal/proxy/request_record.go
+++ b/internal/proxy/request_record.go
@@ -21,16 +21,16 @@
 	client     client
 	stream     uint32
 	receivedAt time.Time
-	deadline   time.Time          // the client waits no longer
-	invariants *invariant.Request // what the run-time checks need to know of it
+	deadline   time.Time          // after it the client does not wait any more
+	invariants *invariant.Request // its history for the run-time checks
 
-	finished         bool // answered, or nobody waits
+	finished         bool // answered, or cancelled by its client
 	attempts         []*upstream.Attempt
 	attemptsInFlight int
 	outcomes         []decision.Outcome // of the attempts that have ended, in the order in which they did
 
 	analysis        *sqltext.Statement   // of its text, until it was classified
-	observation     classify.Observation // what the ends of its attempts teach about
+	observation     classify.Observation // the classification that the ends of its attempts are recorded for
 	missingMemoryMB float64              // the most that an engine reported to be missing
 }
 
@@ -96,7 +96,7 @@
 	}
 }
 
-// recordProgress keeps what a note of an attempt says of its request.
+// recordProgress records the missing memory that an attempt's progress report names.
 func (l *eventLoop) recordProgress(note decision.AttemptProgress) {
 	if note.Kind != decision.ProgressSpilling {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// AttemptProgressed receives a note of an attempt, from its goroutine.
+// AttemptProgressed receives a progress report of an attempt, from its goroutine.
 func (r *Router) AttemptProgressed(ev decision.AttemptProgress) { r.loop.post(input{event: ev}) }
 
 // AttemptEnded receives the end of an attempt, from its goroutine.
--- a/internal/proxy/resource_limits.go
+++ b/internal/proxy/resource_limits.go
@@ -8,21 +8,21 @@
 	"bankledge/internal/settings"
 )
 
-// How the limits of the machine are divided.
+// How the machine's file descriptors and memory are divided.
 const (
-	clientSocketsDivisor = 3    // clients hold one descriptor in so many
+	clientSocketsDivisor = 3    // 1/3 of the descriptors are for clients
 	reservedSockets      = 24   // descriptors for the listener, the control feed, the log and the runtime's own
 	attemptSocketShare   = 0.85 // of the engines' descriptors, for attempts; the rest is for cancels and health checks
 
-	partialFrameDivisor = 12  // of the memory, large frames that have not been received completely have one part in so many
-	fingerprintDivisor  = 32  // and what is known of query fingerprints one in so many
+	partialFrameDivisor = 12  // 1/12 of the memory is for large frames that have not been received completely
+	fingerprintDivisor  = 32  // 1/32 of the memory is for the history of query fingerprints
 	answeredIDsPerMB    = 64  // ids of answered requests that are remembered for each MB of memory
 	maxEstimateFactor   = 4   // times the memory of the largest machine that a request may declare
 	heapShare           = 0.6 // of the memory, towards which the runtime collects garbage ever harder
 	heapGrowthPercent   = 400 // between two collections, as long as the heap is far below that
 )
 
-// resourceLimits are the parts of the machine that each user of it may have.
+// resourceLimits are the bounds of each use of the machine's resources.
 type resourceLimits struct {
 	clientSockets     int
 	engineSockets     int
--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -1,11 +1,11 @@
 // Package proxy is the router itself. It receives requests from clients (package downstream), admits them, has the decision module
-// (package policy) say where and when each runs, dispatches attempts to engines (package upstream) and replies once to each client.
+// (package policy) decide where and when each runs, dispatches attempts to engines (package upstream) and replies once to each client.
 // Beside that it follows the endpoint list (package discovery) and, where there is a control group, the configuration versions
 // (package controlclient).
 //
 // The path of a request through the files: receive.go and admission.go on the goroutine that reads the client's connection, then
 // event_loop.go, dispatch.go and reply.go on the one goroutine that owns the decision module. request_record.go and
-// request_table.go hold what is known of each request.
+// request_table.go contain the records of the requests.
 package proxy
 
 import (
@@ -118,7 +118,7 @@
 	return known
 }
 
-// maxEstimateMB is the largest memory estimate that is believed, in MB: a multiple of the largest machine's memory.
+// maxEstimateMB returns the largest memory estimate that is accepted, in MB: a multiple of the largest machine's memory.
 func maxEstimateMB(moduleSettings *settings.ModuleSettings) float64 {
 	largest := 0.0
 	for _, machine := range moduleSettings.Engines.Machines {
@@ -187,7 +187,7 @@
 // Serving receives the router's address once clients can connect.
 func (r *Router) Serving() <-chan net.Addr { return r.serving }
 
-// now is the module's clock.
+// now returns the time on the module's clock.
 func (r *Router) now() time.Duration { return time.Since(r.clockOrigin) }
 
 // ValidateConfig reports what is wrong with a configuration beyond its settings: the first known event that cannot be read.
--- a/internal/proxy/router_test.go
+++ b/internal/proxy/router_test.go
@@ -56,7 +56,7 @@
 	require.Equal(t, decision.NotSent, ended.event.Outcome)
 }
 
-// A panic in the module loses a batch; whoever it has forgotten is answered when its time is up.
+// A panic in the module loses a batch; a request that it does not answer is aborted at its deadline.
 func TestDecisionModulePanics(t *testing.T) {
 	g := newIdleRouter() // a module without workloads
 	req := &request{id: "x", invariants: newInvariants("x"), client: &fakeClient{}, receivedAt: time.Now(), deadline: time.Now()}
@@ -82,7 +82,7 @@
 	require.False(t, ids.has("900"))
 }
 
-// The engines of the configuration are all gone: what the control feed lists instead makes the router ready.
+// All engines of the configuration were removed: those that the control feed lists instead make the router ready.
 func TestReadyByEnginesThatCameLater(t *testing.T) {
 	engine := fakes.NewEngine("e", nil)
 	feed := fakes.NewControlFeed()
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -12,23 +12,23 @@
 
 // The times of a graceful shutdown.
 const (
-	acceptGrace          = time.Second            // after the signal new connections are accepted so long
-	requestGrace         = 600 * time.Millisecond // after the signal requests may come so long, on whatever connection
+	acceptGrace          = time.Second            // after the signal, how long new connections are accepted
+	requestGrace         = 600 * time.Millisecond // after the signal, how long requests are accepted, on any connection
 	maxAwaitedTimeout    = 3 * time.Second        // the longest statement timeout that a shutdown waits for
 	finalReplyTime       = 200 * time.Millisecond // for the answers to what is cancelled at the end of a shutdown
-	finalReplyDivisor    = 8                      // but no more than one part in so many of the longest statement timeout
+	finalReplyDivisor    = 8                      // bounds finalReplyTime by 1/8 of the longest statement timeout
 	idleCheckInterval    = 10 * time.Millisecond
-	consecutiveIdleCount = 3 // checks in a row that find nothing left to do, or the time up, before a shutdown ends
+	consecutiveIdleCount = 3 // checks in a row that have to find the router idle, or its time up, before it ends
 )
 
-// shutdownSchedule is when, after the signal, what is open then is cancelled, and when the router ends whatever is open.
+// shutdownSchedule holds the times after the signal at which open requests are cancelled, and at which the router ends in any case.
 type shutdownSchedule struct {
 	cancelAfter time.Duration
 	endAfter    time.Duration
 }
 
-// newShutdownSchedule works a shutdown out from the workloads' statement timeouts. A request that comes at the end of the request
-// grace has its full time: the router ends a statement timeout later, which is before it would be killed, however short that is.
+// newShutdownSchedule derives the schedule from the workloads' statement timeouts. A request that arrives at the end of the request
+// grace has its full time: the router ends the longest statement timeout later (at most maxAwaitedTimeout), before it would be killed.
 func newShutdownSchedule(workloads []decision.Workload) shutdownSchedule {
 	longest := time.Duration(0)
 	for _, workload := range workloads {
@@ -41,13 +41,13 @@
 	}
 }
 
-// isOver reports whether a shutdown may end: nothing is open and nothing can come any more, or its time is up.
+// isOver reports whether a shutdown may end: the router is idle and accepts no more requests, or its time is up.
 func (s shutdownSchedule) isOver(elapsed time.Duration, idle bool) bool {
 	return elapsed > s.endAfter || elapsed > acceptGrace && idle
 }
 
-// awaitShutdown waits for the signal to stop. Then clients are notified to send no new requests, those that come all the same are
-// answered, and the router ends when all are, or when its time is up.
+// awaitShutdown waits for the signal to stop. Then clients are notified to send no new requests, those that arrive all the same are
+// answered, and the router ends when all requests are answered, or when its time is up.
 func (r *Router) awaitShutdown(ctx, stop context.Context, listener net.Listener) error {
 	select {
 	case <-ctx.Done():
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// awaitIdle closes the listener once nothing waits to be accepted and returns when the shutdown may end. It takes several checks in
-// a row: after a pause a router has to read first what came meanwhile.
+// awaitIdle closes the listener once no connection waits to be accepted, and returns when the shutdown may end. Several checks in a
+// row have to agree: after a pause, input that arrived during it has to be read first.
 func (r *Router) awaitIdle(ctx context.Context, listener net.Listener, schedule shutdownSchedule, started time.Time) {
 	listenerClosed := false
 	for idleChecks := 0; idleChecks < consecutiveIdleCount; {
@@ -87,8 +87,8 @@
 	}
 }
 
-// isIdle reports whether nothing is open and nothing waits to be accepted, read, written or received by a client. What was read and
-// is not open yet shows at the next check: after a pause a router checks before it has read what came meanwhile.
+// isIdle reports whether no request is open and no connection or frame waits to be accepted, read, written or acknowledged. A request
+// that was read and is not open yet is only seen by the next check.
 func (r *Router) isIdle() bool {
 	return r.downstream.PendingReads() == 0 && r.metrics.open.Load() == 0 && r.downstream.PendingWrites() == 0
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -20,13 +20,13 @@
 		t.Run(longest.String(), func(t *testing.T) {
 			schedule := newShutdownSchedule([]decision.Workload{{StatementTimeout: longest / 2}, {StatementTimeout: longest}})
 			awaited := min(longest, maxAwaitedTimeout)
-			assert.GreaterOrEqual(t, schedule.endAfter, requestsCome+awaited, "what comes last has its time")
+			assert.GreaterOrEqual(t, schedule.endAfter, requestsCome+awaited, "the last request has its time")
 			assert.Less(t, schedule.endAfter, awaited+killed)
 			assert.LessOrEqual(t, schedule.cancelAfter, schedule.endAfter)
 			if longest > maxAwaitedTimeout {
 				assert.GreaterOrEqual(t, schedule.endAfter-schedule.cancelAfter, 100*time.Millisecond, "for the answers")
 			}
-			assert.False(t, schedule.isOver(requestsCome-time.Millisecond, true), "something may still come")
+			assert.False(t, schedule.isOver(requestsCome-time.Millisecond, true), "a request may still arrive")
 			assert.False(t, schedule.isOver(schedule.endAfter, false))
 			assert.True(t, schedule.isOver(schedule.endAfter+1, false))
 			assert.True(t, schedule.isOver(max(acceptGrace, schedule.endAfter)+1, true))
--- a/internal/proxy/transcript_peers_test.go
+++ b/internal/proxy/transcript_peers_test.go
@@ -35,7 +35,7 @@
 	frameCancel     = 9
 )
 
-// transcript is what one peer of the router saw, in its order. Repeats of a call that is asked again by the clock count once.
+// transcript is what one peer of the router saw, in its order. Repeats of a call that is polled periodically count once.
 type transcript struct {
 	mu    sync.Mutex
 	lines []string
@@ -280,7 +280,7 @@
 	c.receive()
 }
 
-// awaitReady asks until the router is ready; only the last question and its answer are recorded.
+// awaitReady queries readiness until the router is ready; only the last query and its reply are recorded.
 func awaitReady(t *testing.T, r *routerUnderTest) *clientPeer {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < exchangeTimeout; time.Sleep(time.Millisecond) {
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// await waits until a call of this method has come.
+// await waits until a call of this method has arrived.
 func (p *httpPeer) await(t *testing.T, method string) {
 	t.Helper()
 	require.Eventually(t, func() bool { return strings.Contains(p.String(), `> "`+method) }, exchangeTimeout, time.Millisecond)
--- a/internal/proxy/wall_clock.go
+++ b/internal/proxy/wall_clock.go
@@ -7,7 +7,7 @@
 	"bankledge/internal/logevent"
 )
 
-// minWallClockStep is the smallest step that is reported: less comes of adjustments, and of the time between two readings.
+// minWallClockStep is the smallest step that is reported: smaller ones result from clock adjustments and from the time between two readings.
 const minWallClockStep = 100 * time.Millisecond
 
 // wallClockMonitor finds steps of the wall clock, for the log and the metrics. Nothing else depends on them: all durations are
