--- a/cmd/bankledge-control/group_test.go
+++ b/cmd/bankledge-control/group_test.go
@@ -65,7 +65,7 @@
 	return listener.Addr().String()
 }
 
-// writeSettings writes the settings of a process, with a short term and frequent snapshots, and returns the path.
+// writeSettings writes the settings of a process, with a short lease duration and frequent snapshots, and returns the path.
 func (g *testGroup) writeSettings(id int, joins bool) string {
 	g.t.Helper()
 	own := g.members[fmt.Sprint(id)]
@@ -121,14 +121,14 @@
 	g.run(id, exec.Command(program, "serve", g.writeSettings(id, true)))
 }
 
-// startWithFileLimit starts a process whose files can't grow beyond some blocks of 512 bytes.
+// startWithFileLimit starts a process whose files can't grow beyond a limit in blocks of 512 bytes.
 func (g *testGroup) startWithFileLimit(id, blocks int) {
 	g.t.Helper()
 	script := fmt.Sprintf(`ulimit -f %d; exec "$0" serve "$1"`, blocks)
 	g.run(id, exec.Command("sh", "-c", script, program, g.writeSettings(id, false)))
 }
 
-// startWith starts a process with a text of settings.
+// startWith starts a process with the given content of its settings file.
 func (g *testGroup) startWith(id int, settings string) {
 	g.t.Helper()
 	g.run(id, exec.Command(program, "serve", g.writeFile(fmt.Sprintf("s%d.jsonnet", id), settings)))
--- a/cmd/bankledge-control/operations_test.go
+++ b/cmd/bankledge-control/operations_test.go
@@ -14,7 +14,8 @@
 	"bankledge/internal/controlapi"
 )
 
-// A new user: one process, versions, guards, a rollback; three, one of which is killed, loses its disk and is replaced.
+// The operators' commands: one process with versions, guards and a rollback; then three, one of which is killed, loses its disk and is
+// replaced.
 func TestOperators(t *testing.T) {
 	g := newTestGroup(t, 3)
 	for id := 1; id <= 3; id++ {
@@ -45,7 +46,7 @@
 	for i := range 30 { // past a snapshot
 		g.command(0, "propose", g.writeRules("more", fmt.Sprintf("cold_multiple: 3, further_free: %d", i+1)), "--wait")
 	}
-	assert.Error(t, g.stop(1, syscall.SIGKILL)) // the group goes on by the new one
+	assert.Error(t, g.stop(1, syscall.SIGKILL)) // the group keeps its quorum by the new member
 	g.awaitLeader()
 	assert.Contains(t, g.command(0, "propose", g.writeRules("last", "cold_multiple: 9"), "--wait"), "version 35")
 	g.start(1)
@@ -56,7 +57,7 @@
 	g.awaitStatus(func(s controlapi.Status) bool { return s.IsLeader && s.NewestVersion == 35 && s.Activated == 35 })
 }
 
-// A process whose disk is full, or whose files were changed, serves no more and says why; the others go on.
+// A process whose disk is full, or whose files were changed, stops serving and logs the reason; the others continue.
 func TestStorageFaults(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.start(1)
--- a/cmd/bankledge-control/recordings_test.go
+++ b/cmd/bankledge-control/recordings_test.go
@@ -19,10 +19,12 @@
 	"bankledge/internal/controlapi"
 )
 
-// startSingle starts one process alone with a term of two seconds, in which the test has time for all that counts on a running term.
+// startSingle starts one process alone with a lease duration of two seconds, enough for all exchanges that need a valid lease.
 func startSingle(t *testing.T, g *testGroup, recording *transcript) (client, peer string) {
-	client, peer = g.members["1"].Client, g.members["1"].Peer
-	recording.addresses[client], recording.addresses[peer] = "<client>", "<peer>"
+	client = g.members["1"].Client
+	peer = g.members["1"].Peer
+	recording.addresses[client] = "<client>"
+	recording.addresses[peer] = "<peer>"
 	g.startWith(1, fmt.Sprintf(`{id: 1, dir: 'd1', peer: %q, client: %q, most_gone: 0.5, term_ms: 2000, heartbeat_ms: 20, election_ms: 100}`, peer, client))
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", client)
@@ -42,8 +44,8 @@
 	return fmt.Sprintf(`{"kind":"propose","id":%q,"rules":{"routers":2,"cold_multiple":2%s}}`, id, more)
 }
 
-// What a router and an operator exchange with one process: paths, statuses, headers, fields and the texts of errors. The parts follow
-// on each other.
+// The exchanges of a router and an operator with one process: paths, statuses, headers, fields and the texts of errors. Each part depends
+// on the ones before it.
 func TestClientTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	client, _ := startSingle(t, g, recording)
@@ -62,7 +64,7 @@
 	recording.compare("client.txt")
 }
 
-// renewal is router-a's, with further fields.
+// renewal returns a renewal of router-a with further fields.
 func renewal(known, hash, more string) string {
 	return fmt.Sprintf(`{"name":"router-a","incarnation":"i1","seq":7,"known":%s,"hash":%q,"spans":"term 2s, drift 0.01"%s}`, known, hash, more)
 }
@@ -103,7 +105,7 @@
 	recording.askWith(client, "GET /v1/versions/events", "Last-Event-ID: x\r\n", "")
 }
 
-// recordRejectedRenewals records what a router hears whose newest version has the hash, or that says what can't be.
+// recordRejectedRenewals records the replies to renewals that are invalid, or that this group can't grant; hash is that of version 2.
 func recordRejectedRenewals(recording *transcript, client, hash string) {
 	long := strings.Repeat("x", 201)
 	for _, body := range []string{
@@ -115,7 +117,7 @@
 	}
 }
 
-// recordRejectedProposals records proposals that can't be read, that a guard rejects, and ids that come again.
+// recordRejectedProposals records proposals that can't be read, that a guard rejects, and duplicate ids.
 func recordRejectedProposals(recording *transcript, client string) {
 	long := strings.Repeat("x", 201)
 	for _, body := range []string{
@@ -162,7 +164,7 @@
 	recording.ask(client, "POST /v1/members", `{"id":2,"remove":true}`)
 }
 
-// What one process says to another that sends it messages, and what it sends itself.
+// The exchanges between two processes of a group, in both directions.
 func TestPeerTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	_, peer := startSingle(t, g, recording)
@@ -196,8 +198,8 @@
 	recording.compare("peer.txt")
 }
 
-// startThree starts a group of three, and returns the ids of its leader and of the two followers. Elections are slow, so that the leader
-// stays one on a busy machine.
+// startThree starts a group of three, and returns the ids of its leader and of the two followers. Election timeouts are long, so that the
+// leader does not change on a busy machine.
 func startThree(t *testing.T, g *testGroup, recording *transcript) (leader, follower, third int) {
 	t.Helper()
 	members := ""
@@ -221,7 +223,7 @@
 	return leader, follower, third
 }
 
-// A group of three: a process of it that is not the leader, and then is left alone.
+// The answers of a follower in a group of three, and of the same process after the other two were killed.
 func TestFollowerTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 3), newTranscript(t)
 	leader, follower, third := startThree(t, g, recording)
@@ -261,7 +263,7 @@
 	}, statusTimeout, pollInterval)
 }
 
-// The commands of operators: what they write, their errors and exit codes.
+// The commands of operators: their output, errors and exit codes.
 func TestCommandTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	client, _ := startSingle(t, g, recording)
@@ -311,7 +313,7 @@
 	recording.compare("commands.txt")
 }
 
-// The settings of a process and of a router, field by field: what is taken, and what is said of what is not.
+// The settings of a process and of a router, field by field: accepted values, and the errors of rejected ones.
 func TestSettingsTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	run := func(command, shown, text string) {
--- a/cmd/bankledge-control/transcript_test.go
+++ b/cmd/bankledge-control/transcript_test.go
@@ -20,7 +20,7 @@
 
 var update = flag.Bool("update", false, "write the recordings under testdata anew instead of comparing with them")
 
-// transcript records exchanges with a control group and compares them, byte for byte but for what differs from run to run, with a file
+// transcript records exchanges with a control group and compares them, byte for byte except for what differs from run to run, with a file
 // under testdata.
 type transcript struct {
 	t         *testing.T
@@ -35,7 +35,7 @@
 
 var (
 	hexToken = regexp.MustCompile(`\b([0-9a-f]{64}|[0-9a-f]{32}|[0-9a-f]{16}|[0-9a-f]{12})\b`)
-	// Go's own names of types stand in encoding/json's errors about a value of the wrong kind; they are no part of the wire form.
+	// encoding/json's errors about a value of the wrong type contain Go type names, which are not part of the wire format.
 	goType   = regexp.MustCompile(`(Go value of type |of type |Go struct field )[\w.\[\]*]*?\b[A-Z]\w*`)
 	variable = regexp.MustCompile(`"(disk_bytes|left|ago|term)":\d+`)
 	date     = regexp.MustCompile(`(?m)^Date: .*$`)
@@ -70,7 +70,7 @@
 	r.text.WriteString(r.normal(fmt.Sprintf(format, args...)) + "\n")
 }
 
-// compare ends the recording.
+// compare ends the recording and compares it with the file.
 func (r *transcript) compare(name string) {
 	r.t.Helper()
 	path := filepath.Join("testdata", name)
@@ -88,7 +88,7 @@
 	}
 }
 
-// connection is one HTTP connection whose bytes are read as they come.
+// connection is one HTTP connection whose responses are read as raw bytes.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
@@ -113,7 +113,7 @@
 	return c, strings.ReplaceAll(head.String(), "\r\n", "\n")
 }
 
-// exchange sends a request and returns the response, its head as it came.
+// exchange sends a request and returns the response, with its head unchanged.
 func (r *transcript) exchange(address, request, headers, body string) (head, response string) {
 	r.t.Helper()
 	conn, head := r.send(address, request, headers, body)
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -20,7 +20,7 @@
 
 const testTimeout = 10 * time.Second
 
-// serve answers with the responses in turn, the last one again and again, and counts the requests.
+// serve answers with the responses in turn, repeating the last one, and counts the requests.
 func serve(t *testing.T, responses ...response) (address string, requests *atomic.Int64) {
 	t.Helper()
 	requests = new(atomic.Int64)
@@ -39,7 +39,7 @@
 	body   string
 }
 
-// closedAddress is one that nobody listens on.
+// closedAddress returns an address without a listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 	}
 }
 
-// Each address is asked in turn; the one that answered is asked first the next time.
+// Each address is tried in turn; the one that answered is tried first the next time.
 func TestFindsLeader(t *testing.T) {
 	follower, followerRequests := serve(t, response{421, "{}"})
 	leader, leaderRequests := serve(t, response{200, `{"id":"a","number":7}`})
@@ -124,7 +124,7 @@
 	return string(raw)
 }
 
-// The leader's status is preferred; without a leader a follower's has to do.
+// The leader's status is preferred; without a leader a follower's is returned.
 func TestStatus(t *testing.T) {
 	follower, _ := serve(t, response{200, encode(t, controlapi.Status{ID: 1, Error: "this process does not lead the group"})})
 	leader, _ := serve(t, response{200, encode(t, controlapi.Status{ID: 2, IsLeader: true})})
--- a/internal/configregister/recording_test.go
+++ b/internal/configregister/recording_test.go
@@ -43,8 +43,8 @@
 	return string(raw)
 }
 
-// TestRecordedRegister applies generated entries, unreadable ones among them, and hashes the outcomes, the snapshots and what a router
-// is sent. The hash was computed at commit 05e118f: a difference is a change of behaviour.
+// TestRecordedRegister applies generated entries, unreadable ones among them, and hashes the outcomes, the snapshots and the versions
+// that a router is sent. The hash was computed at commit 05e118f: a difference is a change of behaviour.
 func TestRecordedRegister(t *testing.T) {
 	r := newRecording(t)
 	register := Register{Guards: configversion.Guards{MaxRemovedShare: 0.5}}
@@ -62,14 +62,17 @@
 		case 6:
 			return []byte(r.json(Entry{Kind: "other"}))
 		case 7:
-			e.Kind, e.Number = "rollback", uint64(r.random.IntN(1+int(register.NewestNumber())))
+			e.Kind = "rollback"
+			e.Number = uint64(r.random.IntN(1 + int(register.NewestNumber())))
 		case 8:
 			e.Rules = json.RawMessage(`{"routers": 0}`)
 		case 9:
-			e.Rules, e.ForcedGuards = versions[r.random.IntN(60)].Rules.Canonical(), []string{"any"}
+			e.Rules = versions[r.random.IntN(60)].Rules.Canonical()
+			e.ForcedGuards = []string{"any"}
 		default:
 			e.Rules = versions[r.random.IntN(60)].Rules.Canonical()
-			if forced = nil; r.chance(0.8) {
+			forced = nil
+			if r.chance(0.8) {
 				forced = configversion.GuardNames()
 			}
 			e.ForcedGuards = forced
@@ -95,6 +98,6 @@
 			register = again
 		}
 	}
-	assert.Greater(t, register.NewestNumber(), uint64(64), "versions")
+	assert.Greater(t, register.NewestNumber(), uint64(64), "enough versions that the oldest are dropped")
 	assert.Equal(t, "f32d1d41e4fcd20ca7d6ab621f0cce9a4b8d4e449f54d1cf08a12c0f625ec7b4", r.sum())
 }
--- a/internal/configversion/recording_test.go
+++ b/internal/configversion/recording_test.go
@@ -128,7 +128,7 @@
 	assert.Equal(t, recordedChanges, hex.EncodeToString(hash.Sum(nil)))
 }
 
-// changed returns a copy of rules with a few drawn changes.
+// changed returns a copy of rules with a few random changes.
 func changed(t *testing.T, random *rand.Rand, from *rules.Rules) *rules.Rules {
 	t.Helper()
 	fields := map[string]any{}
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -160,7 +160,7 @@
 	return list
 }
 
-// A leader that is cut off is silenced and replaced; once it is heard again it follows.
+// An isolated leader is silenced and replaced; once it is connected again it follows the new leader.
 func TestIsolatedLeader(t *testing.T) {
 	c := newCluster(t)
 	c.run(time.Second)
@@ -183,7 +183,7 @@
 	assert.Equal(t, Role{Leader: second, Term: c.nodes[second].Role().Term}, c.nodes[first].Role())
 }
 
-// A process that was cut off calls elections, but the others hear their leader and keep it.
+// A process that was isolated calls elections, but the others still receive heartbeats of their leader and keep it.
 func TestIsolatedFollowerDoesNotDepose(t *testing.T) {
 	c := newCluster(t)
 	c.run(time.Second)
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// What was saved is loaded again; what was replaced is not, and a snapshot takes the place of the entries that it covers.
+// Load returns all that was saved and not replaced; a snapshot replaces the entries that it covers.
 func TestSaveAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, 1)
@@ -117,7 +117,7 @@
 	assert.GreaterOrEqual(t, len(loaded.Entries), 3)
 }
 
-// A folder that can't be made is an error.
+// A folder that can't be created is an error.
 func TestFolderIsAFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
@@ -125,7 +125,7 @@
 	assert.ErrorContains(t, err, "store")
 }
 
-// A machine that loses its power at any moment: all for which Save had returned is there, whatever else of the disk's cache was lost.
+// After a power loss at any moment all changes for which Save had returned are loaded, whatever else of the disk's cache was lost.
 func TestPowerLoss(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 60 {
@@ -155,8 +155,8 @@
 	}
 }
 
-// loadsWithFile reports whether a copy of a stored folder can be loaded after one of its files was replaced. What is loaded has to be
-// what was stored: entries 2 to 60.
+// loadsWithFile reports whether a copy of a stored folder can be loaded after one of its files was replaced. The loaded entries have to be
+// those that were stored: 2 to 60.
 func loadsWithFile(t *testing.T, dir, name string, content []byte) bool {
 	t.Helper()
 	folder := t.TempDir()
@@ -178,7 +178,7 @@
 	return true
 }
 
-// Files that were torn, or of which bytes were changed, are an error: what was synced is never read as something else, and never lost
+// Truncated files and changed bytes are an error: synced data is never read as something else, and never lost
 // without notice.
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/controlclient/config_test.go
+++ b/internal/controlclient/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a router's control file may hold, and what is said of one that is not taken.
+// The valid contents of a router's control file, and the errors of invalid ones.
 func TestLoadConfig(t *testing.T) {
 	const addresses = `"addresses": ["127.0.0.1:7201"]`
 	for text, want := range map[string]string{
--- a/internal/controlclient/transport_test.go
+++ b/internal/controlclient/transport_test.go
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// What a router writes to the group, byte for byte, and what it makes of the answers.
+// The bytes that a router writes to the group, and the events that it delivers for the answers.
 func TestTransportWire(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	group, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/controlserver/api_test.go
+++ b/internal/controlserver/api_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// A process that has another's address of before is told so.
+// Messages from a process of another group, which had this address before, are rejected with that reason.
 func TestMessagesOfAnotherGroup(t *testing.T) {
 	server := startServer(t, singleSettings(t, t.TempDir()))
 	server.awaitLeader(t)
--- a/internal/controlserver/helpers_test.go
+++ b/internal/controlserver/helpers_test.go
@@ -137,7 +137,7 @@
 	return events
 }
 
-// proposal proposes rules that differ by one field: the more, the looser.
+// proposal proposes rules that differ in one field; a greater value is looser.
 func proposal(t *testing.T, id string, slowStartMultiple float64) configregister.Entry {
 	t.Helper()
 	proposed := &rules.Rules{Routers: 2, SlowStartMultiple: slowStartMultiple}
@@ -147,7 +147,7 @@
 
 var errNoSpace = errors.New("no space left on device")
 
-// failingStorage fails from some time on.
+// failingStorage fails each Save while fails is set.
 type failingStorage struct {
 	Storage
 	fails atomic.Bool
--- a/internal/controlserver/mailbox_test.go
+++ b/internal/controlserver/mailbox_test.go
@@ -26,7 +26,7 @@
 	assert.Equal(t, lease.SendReply{CallID: 1}, answer)
 }
 
-// A caller that leaves is reported to the driver, so that the replica forgets its call.
+// A cancelled call is reported to the driver, so that the replica forgets it.
 func TestMailboxCallCancelled(t *testing.T) {
 	box := newMailbox()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -41,7 +41,7 @@
 	assert.Equal(t, cancelMessage{callID: call.callID}, <-box.messages)
 }
 
-// A full mailbox keeps callers waiting and drops what nobody waits for.
+// A full mailbox blocks calls and drops messages that need no answer.
 func TestMailboxFull(t *testing.T) {
 	box := newMailbox()
 	for range mailboxSize {
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -13,7 +13,7 @@
 	"bankledge/internal/consensus/store"
 )
 
-// One process alone: versions, a stream that goes on from where it was, a restart that has all, and no goroutine left.
+// One process alone: versions, a stream that continues from the last event, a restart that restores the state, and no goroutine leak.
 func TestSingleProcess(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	dir := t.TempDir()
@@ -56,7 +56,7 @@
 	require.NoError(t, server.stop())
 }
 
-// A process whose storage fails ends with its error: what it could not keep is acknowledged to nobody.
+// A process whose storage fails ends with the storage's error and acknowledges nothing that was not stored.
 func TestStorageFails(t *testing.T) {
 	settings := singleSettings(t, t.TempDir())
 	disk, err := store.Open(settings.DataDir, settings.ID)
@@ -73,7 +73,7 @@
 	assert.ErrorIs(t, server.wait(), errNoSpace)
 }
 
-// A process whose storage does not answer is busy, and says so to routers and operators.
+// A process whose storage blocks answers routers and operators that it is busy.
 func TestStorageStalls(t *testing.T) {
 	settings := singleSettings(t, t.TempDir())
 	disk, err := store.Open(settings.DataDir, settings.ID)
--- a/internal/controlserver/version_stream_test.go
+++ b/internal/controlserver/version_stream_test.go
@@ -9,7 +9,7 @@
 	"bankledge/internal/configversion"
 )
 
-// A follower is sent what it does not know of the activated version and the one that follows it, then each activation once.
+// A follower is sent the activated version and its successor unless it knows them, then each activation once.
 func TestStreamCursor(t *testing.T) {
 	register := func(newest, activated uint64) *configregister.Register {
 		register := &configregister.Register{Lineage: "l", Activated: activated}
--- a/internal/lease/client_test.go
+++ b/internal/lease/client_test.go
@@ -36,8 +36,8 @@
 	return Renewal{}
 }
 
-// What tightens takes effect on receipt, what loosens on activation; a lease counts from when its renewal was sent, however late the reply
-// is, and once it has expired the client acts on the intersection of all that it knows.
+// A tighter version takes effect on receipt, a looser one on activation; a lease counts from when its renewal was sent, however late the
+// reply is, and once it has expired the client acts on the intersection of all versions that it knows.
 func TestClientAppliesRules(t *testing.T) {
 	c := newTestClient(t)
 	versions := lineageOf(t, "l", 3)
@@ -127,12 +127,12 @@
 				return
 			}
 			assert.Contains(t, logged, test.wantMessage)
-			assert.Contains(t, nextRenewal(t, c, time.Second).LastMessage, test.wantMessage, "the group is told why")
+			assert.Contains(t, nextRenewal(t, c, time.Second).LastMessage, test.wantMessage, "the group is notified of the reason")
 		})
 	}
 }
 
-// A client whose group is silent asks each address in turn, soon at first and then at its usual rate, and does nothing else.
+// A client whose group does not answer tries each address in turn, at first after a short backoff and then at the renewal interval.
 func TestClientRetriesWithBackoff(t *testing.T) {
 	c := newTestClient(t)
 	renewals := map[int]int{} // by address
@@ -157,8 +157,8 @@
 	assert.Greater(t, reopened, 15)
 }
 
-// Whatever is received in whatever order, a client never acts on more than each version in force permits, and without a lease never on
-// more than its local settings permit.
+// Whatever events it receives in whatever order, a client never acts on more than each version in force permits, and without a lease
+// never on more than its local settings permit.
 func TestClientNeverExceedsVersionsInForce(t *testing.T) {
 	versions := lineageOf(t, "l", 8)
 	local := rulesWithMultiple(t, 1)
--- a/internal/lease/coordinator_test.go
+++ b/internal/lease/coordinator_test.go
@@ -39,8 +39,8 @@
 	assert.False(t, f.grant(f.now, request{renewal: otherDurations}).Granted)
 }
 
-// A version is activated once no lease runs whose client does not know it, and never before a new leader has waited out what an earlier one
-// may have granted.
+// A version is activated once each client with a lease knows it, and never before all leases that an earlier leader may have granted
+// have expired.
 func TestCoordinatorActivatesVersions(t *testing.T) {
 	f := newCoordinatorFixture(t)
 	f.step(LeadershipGained{})
--- a/internal/lease/helpers_test.go
+++ b/internal/lease/helpers_test.go
@@ -83,7 +83,7 @@
 	return f
 }
 
-// renew hands in a renewal, confirms the leadership if that is asked for, and returns the reply.
+// renew hands in a renewal, confirms the leadership if that is requested, and returns the reply.
 func (f *coordinatorFixture) renew(renewal Renewal) Reply {
 	f.t.Helper()
 	renewal.DurationsKey = DefaultDurations().CompatibilityKey()
--- a/internal/lease/recording_client_test.go
+++ b/internal/lease/recording_client_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// clientRecording drives a client with events that are drawn from what a group may send.
+// clientRecording drives a client with random events of the kinds that a group may send.
 type clientRecording struct {
 	*recording
 	client       *Client
@@ -101,7 +101,7 @@
 	c.line("times", "%d %d", c.client.NextDeadline(), c.client.LeaseExpiry())
 }
 
-// recordedText describes a configuration in the words of the log when the hashes were computed.
+// recordedText describes a configuration in the wording of the log at the commit of the hashes.
 func recordedText(configuration ActiveConfiguration) string {
 	text := fmt.Sprintf("version %d", configuration.Activated)
 	switch {
@@ -150,7 +150,7 @@
 	return InvalidVersionReceived{Err: errors.New(text)}
 }
 
-// unexpectedVersion is one out of order, sent twice or of another lineage, or another version of a number that is taken.
+// unexpectedVersion is a version out of order, a duplicate, one of another lineage, or a different version with a known number.
 func (c *clientRecording) unexpectedVersion(draw int) *configversion.Version {
 	if draw == 86 {
 		return configversion.New(c.versions[max(0, c.newest-2)], "", c.local, nil, fmt.Sprint(c.now))
@@ -162,7 +162,7 @@
 	return versions[c.random.IntN(c.newest)]
 }
 
-// reply answers one of the renewals, mostly as a group does.
+// reply answers one of the renewals, mostly as a real group does.
 func (r *recording) reply(renewals []Renewal, newest, activated uint64) Reply {
 	renewal := renewals[len(renewals)-1]
 	if r.chance(0.15) {
@@ -183,7 +183,8 @@
 	case 5:
 		reply.Granted = !reply.Granted
 	case 6:
-		reply.Newest, reply.Granted = renewal.KnownVersion, true
+		reply.Newest = renewal.KnownVersion
+		reply.Granted = true
 	}
 	return reply
 }
--- a/internal/lease/recording_coordinator_test.go
+++ b/internal/lease/recording_coordinator_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// replicated is the state that the log of the driven group has reached.
+// replicated is the state up to which the group's log was applied.
 type replicated struct {
 	newest    uint64
 	activated uint64
@@ -69,12 +69,12 @@
 	return StateApplied{Lineage: "l", Newest: s.newest, Activated: s.activated, Hash: s.hash, Outcomes: outcomes}
 }
 
-// coordinatorRecording drives a coordinator with events that are drawn from what routers, operators and the log may bring.
+// coordinatorRecording drives a coordinator with random events of the kinds that routers, operators and the log may cause.
 type coordinatorRecording struct {
 	*recording
 	coordinator *Coordinator
 	state       replicated
-	tokens      []uint64 // of the confirmations that were asked for
+	tokens      []uint64 // of the confirmations that were requested
 	callID      uint64   // of the last call
 	isLeader    bool
 }
@@ -164,7 +164,7 @@
 	}
 }
 
-// renewal is one that a router may send, at times one that is refused.
+// renewal returns a renewal that a router may send, at times one that is rejected.
 func (r *recording) renewal(state *replicated) Renewal {
 	incarnation := fmt.Sprint("x", r.random.IntN(12))
 	renewal := Renewal{Name: "r" + incarnation[1:2], Incarnation: incarnation, Seq: r.random.Uint64N(1000), Lineage: "l", KnownVersion: state.newest, KnownHash: state.hash, DurationsKey: DefaultDurations().CompatibilityKey()}
@@ -184,7 +184,9 @@
 	case 6, 7, 8, 9:
 		renewal.KnownVersion = max(1, renewal.KnownVersion-1)
 	case 10:
-		renewal.KnownVersion, renewal.KnownHash, renewal.Lineage = 0, "", ""
+		renewal.KnownVersion = 0
+		renewal.KnownHash = ""
+		renewal.Lineage = ""
 	case 11:
 		renewal.LastMessage = "a word"
 	case 12:
@@ -197,7 +199,9 @@
 	entry := configregister.Entry{Kind: "propose", ID: fmt.Sprint("p", call), Rules: json.RawMessage(`{"routers":1}`), Note: "note"}
 	switch r.random.IntN(12) {
 	case 0:
-		entry.Kind, entry.Number, entry.Rules = "rollback", 1, nil
+		entry.Kind = "rollback"
+		entry.Number = 1
+		entry.Rules = nil
 	case 1:
 		entry.Kind = "settle"
 	case 2:
@@ -208,7 +212,7 @@
 	return entry
 }
 
-// TestRecordedCoordinatorLimits hands in more renewals than are kept, and hashes who is refused.
+// TestRecordedCoordinatorLimits hands in more renewals than are queued, and hashes the replies.
 func TestRecordedCoordinatorLimits(t *testing.T) {
 	r := newRecording(t, 5)
 	group := NewCoordinator(DefaultDurations())
--- a/internal/lease/recording_test.go
+++ b/internal/lease/recording_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The recordings drive the state machines with generated events and hash every action, rendered in words that no rename changes. The
-// hashes were computed at commit 05e118f: a difference is a change of behaviour.
+// The recordings drive the state machines with generated events and hash every action, rendered in a form that does not depend on
+// identifiers. The hashes were computed at commit 05e118f: a difference is a change of behaviour.
 
 const (
 	ms            = time.Millisecond
@@ -34,7 +34,7 @@
 	return &recording{t: t, random: rand.New(rand.NewPCG(45, seed)), hash: sha256.New(), counts: map[string]int{}}
 }
 
-// line hashes one line; its first word is counted.
+// line hashes one line and counts its kind.
 func (r *recording) line(kind, format string, args ...any) {
 	r.counts[kind]++
 	fmt.Fprintf(r.hash, kind+" "+format+"\n", args...)
--- a/internal/replica/harness_test.go
+++ b/internal/replica/harness_test.go
@@ -108,7 +108,7 @@
 	g.carryOut(id, g.replicas[id].Step(g.now, event))
 }
 
-// runUntil lets time pass until the group is as wanted.
+// runUntil lets time pass until the condition holds.
 func (g *storedGroup) runUntil(reached func() bool) {
 	g.t.Helper()
 	deadline := g.now + time.Minute
@@ -178,7 +178,7 @@
 	return g.outcomes[0].Number
 }
 
-// served is what a process serves, in the form of the recorded files.
+// served returns the state that a process serves, in the format of the recorded files.
 func (g *storedGroup) served(id uint64) (versions, members string) {
 	g.t.Helper()
 	register := g.replicas[id].Register()
--- a/internal/replica/membership_test.go
+++ b/internal/replica/membership_test.go
@@ -10,7 +10,7 @@
 	"bankledge/internal/configregister"
 )
 
-// openSingle opens a copy of the folder of a process that is alone.
+// openSingle opens a copy of the folder of a group of one process.
 func openSingle(t *testing.T) *storedGroup {
 	t.Helper()
 	g := &storedGroup{
@@ -23,7 +23,7 @@
 	return g
 }
 
-// request asks for a change of members and returns the answer.
+// request requests a membership change and returns the answer.
 func (g *storedGroup) request(event MembershipRequest) configregister.Outcome {
 	g.t.Helper()
 	g.outcomes = nil
@@ -32,7 +32,7 @@
 	return g.outcomes[0]
 }
 
-// A leader's answers to requests for a change of members, which operators read.
+// The answers of a leader to membership changes; operators read their texts.
 func TestMembershipRequests(t *testing.T) {
 	g := openSingle(t)
 	assert.Equal(t, "this process does not lead the group", g.request(MembershipRequest{CallID: 1, MemberID: 8, Remove: true}).Error)
@@ -56,7 +56,7 @@
 	}
 }
 
-// A member that is added listens, and a removed one is gone.
+// An added member is a learner, and a removed one is no longer listed.
 func TestMembershipChanges(t *testing.T) {
 	g := openSingle(t)
 	g.runUntil(func() bool { return g.leader() != 0 })
--- a/internal/replica/stored_data_test.go
+++ b/internal/replica/stored_data_test.go
@@ -14,7 +14,7 @@
 	"bankledge/internal/consensus/store"
 )
 
-// testdata/README.md says how the folders came about.
+// testdata/README.md describes how the folders were made.
 
 // readRecording reads the versions and members that a group served last.
 func readRecording(t *testing.T, name string) (versions string, members map[uint64]Member) {
@@ -31,7 +31,7 @@
 	return versions, status.Members
 }
 
-// A group opens what it had stored, serves the same versions and members, goes on past another snapshot, and opens that again.
+// A group opens stored folders, serves the same versions and members, writes up to another snapshot, and opens that again.
 func TestOpensStoredFolders(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -76,7 +76,7 @@
 	}
 }
 
-// What the store reads in each folder: the hard state, the snapshot, and the entries behind it.
+// The store reads from each folder the hard state, the snapshot, and the entries after it.
 func TestLoadsStoredState(t *testing.T) {
 	for _, c := range []struct {
 		folder string
--- a/internal/rules/compare_test.go
+++ b/internal/rules/compare_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Intersect is the meet of a lattice: idempotent, commutative, associative, in conflict with neither side, and it permits all that both
-// permit.
+// Intersect is the meet operation of a lattice: idempotent, commutative, associative, in conflict with neither side, and it permits all
+// that both permit.
 func TestIntersectIsALatticeMeet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawnRules.Draw(t, "a"), drawnRules.Draw(t, "b"), drawnRules.Draw(t, "c")
@@ -41,7 +41,7 @@
 	})
 }
 
-// That a does not conflict with b is a partial order.
+// The relation "a does not conflict with b" is a partial order.
 func TestConflictsDefineAPartialOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawnRules.Draw(t, "a"), drawnRules.Draw(t, "b"), drawnRules.Draw(t, "c")
@@ -149,7 +149,7 @@
 	}
 }
 
-// A field that is missing in the table would be ignored by Conflicts and Intersect.
+// Conflicts and Intersect would ignore a field that is missing in the table.
 func TestEveryFieldIsInTheTable(t *testing.T) {
 	described := map[string]bool{}
 	for _, field := range Fields() {
--- a/internal/rules/generate_test.go
+++ b/internal/rules/generate_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawnRules are valid rules of few names and amounts, so that fields of two of them often agree.
+// drawnRules generates valid rules of few names and amounts, so that fields of two of them often agree.
 var drawnRules = rapid.Custom(func(t *rapid.T) *Rules {
 	names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	lists := rapid.SliceOfN(names, 0, 4)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -43,13 +43,14 @@
 	return results
 }
 
-// Whatever fails, no two routers act on contradicting rules for longer than the bound; what was acknowledged stays; reads and writes
-// are linearizable; when nothing fails any more all act on the newest version. The baseline, plain push, is known to exceed the bound.
+// Whatever fails, no two routers act on contradicting rules for longer than the bound; acknowledged versions are not lost; reads and writes
+// are linearizable; after the last fault all routers converge on the newest version. The baseline, plain push, is known to exceed the bound.
 func TestSchedules(t *testing.T) {
 	count := seedCount(40)
 	bound := ContradictionBound(options(0).LeaseDurations)
 	var leases, plainPush Result // sums and maxima
-	converged, plainPushOver := 0, 0
+	converged := 0
+	plainPushOver := 0
 	for seed, r := range runSeeds(t, count) {
 		for _, v := range r.leases.Violations {
 			t.Errorf("seed %d: %s at %v: %s", seed, v.Auditor, v.At, v.Detail)
@@ -77,7 +78,7 @@
 	assert.Equal(t, int(count), converged)
 }
 
-// A seed gives the same history twice.
+// Two runs of one seed give the same history.
 func TestDeterministic(t *testing.T) {
 	for seed := range uint64(12) {
 		assert.Equal(t, Run(options(seed), nil), Run(options(seed), nil), "seed %d", seed)
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// A stream that breaks returns the error of the connection, and hands out no half event.
+// Read returns the error of a broken connection, and delivers no incomplete event.
 func TestReadBrokenStream(t *testing.T) {
 	broken := errors.New("connection reset")
 	body := io.MultiReader(strings.NewReader("data: a\n"), iotest.ErrReader(broken))
