--- a/internal/classify/choose_workload.go
+++ b/internal/classify/choose_workload.go
@@ -11,36 +11,36 @@
 
 const (
 	minFingerprintRuns = 12  // of a fingerprint under all labels, to decide by them
-	maxRunSpread       = 1.3 // of a fingerprint's runs, logarithm: above, they say nothing
+	maxRunSpread       = 1.3 // standard deviation of logarithms: runs that vary more decide nothing
 
 	// minLikelihoodRatio is the log likelihood ratio for another workload above which it is chosen: 55 to 1.
 	minLikelihoodRatio = 4.0
-	// doubtRuns count against the runs seen.
+	// doubtRuns is added to the number of runs in the denominator, so that few runs weigh little.
 	doubtRuns = 3.0
-	// labelMajority is the ratio of runs with another label over those with the declared one that is a majority.
+	// labelMajority is the ratio of runs with another label to runs with the declared one from which the other label prevails.
 	labelMajority = 4.0
-	// maxLabelRatio is the log likelihood ratio that the labels of most clients add at most.
+	// maxLabelRatio is the largest log likelihood ratio that the labels of most clients add.
 	maxLabelRatio = 3.0
-	// keyLookupDoubt is the log likelihood ratio against a heavier workload for what picks rows by a key.
+	// keyLookupDoubt is subtracted from a heavier workload's log likelihood ratio for statements that select rows by a key.
 	keyLookupDoubt = 3.0
-	// maxOwnRuns is the number of runs that a label's last runs speak for at most.
+	// maxOwnRuns bounds the weight of the last runs with one label, in runs.
 	maxOwnRuns = 4 * fingerprint.RecentRuns
 
-	// The confidence in what the text says for certain, in small writes and bulk loads, and where nothing is known.
+	// The confidence if the text is certain, for writes and bulk loads, and if nothing is known.
 	textConfidence    = 0.99
 	writeConfidence   = 0.9
 	unknownConfidence = 0.5
 )
 
-// choice is the workload that a statement is treated as, and why.
+// choice is the workload that a statement is treated as, with the reason.
 type choice struct {
 	workload   decision.WorkloadID
 	reason     Reason
 	confidence float64 // 0 to 1
 }
 
-// chooseWorkload decides by what the text says for certain, then by how the fingerprint has run, then by the structure
-// of the text.
+// chooseWorkload decides by the text where that is certain, then by the fingerprint's runs, then by the structure of
+// the text.
 func (c *Classifier) chooseWorkload(now time.Duration, observation *Observation, statement *sqltext.Statement) choice {
 	if chosen, certain := c.chooseByText(observation.declared, statement); certain {
 		return chosen
@@ -56,8 +56,8 @@
 	return c.chooseByStructure(observation)
 }
 
-// chooseByText decides about statements whose text contradicts the label, and about bulk loads and writes, which are
-// otherwise what their clients say.
+// chooseByText decides about statements whose text contradicts the label, and about bulk loads and writes, whose
+// label is otherwise accepted.
 func (c *Classifier) chooseByText(declared decision.WorkloadID, statement *sqltext.Statement) (chosen choice, certain bool) {
 	bulkLoad := c.workloads[declared].BulkLoad
 	switch {
@@ -104,7 +104,7 @@
 		return choice{declared, ReasonInconsistentRuns, 0}
 	}
 	claimedRun := observation.claimedRun * math.Exp(c.workloads[declared].claimBias())
-	if record.Ratio.N() >= fingerprint.RecentRuns { // as the claims for this fingerprint came out
+	if record.Ratio.N() >= fingerprint.RecentRuns { // corrected by this fingerprint's ratio of runs to claims
 		claimedRun = observation.claimedRun * math.Exp(record.Ratio.Quantile(0.5))
 	}
 	evidence := runEvidence{
@@ -121,7 +121,7 @@
 	return chosen
 }
 
-// chooseByStructure decides about a statement whose fingerprint says too little.
+// chooseByStructure decides about a statement whose fingerprint has too few runs.
 func (c *Classifier) chooseByStructure(observation *Observation) choice {
 	declared := observation.declared
 	suggested := observation.byStructure
@@ -135,17 +135,17 @@
 	return choice{suggested, ReasonTextStructure, evidence.structureConfidence()}
 }
 
-// runEvidence is how a fingerprint has run. Median and high are logarithms of seconds.
+// runEvidence summarises a fingerprint's runs. Median and high are natural logarithms of seconds.
 type runEvidence struct {
-	reason       Reason // of the choice of another workload
+	reason       Reason // given if another workload is chosen
 	median, high float64
 	count        float64 // runs
 	claimedRun   float64 // seconds; 0: none
 }
 
 // chooseByRuns compares a fingerprint's runs with those of the workloads' fingerprints, by likelihood. A lighter
-// workload than the declared one is chosen only where the label's own runs have shown it, or where no more than its
-// work is claimed, since nobody gains by claiming more; and nearly all runs have to be light, not half of them.
+// workload than the declared one is chosen only if the label's own runs are light, or if the claimed work is no more
+// than the lighter workload's, since clients gain nothing by claiming more. Nearly all runs have to be light, not half.
 func (c *Classifier) chooseByRuns(observation *Observation, evidence runEvidence, statement *sqltext.Statement) choice {
 	declared := observation.declared
 	declaredMedian, declaredSpread, known := c.workloads[declared].typicalRuns()
@@ -167,7 +167,7 @@
 		if lighter && labelRatio < labelMajority {
 			run = evidence.high
 		}
-		if (run-declaredMedian)*(median-declaredMedian) <= 0 { // it lies on the other side of the declared workload
+		if (run-declaredMedian)*(median-declaredMedian) <= 0 { // the runs differ from the declared workload in the other direction
 			continue
 		}
 		if lighter && underAllLabels && evidence.claimedRun > 0 && math.Log(evidence.claimedRun) > (declaredMedian+median)/2 {
@@ -181,7 +181,7 @@
 			ratio -= keyLookupDoubt
 		}
 		ratio *= evidence.count / (evidence.count + doubtRuns)
-		if ratio > 1 { // most clients' label counts where the runs say the same
+		if ratio > 1 { // the label of most clients adds weight only if the runs agree
 			ratio += min(maxLabelRatio, max(0, 2*math.Log(labelRatio)))
 		}
 		if ratio > bestRatio {
--- a/internal/classify/classifier.go
+++ b/internal/classify/classifier.go
@@ -1,4 +1,4 @@
-// Package classify decides what a statement is treated as: which workload, its expected work and memory, and the table
+// Package classify decides how a statement is treated: as which workload, its expected work and memory, and the table
 // groups that it names. It weighs the declared workload (the label), the structure of the text (package sqltext) and how
 // statements with the same fingerprint have run (package fingerprint).
 //
@@ -6,9 +6,9 @@
 // I/O, no clock, no goroutines. It rejects nothing and loosens no rule: effect, order, placement, timeout and quotas stay
 // those of the declared workload, but what writes is not idempotent whatever its label says.
 //
-// Only ends teach; claims such as an estimate do not. Taking a light statement for a heavy one delays that statement;
-// taking a heavy one for a light one stalls an engine for all. So a doubt leaves the label as it is, and only what has
-// run so is treated as lighter than declared.
+// It learns only from ends of attempts, not from claims such as an estimate. Taking a light statement for a heavy one
+// delays that statement; taking a heavy one for a light one stalls an engine for all clients. So the label stands in
+// case of doubt, and only statements with a history of light runs are treated as lighter than declared.
 package classify
 
 import (
@@ -20,20 +20,20 @@
 	"bankledge/internal/sqltext"
 )
 
-// Classification is what a statement is treated as. Work and MemoryMB are 0 where the declared figure stands.
+// Classification is how a statement is treated. Work and MemoryMB are 0 where the declared figure stands.
 type Classification struct {
 	Workload     decision.WorkloadID
 	Reason       Reason
 	Confidence   float64       // 0 to 1, that Workload is right
 	Work         time.Duration // on one thread
 	MemoryMB     float64
-	Writes       bool // at least, whatever the label says
+	Writes       bool // also if the label is a reading workload's
 	Tables       decision.TableGroup
 	LockedTables decision.TableGroup   // written; NoGroup: none
 	OtherTables  []decision.TableGroup // named beside Tables
 }
 
-// Observation is what RecordEnd needs to know of a statement that was classified.
+// Observation is the input of RecordEnd about a statement that was classified.
 type Observation struct {
 	fingerprint uint64
 	record      *fingerprint.Record // nil: none was found
@@ -51,7 +51,7 @@
 	Declared, TreatedAs decision.WorkloadID
 }
 
-// Counts is what was decided since the start.
+// Counts are the numbers of decisions since the start.
 type Counts struct {
 	Hits, Misses        int64 // fingerprints known and unknown
 	ByReason            [NumReasons]int64
@@ -67,7 +67,7 @@
 	counts        Counts
 }
 
-// New returns a classifier for workloads that keeps at most fingerprintBytes of what it learns about fingerprints.
+// New returns a classifier for workloads whose records of fingerprints use at most fingerprintBytes of memory.
 func New(workloads []decision.Workload, fingerprintBytes int64) *Classifier {
 	c := &Classifier{
 		fingerprints: fingerprint.NewCache(fingerprintBytes),
@@ -80,7 +80,7 @@
 	return c
 }
 
-// Counts returns what was decided so far.
+// Counts returns the counts so far.
 func (c *Classifier) Counts() Counts {
 	counts := c.counts
 	counts.Hits, counts.Misses = c.fingerprints.Counts()
--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -182,7 +182,7 @@
 	})
 }
 
-// What ends teach: completed ones their time, others only that it takes so long at least.
+// Ends of attempts are recorded: of a completed one its run, of others only a lower bound.
 func TestRecordEnd(t *testing.T) {
 	f := newFixture()
 	for range 20 {
@@ -190,14 +190,14 @@
 		f.RecordEnd(f.now, observation, time.Millisecond, false, 0)
 	}
 	v, observation := f.classify(plain, fakes.Lookup, 0)
-	assert.Equal(t, ReasonUnknownFingerprint, v.Reason, "cancelled early, they say nothing")
+	assert.Equal(t, ReasonUnknownFingerprint, v.Reason, "cancelled early, they are not recorded")
 	require.NotZero(t, observation.fingerprint)
 	for range 20 {
 		_, observation := f.classify(plain, fakes.Lookup, 0)
 		f.RecordEnd(f.now, observation, 4*time.Second, false, 0)
 	}
 	v, _ = f.classify(plain, fakes.Lookup, 0)
-	assert.EqualValues(t, fakes.Report, v.Workload, "what timed out takes so long at least")
+	assert.EqualValues(t, fakes.Report, v.Workload, "a timeout is a lower bound of the run")
 	f.RecordEnd(f.now, new(Observation), time.Second, true, 0)
 	f.RecordEnd(f.now, observation, -time.Second, true, 0)
 }
--- a/internal/classify/expected_work.go
+++ b/internal/classify/expected_work.go
@@ -10,14 +10,14 @@
 const (
 	// minCorrection is the difference of logarithms from the declared figure up to which that one stands.
 	minCorrection = 0.4
-	// initialClaimSpread is the spread of runs over claims while nothing is known of claims.
+	// initialClaimSpread is the assumed spread of the ratio of runs to claims while none is known.
 	initialClaimSpread = 0.5
 	// minRunSpread and minRatioSpread are the least spreads of a fingerprint's runs and of its runs over claims.
 	minRunSpread   = 0.1
 	minRatioSpread = 0.05
 	// minWorkRuns is how many runs of a fingerprint have to be known to expect other work than is declared.
 	minWorkRuns = 2
-	// maxClaimExcess is how far a claim counts beyond what runs have shown, as a logarithm: claims do not teach.
+	// maxClaimExcess bounds how much larger than the known runs a claim counts, as a logarithm: claims are not trusted.
 	maxClaimExcess = 1
 
 	minMemoryRuns   = 8
@@ -34,10 +34,10 @@
 	m.weight += 1 / (spread * spread)
 }
 
-// expectedWork returns the expected work on one thread; 0: what is declared. It sets the observation's expected run,
-// a mean of the workload's usual run, the fingerprint's median and the claim as claims came out, weighted by how sure
-// each is. What slow engines add to all runs is taken off for the work. The declared work stands as long as the
-// result is close to it, or nothing better is known.
+// expectedWork returns the expected work on one thread; 0: the declared work. It sets the observation's expected run, a
+// mean of the workload's usual run, the fingerprint's median and the corrected claim, each weighted by the inverse of
+// its variance. The work is the run without the delay that slow engines add to all runs. The declared work stands if
+// the result is close to it, or if too few runs are known.
 func (c *Classifier) expectedWork(now time.Duration, observation *Observation) time.Duration {
 	w := c.workloads[observation.treatedAs]
 	runs := observation.record.Runs(now)
@@ -48,7 +48,7 @@
 	switch {
 	case sameLabel && runs < minWorkRuns:
 		return 0
-	case runs < minWorkRuns: // structure alone: the heavier of what is claimed and what is usual
+	case runs < minWorkRuns: // only the structure is known: the larger of the claimed and the usual run
 		return secondsToDuration(max(observation.claimedRun, w.usualRun()*math.Exp(-claimBias)) * w.threads)
 	case sameLabel && observation.claimedRun > 0 &&
 		(math.Abs(math.Log(run/observation.claimedRun)) < minCorrection || runs < minFingerprintRuns):
@@ -87,8 +87,8 @@
 	return w.usualRun()
 }
 
-// expectedMemory returns the memory in MB that a statement is expected to need, where that is more than it declares; 0:
-// what is declared.
+// expectedMemory returns the memory in MB that a statement is expected to need, if that is more than it declares; 0:
+// the declared memory.
 func (c *Classifier) expectedMemory(observation *Observation) float64 {
 	need := observation.memoryMB
 	record := observation.record
--- a/internal/classify/label_evidence.go
+++ b/internal/classify/label_evidence.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// minEvidence is how many fingerprints have to say that labels are reliable, or that structure misleads.
+	// minEvidence is how many fingerprints it takes to find that labels are reliable, or that structure misleads.
 	minEvidence = 3
 
-	// minLabelGap is the difference of logarithms between the runs that two labels of one fingerprint have shown, above
-	// which they run apart.
+	// minLabelGap is the difference between the median logarithms of one fingerprint's runs under two labels above which
+	// the labels run apart.
 	minLabelGap = 0.9
 
-	// maxRefutedShare is the share of refuted fingerprints over confirmed ones above which structure is not believed.
+	// maxRefutedShare is the share of refuted fingerprints over confirmed ones above which structure is ignored.
 	maxRefutedShare = 0.25
 )
 
-// labelEvidence counts what fingerprints say about a declared workload against another one.
+// labelEvidence counts the fingerprints that speak for or against a declared workload compared with another one.
 type labelEvidence struct {
 	runsApart, runsAlike                 int // fingerprints that both labels use
 	structureConfirmed, structureRefuted int // fingerprints whose structure suggests the other workload
 }
 
-// labelsAreReliable reports whether fingerprints that two labels share run as the labels say; then neither fingerprint
-// nor structure overrules a label.
+// labelsAreReliable reports whether one fingerprint's runs under two labels mostly differ as the labels do; then neither
+// fingerprint nor structure overrules a label.
 func (e labelEvidence) labelsAreReliable() bool {
 	return e.runsApart >= minEvidence && e.runsApart > e.runsAlike
 }
 
-// structureMisleads reports whether runs have refuted what the structure suggests.
+// structureMisleads reports whether runs have refuted the workload that the structure suggests.
 func (e labelEvidence) structureMisleads() bool {
 	return e.structureRefuted >= minEvidence && float64(e.structureRefuted) > maxRefutedShare*float64(e.structureConfirmed)
 }
 
-// structureConfidence returns the confidence in what the structure suggests.
+// structureConfidence returns the confidence in the workload that the structure suggests, from 0 to 1.
 func (e labelEvidence) structureConfidence() float64 {
 	return float64(e.structureConfirmed+9) / float64(e.structureConfirmed+e.structureRefuted+10)
 }
 
-// recordLabelEvidence counts what a fingerprint whose runs are known by now says about labels and structure.
+// recordLabelEvidence counts a fingerprint with enough runs as evidence about labels and structure.
 func (c *Classifier) recordLabelEvidence(observation *Observation, record *fingerprint.Record, runs *fingerprint.RecentRunTimes) {
 	declared := observation.declared
 	suggested := observation.byStructure
--- a/internal/classify/mix_test.go
+++ b/internal/classify/mix_test.go
@@ -15,7 +15,7 @@
 	"bankledge/internal/sqltext"
 )
 
-// tally is what a run over a mix has shown.
+// tally holds the results of a run over a mix.
 type tally struct {
 	confusion                   [3][3]int // by true workload and the one that it was treated as
 	reclassified, right         int       // of those reclassified, how many rightly
@@ -153,7 +153,7 @@
 	return b.String()
 }
 
-// The figures of docs/results.md; the thresholds are those that were asked for.
+// The figures of docs/results.md; the thresholds are the required ones.
 func TestRecordedMix(t *testing.T) {
 	const n = 30_000
 	usual := fakes.MixOptions{Shapes: 300, EstimateOff: 1}
--- a/internal/classify/reason.go
+++ b/internal/classify/reason.go
@@ -8,13 +8,13 @@
 	ReasonUnknownFingerprint  Reason = iota // the fingerprint is new or was seen too seldom
 	ReasonTextTooLarge                      // the text exceeds what the analyser reads
 	ReasonInconsistentRuns                  // runs of the fingerprint vary too much
-	ReasonLabelMoreReliable                 // labels tell more than fingerprints or structure here
+	ReasonLabelMoreReliable                 // labels predict runs better than fingerprints or structure here
 	ReasonRunsMatchLabel                    // runs of the fingerprint are as the declared workload's are
 	ReasonBulkWrite                         // many rows are written under the label of a workload that reads
 	ReasonReadOnly                          // nothing is written under the label of a bulk load
 	ReasonTextStructure                     // the text is built like a heavy statement, and its fingerprint is unknown
 	ReasonRunsMatchOther                    // runs of the fingerprint are as another workload's are
-	ReasonLabelRunsMatchOther               // the same of runs with this label alone
+	ReasonLabelRunsMatchOther               // runs of the fingerprint with this label are as another workload's are
 	NumReasons
 )
 
@@ -31,5 +31,5 @@
 	ReasonLabelRunsMatchOther: "shown",
 }
 
-// String returns the reason's word in logs and in the output of the explain command.
+// String returns the reason's name in logs and in the output of the explain command.
 func (r Reason) String() string { return reasonTexts[r] }
--- a/internal/classify/record_end.go
+++ b/internal/classify/record_end.go
@@ -13,12 +13,13 @@
 	slownessStep  = 0.02
 	slownessDecay = 0.005
 
-	// minIncompleteFactor times the expected run is the time from which an attempt that did not complete teaches.
+	// minIncompleteFactor times the expected run is the duration from which an incomplete attempt is recorded.
 	minIncompleteFactor = 2
 )
 
-// RecordEnd learns from the end of an attempt after a time. One that did not complete teaches only where it ran longer
-// than expected: that it takes at least so long. missingMB is the memory that the engine reported to be missing; 0: none.
+// RecordEnd records the end of an attempt that ran for elapsed. One that did not complete is recorded only if it ran
+// longer than expected, since elapsed is then a lower bound of its run. missingMB is the memory in MB that the engine
+// reported to be missing; 0: none.
 func (c *Classifier) RecordEnd(now time.Duration, observation *Observation, elapsed time.Duration, completed bool, missingMB float64) {
 	if observation.fingerprint == 0 || elapsed <= 0 {
 		return
@@ -49,21 +50,21 @@
 	c.recordFullRow(w, observation, record)
 }
 
-// recordFullRow takes the fingerprint's median into account each time that a row of recent runs is full.
+// recordFullRow adds the fingerprint's median to the workload's each time that all recent runs were replaced.
 func (c *Classifier) recordFullRow(w *workload, observation *Observation, record *fingerprint.Record) {
 	runs := record.RunTimesOf(int(observation.declared))
 	if runs == nil || !runs.Full() || runs.N()%fingerprint.RecentRuns != 0 {
 		return
 	}
 	rows := runs.N() / fingerprint.RecentRuns
-	isPowerOfTwo := rows&(rows-1) == 0 // ever more seldom, so that usual fingerprints do not outweigh the others
+	isPowerOfTwo := rows&(rows-1) == 0 // at increasing intervals, so that frequent fingerprints do not outweigh the others
 	if isPowerOfTwo && observation.treatedAs == observation.declared {
 		w.medians.Add(runs.Median())
 	}
 	c.recordLabelEvidence(observation, record, runs)
 }
 
-// adjustSlowness moves the workload's slowness towards what a run of a known fingerprint shows.
+// adjustSlowness moves the workload's slowness one step up or down, by whether a run was slower than its fingerprint's median.
 func (w *workload) adjustSlowness(run float64, record *fingerprint.Record) {
 	step := slownessStep
 	if run < math.Exp(record.Run.Quantile(0.5)) {
@@ -72,7 +73,7 @@
 	w.slowness = math.Exp((math.Log(w.slowness) + step) * (1 - slownessDecay))
 }
 
-// addRun adds a run and what was claimed for it, in seconds.
+// addRun adds a run and the claimed run (0: none), both in seconds.
 func (w *workload) addRun(run, claimedRun float64) {
 	w.runs.Add(math.Log(run))
 	if claimedRun > 0 {
--- a/internal/classify/workload.go
+++ b/internal/classify/workload.go
@@ -12,17 +12,17 @@
 	minFingerprints = 5  // of a workload, to know how their medians vary
 
 	// Natural logarithms: the spread of the medians of a workload's fingerprints.
-	minSpread     = 0.4 // at least, since few fingerprints say little
+	minSpread     = 0.4 // lower bound, since few fingerprints are a weak measure
 	initialSpread = 0.8 // while too few fingerprints are known
 
-	// maxClaimSpread is the spread of runs over claims up to which claims are a measure that all clients share.
+	// maxClaimSpread is the spread of the ratio of runs to claims up to which all clients seem to claim by the same measure.
 	maxClaimSpread = 0.8
 
 	// initialRunDivisor: the latency objective divided by this is the usual run, while no runs are known.
 	initialRunDivisor = 4
 )
 
-// workload is what is known of one workload.
+// workload holds the settings and the statistics of one workload.
 type workload struct {
 	decision.Workload
 	threads  float64
@@ -49,8 +49,8 @@
 	return w.medians.Quantile(0.5), max(minSpread, w.medians.Spread()), true
 }
 
-// claimBias returns what the workload's runs are over what is claimed, as a logarithm: engines are slower than claims
-// suppose, which says nothing about a single fingerprint. It is 0 where claims agree too little to be a measure.
+// claimBias returns the median ratio of the workload's runs to claims, as a logarithm: engines may be slower than claims
+// assume, which is no property of a single fingerprint. It is 0 if the ratios vary too much to be a measure.
 func (w *workload) claimBias() float64 {
 	if w.ratio.N() >= minWorkloadRuns && w.ratio.Spread() < maxClaimSpread {
 		return w.ratio.Quantile(0.5)
@@ -69,8 +69,8 @@
 func (w *workload) objectiveSeconds() float64 { return w.LatencyObjective.Seconds() }
 
 // readingWorkloads returns the lightest and the heaviest workload that are no bulk loads; false if no two differ. They are
-// compared by their runs, or by their latency objectives while the runs of one are unknown: what is known of one workload
-// is no measure for what is guessed of another.
+// compared by their runs, or by their latency objectives while the runs of one are unknown: a measured run and an
+// assumed one are not comparable.
 func (c *Classifier) readingWorkloads() (lightest, heaviest decision.WorkloadID, differ bool) {
 	weight := (*workload).usualRun
 	for _, w := range c.workloads {
--- a/internal/fingerprint/cache.go
+++ b/internal/fingerprint/cache.go
@@ -2,7 +2,7 @@
 // estimates, what memory they needed, and how each declared workload fared among them. A fingerprint is a hash of a
 // statement's normalized text (package sqltext), the same for texts that differ only in literals.
 //
-// Only ends of attempts teach. What is kept is bounded in bytes, and fingerprints seen once do not evict usual ones. The
+// It learns only from ends of attempts. The records are bounded in bytes, and fingerprints seen once do not evict frequent ones. The
 // package makes no decisions and has no clock.
 package fingerprint
 
@@ -23,13 +23,13 @@
 	frequencySamplesPerRecord = 10
 )
 
-// Cache holds the records of the fingerprints that are met most often. It is not safe for concurrent use.
+// Cache stores the records of the most frequent fingerprints. It is not safe for concurrent use.
 type Cache struct {
 	size   int
 	lfu    *tinylfu.T
 	hits   int64
 	misses int64
-	key    [8]byte // the buffer of the key in use
+	key    [8]byte // buffer for the key of the latest fingerprint
 }
 
 // NewCache returns a cache of at most maxBytes, but of at least a few records.
@@ -38,7 +38,7 @@
 	return &Cache{size: size, lfu: tinylfu.New(size, frequencySamplesPerRecord*size)}
 }
 
-// Size returns the number of records that the cache holds at most.
+// Size returns the maximum number of records.
 func (c *Cache) Size() int { return c.size }
 
 // Counts returns how often Lookup found a record, and how often not.
@@ -55,8 +55,8 @@
 	return record
 }
 
-// RecordFor returns the record of a fingerprint of which a run has ended, a new one if necessary. Whether a new one
-// stays is decided by how often its fingerprint is met, against the one that it would evict.
+// RecordFor returns the record of a fingerprint of which a run has ended, a new one if necessary. A new one is stored
+// only if its fingerprint is looked up more often than the one that it would evict.
 func (c *Cache) RecordFor(fingerprint uint64) *Record {
 	if record := c.get(fingerprint); record != nil {
 		return record
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// usualFingerprints is how many fingerprints of a trace come again and again; they have the lowest numbers.
+// usualFingerprints is how many fingerprints of a trace occur repeatedly; they have the lowest numbers.
 const usualFingerprints = 300
 
-// newTrace returns accesses to the usual fingerprints by Zipf's law, with a share of fingerprints that come once.
+// newTrace returns accesses to the usual fingerprints by Zipf's law, with a share of fingerprints that occur once.
 func newTrace(accesses int, oneOffShare float64) []uint64 {
 	random := rand.New(rand.NewPCG(3, 3))
 	zipf := rand.NewZipf(random, 1.1, 5, usualFingerprints-1)
@@ -90,7 +90,7 @@
 	return m.HeapAlloc
 }
 
-// A flood of a million fingerprints that come once does not evict the usual ones, and does not grow the cache.
+// A flood of a million fingerprints that occur once does not evict the usual ones, and does not grow the cache.
 func TestFloodOfOneOffs(t *testing.T) {
 	n := 1_250_000 // four of five are one-offs
 	if testing.Short() {
@@ -112,7 +112,7 @@
 	}
 }
 
-// What a full cache holds is what its size in bytes says.
+// A full cache uses the memory that its size in bytes states.
 func TestRecordBytes(t *testing.T) {
 	before := heapBytes()
 	c := NewCache(4 << 20)
@@ -145,7 +145,7 @@
 	for range 2 * generationSize {
 		s.Add(2)
 	}
-	assert.Equal(t, 2.0, s.Quantile(0.1), "what is two generations old is forgotten")
+	assert.Equal(t, 2.0, s.Quantile(0.1), "values two generations old are dropped")
 }
 
 func TestRecord(t *testing.T) {
--- a/internal/fingerprint/recent_runs.go
+++ b/internal/fingerprint/recent_runs.go
@@ -1,9 +1,9 @@
 package fingerprint
 
-// RecentRuns is how many of the last runs are kept individually.
+// RecentRuns is how many of the last runs are stored individually.
 const RecentRuns = 9
 
-// RecentRunTimes holds the last RecentRuns values; natural logarithms of seconds. The zero value is empty.
+// RecentRunTimes stores the last RecentRuns values, natural logarithms of seconds. The zero value is empty.
 type RecentRunTimes struct {
 	added  uint32 // all that were ever added
 	values [RecentRuns]float32
@@ -18,7 +18,7 @@
 // N returns how many values were added in all.
 func (r *RecentRunTimes) N() int { return int(r.added) }
 
-// Full reports whether as many values were added as are kept.
+// Full reports whether at least RecentRuns values were added.
 func (r *RecentRunTimes) Full() bool { return r.added >= RecentRuns }
 
 // sorted returns the values in ascending order, and how many there are.
--- a/internal/fingerprint/record.go
+++ b/internal/fingerprint/record.go
@@ -12,24 +12,24 @@
 	// minChange is the least difference between medians that counts as a change of behaviour: a factor of 2.
 	minChange = 0.7 // natural logarithm
 
-	// maxWorkloads is how many declared workloads are told apart.
+	// maxWorkloads is how many declared workloads have run times of their own in a record.
 	maxWorkloads = 16
 
 	minRunSeconds = 1.0 / 1000 / 1000 // shorter runs count as this long
 )
 
-// Record is how statements of one fingerprint have run. All values are natural logarithms. The zero value is empty, and
+// Record is the history of one fingerprint's statements. All values are natural logarithms. The zero value is empty, and
 // so is nil for the methods that read.
 type Record struct {
 	Run          Sketch // seconds, on an idle engine
 	Ratio        Sketch // run over the declared estimate
 	Memory       Sketch // memory needed over the declared estimate
-	LabelCounted bool   // what it says about declared labels has been counted
+	LabelCounted bool   // package classify has counted it as evidence about labels
 
 	lastRun    time.Duration
 	recent     RecentRunTimes   // of all workloads
 	byWorkload []RecentRunTimes // by declared workload
-	// Percentiles of all runs, of up to 9 and of up to 18 runs ago: what has changed since does not blur them.
+	// Percentiles of all runs, of up to 9 and of up to 18 runs ago: recent changes do not affect them.
 	previous, beforePrevious bounds
 }
 
@@ -54,7 +54,7 @@
 
 // AddRun adds a run of a statement declared as a workload: its duration and its estimate in seconds (0: none). It
 // reports whether the fingerprint's behaviour has changed: eight of its last nine runs lie on one side of nearly all
-// runs before. What was known from before them is dropped then.
+// runs before. The earlier runs are dropped then.
 func (r *Record) AddRun(now time.Duration, workload int, seconds, estimate float64) (changed bool) {
 	value := math.Log(max(seconds, minRunSeconds))
 	r.lastRun = now
--- a/internal/fingerprint/sketch.go
+++ b/internal/fingerprint/sketch.go
@@ -17,7 +17,7 @@
 	spreadDeviations = 2.563
 )
 
-// percentiles are those that Quantile knows.
+// percentiles are those that Quantile returns.
 var percentiles = [...]float64{0.1, 0.5, 0.75, 0.8, 0.9}
 
 // Sketch is a distribution of natural logarithms: two generations of a streaming histogram, of which the older is
@@ -58,7 +58,7 @@
 	}
 }
 
-// N returns the number of values that it holds.
+// N returns the number of values in the sketch.
 func (s *Sketch) N() float64 { return s.count }
 
 // Quantile returns the value below which a share of the values lies; 0 if there are none. It panics unless the share is
