--- a/internal/configregister/recording_test.go
+++ b/internal/configregister/recording_test.go
@@ -43,47 +43,48 @@
 	return string(raw)
 }
 
+// entry returns the i-th generated entry, at times one that can't be read. The proposed rules are those of one of the versions.
+func (r *recording) entry(i int, newest uint64, versions []*configversion.Version) []byte {
+	e := Entry{Kind: "propose", ID: fmt.Sprint("p", i-r.random.IntN(3)), Note: fmt.Sprint("note ", i)}
+	switch r.random.IntN(12) {
+	case 0:
+		return []byte("{")
+	case 1:
+		return []byte(r.json(Entry{Kind: "found", Lineage: fmt.Sprint("lineage", i)}))
+	case 2, 3, 4, 5:
+		return []byte(r.json(Entry{Kind: "settle", Number: newest + uint64(r.random.IntN(3)) - 1}))
+	case 6:
+		return []byte(r.json(Entry{Kind: "other"}))
+	case 7:
+		e.Kind = "rollback"
+		e.Number = uint64(r.random.IntN(1 + int(newest)))
+	case 8:
+		e.Rules = json.RawMessage(`{"routers": 0}`)
+	case 9:
+		e.Rules = versions[r.random.IntN(60)].Rules.Canonical()
+		e.ForcedGuards = []string{"any"}
+	default:
+		e.Rules = versions[r.random.IntN(60)].Rules.Canonical()
+		var forced []string
+		if r.chance(0.8) {
+			forced = configversion.GuardNames()
+		}
+		e.ForcedGuards = forced
+	}
+	if r.chance(0.01) {
+		e.Note = strings.Repeat("n", 1001)
+	}
+	return []byte(r.json(e))
+}
+
 // TestRecordedRegister applies generated entries, unreadable ones among them, and hashes the outcomes, the snapshots and the versions
 // that a router is sent. The hash was computed at commit 05e118f: a difference is a change of behaviour.
 func TestRecordedRegister(t *testing.T) {
 	r := newRecording(t)
 	register := Register{Guards: configversion.Guards{MaxRemovedShare: 0.5}}
 	versions := versiontest.Lineage(t, r.random, "l", 60)
-	var forced []string
-	entry := func(i int) []byte {
-		e := Entry{Kind: "propose", ID: fmt.Sprint("p", i-r.random.IntN(3)), Note: fmt.Sprint("note ", i)}
-		switch r.random.IntN(12) {
-		case 0:
-			return []byte("{")
-		case 1:
-			return []byte(r.json(Entry{Kind: "found", Lineage: fmt.Sprint("lineage", i)}))
-		case 2, 3, 4, 5:
-			return []byte(r.json(Entry{Kind: "settle", Number: register.NewestNumber() + uint64(r.random.IntN(3)) - 1}))
-		case 6:
-			return []byte(r.json(Entry{Kind: "other"}))
-		case 7:
-			e.Kind = "rollback"
-			e.Number = uint64(r.random.IntN(1 + int(register.NewestNumber())))
-		case 8:
-			e.Rules = json.RawMessage(`{"routers": 0}`)
-		case 9:
-			e.Rules = versions[r.random.IntN(60)].Rules.Canonical()
-			e.ForcedGuards = []string{"any"}
-		default:
-			e.Rules = versions[r.random.IntN(60)].Rules.Canonical()
-			forced = nil
-			if r.chance(0.8) {
-				forced = configversion.GuardNames()
-			}
-			e.ForcedGuards = forced
-		}
-		if r.chance(0.01) {
-			e.Note = strings.Repeat("n", 1001)
-		}
-		return []byte(r.json(e))
-	}
 	for i := range 1200 {
-		raw := entry(i)
+		raw := r.entry(i, register.NewestNumber(), versions)
 		outcome, proposed := register.Apply(raw)
 		r.line("outcome", "%v %s", proposed, r.json(outcome))
 		snapshot := register.Snapshot()
--- a/internal/controlclient/transport_test.go
+++ b/internal/controlclient/transport_test.go
@@ -69,66 +69,84 @@
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// The bytes that a router writes to the group, and the events that it delivers for the answers.
-func TestTransportWire(t *testing.T) {
-	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
+// fixture runs a transport to two addresses, of which only the second one has a listener.
+type fixture struct {
+	transport *Transport
+	group     net.Listener
+	events    chan lease.ClientEvent
+}
+
+// newFixture starts a transport, which is stopped at the end of the test; no goroutine may be left then.
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	leakOption := goleak.IgnoreCurrent()
 	group, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer group.Close()
 	events := make(chan lease.ClientEvent, 100)
 	durations := lease.DefaultDurations()
-	durations.LeaseDuration = time.Minute // answers count for so long
+	durations.LeaseDuration = time.Minute // the time that replies may take
 	transport := NewTransport([]string{"127.0.0.1:1", group.Addr().String()}, durations, func(e lease.ClientEvent) { events <- e }, zap.NewNop())
-	ctx, cancel := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- transport.Run(ctx) }()
-	defer func() {
+	t.Cleanup(func() {
 		cancel()
 		assert.NoError(t, <-ended)
 		transport.Close()
-	}()
+		group.Close()
+		goleak.VerifyNone(t, leakOption)
+	})
+	return &fixture{transport: transport, group: group, events: events}
+}
 
+// The bytes of a renewal, and the events that the transport delivers for valid, invalid and missing replies.
+func TestTransportRenewalWire(t *testing.T) {
+	f := newFixture(t)
 	renewal := lease.Renewal{Name: "router-a", Incarnation: "i1", Seq: 7, Lineage: "abc", KnownVersion: 3, KnownHash: "h", DurationsKey: "term 2s, drift 0.01", RemainingMillis: 900, LastMessage: "a word"}
-	transport.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 1})
-	renewals := accept(t, group)
+	f.transport.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 1})
+	renewals := accept(t, f.group)
 	body := `{"name":"router-a","incarnation":"i1","seq":7,"lineage":"abc","known":3,"hash":"h","spans":"term 2s, drift 0.01","term":900,"word":"a word"}`
 	want := fmt.Sprintf("POST /v1/term HTTP/1.1\r\nHost: <group>\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	assert.Equal(t, want, renewals.request())
 	reply := `{"seq":7,"granted":true,"lineage":"abc","newest":3,"settled":2,"refused":"","leader":""}`
 	renewals.answer(fmt.Sprintf("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(reply), reply))
-	assert.Equal(t, lease.ReplyReceived{Reply: lease.Reply{Seq: 7, Granted: true, Lineage: "abc", Newest: 3, Activated: 2}}, <-events)
+	assert.Equal(t, lease.ReplyReceived{Reply: lease.Reply{Seq: 7, Granted: true, Lineage: "abc", Newest: 3, Activated: 2}}, <-f.events)
 	for _, invalid := range []string{
 		response("200 OK", `{"seq":6,"granted":true}`), response("503 Service Unavailable", "this process is busy, or ends\n"), response("200 OK", "{"), "no HTTP\r\n\r\n",
 	} {
-		transport.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 1})
-		renewals = accept(t, group)
+		f.transport.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 1})
+		renewals = accept(t, f.group)
 		assert.Equal(t, want, renewals.request())
 		renewals.answer(invalid)
-		assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-events, invalid)
+		assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-f.events, invalid)
 	}
-	transport.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 0})
-	assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-events, "nobody listens")
+	f.transport.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 0})
+	assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-f.events, "no listener")
+}
 
-	transport.Execute(lease.ReopenStream{AddressIndex: 3, AfterVersion: 12})
-	stream := accept(t, group)
+// The bytes that open a stream of versions, and the events that the transport delivers for its content and its end.
+func TestTransportStreamWire(t *testing.T) {
+	f := newFixture(t)
+	f.transport.Execute(lease.ReopenStream{AddressIndex: 3, AfterVersion: 12})
+	stream := accept(t, f.group)
 	assert.Equal(t, "GET /v1/versions/events HTTP/1.1\r\nHost: <group>\r\nAccept: text/event-stream\r\nLast-Event-ID: 12\r\n\r\n", stream.request())
 	r := &rules.Rules{Routers: 2}
 	require.NoError(t, r.Validate())
 	v := configversion.New(nil, "abc", r, nil, "a note")
 	stream.answer("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\nid: 1\ndata: {\"lineage\":\"abc\",\"settled\":0,\"version\":" + string(v.Encode()) + "}\n\n")
-	assert.Equal(t, lease.VersionReceived{Version: v}, <-events)
+	assert.Equal(t, lease.VersionReceived{Version: v}, <-f.events)
 	stream.answer("data: {\"lineage\":\"abc\",\"settled\":1}\n\n")
-	assert.Equal(t, lease.VersionActivated{Lineage: "abc", Number: 1}, <-events)
+	assert.Equal(t, lease.VersionActivated{Lineage: "abc", Number: 1}, <-f.events)
 	stream.answer("data: {\"version\":{\"number\":1}}\n\n")
-	invalid, ok := (<-events).(lease.InvalidVersionReceived)
+	invalid, ok := (<-f.events).(lease.InvalidVersionReceived)
 	require.True(t, ok)
 	assert.EqualError(t, invalid.Err, "version: lineage: missing")
-	assert.Equal(t, lease.StreamLost{}, <-events)
-	transport.Execute(lease.ReopenStream{AddressIndex: 1})
-	stream = accept(t, group)
+	assert.Equal(t, lease.StreamLost{}, <-f.events)
+	f.transport.Execute(lease.ReopenStream{AddressIndex: 1})
+	stream = accept(t, f.group)
 	assert.Contains(t, stream.request(), "Last-Event-ID: 0\r\n")
 	stream.answer(response("503 Service Unavailable", "too many streams\n"))
-	assert.Equal(t, lease.StreamLost{}, <-events)
+	assert.Equal(t, lease.StreamLost{}, <-f.events)
 }
 
 // The idle connection serves the next renewal.
