--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -214,7 +214,8 @@
 	f := newFixture()
 	text := long
 	f.ends(30, text, fakes.Lookup, 100*time.Millisecond, 0.1)
-	raw, observation := []byte(text), new(Observation)
+	raw := []byte(text)
+	observation := new(Observation)
 	b.ReportAllocs()
 	for b.Loop() {
 		statement := f.reader.Analyse(raw)
--- a/internal/classify/mix_test.go
+++ b/internal/classify/mix_test.go
@@ -196,7 +196,8 @@
 
 // Added to each lookup of the mix, and to one of 500 bytes: percentiles of single calls, text to classification.
 func BenchmarkAddedLatency(b *testing.B) {
-	f, mix := newFixture(), fakes.NewMix(11, fakes.MixOptions{Shapes: 300, EstimateOff: 1})
+	f := newFixture()
+	mix := fakes.NewMix(11, fakes.MixOptions{Shapes: 300, EstimateOff: 1})
 	var texts [][]byte
 	for len(texts) < 20_000 {
 		if item := mix.Next(); item.Actual == fakes.Lookup {
@@ -208,7 +209,8 @@
 		text func(i int) []byte
 	}{{"mix", func(i int) []byte { return texts[i%len(texts)] }}, {"500_bytes", func(int) []byte { return []byte(long) }}} {
 		b.Run(c.name, func(b *testing.B) {
-			took, observation := make([]float64, 0, b.N), new(Observation)
+			took := make([]float64, 0, b.N)
+			observation := new(Observation)
 			for i := range b.N {
 				text := c.text(i)
 				began := time.Now()
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// minDrainGrace is the shortest grace that may be asked for a drain behind an event.
+// minDrainGrace is the shortest drain grace that an event may be followed by.
 const minDrainGrace = 250 * time.Millisecond
 
 // However a stream stops bringing events, and if the first new connection brings none either, an event is handled before it counts as
@@ -51,7 +51,7 @@
 	}
 }
 
-// A feed that is slow to begin is given ever more time.
+// The time limit for the first line increases for a feed that is slow to begin.
 func TestFirstLineTimeout(t *testing.T) {
 	client := &Client{}
 	for _, want := range []time.Duration{initialLineTimeout, initialLineTimeout * 3 / 2, silenceTimeout, silenceTimeout} {
@@ -60,7 +60,7 @@
 	}
 }
 
-// A stream that comments as it should and has no event to bring is kept while another connection cannot be had.
+// A stream with comments and without events stays in use while no other connection can be opened.
 func TestLiveConnKeepsStreamWithoutReplacement(t *testing.T) {
 	in, out := net.Pipe()
 	defer in.Close()
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -96,12 +96,15 @@
 	if testing.Short() {
 		n /= 10
 	}
-	flood, calm := newTrace(n, 0.8), newTrace(30_000, 0)
+	flood := newTrace(n, 0.8)
+	calm := newTrace(30_000, 0)
 	for name, open := range stores() {
-		s, before := open(), heapBytes()
+		s := open()
+		before := heapBytes()
 		began := time.Now()
 		rate := hitRate(s, flood)
-		took, grown := time.Since(began), heapBytes()-min(before, heapBytes())
+		took := time.Since(began)
+		grown := heapBytes() - min(before, heapBytes())
 		t.Logf("%-10s usual fingerprints found under the flood %.4f, calm %.4f, %d kB, %v an access", name, rate, hitRate(open(), calm), grown>>10, took/time.Duration(n))
 		if name == "tinylfu" {
 			assert.GreaterOrEqual(t, rate, 0.95)
@@ -162,7 +165,9 @@
 			factor float64
 		}{{"slower", 8}, {"faster", 0.1}, {"a little slower", 1.3}, {"the same", 1}} {
 			for range 200 {
-				rec, noticed, before := &Record{}, 0, 30+r.IntN(70)
+				rec := &Record{}
+				noticed := 0
+				before := 30 + r.IntN(70)
 				for i := range before + 50 {
 					seconds := math.Exp(0.4 * r.NormFloat64())
 					if i >= before {
@@ -217,7 +222,8 @@
 }
 
 func BenchmarkAddRun(b *testing.B) {
-	r, rec := rand.New(rand.NewPCG(1, 1)), &Record{}
+	r := rand.New(rand.NewPCG(1, 1))
+	rec := &Record{}
 	b.ReportAllocs()
 	for b.Loop() {
 		rec.AddRun(0, 0, math.Exp(r.NormFloat64()), 1)
--- a/internal/proxy/classification_test.go
+++ b/internal/proxy/classification_test.go
@@ -112,9 +112,11 @@
 // a minute at so many requests a second; in CI it shows that every request has one answer and that wrong
 // labels are found.
 func TestMislabelledReports(t *testing.T) {
-	length, rate := 4*time.Second, 110.0
+	length := 4 * time.Second
+	rate := 110.0
 	if perSec, err := strconv.ParseFloat(os.Getenv("BANKLEDGE_LONG"), 64); err == nil {
-		length, rate = 60*time.Second, perSec
+		length = 60 * time.Second
+		rate = perSec
 	}
 	off := startComparedRouter(t, true)
 	on := startComparedRouter(t, false)
--- a/internal/proxy/transcript_peers_test.go
+++ b/internal/proxy/transcript_peers_test.go
@@ -125,7 +125,8 @@
 		}
 		if raw == nil {
 			words := strings.Fields(string(line))
-			method, path = words[0], words[1]
+			method = words[0]
+			path = words[1]
 		}
 		raw = append(raw, line...)
 		if name, value, ok := strings.Cut(strings.TrimSpace(string(line)), ":"); ok && textproto.CanonicalMIMEHeaderKey(name) == "Content-Length" {
--- a/internal/sqltext/analyser.go
+++ b/internal/sqltext/analyser.go
@@ -2,8 +2,8 @@
 // its structure, and its fingerprint, which is the same for texts that differ only in literals, case, white space and
 // comments.
 //
-// It follows no single dialect, never fails and does not allocate: what it cannot place it skips, and a token out of
-// place changes little. A table group's number and its exceptions are the protocol's; all else follows the SQL standard
+// It follows no single dialect, never fails and does not allocate: tokens that it cannot interpret are skipped, and an
+// unexpected token changes little in the result. A table group's number and its exceptions are the protocol's; all else follows the SQL standard
 // and the manuals of T-SQL, PostgreSQL and MySQL.
 //
 // Three layers work on one pass: the scanner cuts the text into tokens (scanner.go), each token is added to the
@@ -22,11 +22,11 @@
 	// with, that takes 160 µs.
 	MaxAnalysedBytes = 16 << 10
 
-	// maxBrackets is how many levels of brackets are told apart; deeper ones are only counted.
+	// maxBrackets is how many levels of brackets have a state of their own; deeper ones are only counted.
 	maxBrackets = 48
 )
 
-// clause is the part of a statement that is being read.
+// clause is the clause of a statement that is being read.
 type clause uint8
 
 const (
@@ -47,7 +47,7 @@
 // bracket is the state of an open bracket, or of the statement itself.
 type bracket struct {
 	clause         clause
-	hasVerb        bool // holds a statement of its own
+	hasVerb        bool // contains a statement of its own
 	inList         bool
 	isWindow       bool  // OVER (...)
 	truncateAt     int32 // where the normalized text is truncated at the closing bracket; 0: nowhere
@@ -88,7 +88,7 @@
 	brackets   [maxBrackets]bracket // those up to depth are in use
 }
 
-// state is how far the analysis of a text has come.
+// state is the intermediate state of the analysis of a text.
 type state struct {
 	result Statement
 	depth  int // of brackets; may exceed maxBrackets
@@ -106,18 +106,18 @@
 	isQualified        bool // the last name stands behind a dot itself
 	schemaGroupFound   bool // FirstSchemaGroup is set
 
-	inTableName            bool
-	tableIsWritten         bool
-	tableIsTemporary       bool
-	tableParts             int
-	schemaStart, schemaEnd int // the part before the last, in the normalized text
-	partStart, partEnd     int // the last part
+	inTableName                  bool
+	tableIsWritten               bool
+	tableIsTemporary             bool
+	tableComponents              int
+	schemaStart, schemaEnd       int // the qualifier before the last component of a table's name, in the normalized text
+	componentStart, componentEnd int // the last component of a table's name
 
 	leftOfEqual         token // where rows are chosen
 	previousLeftOfEqual token // the same before the last name
-	limitExpected       bool  // the number of a limit comes next
+	limitExpected       bool  // the next token is the number of a limit
 	tokenCount          int   // of the current statement
-	copyMayWrite        bool  // COPY: whether the table is written shows later
+	copyMayWrite        bool  // COPY: a later token decides whether the table is written
 	temporary           bool  // CREATE TEMPORARY and the like
 	wroteBeforeVerb     bool  // Writes before the current verb
 }
@@ -159,5 +159,5 @@
 	a.normalized = bytes.TrimRight(a.normalized, " ;")
 }
 
-// bracket returns the innermost bracket that is told apart.
+// bracket returns the innermost bracket with a state of its own.
 func (a *Analyser) bracket() *bracket { return &a.brackets[min(a.depth, maxBrackets-1)] }
--- a/internal/sqltext/analyser_test.go
+++ b/internal/sqltext/analyser_test.go
@@ -200,7 +200,8 @@
 		text := []byte(strings.Repeat(piece, MaxAnalysedBytes/len(piece)))
 		took := time.Hour
 		for range 3 {
-			a, began := new(Analyser), time.Now()
+			a := new(Analyser)
+			began := time.Now()
 			a.Analyse(text)
 			took = min(took, time.Since(began))
 		}
@@ -243,7 +244,8 @@
 func BenchmarkAnalyse(b *testing.B) {
 	for name, text := range texts {
 		b.Run(name, func(b *testing.B) {
-			a, raw := new(Analyser), []byte(text)
+			a := new(Analyser)
+			raw := []byte(text)
 			b.SetBytes(int64(len(raw)))
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/sqltext/baseline_scanner_test.go
+++ b/internal/sqltext/baseline_scanner_test.go
@@ -13,8 +13,9 @@
 // scanGroup is the number of the first schema with one, outside strings and comments.
 func scanGroup(text string) int64 {
 	l := lexer{text: text}
-	previous, qualifier := "", false // the name last read, and whether a dot follows it
-	chained := false                 // previous itself stands behind a dot
+	previous := ""     // the name last read
+	qualifier := false // a dot follows previous
+	chained := false   // previous itself stands behind a dot
 	for {
 		kind, value := l.next()
 		switch kind {
@@ -29,7 +30,9 @@
 					return group
 				}
 			}
-			chained, qualifier, previous = qualifier, false, value
+			chained = qualifier
+			qualifier = false
+			previous = value
 			continue
 		case star:
 			if qualifier && !chained { // sales_17.*
@@ -38,7 +41,9 @@
 				}
 			}
 		}
-		previous, qualifier, chained = "", false, false
+		previous = ""
+		qualifier = false
+		chained = false
 	}
 }
 
@@ -74,7 +79,8 @@
 // next reads one token; white space and comments count as none.
 func (l *lexer) next() (scanned, string) {
 	for l.at < len(l.text) {
-		rest, c := l.text[l.at:], l.text[l.at]
+		rest := l.text[l.at:]
+		c := l.text[l.at]
 		switch {
 		case c <= ' ':
 			l.at++
@@ -129,15 +135,18 @@
 	}
 }
 
-// block passes over a block comment, with those inside it.
+// block skips a block comment and those inside it.
 func (l *lexer) block() {
 	depth := 0
 	for l.at < len(l.text) {
 		switch rest := l.text[l.at:]; {
 		case strings.HasPrefix(rest, "/*"):
-			depth, l.at = depth+1, l.at+2
+			depth++
+			l.at += 2
 		case strings.HasPrefix(rest, "*/"):
-			if depth, l.at = depth-1, l.at+2; depth == 0 {
+			depth--
+			l.at += 2
+			if depth == 0 {
 				return
 			}
 		default:
@@ -146,7 +155,7 @@
 	}
 }
 
-// escapes tells whether the string that begins here is of the form E'...', where a backslash escapes.
+// escapes reports whether the string that begins here is of the form E'...', where a backslash escapes.
 func (l *lexer) escapes() bool {
 	return l.at > 0 && l.text[l.at-1]|0x20 == 'e' && (l.at == 1 || !isName(l.text[l.at-2]))
 }
@@ -154,7 +163,8 @@
 // quoted reads to the closing quote; a doubled quote stands for one.
 func (l *lexer) quoted(quote byte, escapes bool) string {
 	l.at++
-	from, doubled := l.at, false
+	from := l.at
+	doubled := false
 	for l.at < len(l.text) {
 		switch c := l.text[l.at]; {
 		case escapes && c == '\\':
@@ -162,7 +172,8 @@
 		case c != quote:
 			l.at++
 		case l.at+1 < len(l.text) && l.text[l.at+1] == quote:
-			l.at, doubled = l.at+2, true
+			l.at += 2
+			doubled = true
 		default:
 			l.at++
 			value := l.text[from : l.at-1]
@@ -175,7 +186,7 @@
 	return l.text[from:]
 }
 
-// dollar passes over a string of the form $mark$...$mark$.
+// dollar skips a string of the form $mark$...$mark$.
 func (l *lexer) dollar() bool {
 	rest := l.text[l.at+1:]
 	i := 0
--- a/internal/sqltext/byte_classes.go
+++ b/internal/sqltext/byte_classes.go
@@ -1,6 +1,6 @@
 package sqltext
 
-// byteClass is what a byte begins where a token begins.
+// byteClass is the kind of token that a byte begins.
 type byteClass uint8
 
 const (
--- a/internal/sqltext/keyword_rules.go
+++ b/internal/sqltext/keyword_rules.go
@@ -53,7 +53,7 @@
 	return a.last == tokenKeyword && a.lastKeyword == word
 }
 
-// applyKeyword interprets a word that may be a keyword where it stands; false: it is a name.
+// applyKeyword interprets a possible keyword in its context; false: it is a name there.
 func (a *Analyser) applyKeyword(word keyword) bool {
 	if a.pendingVerb != kwNone && endsPendingVerb(word) {
 		a.pendingVerb = kwNone
@@ -214,7 +214,7 @@
 	a.pendingVerb = kwNone
 }
 
-// applyRowVerb interprets INSERT, UPDATE and DELETE, which are verbs only if the next token says so.
+// applyRowVerb interprets INSERT, UPDATE and DELETE, which are verbs depending on the next token.
 func (a *Analyser) applyRowVerb(verb keyword) bool {
 	if a.isBehind(kwNoVerbNext) || a.isBehind(kwFor) || a.isBehind(kwOn) {
 		if a.lastKeyword == kwFor && verb == kwUpdate {
@@ -282,7 +282,7 @@
 	return true
 }
 
-// applyFirstVerb interprets the verbs that are ones only at the start of a statement.
+// applyFirstVerb interprets keywords that are verbs only at the start of a statement.
 func (a *Analyser) applyFirstVerb(verb keyword) bool {
 	if !a.atStatementStart() {
 		return false
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -46,7 +46,7 @@
 	kwBegin
 	kwBeforeTable // may stand before a table's name: IF, EXISTS, ONLY
 	kwNoVerbNext  // before UPDATE or DELETE it makes these no verbs: THEN, DO, KEY, OR, AFTER, OF
-	kwPlain       // any other that is no name: AND, OR, NOT, NULL
+	kwPlain       // any other keyword that cannot be a name: AND, OR, NOT, NULL
 )
 
 // keywordTexts are the words of each keyword, in lower case.
@@ -104,7 +104,7 @@
 		text    string
 		keyword keyword
 	}
-	// keywordLengths has a bit set for each length of the keywords with a first letter: most names are ruled out by it.
+	// keywordLengths has a bit set for each length of the keywords with a first letter: it rules out most names without a lookup.
 	keywordLengths [256]uint32
 )
 
--- a/internal/sqltext/recorded_test.go
+++ b/internal/sqltext/recorded_test.go
@@ -53,7 +53,7 @@
 }
 
 // TestRecordedAnalyses compares a hash of 50,000 analyses with the one recorded before the code was reorganised. Whoever
-// changes what an analysis says on purpose replaces it.
+// changes the analysis on purpose replaces it.
 func TestRecordedAnalyses(t *testing.T) {
 	const recorded = "613ec29a7904e9b2ce5701620ed05f0e932f938d0731403f545b290eec482054"
 	sum := sha256.New()
--- a/internal/sqltext/scanner.go
+++ b/internal/sqltext/scanner.go
@@ -2,8 +2,8 @@
 
 import "bytes"
 
-// scan cuts a text into tokens. White space and comments are none. The scan methods take the position at which a token
-// begins and return that behind it.
+// scan cuts a text into tokens; white space and comments are skipped. The scan methods take the position at which a
+// token begins and return the position behind it.
 func (a *Analyser) scan(text []byte) {
 	for i := 0; i < len(text); {
 		c := text[i]
@@ -12,7 +12,7 @@
 			i++
 		case className:
 			i = a.scanName(text, i)
-			if i < len(text) && text[i] == ' ' { // as there mostly is
+			if i < len(text) && text[i] == ' ' { // the usual case, without another round of the loop
 				i++
 			}
 		case classDigit:
@@ -153,7 +153,7 @@
 	return i
 }
 
-// takeBackStringPrefix undoes the name of one letter that was read before a string: N'...', E'...' and the like.
+// takeBackStringPrefix removes a name of one letter right before a string, which is the string's prefix: N'...', E'...'.
 func (a *Analyser) takeBackStringPrefix() {
 	a.normalized = bytes.TrimRight(a.normalized[:len(a.normalized)-1], " ")
 	a.inTableName = a.inTableName && a.last != tokenName
@@ -273,7 +273,7 @@
 
 // scanBlockComment skips a block comment and those inside it.
 func (a *Analyser) scanBlockComment(text []byte, i int) int {
-	const window = 64 // bytes looked through at a time
+	const window = 64 // bytes searched at a time
 	depth := 0
 	for i < len(text) {
 		next := bytes.IndexAny(text[i:min(len(text), i+window)], "*/")
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -3,10 +3,10 @@
 // NoGroup is the table group of a statement that names none.
 const NoGroup = -1
 
-// MaxTableGroups is how many table groups of a statement are told apart, read and written each.
+// MaxTableGroups is the maximum number of table groups that are recorded as read, and as written, by one statement.
 const MaxTableGroups = 8
 
-// Kind is the kind of a statement; of a batch, or of a statement with parts, the heaviest, in this order.
+// Kind is the kind of a statement; of a batch, or of a statement that contains others, the heaviest, in this order.
 type Kind uint8
 
 // The kinds.
@@ -34,10 +34,10 @@
 	Copy:   "copy",
 }
 
-// String returns the kind's word in the output of the explain command.
+// String returns the kind's name in the output of the explain command.
 func (k Kind) String() string { return kindTexts[k] }
 
-// Groups is a small set of table groups, in the order in which they were met.
+// Groups is a small set of table groups, in the order in which they first occur.
 type Groups struct {
 	count  int32
 	groups [MaxTableGroups]int64
@@ -59,7 +59,7 @@
 	}
 }
 
-// Statement is what a text looks like. Counts are over the whole text.
+// Statement describes a text. Counts are over the whole text.
 type Statement struct {
 	Kind         Kind
 	Writes       bool // something that outlives the session, as far as can be seen
@@ -106,7 +106,7 @@
 		return s.Written.groups[0]
 	case s.Read.count > 0:
 		return s.Read.groups[0]
-	case s.Tables > 0: // what looked like a schema with a group was none
+	case s.Tables > 0: // the name that looked like a schema with a group is none
 		return NoGroup
 	}
 	return s.FirstSchemaGroup
--- a/internal/sqltext/tokens.go
+++ b/internal/sqltext/tokens.go
@@ -29,7 +29,7 @@
 	a.addToken(tokenOperator)
 }
 
-// addOtherOperator adds an operator without a meaning of its own, a sign, or a parameter ?.
+// addOtherOperator adds an operator that needs no interpretation, a sign, or a parameter ?.
 func (a *Analyser) addOtherOperator(c byte) {
 	a.signBefore = false
 	switch c {
@@ -52,7 +52,7 @@
 	a.addOperator(c)
 }
 
-// noteSign notes whether a - or + belongs to the number behind it: it does where no operand stands before it.
+// noteSign records whether a - or + is the sign of the number behind it: it is if no operand precedes it.
 func (a *Analyser) noteSign() {
 	a.signBefore = a.last != tokenName && a.last != tokenLiteral && a.last != tokenClose
 }
@@ -102,7 +102,7 @@
 	a.isQualified = false
 }
 
-// noteSchema looks at the name before a dot: the first one with a group counts.
+// noteSchema records the table group of the name before a dot, if it is the first schema with a group.
 func (a *Analyser) noteSchema() {
 	group := groupOfSchema(a.normalized[a.nameStart:a.nameEnd])
 	if group != NoGroup && !a.schemaGroupFound {
@@ -127,7 +127,7 @@
 	a.endName(start, mark, true)
 }
 
-// startName looks at the schema before a name.
+// startName interprets the schema before a name.
 func (a *Analyser) startName() {
 	isQualified := a.last == tokenDot && a.isQualifier
 	if isQualified && !a.isQualified && !a.schemaGroupFound {
@@ -143,7 +143,7 @@
 	a.nameStart = start
 	a.nameEnd = len(a.normalized)
 	if a.last == tokenDot {
-		a.addNamePart()
+		a.addNameComponent()
 		return
 	}
 	a.endTableName()
@@ -171,27 +171,27 @@
 	a.addToken(tokenName)
 }
 
-// addNamePart adds a name behind a dot.
-func (a *Analyser) addNamePart() {
+// addNameComponent adds a name behind a dot.
+func (a *Analyser) addNameComponent() {
 	if a.inTableName {
-		a.tableParts++
-		a.schemaStart = a.partStart
-		a.schemaEnd = a.partEnd
-		a.partStart = a.nameStart
-		a.partEnd = a.nameEnd
+		a.tableComponents++
+		a.schemaStart = a.componentStart
+		a.schemaEnd = a.componentEnd
+		a.componentStart = a.nameStart
+		a.componentEnd = a.nameEnd
 	}
 	a.addToken(tokenName)
 }
 
-// startTableName takes the last name for the first part of a table's name.
+// startTableName records the last name as the first component of a table's name.
 func (a *Analyser) startTableName(mark byte) {
 	a.inTableName = true
 	a.tableIsWritten = a.tableUse == useWrite
 	a.tableIsTemporary = mark != 0 || a.temporary
-	a.tableParts = 1
+	a.tableComponents = 1
 	a.tableUse = useNone
-	a.partStart = a.nameStart
-	a.partEnd = a.nameEnd
+	a.componentStart = a.nameStart
+	a.componentEnd = a.nameEnd
 }
 
 // endTableName counts the table whose name was being read, if there is one.
@@ -205,7 +205,7 @@
 	a.inTableName = false
 	a.result.Tables++
 	group := int64(NoGroup)
-	if a.tableParts > 1 {
+	if a.tableComponents > 1 {
 		group = groupOfSchema(a.normalized[a.schemaStart:a.schemaEnd])
 	}
 	switch {
@@ -310,7 +310,7 @@
 	case enclosing.clause == clauseValues && !enclosing.inList:
 		a.result.Rows++
 		enclosing.valueRows++
-		if enclosing.valueRows > 1 && a.last == tokenComma { // further rows are left out
+		if enclosing.valueRows > 1 && a.last == tokenComma { // only the first row is in the normalized text
 			opened.truncateAt = int32(len(a.normalized) - len(" ,"))
 		}
 	}
--- a/internal/upstream/attempt_cancel_test.go
+++ b/internal/upstream/attempt_cancel_test.go
@@ -79,7 +79,8 @@
 // poll arrived and was held. Nothing confirms the cancellation, and the attempt has ended once the engine has dropped it.
 func TestDelayedPoll(t *testing.T) {
 	const delay = 450 * time.Millisecond // shorter than the router waits for the response
-	startReceived, answerStart := make(chan struct{}), make(chan struct{})
+	startReceived := make(chan struct{})
+	answerStart := make(chan struct{})
 	engine := startPersistentEngine(t, func(_ *persistentEngine, method string, _ int) string {
 		switch method {
 		case http.MethodPost:
--- a/internal/upstream/attempt_end_test.go
+++ b/internal/upstream/attempt_end_test.go
@@ -20,7 +20,7 @@
 // engineScript returns what is written for a request on the connection with a number, from 1; "" closes it.
 type engineScript func(engine *persistentEngine, method string, connection int) string
 
-// persistentEngine goes on running an attempt, whatever becomes of its listener and its connections.
+// persistentEngine goes on running an attempt when its listener or its connections are closed.
 type persistentEngine struct {
 	listener       net.Listener
 	script         engineScript
@@ -116,7 +116,7 @@
 	return !e.lastRequest.IsZero()
 }
 
-// stillRuns reports whether the attempt is neither cancelled nor dropped because it was not asked for.
+// stillRuns reports whether the attempt is neither cancelled nor dropped for lack of requests.
 func (e *persistentEngine) stillRuns() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -258,7 +258,7 @@
 	}
 }
 
-// An end whose proof does not hold is counted, and not reported before there is one that does.
+// An end whose proof does not hold is counted, and reported only with a proof that does.
 func TestEndWithoutProofIsNotReported(t *testing.T) {
 	for name, test := range map[string]struct {
 		proof      EndProof
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -154,7 +154,7 @@
 		ends := make(endRecorder, 1)
 		client := newTestClient(t.Context(), ends, 1, patience, listener.Addr().String())
 		startSoon(client)
-		assert.Equal(t, decision.NotSent, receive(t, ends).Outcome, "which says nothing of its engine")
+		assert.Equal(t, decision.NotSent, receive(t, ends).Outcome, "no failure of its engine")
 		accept()
 		assert.Empty(t, serveAtOnce(t, listener))
 	})
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -46,7 +46,7 @@
 	assert.Zero(t, pool.inUse())
 }
 
-// Shutdown waits for no engine: a request to one that hangs is broken off.
+// Shutdown does not wait for engines: a request to one that hangs is aborted.
 func TestShutdownWaitsForNoEngine(t *testing.T) {
 	listener := listenOnLoopback(t)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/upstream/duplicate_response_test.go
+++ b/internal/upstream/duplicate_response_test.go
@@ -87,7 +87,7 @@
 }
 
 // An engine's response that a statement never ran arrives a second time, behind the next start on the same connection. It
-// is not believed of that statement, which runs: otherwise it would be sent elsewhere and run twice.
+// must not be taken for the response to that start, which runs: otherwise its statement would be sent elsewhere and run twice.
 func TestDuplicateOfNeverRanIsNoOtherAttemptsResponse(t *testing.T) {
 	const neverRan = "HTTP/1.1 503 Service Unavailable\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"
 	const result = "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 4\r\n\r\none\n"
--- a/internal/upstream/engine_addresses_test.go
+++ b/internal/upstream/engine_addresses_test.go
@@ -16,8 +16,8 @@
 
 func addressWithPort(port int) string { return "127.0.0.1:" + strconv.Itoa(port) }
 
-// A new engine at the address of one that has gone inherits neither its connections nor its attempts, and nothing is
-// kept about engines that are gone.
+// A new engine at the address of a removed one inherits neither its connections nor its attempts, and no state of
+// removed engines remains.
 func TestEngineReplacedAtItsAddress(t *testing.T) {
 	requests := make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -41,7 +41,7 @@
 	client.pool.mu.Lock()
 	assert.Empty(t, client.pool.idle["e"])
 	client.pool.mu.Unlock()
-	ended := receive(t, ends) // the new engine is not asked for the attempt
+	ended := receive(t, ends) // the new engine receives no poll for the attempt
 	assert.Equal(t, decision.ConnectionReset, ended.Outcome)
 	_, err := client.pool.acquire(ctx, "e", address, false)
 	require.ErrorIs(t, err, errUnknownEngine)
@@ -64,7 +64,7 @@
 	assert.Zero(t, client.ConnectionsInUse())
 }
 
-// An engine that drained and is ready again is started attempts at.
+// Attempts are started at an engine that was draining and is ready again.
 func TestEngineReadyAfterDraining(t *testing.T) {
 	listener := listenOnLoopback(t)
 	requests := serveAtOnce(t, listener)
@@ -75,7 +75,7 @@
 	client.UpdateEngine("e", address, true)
 	client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: inAMinute()})
 	assert.Equal(t, "POST", receive(t, requests))
-	for i := range 1000 { // nothing is kept of what drained and is gone
+	for i := range 1000 { // no state of drained and removed engines remains
 		engine := decision.EngineID(strconv.Itoa(i))
 		client.DrainEngine(engine)
 		client.UpdateEngine(engine, addressWithPort(1000+i), true)
--- a/internal/upstream/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -25,7 +25,7 @@
 
 const transcriptsFile = "testdata/transcripts.txt"
 
-// transcript collects, in order, the requests that a scripted engine receives and what the listener is told.
+// transcript collects, in order, the requests that a scripted engine receives and the listener's calls.
 type transcript struct {
 	engineAddress string
 
@@ -179,7 +179,7 @@
 	return answer
 }
 
-// normalise replaces what differs between runs: the engine's port, and the milliseconds that are left.
+// normalise replaces what differs between runs: the engine's port, and the remaining milliseconds.
 func normalise(request, address string) string {
 	request = strings.ReplaceAll(request, address, "ENGINE")
 	if before, after, found := strings.Cut(request, "X-Limit-Ms: "); found {
@@ -321,11 +321,11 @@
 	text := recorded.text()
 	stop()
 	require.NoError(t, client.Run(ctx))
-	assert.Zero(t, client.ConnectionsInUse(), "all are given back")
+	assert.Zero(t, client.ConnectionsInUse(), "all are released")
 	return text
 }
 
-// TestTranscripts compares whole exchanges with a scripted engine, and what the listener is told, with those recorded.
+// TestTranscripts compares complete exchanges with a scripted engine, and the listener's calls, with those recorded.
 func TestTranscripts(t *testing.T) {
 	const heading = "== "
 	if *recordTranscripts {
