--- a/cmd/bankledge-control/group_test.go
+++ b/cmd/bankledge-control/group_test.go
@@ -161,7 +161,7 @@
 	return process.ProcessState.ExitCode()
 }
 
-// command runs a command against all members and returns what it wrote.
+// command runs a command against all members and returns its output.
 func (g *testGroup) command(exitCode int, args ...string) string {
 	g.t.Helper()
 	var addresses []string
@@ -171,7 +171,7 @@
 	return g.commandAt(exitCode, addresses, args...)
 }
 
-// commandAt runs a command against some addresses and returns what it wrote.
+// commandAt runs a command against some addresses and returns its output.
 func (g *testGroup) commandAt(exitCode int, addresses []string, args ...string) string {
 	g.t.Helper()
 	command := exec.Command(program, args...)
--- a/cmd/bankledge-control/recordings_test.go
+++ b/cmd/bankledge-control/recordings_test.go
@@ -54,12 +54,12 @@
 	recordRejectedRenewals(recording, client, hash)
 	recordRejectedProposals(recording, client)
 	recordRejectedRules(recording, client)
-	recording.ask(client, "POST /v1/proposals", `{"kind":"propose","id":"p3","forced":["floor","share-of-engines"],"note":"why","rules":{"routers":2,"cold_multiple":1,"engines":{"a":{"phase":"active","address":"h:1","kind":"big"}}}}`)
+	recording.recordExchange(client, "POST /v1/proposals", `{"kind":"propose","id":"p3","forced":["floor","share-of-engines"],"note":"why","rules":{"routers":2,"cold_multiple":1,"engines":{"a":{"phase":"active","address":"h:1","kind":"big"}}}}`)
 	recordMembershipChanges(t, recording, client)
 	for _, request := range []string{
 		"GET /v1/none", "GET /", "DELETE /v1/status", "GET /v1/term", "GET /v1/proposals", "POST /v1/versions", "PUT /v1/members", "POST /v1/messages",
 	} {
-		recording.ask(client, request, "")
+		recording.recordExchange(client, request, "")
 	}
 	recording.compare("client.txt")
 }
@@ -73,27 +73,27 @@
 // second one.
 func recordRollout(t *testing.T, recording *transcript, client string) string {
 	t.Helper()
-	recording.ask(client, "GET /v1/status", "")
-	recording.ask(client, "GET /v1/versions", "")
+	recording.recordExchange(client, "GET /v1/status", "")
+	recording.recordExchange(client, "GET /v1/versions", "")
 	next := recording.stream(client, "")
-	recording.ask(client, "POST /v1/proposals", proposal("p1", ","+twoEngines))
+	recording.recordExchange(client, "POST /v1/proposals", proposal("p1", ","+twoEngines))
 	next() // version 1
-	list := recording.ask(client, "GET /v1/versions", "")
+	list := recording.recordExchange(client, "GET /v1/versions", "")
 	first := regexp.MustCompile(`"hash":"(\w+)"`).FindStringSubmatch(list)
 	require.NotNil(t, first)
-	recording.ask(client, "POST /v1/term", renewal("0", "", ""))
-	recording.ask(client, "POST /v1/term", renewal("1", first[1], ""))
+	recording.recordExchange(client, "POST /v1/term", renewal("0", "", ""))
+	recording.recordExchange(client, "POST /v1/term", renewal("1", first[1], ""))
 	next() // activated
-	recording.ask(client, "POST /v1/term", renewal("1", first[1], ""))
-	recording.ask(client, "POST /v1/proposals", proposal("p2", `,"cold_multiple":3,`+twoEngines))
+	recording.recordExchange(client, "POST /v1/term", renewal("1", first[1], ""))
+	recording.recordExchange(client, "POST /v1/proposals", proposal("p2", `,"cold_multiple":3,`+twoEngines))
 	next() // version 2, not activated: the router has not acknowledged it
-	status := recording.ask(client, "GET /v1/status", "")
+	status := recording.recordExchange(client, "GET /v1/status", "")
 	second := regexp.MustCompile(`"newest":2,"settled":1,"hash":"(\w+)"`).FindStringSubmatch(status)
 	require.NotNil(t, second)
-	recording.ask(client, "POST /v1/term", renewal("2", second[1], `,"term":900,"word":"a word"`))
+	recording.recordExchange(client, "POST /v1/term", renewal("2", second[1], `,"term":900,"word":"a word"`))
 	next() // activated
-	recording.ask(client, "GET /v1/status", "")
-	recording.ask(client, "GET /v1/versions", "")
+	recording.recordExchange(client, "GET /v1/status", "")
+	recording.recordExchange(client, "GET /v1/versions", "")
 	return second[1]
 }
 
@@ -102,7 +102,7 @@
 		next := recording.stream(client, after)
 		next()
 	}
-	recording.askWith(client, "GET /v1/versions/events", "Last-Event-ID: x\r\n", "")
+	recording.recordExchangeWithHeaders(client, "GET /v1/versions/events", "Last-Event-ID: x\r\n", "")
 }
 
 // recordRejectedRenewals records the replies to renewals that are invalid, or that this group can't grant; hash is that of version 2.
@@ -113,7 +113,7 @@
 		`{"incarnation":"i","name":"` + long + `"}`, `{"incarnation":"i2","name":"router-b","spans":"term 1s, drift 0.01","seq":3}`,
 		"", "{", `{"unknown":1}`, `[]`, `{"seq":"x"}`, `{"seq":-1}`, strings.Repeat(" ", 4097),
 	} {
-		recording.ask(client, "POST /v1/term", body)
+		recording.recordExchange(client, "POST /v1/term", body)
 	}
 }
 
@@ -133,7 +133,7 @@
 		proposal("b12", `,"cold_multiple":1,"engines":{"a":{"phase":"leaving","address":"h:1","kind":"big"}}`),
 		`{"kind":"propose","id":"b13","note":"` + strings.Repeat("n", 1001) + `","rules":{"routers":2,"cold_multiple":5,` + twoEngines + `}}`,
 	} {
-		recording.ask(client, "POST /v1/proposals", body)
+		recording.recordExchange(client, "POST /v1/proposals", body)
 	}
 }
 
@@ -146,7 +146,7 @@
 		`,"engines":{"a":{}}`, `,"engines":{"a":{"phase":"active"}}`, `,"engines":{"a":{"phase":"active","address":"h:1"},"b":{"phase":"active","address":"h:1"}}`,
 		`,"engines":{"a":{"unknown":1}}`, `,"engines":[]`, `,"may_turn_away":"w"`,
 	} {
-		recording.ask(client, "POST /v1/proposals", proposal(fmt.Sprint("f", i), fields))
+		recording.recordExchange(client, "POST /v1/proposals", proposal(fmt.Sprint("f", i), fields))
 	}
 }
 
@@ -157,24 +157,24 @@
 		"{", `{"unknown":1}`, `{"id":"x"}`, `{}`, `{"id":1}`, `{"id":9,"remove":true}`, `{"id":1,"remove":true}`, `{"id":1,"member":{"peer":"127.0.0.1:1","client":"127.0.0.1:2"}}`,
 		`{"id":2,"member":{"peer":"127.0.0.1:1"}}`, `{"id":2,"member":{"peer":"127.0.0.1:1","client":"127.0.0.1:2"}}`,
 	} {
-		recording.ask(client, "POST /v1/members", body)
+		recording.recordExchange(client, "POST /v1/members", body)
 	}
 	awaitBody(t, recording, client, "GET /v1/status", `"settled":3`) // when the router's lease ends, which it has not renewed
-	recording.ask(client, "GET /v1/status", "")
-	recording.ask(client, "POST /v1/members", `{"id":2,"remove":true}`)
+	recording.recordExchange(client, "GET /v1/status", "")
+	recording.recordExchange(client, "POST /v1/members", `{"id":2,"remove":true}`)
 }
 
 // The exchanges between two processes of a group, in both directions.
 func TestPeerTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	_, peer := startSingle(t, g, recording)
-	recording.ask(peer, "POST /v1/messages", "")
+	recording.recordExchange(peer, "POST /v1/messages", "")
 	for _, body := range []string{"\xff", "\x05\x01\x02", "\x02\xff\xff", strings.Repeat("\x80", 20)} {
-		recording.ask(peer, "POST /v1/messages", body)
+		recording.recordExchange(peer, "POST /v1/messages", body)
 	}
-	recording.askWith(peer, "POST /v1/messages", "X-Bankledge-Lineage: other\r\n", "")
-	recording.ask(peer, "GET /v1/messages", "")
-	recording.ask(peer, "GET /v1/status", "")
+	recording.recordExchangeWithHeaders(peer, "POST /v1/messages", "X-Bankledge-Lineage: other\r\n", "")
+	recording.recordExchange(peer, "GET /v1/messages", "")
+	recording.recordExchange(peer, "GET /v1/status", "")
 
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -194,7 +194,7 @@
 		require.NoError(t, err)
 		head.WriteString(line)
 	}
-	recording.note("%q", length.ReplaceAllString(head.String(), "Content-Length: <length>"))
+	recording.appendLine("%q", length.ReplaceAllString(head.String(), "Content-Length: <length>"))
 	recording.compare("peer.txt")
 }
 
@@ -231,26 +231,26 @@
 	address := g.members[fmt.Sprint(follower)].Client
 	recording.command(g, 0, []string{address, leaderAddress}, "propose", g.writeRules("one", ""), "--wait")
 	awaitBody(t, recording, address, "GET /v1/versions", `"settled":1`)
-	recording.ask(address, "GET /v1/versions", "")
+	recording.recordExchange(address, "GET /v1/versions", "")
 	next := recording.stream(address, "")
 	next()
 	_, status := recording.exchange(address, "GET /v1/status", "", "")
 	status = strings.Replace(status, fmt.Sprintf(`"id":%d,`, follower), `"id":<follower>,`, 1)
 	status = strings.Replace(status, fmt.Sprintf(`"leader":%d,`, leader), `"leader":<leader>,`, 1)
-	recording.note("%s", regexp.MustCompile(`"members":\{.*\}\},`).ReplaceAllString(status, "")) // whose order is by id
-	recording.ask(address, "POST /v1/term", `{"incarnation":"i","seq":3,"name":"router-a"}`)
-	recording.ask(address, "POST /v1/proposals", proposal("p2", `,"cold_multiple":7`))
-	recording.ask(address, "POST /v1/members", `{"id":9,"remove":true}`)
+	recording.appendLine("%s", regexp.MustCompile(`"members":\{.*\}\},`).ReplaceAllString(status, "")) // whose order is by id
+	recording.recordExchange(address, "POST /v1/term", `{"incarnation":"i","seq":3,"name":"router-a"}`)
+	recording.recordExchange(address, "POST /v1/proposals", proposal("p2", `,"cold_multiple":7`))
+	recording.recordExchange(address, "POST /v1/members", `{"id":9,"remove":true}`)
 
 	assert.Error(t, g.stop(leader, syscall.SIGKILL))
 	assert.Error(t, g.stop(third, syscall.SIGKILL))
 	awaitBody(t, recording, address, "GET /v1/status", `"leader":0`)
 	recording.command(g, 1, []string{address}, "propose", g.writeRules("two", ""), "--within", "200ms")
 	recording.command(g, 1, []string{leaderAddress, address}, "members", "remove", "9", "--within", "200ms")
-	recording.ask(address, "POST /v1/proposals", proposal("p3", `,"cold_multiple":8`))
-	recording.ask(address, "POST /v1/term", `{"incarnation":"i","seq":4}`)
+	recording.recordExchange(address, "POST /v1/proposals", proposal("p3", `,"cold_multiple":8`))
+	recording.recordExchange(address, "POST /v1/term", `{"incarnation":"i","seq":4}`)
 	lines := strings.Split(table.ReplaceAllString(g.commandAt(0, []string{address}, "status"), "  "), "\n")
-	recording.note("%s", strings.Join(lines[:3], "\n"))
+	recording.appendLine("%s", strings.Join(lines[:3], "\n"))
 	recording.compare("follower.txt")
 }
 
@@ -320,7 +320,7 @@
 		path := filepath.Join(g.dir, "file.jsonnet")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		out, err := exec.Command(program, command, path).CombinedOutput()
-		recording.note("%s %s\n%s(%v)\n", command, shown, strings.ReplaceAll(string(out), g.dir, "<dir>"), err)
+		recording.appendLine("%s %s\n%s(%v)\n", command, shown, strings.ReplaceAll(string(out), g.dir, "<dir>"), err)
 	}
 	deployed := func(name string) string {
 		raw, err := os.ReadFile("../../deploy/" + name)
--- a/cmd/bankledge-control/transcript_test.go
+++ b/cmd/bankledge-control/transcript_test.go
@@ -45,8 +45,8 @@
 	protobuf = regexp.MustCompile("proto:[ \u00a0]")
 )
 
-// normal replaces what differs from run to run by names that stay the same within the recording.
-func (r *transcript) normal(text string) string {
+// normalize replaces what differs from run to run by names that stay the same within the recording.
+func (r *transcript) normalize(text string) string {
 	for address, name := range r.addresses {
 		text = strings.ReplaceAll(text, address, name)
 	}
@@ -66,8 +66,8 @@
 	return protobuf.ReplaceAllString(text, "proto: ")
 }
 
-func (r *transcript) note(format string, args ...any) {
-	r.text.WriteString(r.normal(fmt.Sprintf(format, args...)) + "\n")
+func (r *transcript) appendLine(format string, args ...any) {
+	r.text.WriteString(r.normalize(fmt.Sprintf(format, args...)) + "\n")
 }
 
 // compare ends the recording and compares it with the file.
@@ -128,20 +128,20 @@
 	return head, string(raw)
 }
 
-// ask records an exchange and returns the body of the response.
-func (r *transcript) ask(address, request, body string) string {
+// recordExchange records an exchange and returns the body of the response.
+func (r *transcript) recordExchange(address, request, body string) string {
 	r.t.Helper()
-	return r.askWith(address, request, "", body)
+	return r.recordExchangeWithHeaders(address, request, "", body)
 }
 
-func (r *transcript) askWith(address, request, headers, body string) string {
+func (r *transcript) recordExchangeWithHeaders(address, request, headers, body string) string {
 	r.t.Helper()
 	head, response := r.exchange(address, request, headers, body)
 	sent := strconv.Quote(body)
 	if len(body) > 3000 {
 		sent = fmt.Sprintf("(%d bytes)", len(body))
 	}
-	r.note("%s\n%s%s\n%s%s", request, headers, sent, head, response)
+	r.appendLine("%s\n%s%s\n%s%s", request, headers, sent, head, response)
 	return response
 }
 
@@ -156,7 +156,7 @@
 	body := bufio.NewReader(httputil.NewChunkedReader(conn.reader))
 	first, err := body.ReadString('\n')
 	require.NoError(r.t, err)
-	r.note("GET /v1/versions/events\n%s%s%q", headers, head, first)
+	r.appendLine("GET /v1/versions/events\n%s%s%q", headers, head, first)
 	return func() {
 		r.t.Helper()
 		for event := ""; ; {
@@ -164,7 +164,7 @@
 			require.NoError(r.t, err)
 			switch {
 			case line == "\n" && event != "":
-				r.note("event\n%s", event)
+				r.appendLine("event\n%s", event)
 				return
 			case line != "\n" && !strings.HasPrefix(line, ":"):
 				event += line
@@ -173,12 +173,12 @@
 	}
 }
 
-// command records what a command writes, its standard error last, and its exit code.
+// command records the output of a command, its standard error last, and its exit code.
 func (r *transcript) command(g *testGroup, code int, at []string, args ...string) {
 	r.t.Helper()
 	g.t.Setenv("COLUMNS", "80")
 	out := g.commandAt(code, at, args...)
 	out = regexp.MustCompile(`(?m)^(router-\S+ +\d+ +)[\d.]+m?s( +)[\d.]+m?s`).ReplaceAllString(out, "$1<duration>$2<duration>")
 	out = strings.ReplaceAll(out, g.dir, "<dir>")
-	r.note("$ bankledge-control %s\n%s(exit %d)\n", strings.ReplaceAll(strings.Join(args, " "), g.dir, "<dir>"), table.ReplaceAllString(out, "  "), code)
+	r.appendLine("$ bankledge-control %s\n%s(exit %d)\n", strings.ReplaceAll(strings.Join(args, " "), g.dir, "<dir>"), table.ReplaceAllString(out, "  "), code)
 }
--- a/internal/configregister/recording_test.go
+++ b/internal/configregister/recording_test.go
@@ -17,7 +17,7 @@
 	"bankledge/internal/configversion/versiontest"
 )
 
-// recording hashes what a register returns for generated entries.
+// recording hashes the results of a register for generated entries.
 type recording struct {
 	t      *testing.T
 	random *rand.Rand
--- a/internal/configregister/register.go
+++ b/internal/configregister/register.go
@@ -26,7 +26,7 @@
 	Outcomes  []Outcome `json:"outcomes"` // of the last maxOutcomes proposals, oldest first
 }
 
-// Limits of what a register keeps.
+// Limits of a register.
 const (
 	maxVersions = 64
 	maxOutcomes = 1024 // a duplicate proposal is recognized by its outcome
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -14,7 +14,7 @@
 	maxHeartbeatBacklog = 4
 )
 
-// Role is what a process is in the group.
+// Role is the role of a process in the group.
 type Role struct {
 	IsLeader bool
 	Leader   uint64 // 0: none is known
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -2,8 +2,8 @@
 // I/O or reads a clock: a Node is given messages and the time, and Effects returns what has to be done, in which order. The same
 // code runs in the control service, on a disk and sockets, and in the simulation.
 //
-// The library draws its election timeouts from a random source of its own, which can't be seeded. So its election timer is disabled,
-// and this package calls elections at times drawn from a seed. It also ignores votes while the leader is alive, and silences a leader
+// The library takes its election timeouts from a random source of its own, which can't be seeded. So its election timer is disabled,
+// and this package calls elections at random times from a seed. It also ignores votes while the leader is alive, and silences a leader
 // that hears from no quorum (see election.go).
 package consensus
 
@@ -53,8 +53,8 @@
 	lastResponse      map[uint64]time.Duration // to this leader, by process
 }
 
-// New restores a process from what it had stored, or creates the state of a new group's founding member if that is empty and the settings
-// name voters. appliedIndex is how far the caller's own state machine has applied the log, and now the caller's monotonic clock.
+// New restores a process from its stored state, or creates the state of a new group's founding member if that is empty and the settings
+// name voters. appliedIndex is how far the caller's state machine has applied the log; now is the time of the caller's monotonic clock.
 func New(settings Settings, stored PersistentState, appliedIndex uint64, now time.Duration) (*Node, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	return n, nil
 }
 
-// InitialState is what a process that founds a group has to store before anything else.
+// InitialState returns the state that a founding member has to store before any other change.
 func (n *Node) InitialState() PersistentState {
 	snapshot, _ := n.storage.Snapshot() // the in-memory storage returns no error here
 	hardState, _, _ := n.storage.InitialState()
@@ -168,7 +168,7 @@
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
 // Compact replaces the log up to the last applied entry by a snapshot with this data, and returns the snapshot, to be stored. In
-// memory the last keepEntries entries stay, for followers that are a little behind. It returns raft.ErrSnapOutOfDate if there is a
+// memory the last keepEntries entries remain, for followers that lag a little behind. It returns raft.ErrSnapOutOfDate if there is a
 // snapshot of that index already.
 func (n *Node) Compact(data []byte, keepEntries uint64) (*pb.Snapshot, error) {
 	snapshot, err := n.storage.CreateSnapshot(n.appliedIndex, n.confState, data)
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -15,8 +15,8 @@
 	foundingTerm  = 1
 )
 
-// PersistentState is what has to survive a restart of the process. As a change it holds only what is written anew: nil fields stay as
-// they are, and entries replace all stored entries from the index of the first one on.
+// PersistentState is what has to survive a restart of the process. As a change it contains only new values: nil fields leave the stored
+// ones as they are, and entries replace all stored entries from the index of the first one on.
 type PersistentState struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// TruncatedLogError reports a stored log that ends before what was committed: the storage has lost synced data.
+// TruncatedLogError reports a stored log that ends before the commit index: the storage has lost synced data.
 type TruncatedLogError struct {
 	LastIndex   uint64
 	CommitIndex uint64
--- a/internal/consensus/store/errors.go
+++ b/internal/consensus/store/errors.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// fatalLogger drops Pebble's messages about its files. What Pebble cannot go on from becomes a panic, which recoverError turns into
+// fatalLogger drops Pebble's messages about its files. A fatal error of Pebble becomes a panic, which recoverError turns into
 // an error of the call.
 type fatalLogger struct{}
 
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -1,9 +1,9 @@
 // Package store keeps one process's part of the replicated log on disk, in the embedded key-value store Pebble. Each change is one
 // batch that is synced before Save returns, so whatever was acknowledged survives a crash at any point.
 //
-// Pebble verifies checksums on all that it reads and drops a tail of its log that was not synced; each record here has a checksum of
-// its own in addition. Damage near the end of Pebble's log looks like an unsynced tail, so changes are numbered, and the number of
-// the last one that was synced is written to a file beside the database: a database that ends before it has lost synced data.
+// Pebble verifies a checksum of each block that it reads, and drops a tail of its log that was not synced; each record here has a
+// checksum of its own in addition. Damage near the end of Pebble's log looks like an unsynced tail, so changes are numbered, and the
+// number of the last one that was synced is written to a file beside the database: a database that ends before it has lost synced data.
 package store
 
 import (
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// Load reads and verifies all that is stored. Entries that the snapshot covers are left out.
+// Load reads and verifies the stored state. Entries that the snapshot covers are left out.
 func (s *Store) Load() (state consensus.PersistentState, err error) {
 	defer recoverError(&err)
 	if state, err = s.readState(); err != nil {
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -89,7 +89,7 @@
 	assert.Greater(t, s.Size(), uint64(0))
 }
 
-// A disk that fails at the write or the sync is an error, and what was synced before stays.
+// A disk that fails at the write or the sync is an error, and data that was synced before is not lost.
 func TestFailingDisk(t *testing.T) {
 	var fails atomic.Bool
 	memory := vfs.NewCrashableMem()
--- a/internal/controlapi/api.go
+++ b/internal/controlapi/api.go
@@ -19,7 +19,7 @@
 )
 
 // PeerMessagesPath is where a process receives the messages of the replicated log, on its peer address: each message is a protobuf
-// behind its length, which is a varint. The response to an accepted batch is 204.
+// prefixed by its length as a varint. The response to an accepted batch is 204.
 const PeerMessagesPath = "/v1/messages"
 
 // Headers.
@@ -47,7 +47,7 @@
 	Voter  bool   `json:"votes"`  // false: a learner, until it has caught up
 }
 
-// Status is what a process knows of the group.
+// Status is the state of the group as one process knows it.
 type Status struct {
 	ID                     uint64            `json:"id"`     // of the process that answers
 	IsLeader               bool              `json:"leads"`  // confirmed by a quorum for this answer
--- a/internal/controlclient/renewal.go
+++ b/internal/controlclient/renewal.go
@@ -50,7 +50,7 @@
 	defer stop()
 	conn.SetDeadline(deadline)
 	reply, reusable, err := exchange(conn, request, renewal.Renewal.Seq)
-	if err != nil || !reusable || ctx.Err() != nil || !t.keep(conn) {
+	if err != nil || !reusable || ctx.Err() != nil || !t.storeIdle(conn) {
 		conn.Close()
 	}
 	return reply, err
@@ -101,8 +101,8 @@
 	return dial(ctx, address)
 }
 
-// keep makes a connection the idle one, unless there is one already.
-func (t *Transport) keep(conn net.Conn) bool {
+// storeIdle makes a connection the idle one. It returns false, and does not close the connection, if there is one already.
+func (t *Transport) storeIdle(conn net.Conn) bool {
 	conn.SetDeadline(time.Time{})
 	select {
 	case t.idleConnection <- conn:
--- a/internal/controlserver/api_test.go
+++ b/internal/controlserver/api_test.go
@@ -14,7 +14,7 @@
 	"bankledge/internal/controlapi"
 )
 
-// Invalid requests are rejected with a status of their kind, and the process goes on.
+// Invalid requests are rejected with a suitable status, and the process continues to serve.
 func TestInvalidRequests(t *testing.T) {
 	server := startServer(t, singleSettings(t, t.TempDir()))
 	for _, c := range []struct {
--- a/internal/controlserver/mailbox.go
+++ b/internal/controlserver/mailbox.go
@@ -16,7 +16,7 @@
 // errBusy is returned to a caller whose request the driver did not answer in time.
 var errBusy = errors.New("this process is busy, or ends")
 
-// mailbox holds what HTTP handlers and the peer transport send to the driver.
+// mailbox queues the messages that HTTP handlers and the peer transport send to the driver.
 type mailbox struct {
 	messages   chan message
 	lastCallID atomic.Uint64
--- a/internal/controlserver/peer_api.go
+++ b/internal/controlserver/peer_api.go
@@ -43,7 +43,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// encodeMessages writes messages one after the other, each behind its length as a varint.
+// encodeMessages writes messages one after the other, each prefixed by its length as a varint.
 func encodeMessages(messages []*pb.Message) ([]byte, error) {
 	var body []byte
 	for _, message := range messages {
--- a/internal/controlserver/peer_transport.go
+++ b/internal/controlserver/peer_transport.go
@@ -87,7 +87,7 @@
 	return queue
 }
 
-// sendQueued sends what is queued for one process, several messages in a call, and reports to the replica what was not delivered.
+// sendQueued sends the queued messages for one process, several in a call, and reports undelivered ones to the replica.
 func (t *peerTransport) sendQueued(peerID uint64, queue <-chan *pb.Message) {
 	for {
 		batch := t.nextBatch(queue)
@@ -105,7 +105,7 @@
 	}
 }
 
-// nextBatch waits for a message and returns it with those queued behind it; nil once the transport's context has ended.
+// nextBatch waits for a message and returns it with those queued after it; nil once the transport's context has ended.
 func (t *peerTransport) nextBatch(queue <-chan *pb.Message) []*pb.Message {
 	var batch []*pb.Message
 	select {
--- a/internal/lease/client_events.go
+++ b/internal/lease/client_events.go
@@ -65,7 +65,7 @@
 		Configuration ActiveConfiguration
 	}
 
-	// ReopenStream connects the stream of versions anew and asks for the versions after a number.
+	// ReopenStream opens a new stream of versions, in place of the present one, for the versions after a number.
 	ReopenStream struct {
 		AddressIndex int
 		AfterVersion uint64
--- a/internal/lease/coordinator_events.go
+++ b/internal/lease/coordinator_events.go
@@ -7,13 +7,13 @@
 
 // The events of a coordinator.
 type (
-	// LeadershipGained reports that this process is now the leader, and has applied all that earlier leaders committed.
+	// LeadershipGained reports that this process is now the leader, and has applied all entries that earlier leaders committed.
 	LeadershipGained struct{}
 
 	// LeadershipLost reports that this process is no longer the leader.
 	LeadershipLost struct{}
 
-	// StateApplied reports the replicated state, and the outcomes of proposals that were applied since the last one.
+	// StateApplied reports the replicated state, and the outcomes of the proposals that were applied since the last StateApplied.
 	StateApplied struct {
 		Lineage           string
 		Newest, Activated uint64
@@ -27,8 +27,8 @@
 		Renewal Renewal
 	}
 
-	// LeadershipConfirmed reports that this process still led after the ConfirmLeadership with this token, and has applied all that
-	// was committed by then.
+	// LeadershipConfirmed reports that this process still led after the ConfirmLeadership with this token, and has applied all entries
+	// that were committed by then.
 	LeadershipConfirmed struct{ Token uint64 }
 
 	// ProposalReceived is a proposal of an operator.
@@ -43,7 +43,8 @@
 		Err        error
 	}
 
-	// LeadershipCheckRequested asks for a proof that this process leads. The answer is a SendOutcome with the newest version's number.
+	// LeadershipCheckRequested requests a confirmation that this process leads. The answer is a SendOutcome with the newest version's
+	// number.
 	LeadershipCheckRequested struct{ CallID uint64 }
 
 	// CallCancelled reports that the caller no longer waits for the outcome of its proposal.
--- a/internal/lease/coordinator_sessions.go
+++ b/internal/lease/coordinator_sessions.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Limits on the sessions that a coordinator keeps.
+// Limits on the sessions of a coordinator.
 const (
 	maxSessions      = 4096
 	sessionRetention = 10 * time.Minute // after the lease has expired, for operators to see
--- a/internal/replica/events.go
+++ b/internal/replica/events.go
@@ -17,13 +17,13 @@
 	// PeerUnreachable reports that a message to another process could not be delivered.
 	PeerUnreachable struct {
 		PeerID       uint64
-		SnapshotLost bool // a snapshot was among what was not delivered
+		SnapshotLost bool // the undelivered messages include a snapshot
 	}
 	// SnapshotDelivered reports that another process has received a snapshot completely.
 	SnapshotDelivered struct{ PeerID uint64 }
 	// LeaseRequest is an event for the lease coordinator: a renewal, a proposal, a check, or the end of such a call.
 	LeaseRequest struct{ Event lease.CoordinatorEvent }
-	// MembershipRequest asks for a process to be added or removed.
+	// MembershipRequest requests that a process be added or removed.
 	MembershipRequest struct {
 		CallID   uint64 // identifies the caller in the LeaseResponse
 		MemberID uint64
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -61,7 +61,7 @@
 	return actions
 }
 
-// changeRole takes over a change of role.
+// changeRole applies a change of the consensus role.
 func (r *Replica) changeRole(role consensus.Role) []Action {
 	var actions []Action
 	if !role.IsLeader && r.isLeader {
@@ -85,8 +85,8 @@
 	return actions
 }
 
-// startLeading begins the duties of a leader once an entry of its own term is applied, since then all that earlier leaders committed
-// is applied, too. The first leader of a group writes its lineage.
+// startLeading begins the duties of a leader once an entry of its own term is applied: then all entries that earlier leaders committed
+// are applied, too. The first leader of a group writes its lineage.
 func (r *Replica) startLeading(term uint64) []Action {
 	if r.isLeader || r.lastAppliedTerm != term {
 		return nil
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -31,7 +31,7 @@
 	Member   Member `json:"member"`
 }
 
-// membershipOutcome answers the call that asked for a membership change.
+// membershipOutcome answers the call that requested a membership change.
 func membershipOutcome(callID uint64, outcome configregister.Outcome) Action {
 	return LeaseResponse{lease.SendOutcome{CallID: callID, Outcome: outcome}}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -2,7 +2,7 @@
 // configuration versions that the log holds, and, while the process leads, the lease coordinator.
 //
 // Step takes an event and returns actions, which have to be carried out in order: what is persisted is synced before any action
-// behind it, and a process whose disk fails carries out nothing more. There is no I/O and no clock here, so the same code runs in the
+// after it, and a process whose disk fails carries out no more actions. There is no I/O and no clock here, so the same code runs in the
 // service and in the simulation.
 package replica
 
@@ -33,8 +33,8 @@
 	lastPromotion   map[uint64]time.Duration  // of a learner, when it was proposed last
 }
 
-// New restores a process from what it had stored, or founds its part of a group if that is empty. now is the caller's monotonic clock.
-// The actions have to be carried out before the first Step.
+// New restores a process from its stored state, or makes it a founding member of a group if that state is empty. now is the caller's
+// monotonic clock. The actions have to be carried out before the first Step.
 func New(settings Settings, stored consensus.PersistentState, now time.Duration) (*Replica, []Action, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, nil, err
@@ -102,7 +102,7 @@
 	return publishLast(actions)
 }
 
-// publishLast moves PublishState behind all other actions, at most once: the state that it publishes is the one after all of them,
+// publishLast moves PublishState after all other actions, at most once: the state that it publishes is the one after all of them,
 // and a version that is published before it is synced could be lost, and its number given to another one.
 func publishLast(actions []Action) []Action {
 	publish := false
--- a/internal/replica/snapshot.go
+++ b/internal/replica/snapshot.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// installSnapshot takes over the leader's state, when this process was too far behind to get the entries.
+// installSnapshot replaces the state by that of the leader, when the leader no longer has the entries that this process lacks.
 func (r *Replica) installSnapshot(snapshot *pb.Snapshot) []Action {
 	if err := r.restore(snapshot.GetData()); err != nil {
 		panic(err) // its sender encoded it, and checksums have covered it since
@@ -65,7 +65,7 @@
 		return nil
 	}
 	if err != nil {
-		panic(err) // the log is in memory and ends behind what is applied
+		panic(err) // the log is in memory and reaches beyond the applied index
 	}
 	r.snapshotIndex = r.node.AppliedIndex()
 	return []Action{Persist{consensus.PersistentState{Snapshot: snapshot}}}
--- a/internal/rules/fields.go
+++ b/internal/rules/fields.go
@@ -221,7 +221,7 @@
 	})
 }
 
-// engineConflicts reports whether a router that goes by entry a sends an engine work that entry b forbids.
+// engineConflicts reports whether a router that acts on entry a sends an engine work that entry b forbids.
 func engineConflicts(a, b Engine) bool {
 	switch {
 	case a.Phase == Active && b.Phase != Active:
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -2,9 +2,9 @@
 // different rules conflict, and computes the most permissive rules that conflict with neither of two others. It does no I/O and has no
 // clock.
 //
-// Every field is ordered by what it permits. Rules a conflict with rules b in a field if a permits there what b forbids; the field
-// describes that conflict and its consequence for users. Intersect(a, b) permits what both permit, so it conflicts with neither. A value
-// without such an order can't be a field; a test compares the table of fields with the type.
+// The values of every field are ordered by how much they permit. Rules a conflict with rules b in a field if a permits there what b
+// forbids; the field describes that conflict and its consequence for users. Intersect(a, b) permits what both permit, so it conflicts
+// with neither. A value without such an order can't be a field; a test compares the table of fields with the type.
 //
 // The design is described in docs/control.md.
 package rules
--- a/internal/simulation/contradiction.go
+++ b/internal/simulation/contradiction.go
@@ -48,7 +48,7 @@
 	return sample
 }
 
-// contradiction means that a router does what a version forbids on which another router with a lease acts.
+// contradiction means that a router acts against a version that another router with a lease follows.
 type contradiction struct {
 	basis   actingBasis
 	version uint64
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -33,7 +33,7 @@
 type processHost struct {
 	host
 	replica         *replica.Replica
-	disk            consensus.PersistentState // what was synced
+	disk            consensus.PersistentState // synced data
 	savesUntilCrash int                       // 0: no crash is scheduled
 	lastCallID      uint64
 	calls           map[uint64]call
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -14,7 +14,7 @@
 	Activated            uint64        // newest version in force at the end
 	LongestContradiction time.Duration // for which routers acted on contradicting rules
 	OverBound            int           // contradictions that were longer than ContradictionBound
-	Contradictions       int           // pairs of what a router acts on and a version that it contradicted
+	Contradictions       int           // distinct pairs of an acting basis and a version that it contradicts
 	LeaseShare           float64       // mean share of the running routers that held a lease
 	ConvergenceDelay     time.Duration // from the end of the faults until all acted on the newest version
 	Converged            bool          // all acted on the newest version at the end
