--- a/internal/classify/classifier.go
+++ b/internal/classify/classifier.go
@@ -4,7 +4,7 @@
 //
 // Classify is called for a statement that arrives, and RecordEnd when an attempt of it has ended. The package is pure: no
 // I/O, no clock, no goroutines. It rejects nothing and loosens no rule: effect, order, placement, timeout and quotas stay
-// those of the declared workload, but what writes is not idempotent whatever its label says.
+// those of the declared workload, but a statement that writes is not idempotent under any label.
 //
 // It learns only from ends of attempts, not from claims such as an estimate. Taking a light statement for a heavy one
 // delays that statement; taking a heavy one for a light one stalls an engine for all clients. So the label stands in
--- a/internal/classify/mix_test.go
+++ b/internal/classify/mix_test.go
@@ -42,7 +42,7 @@
 	workCounts [3]float64
 }
 
-// play runs statements of a mix past a classifier, and has their ends teach it if learns says so.
+// play runs statements of a mix past a classifier, and records their ends if learns is set.
 func play(mix *fakes.Mix, statements int, learns bool) *tally {
 	run := &mixRun{
 		tally:      &tally{missed: map[string]int{}},
--- a/internal/classify/recorded_test.go
+++ b/internal/classify/recorded_test.go
@@ -16,7 +16,7 @@
 	"bankledge/internal/sqltext"
 )
 
-// hashClassifications runs statements of a mix past a classifier, has their ends teach it, and hashes the classifications.
+// hashClassifications runs statements of a mix past a classifier, records their ends, and hashes the classifications.
 func hashClassifications(options fakes.MixOptions) string {
 	const statements = 20_000
 	sum := sha256.New()
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -152,7 +152,7 @@
 		began := time.Now()
 		err := c.watchOnce(connCtx)
 		replaced := errors.Is(err, errReplaced)
-		if replaced || c.LastEventID > lastEventID || time.Since(began) > initialLineTimeout/2 { // the connection came up
+		if replaced || c.LastEventID > lastEventID || time.Since(began) > initialLineTimeout/2 { // the connection was established
 			retry.reset()
 		}
 		if !replaced {
--- a/internal/discovery/start_time.go
+++ b/internal/discovery/start_time.go
@@ -25,7 +25,7 @@
 type startTime struct {
 	unixMillis int64
 	startedAt  time.Duration // on the router's clock
-	removed    bool          // from the endpoint list; it may come back
+	removed    bool          // from the endpoint list; it may be listed again
 }
 
 // resolve sets StartedAt of an event's endpoints; the event was received now. Nothing in it can have been published before syncedAt,
--- a/internal/downstream/answer_writer.go
+++ b/internal/downstream/answer_writer.go
@@ -26,7 +26,7 @@
 	stream uint32 // the stream that it answers, or 0
 }
 
-// Answer queues the one answer of a stream, unless nobody waits for it. It does not block. It returns whether the client has
+// Answer queues the one answer of a stream, unless its client has cancelled it. It does not block. It returns whether the client has
 // stalled by it, in which case HandleBackpressure is not called.
 func (c *Conn) Answer(stream uint32, code Code, body []byte) (stalled bool) {
 	answer := make([]byte, 0, frameHeadBytes+answerHeadBytes+len(body))
--- a/internal/downstream/client_departure_test.go
+++ b/internal/downstream/client_departure_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What was taken on a connection before its framing was lost is answered to the last byte, whatever follows; and its client may
+// Statements received on a connection before its framing was lost are answered to the last byte, whatever input follows; and its client may
 // leave as from any other.
 func TestStatementsBeforeFramingError(t *testing.T) {
 	junk := append([]byte{0, 0, 0, 1}, make([]byte, 64<<10)...)
--- a/internal/downstream/flow.go
+++ b/internal/downstream/flow.go
@@ -28,7 +28,7 @@
 	return queued
 }
 
-// forceQueue reserves memory in the client's queue whatever waits; a negative number releases it.
+// forceQueue reserves memory in the client's queue even if it is full; a negative number releases it.
 func (c *Conn) forceQueue(bytes int) {
 	c.withPeer(func(now time.Duration, peer *flowcontrol.Peer) { peer.ForceQueue(now, int64(bytes)) })
 }
--- a/internal/downstream/frame_reader.go
+++ b/internal/downstream/frame_reader.go
@@ -200,7 +200,7 @@
 }
 
 // discardInput sends a last error on a connection of which nothing more can be read. Statements that were taken before are still
-// answered; what arrives meanwhile is discarded, since the kernel would drop what waits for the client if the connection were
+// answered; what arrives meanwhile is discarded, since the kernel would drop unacknowledged answers if the connection were
 // closed with bytes unread.
 func (c *Conn) discardInput(reason error) {
 	c.setCloseReason(closeFramingLost)
--- a/internal/downstream/wire_test.go
+++ b/internal/downstream/wire_test.go
@@ -69,7 +69,7 @@
 //	ready BOOL           what the next question for readiness is answered
 //	event TEXT           the next call of the handler
 //	answer N CODE BODY   the handler answers a stream of the latest connection; BODY is a quoted string, and *N repeats it
-//	closestream N        the handler ends a stream for which no answer is owed
+//	closestream N        the handler ends a stream that needs no answer
 //	aborts N...          streams that the handler aborts when it is asked to abort what is open
 //	drain                the server stops taking new statements
 //	limits ...           before all else: bytes for large frames, bytes of answers, a reader's grace and window
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -17,7 +17,7 @@
 	NoAttemptAfterFinish             // no attempt begins once the request is finished
 	Placement                        // a request runs only in the zones and on the machine types that its workload allows
 	OneAnswer                        // a request has one final answer
-	SafeRejection                    // a rejection says that nothing ran, or that a retry is harmless
+	SafeRejection                    // a request is rejected only if nothing ran, or if a retry is harmless
 	ProvenAttemptEnd                 // the end of a started attempt is reported only with a proof that its engine does not run it
 	NoLostRequest                    // a client connection is not closed while a request on it has no answer
 	numRules
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -43,7 +43,7 @@
 
 func feedAddress(feed *fakes.ControlFeed) string { return feed.Server.Listener.Addr().String() }
 
-// publish sends a watch event and waits until the router has received it: it asks on from there when its connection ends.
+// publish sends a watch event and waits until the router has received it: it requests the next one when its connection ends.
 func publish(t *testing.T, feed *fakes.ControlFeed, n int, members ...string) {
 	t.Helper()
 	<-feed.LastEventIDs
@@ -185,7 +185,7 @@
 }
 
 // A deduplicated request that may have run goes to another engine only while its first attempt is remembered: where the connection
-// there comes up later than that, nothing is sent, and its client is rejected when the time is over.
+// there is established later than that, nothing is sent, and its client is rejected when the time is over.
 func TestRetryIsNotSentAfterDeduplicationWindow(t *testing.T) {
 	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
--- a/internal/proxy/classification_test.go
+++ b/internal/proxy/classification_test.go
@@ -79,7 +79,7 @@
 	return r
 }
 
-// send sends one item of the mix; wait hears when it is answered.
+// send sends one item of the mix; wait is done when it is answered.
 func (r *comparedRouter) send(n int, item fakes.Item, wait *sync.WaitGroup) {
 	declared := fakes.Workloads()[item.Declared]
 	text := fmt.Sprintf("%s /*w %d %d*/", item.Text, (item.Work / speedUp).Microseconds(), fakes.Workloads()[item.Actual].Threads)
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -37,7 +37,7 @@
 	r.router.loop.recordAttemptEnd(r.request, decision.AttemptEnded{Statement: "x", Attempt: attempt, Outcome: outcome})
 }
 
-// An action that would break a rule is not done, whatever the module decided: it is counted, and the request is aborted, which is
+// An action of the module that would break a rule is not carried out: it is counted, and the request is aborted, which is
 // always truthful.
 func TestViolationIsNotDone(t *testing.T) {
 	nonIdempotent := decision.Workload{Idempotency: decision.NonIdempotent}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -9,7 +9,7 @@
 	"bankledge/decision"
 )
 
-// A shutdown leaves requests that may still come their full time and ends before the router would be killed, however short the
+// A shutdown gives requests that may still arrive their full time, and ends before the router would be killed, however short the
 // statement timeouts.
 func TestShutdownSchedule(t *testing.T) {
 	const (
--- a/internal/proxy/transcript_peers_test.go
+++ b/internal/proxy/transcript_peers_test.go
@@ -56,7 +56,7 @@
 	return strings.Join(p.lines, "\n") + "\n"
 }
 
-// timeLimit is the header that tells an engine how many milliseconds are left, which differs from run to run.
+// timeLimit is the header with the remaining milliseconds of an attempt, which differ from run to run.
 var timeLimit = regexp.MustCompile(`(X-Limit-Ms: )[1-9][0-9]*`)
 
 // httpPeer is an HTTP server that records the bytes of each request and writes the bytes that its script has for it.
--- a/internal/upstream/attempt_cancel.go
+++ b/internal/upstream/attempt_cancel.go
@@ -54,7 +54,7 @@
 }
 
 // expiresAtEngine returns when the engine will have dropped the attempt at the latest, if no further request keeps it alive.
-// A request with a response reached the engine, which may have held it, before that response: 2.55 s after the last
+// A request with a response reached the engine, which may have delayed it, before that response: 2.55 s after the last
 // request. One without may have reached it until its connection was reset: 2.35 s after that, if it is later.
 func (a *Attempt) expiresAtEngine() time.Time {
 	afterRequest := a.lastRequest.load(a.client.clockOrigin).Add(pollHoldTime + engineRetention + retentionMargin)
--- a/internal/upstream/attempt_cancel_test.go
+++ b/internal/upstream/attempt_cancel_test.go
@@ -76,7 +76,7 @@
 }
 
 // A poll reaches the engine late, and its response not the router at all: the engine keeps the attempt from when the
-// poll arrived and was held. Nothing confirms the cancellation, and the attempt has ended once the engine has dropped it.
+// poll arrived. Nothing confirms the cancellation, and the attempt has ended once the engine has dropped it.
 func TestDelayedPoll(t *testing.T) {
 	const delay = 450 * time.Millisecond // shorter than the router waits for the response
 	startReceived := make(chan struct{})
@@ -101,7 +101,7 @@
 	link.Impair(faultlab.Impairment{Delay: delay}, faultlab.Impairment{})
 	close(answerStart)
 	engine.awaitRequest(t, http.MethodPost)
-	// The start's response was not held, so the poll goes on a connection of its own.
+	// The start's response was not delayed, so the poll uses a connection of its own.
 	polled := func() bool { return link.Connections() == 2 && link.InFlight() > 0 }
 	require.Eventually(t, polled, patience, time.Millisecond)
 	link.Impair(faultlab.Impairment{Delay: delay}, faultlab.Impairment{Blocked: true})
--- a/internal/upstream/attempt_end_test.go
+++ b/internal/upstream/attempt_end_test.go
@@ -156,8 +156,8 @@
 	return noProgressResponse
 }
 
-// A statement is started elsewhere when an attempt is reported as ended: so whatever end is reported, the engine does
-// not run it any more. Each case is one way in which an attempt comes to its end, at an engine that would run on.
+// A statement may be started elsewhere when an attempt is reported as ended, so the engine must not run it any more,
+// whichever end is reported. Each case is one way in which an attempt ends, at an engine that would run on.
 func TestEndedAttemptsDoNotRun(t *testing.T) {
 	cases := map[string]struct {
 		script  engineScript
--- a/internal/upstream/attempt_poll.go
+++ b/internal/upstream/attempt_poll.go
@@ -190,7 +190,7 @@
 	a.conn.startUnanswered.Store(false)
 	state := a.conn.inspect()
 	received.extraBytes = state == stateUnexpectedData
-	if state != stateQuiet || received.Close || saysNeverRan(received.Header) {
+	if state != stateQuiet || received.Close || reportsNeverRan(received.Header) {
 		// A late duplicate of "never ran" would be taken for the response to the next attempt on this connection.
 		a.releaseConnection(false)
 	}
--- a/internal/upstream/attempt_status.go
+++ b/internal/upstream/attempt_status.go
@@ -52,13 +52,13 @@
 	return decision.Errored, true
 }
 
-func saysNeverRan(header http1.Header) bool { return header.Field(headerNeverRan) == "1" }
+func reportsNeverRan(header http1.Header) bool { return header.Field(headerNeverRan) == "1" }
 
 // readStatus reads a response's headers. Absent and invalid ones are ignored, but for the number of pages: a result of
 // unknown length is an error.
 func readStatus(header http1.Header) attemptStatus {
 	status := attemptStatus{loadReport: parseLoadReport(header.Field(headerLoadReport))}
-	status.outcome, status.ended = outcomeOf(header.Status, saysNeverRan(header))
+	status.outcome, status.ended = outcomeOf(header.Status, reportsNeverRan(header))
 	if !status.ended {
 		status.progress = readProgress(header)
 		return status
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -66,7 +66,7 @@
 }
 
 // endOfAttemptCancelledBeforeItsStart runs an attempt that is cancelled after it has a connection and before it is
-// started: its end must be known to the goroutine that runs it, since nobody else would report it.
+// started: its end must be known to the goroutine that runs it, since no other goroutine would report it.
 func endOfAttemptCancelledBeforeItsStart(t *testing.T, ctx context.Context, client *Client) decision.Outcome {
 	t.Helper()
 	require.NoError(t, client.Preconnect(ctx, "e"))
--- a/internal/upstream/shared_time.go
+++ b/internal/upstream/shared_time.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sharedTime is a point in time that goroutines share. It is kept as a duration since an origin with a monotonic
+// sharedTime is a point in time that goroutines share. It is stored as a duration since an origin with a monotonic
 // reading, and not as a Unix time: a duration between Unix times changes when the wall clock is stepped.
 type sharedTime struct{ nanosSinceOrigin atomic.Int64 }
 
--- a/internal/upstream/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -87,7 +87,7 @@
 // scriptedAnswer is what the engine does with one request.
 type scriptedAnswer struct {
 	onReceipt func()          // called when the request has been recorded
-	waitFor   <-chan struct{} // the answer is held back until this is closed
+	waitFor   <-chan struct{} // the answer is written after this is closed
 	raw       string          // written as it is
 	breaks    bool            // the connection is closed afterwards
 }
@@ -213,7 +213,7 @@
 	unreachable bool
 	cancelAt    int // the request at which the attempt is cancelled, from 1; 0: none
 	script      []string
-	hold        int // the request whose answer is held back until the end, from 1; 0: none
+	hold        int // the request whose answer is delayed until the end, from 1; 0: none
 }
 
 const brokenHere = "\x00" // ends an answer after which the engine closes the connection
