--- a/internal/lease/client_test.go
+++ b/internal/lease/client_test.go
@@ -77,18 +77,24 @@
 	}
 }
 
+// versionWithTwoEngines returns version 1 of lineage l, with two active engines.
+func versionWithTwoEngines(t *testing.T) *configversion.Version {
+	t.Helper()
+	r := rulesWithMultiple(t, 2)
+	r.Engines = map[string]rules.Engine{
+		"e": {Phase: rules.Active, Address: "h:1"},
+		"f": {Phase: rules.Active, Address: "h:2"},
+	}
+	return configversion.New(nil, "l", r, nil, "")
+}
+
 func TestClientRejectsVersions(t *testing.T) {
 	versions := lineageOf(t, "l", 6)
 	otherLineage := lineageOf(t, "m", 2)
 	fork := successor(t, nil, 9)
-	twoEngines := rulesWithMultiple(t, 2)
-	twoEngines.Engines = map[string]rules.Engine{
-		"e": {Phase: rules.Active, Address: "h:1"},
-		"f": {Phase: rules.Active, Address: "h:2"},
-	}
 	noEngines := rulesWithMultiple(t, 2)
 	noEngines.Engines = map[string]rules.Engine{}
-	withEngines := configversion.New(nil, "l", twoEngines, nil, "")
+	withEngines := versionWithTwoEngines(t)
 	emptied := configversion.New(withEngines, "", noEngines, nil, "")
 	emptiedByForce := configversion.New(withEngines, "", noEngines, configversion.GuardNames(), "")
 	for _, test := range []struct {
