--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -4,7 +4,7 @@
 //
 // The library takes its election timeouts from a random source of its own, which can't be seeded. So its election timer is disabled,
 // and this package calls elections at random times from a seed. It also ignores votes while the leader is alive, and silences a leader
-// that hears from no quorum (see election.go).
+// without a response from a quorum (see election.go).
 package consensus
 
 import (
@@ -23,7 +23,7 @@
 const (
 	maxMessageBytes     = 1 << 20  // of entries in one message
 	maxInflightMessages = 64       // to one follower without a response
-	maxInflightBytes    = 16 << 20 // likewise
+	maxInflightBytes    = 16 << 20 // in bytes, likewise
 	maxUncommittedBytes = 64 << 20 // of proposals; more are dropped
 	electionDisabled    = math.MaxInt32
 )
--- a/internal/lease/client_versions.go
+++ b/internal/lease/client_versions.go
@@ -100,7 +100,7 @@
 // applyRules returns the rules to act on from now on, if they have changed.
 func (c *Client) applyRules() (ApplyRules, bool) {
 	configuration := c.activeConfiguration()
-	if configuration == c.applied { // at first the zero value: the router acts on its local settings by itself
+	if configuration == c.applied { // initially the zero value: a router starts with its local settings
 		return ApplyRules{}, false
 	}
 	c.applied = configuration
