--- a/internal/controlclient/transport_test.go
+++ b/internal/controlclient/transport_test.go
@@ -124,9 +124,16 @@
 	assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-f.events, "no listener")
 }
 
-// The bytes that open a stream of versions, and the events that the transport delivers for its content and its end.
+// The bytes that open a stream of versions, and the events that the transport delivers for its content and its end. The transport has
+// an idle connection of a renewal by then, which the stream does not use.
 func TestTransportStreamWire(t *testing.T) {
 	f := newFixture(t)
+	f.transport.Execute(lease.SendRenewal{Renewal: lease.Renewal{Seq: 1}, AddressIndex: 1})
+	renewals := accept(t, f.group)
+	renewals.request()
+	renewals.answer(response("200 OK", `{"seq":1}`))
+	assert.Equal(t, lease.ReplyReceived{Reply: lease.Reply{Seq: 1}}, <-f.events)
+
 	f.transport.Execute(lease.ReopenStream{AddressIndex: 3, AfterVersion: 12})
 	stream := accept(t, f.group)
 	assert.Equal(t, "GET /v1/versions/events HTTP/1.1\r\nHost: <group>\r\nAccept: text/event-stream\r\nLast-Event-ID: 12\r\n\r\n", stream.request())
