--- a/internal/downstream/answer_writer.go
+++ b/internal/downstream/answer_writer.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxQueuedFrames   = 256         // frames on stream 0 that a client has not read, before its connection is closed
-	alwaysQueuedBytes = 256         // a frame up to this size is queued even if the queue is full
-	writeTimeout      = time.Minute // for one write; the rate check disconnects a slow client long before
+	maxQueuedFrames   = 256         // if so many are queued, a further frame on stream 0 closes the connection
+	alwaysQueuedBytes = 256         // frames up to this size are queued even if the queue is full
+	writeTimeout      = time.Minute // for one write; a slow client is disconnected long before by the read rate check
 	flushTimeout      = time.Second // for the remaining writes after the connection has ended
 
-	// The bounds of the backoff between checks of how much the client has acknowledged.
+	// The delays between checks of how much the client has acknowledged double from the minimum to the maximum.
 	minFlushBackoff = 2 * time.Millisecond
 	maxFlushBackoff = 50 * time.Millisecond
 )
@@ -23,31 +23,32 @@
 // queuedFrame is a frame that waits to be written.
 type queuedFrame struct {
 	bytes  []byte
-	stream uint32 // the stream that it answers, or 0
+	stream uint32 // the stream that the frame answers, or 0
 }
 
-// Answer queues the one answer of a stream, unless its client has cancelled it. It does not block. It returns whether the client has
-// stalled by it, in which case HandleBackpressure is not called.
+// Answer queues the only answer of a stream, or drops it if the client has cancelled the stream. It does not block. It returns whether
+// this answer has made the client stall; HandleBackpressure is not called for that stall.
 func (c *Conn) Answer(stream uint32, code Code, body []byte) (stalled bool) {
 	answer := make([]byte, 0, frameHeadBytes+answerHeadBytes+len(body))
 	return c.enqueue(appendAnswer(answer, frameAnswer, stream, code, body), stream)
 }
 
-// sendConnError queues an error that belongs to no statement.
+// sendConnError queues an error of the connection, which belongs to no statement, and counts it as an invalid frame.
 func (c *Conn) sendConnError(reason error) {
 	c.countInvalidFrame()
 	c.enqueue(appendAnswer(nil, frameAnswer, 0, CodeAborted, []byte(reason.Error())), 0)
 }
 
-// queueResult is what queueing a frame led to.
+// queueResult is the result of queueing a frame.
 type queueResult struct {
-	duplicate bool // the stream was answered before, so the frame was dropped
-	shortened bool // the client's queue was full: the answer was replaced by a short abort
-	stalled   bool // the client's queue is so long that nothing more is read from the client
+	duplicate bool // the stream is not open, e.g. was answered before, so the frame was dropped
+	shortened bool // the client's queue was full, so a short abort replaced the answer
+	stalled   bool // the frame made the queue so long that the server stops reading from the client
 }
 
-// enqueue hands a frame to the writer. stream is the one that it answers, or 0. If the queue is full, since the client does not
-// read its answers, a short abort replaces the answer. When maxQueuedFrames wait, an error of the connection ends it instead.
+// enqueue queues a frame for the writer. stream is the stream that the frame answers, or 0. If the queue is full because the client
+// does not read its answers, a short abort replaces the answer. If maxQueuedFrames frames are queued, a frame on stream 0 closes the
+// connection instead of being queued.
 func (c *Conn) enqueue(bytes []byte, stream uint32) (stalled bool) {
 	c.mu.Lock()
 	result := c.addToQueue(bytes, stream)
@@ -56,7 +57,7 @@
 	if result.duplicate {
 		c.server.Violations.Record(&invariant.Violation{
 			Rule:   invariant.OneAnswer,
-			Detail: fmt.Sprintf("stream %d of %s is not open", stream, c.raw.RemoteAddr()),
+			Detail: fmt.Sprintf("answer to stream %d of %s, which is not open", stream, c.raw.RemoteAddr()),
 		})
 	}
 	if result.stalled {
@@ -68,7 +69,7 @@
 	return result.stalled
 }
 
-// addToQueue appends a frame to the queue if the client may have it. The caller holds mu.
+// addToQueue appends a frame, or the short abort that replaces it, to the queue. The caller must hold mu.
 func (c *Conn) addToQueue(bytes []byte, stream uint32) queueResult {
 	state, open := c.openStreams[stream]
 	switch {
@@ -94,14 +95,14 @@
 	if stream != 0 {
 		c.answersQueued++
 	}
-	if len(bytes) > alwaysQueuedBytes && !c.stalled { // also if this frame was replaced by a short abort
+	if len(bytes) > alwaysQueuedBytes && !c.stalled { // also if a short abort replaced this frame
 		c.withPeer(func(_ time.Duration, peer *flowcontrol.Peer) { c.stalled = peer.Stalled() })
 		result.stalled = c.stalled
 	}
 	return result
 }
 
-// reserveQueueSpace reserves memory for a frame in the client's queue, if the queue is not full. The caller holds mu.
+// reserveQueueSpace reserves memory for a frame in the client's queue, or returns false if the queue is full. The caller must hold mu.
 func (c *Conn) reserveQueueSpace(bytes int) bool {
 	if bytes <= alwaysQueuedBytes {
 		c.forceQueue(bytes)
@@ -124,12 +125,12 @@
 	}
 }
 
-// frameWriter writes a connection's queue. It hands the kernel complete frames, and no more than the client's flow control allows:
-// what is in the kernel's send buffer cannot be replaced by an abort.
+// frameWriter writes the queued frames of a connection. It passes only complete frames to the kernel, and no more bytes than flow
+// control allows, since an answer in the kernel's send buffer can no longer be replaced by an abort.
 type frameWriter struct {
 	conn   *Conn
-	frames []queuedFrame // being written; reused to avoid an allocation for each write
-	batch  net.Buffers   // the frames' bytes; reused likewise
+	frames []queuedFrame // the frames being written; reused to avoid an allocation for each write
+	batch  net.Buffers   // the bytes of frames; reused for the same reason
 }
 
 // writeFrames writes queued frames until the connection has ended and the queue is empty, or nothing more can be written.
@@ -142,8 +143,8 @@
 	}
 }
 
-// flush writes until the queue is empty. It returns false if nothing more can be written: a write has failed, or the connection has ended
-// and its client does not read.
+// flush writes until the queue is empty. It returns false if nothing more can be written, because a write has failed or because the
+// connection has ended and its client does not read.
 func (w *frameWriter) flush() bool {
 	backoff := minFlushBackoff
 	for {
@@ -170,7 +171,8 @@
 	}
 }
 
-// dequeue takes the frames that may be written now. blocked reports whether others have to wait until the kernel's send buffer shrinks.
+// dequeue moves the frames that may be written now from the queue to w.frames. blocked reports whether frames stay queued because the
+// kernel's send buffer has to shrink first.
 func (w *frameWriter) dequeue() (blocked bool) {
 	c := w.conn
 	w.frames = w.frames[:0]
@@ -190,7 +192,7 @@
 	return len(c.queue) > 0
 }
 
-// write writes the frames that were dequeued, and returns whether that succeeded.
+// write writes the dequeued frames and returns whether that succeeded.
 func (w *frameWriter) write() bool {
 	c := w.conn
 	w.batch = w.batch[:0]
@@ -200,19 +202,19 @@
 	c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := w.batch.WriteTo(c.raw)
 	if err != nil {
-		c.closeBy(closeWriteFailed) // the reader ends, and with it the connection
+		c.closeBy(closeWriteFailed) // ends the reader, which ends the connection
 	}
 	stalled := c.recordWritten(w.frames)
 	if err != nil {
 		return false
 	}
-	if stalled { // this write may have ended the stall: do not wait for the periodic check
+	if stalled { // the write may have ended the stall, so do not wait for the periodic check
 		c.checkFlow()
 	}
 	return true
 }
 
-// canWriteNext returns whether the next frame may be written by now.
+// canWriteNext returns whether the next queued frame may be written now.
 func (c *Conn) canWriteNext() (can bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -222,7 +224,7 @@
 	return can
 }
 
-// recordWritten closes the streams whose answers are with the kernel, and returns whether the client is stalled.
+// recordWritten closes the streams whose answers were passed to the kernel, and returns whether the client is stalled.
 func (c *Conn) recordWritten(frames []queuedFrame) (stalled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,7 +246,7 @@
 	return c.ended && len(c.queue) == 0
 }
 
-// flushed returns whether nothing is open and nothing waits to be written.
+// flushed returns whether no stream is open and no frame is queued or being written.
 func (c *Conn) flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/client_departure.go
+++ b/internal/downstream/cancel_detection.go
@@ -11,16 +11,17 @@
 	"bankledge/internal/tcpsocket"
 )
 
-// peekBytes bounds how many unread bytes are searched for cancel frames.
+// peekBytes is the maximum number of unread bytes that are searched for cancel frames.
 const peekBytes = 64 << 10
 
-// newPeekBuffer makes a buffer for peekForDeparture.
+// newPeekBuffer allocates a buffer for peekForCancelOrClose.
 func newPeekBuffer() any { return new([peekBytes]byte) }
 
-// peekForDeparture searches unread input for cancel frames without consuming it, while reading from the client is stopped or slowed
-// down: a client that does not read its answers, or that sends invalid frames, may still cancel or close. Cancelled streams are
-// handled. pending is input that was read and not handled yet. It returns whether the connection has ended: the client or this side has closed it, or it broke.
-func (c *Conn) peekForDeparture(pending []byte) (ended bool) {
+// peekForCancelOrClose searches unread input for cancel frames without consuming it, and handles them. It is called while reading from
+// the client is stopped or slowed down, since a client that does not read its answers or that sends invalid frames may still cancel
+// statements or close the connection. pending is input that was read and not handled yet. It returns whether the connection has ended:
+// the client or the router has closed it, or it has failed.
+func (c *Conn) peekForCancelOrClose(pending []byte) (ended bool) {
 	scratch := c.server.peekBuffers.Get().(*[peekBytes]byte)
 	defer c.server.peekBuffers.Put(scratch)
 	n, ended := c.peek(scratch[:])
@@ -30,10 +31,11 @@
 	return ended || c.clientClosed()
 }
 
-// peek copies unread input without consuming it. It returns whether the client or this side has closed the connection, or it broke.
-func (c *Conn) peek(into []byte) (n int, ended bool) {
+// peek copies unread input without consuming it. ended reports whether the client or the router has closed the connection, or it has
+// failed.
+func (c *Conn) peek(buf []byte) (n int, ended bool) {
 	err := tcpsocket.Control(c.raw, func(fd int) {
-		received, _, err := unix.Recvfrom(fd, into, unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		received, _, err := unix.Recvfrom(fd, buf, unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		n = max(received, 0)
 		switch {
 		case err != nil:
@@ -45,8 +47,8 @@
 	return n, ended || errors.Is(err, net.ErrClosed)
 }
 
-// cancelledStreams lists the streams of the cancel frames in input that was read and in the unread input behind it. A frame may
-// begin in the one and end in the other; an incomplete one is ignored.
+// cancelledStreams returns the streams of the cancel frames in input that was read and in the unread input that follows it. A frame
+// may begin in read and end in unread. An incomplete frame is ignored.
 func cancelledStreams(read, unread []byte) (streams []uint32) {
 	for {
 		head := read
@@ -57,7 +59,7 @@
 		if len(head) < frameHeadBytes {
 			return streams
 		}
-		size := claimedFrameSize(head)
+		size := declaredFrameSize(head)
 		if size < frameHeadBytes || size > lengthBytes+maxFrameLength || size > len(read)+len(unread) {
 			return streams
 		}
--- a/internal/downstream/close_reason.go
+++ b/internal/downstream/close_reason.go
@@ -13,7 +13,7 @@
 	"bankledge/internal/logevent"
 )
 
-// closeReason is why a client's connection ended, as it is logged.
+// closeReason is the logged reason why a client connection ended.
 type closeReason string
 
 const (
@@ -29,31 +29,31 @@
 	closeShutdown    closeReason = "shutdown"
 )
 
-// setCloseReason notes why the connection ends; the first reason counts.
+// setCloseReason sets the reason why the connection ends, unless one is set already.
 func (c *Conn) setCloseReason(reason closeReason) { c.closeReason.CompareAndSwap(nil, &reason) }
 
-// recordReadError notes why nothing more is read.
+// recordReadError sets the close reason that corresponds to a read error.
 func (c *Conn) recordReadError(err error) {
 	switch {
 	case errors.Is(err, io.EOF):
 		c.setCloseReason(closeByClient)
 	case isTimeout(err):
 		c.setCloseReason(closeIdle)
-	case errors.Is(err, net.ErrClosed): // closed by this side, which has set its reason unless the program ends
+	case errors.Is(err, net.ErrClosed): // closed by the router, which has set a reason before unless it shuts down
 		c.setCloseReason(closeShutdown)
 	default:
 		c.setCloseReason(closeReadFailed)
 	}
 }
 
-// isTimeout returns whether a read ended at its deadline.
+// isTimeout returns whether an I/O operation failed because its deadline passed.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// reportClose logs why the connection ended. unanswered are the streams whose client still waited for an answer; where the router
-// closed the connection to save resources there may be none.
+// reportClose logs why the connection ended. unanswered are the streams whose answer the client still waited for. If there are any
+// after an eviction or an idle timeout, reportClose records a violation, since the router must not lose them to save resources.
 func (c *Conn) reportClose(unanswered []uint32) {
 	reason := closeUnknown
 	if set := c.closeReason.Load(); set != nil {
@@ -62,7 +62,7 @@
 	if len(unanswered) > 0 && (reason == closeEvicted || reason == closeIdle) {
 		c.server.Violations.Record(&invariant.Violation{
 			Rule:   invariant.NoLostRequest,
-			Detail: fmt.Sprintf("%s with streams %v open: %s", c.raw.RemoteAddr(), unanswered, reason),
+			Detail: fmt.Sprintf("connection %s closed with unanswered streams %v: %s", c.raw.RemoteAddr(), unanswered, reason),
 		})
 	}
 	c.server.log.Debug(logevent.ClientConnectionClosed,
--- a/internal/downstream/closed_socket_test.go
+++ b/internal/downstream/closed_socket_test.go
@@ -9,17 +9,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// departureNotice is within what time after its client has gone no attempt of a statement may begin, so by then the handler has to know.
-const departureNotice = 100 * time.Millisecond
+// cancelNoticeTimeout is the time within which the handler must be notified that a client has cancelled or closed, since no attempt of
+// its statements may start later than that.
+const cancelNoticeTimeout = 100 * time.Millisecond
 
-// A client's answers wait, so nothing is read from it, and then the router itself closes the socket: a write has failed, or the queue of
-// connection errors is full. The reader asked a closed descriptor whether the client had gone, and no answer counted as "it is still
-// there", so statements were cancelled only when the client counted as too slow. The log showed it: "client connection closed" with the
-// reason "write failed" came 12.25 s after the write, at the same moment as "slow client disconnected".
+// A client is stalled, so the router does not read from it, and then the router itself closes the socket, because a write fails or the
+// queue of connection errors is full. The statements must be cancelled at once. Earlier, the reader queried the state of the closed
+// descriptor and took the failed query to mean that the client was still connected, so the statements were cancelled only when the client
+// was found too slow: "client connection closed" with the reason "write failed" was logged 12.25 s after the write, together with "slow
+// client disconnected".
 func TestOwnCloseOfStalledClientCancelsStatements(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		closes func(*testing.T, *Conn)
+		name  string
+		close func(*testing.T, *Conn)
 	}{
 		{"failed write", func(t *testing.T, conn *Conn) {
 			conn.closeWrite() // the next write fails with EPIPE
@@ -38,11 +40,11 @@
 			stall(t, handler, client)
 			conn := server.snapshot()[0]
 			awaitReadingStopped(t, handler, conn, client)
-			c.closes(t, conn)
-			closed := time.Now()
+			c.close(t, conn)
+			closedAt := time.Now()
 			select {
 			case <-handler.cancelled:
-				assert.Less(t, time.Since(closed), departureNotice)
+				assert.Less(t, time.Since(closedAt), cancelNoticeTimeout)
 			case <-time.After(2 * slowClientTimeout):
 				t.Fatal("the statements were never cancelled")
 			}
@@ -50,7 +52,7 @@
 	}
 }
 
-// A descriptor that this side has closed: nothing comes from it and nothing can be sent on it any more.
+// After the router has closed a descriptor, the connection counts as ended, with nothing unread, unsent or waiting to be accepted.
 func TestClosedDescriptor(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -61,23 +63,23 @@
 	server := newTestServer(nopHandler{}, 1<<20)
 	conn := newConn(server, raw, server.flow.OpenPeer("x"), time.Now())
 	require.Eventually(t, func() bool { return conn.unreadBytes() > 0 }, eventTimeout, time.Millisecond)
-	assert.False(t, conn.peekForDeparture(nil), "it is open")
+	assert.False(t, conn.peekForCancelOrClose(nil), "the connection is open")
 	raw.Close()
 
-	assert.True(t, conn.peekForDeparture(nil), "the connection has ended")
+	assert.True(t, conn.peekForCancelOrClose(nil), "the connection has ended")
 	assert.True(t, conn.clientClosed())
 	assert.Zero(t, conn.unreadBytes(), "nothing more is read")
 	unsent, known := conn.unsentBytes()
-	assert.Zero(t, unsent, "the kernel sends what it has, also after the process has ended")
+	assert.Zero(t, unsent, "the kernel sends its buffer also after the process has exited")
 	assert.True(t, known)
 
 	listener.Close()
-	assert.False(t, AcceptPending(listener), "the kernel has refused those that waited")
+	assert.False(t, AcceptPending(listener), "the kernel has reset the waiting connections")
 }
 
-// The queue of a connection that has ended is longer than one write may take, and its socket is closed: each write fails. The writer was
-// woken once for the end and wrote once for that; with frames left it then waited to be woken again, which nothing did. The connection kept
-// its slot, and a router that was told to end did not ("the program does not end" in TestSlowReaders).
+// A connection has ended with more frames queued than one write may take, and each write fails because the socket is closed. Earlier, the
+// writer was woken once for the end, wrote once and then waited to be woken again, since frames were left. Nothing woke it, so the
+// connection kept its slot and a router that was asked to shut down did not exit ("the program does not end" in TestSlowReaders).
 func TestWriterEndsWhenWritesFail(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -11,37 +11,37 @@
 	"bankledge/internal/logevent"
 )
 
-// Conn is a client's connection: one goroutine reads, one writes.
+// Conn is a client connection. One goroutine reads from it and one writes to it.
 type Conn struct {
 	server      *Server
 	raw         net.Conn
 	peer        *flowcontrol.Peer // guarded by Server.flowMu
-	writeReady  chan struct{}     // wakes the writer: there is something to write, or the connection has ended
-	readResumed chan struct{}     // wakes the reader where it waits for the client to read its answers
-	shutdown    <-chan struct{}   // closed when the server ends
+	writeReady  chan struct{}     // wakes the writer when a frame was queued or the connection has ended
+	readResumed chan struct{}     // wakes the reader while it waits for the client to read its answers
+	shutdown    <-chan struct{}   // closed when the server stops
 
 	acceptedAt  time.Time
-	framingLost atomic.Bool // nothing on it can be read any more
-	// evictionRequested: the reader is to close the connection for another one, if it is still idle.
+	framingLost atomic.Bool // no further frame can be parsed
+	// evictionRequested asks the reader to close the connection, if it is still idle, to free its slot for another one.
 	evictionRequested atomic.Bool
-	closeReason       atomic.Pointer[closeReason] // nil while the connection is not known to end
+	closeReason       atomic.Pointer[closeReason] // nil until a reason is set
 
 	mu             sync.Mutex
-	ended          bool // finish was called: nothing more is handled
+	ended          bool // nothing more is handled or queued
 	endedAt        time.Time
 	queue          []queuedFrame
-	framesInWrite  int                    // frames that were taken from queue and are not with the kernel yet
-	openStreams    map[uint32]streamState // streams whose answer is not written yet
-	answersQueued  int                    // of openStreams, those whose answer is queued or being written
+	framesInWrite  int                    // frames that were removed from queue but not yet passed to the kernel
+	openStreams    map[uint32]streamState // streams whose answer has not been written yet
+	answersQueued  int                    // the number of openStreams whose answer is queued or being written
 	usedStreams    streamSet
-	hasSentFrame   bool      // a complete frame has arrived
-	invalidFrames  int       // frames that could not be used
-	idleSince      time.Time // since when no stream is open
-	stalled        bool      // the client's queue is so long that nothing is read from it
-	disconnectedAt time.Time // since when only short frames are queued because the client is too slow; zero: not disconnected
+	hasSentFrame   bool      // a complete frame has been received
+	invalidFrames  int       // invalid frames received and connection errors sent
+	idleSince      time.Time // when the connection was accepted, or a stream was last closed or a frame last written
+	stalled        bool      // the client's queue is so long that the server stops reading from the client
+	disconnectedAt time.Time // when the client was found too slow; only short frames are queued from then on; zero if it was not
 }
 
-// newConn returns a connection that was accepted at a time.
+// newConn returns a Conn for a connection that was accepted at acceptedAt.
 func newConn(server *Server, raw net.Conn, peer *flowcontrol.Peer, acceptedAt time.Time) *Conn {
 	return &Conn{
 		server:      server,
@@ -56,7 +56,7 @@
 	}
 }
 
-// serve reads and writes until the connection has ended; ctx closes it.
+// serve reads and writes frames until the connection has ended. It closes the connection when ctx is cancelled.
 func (c *Conn) serve(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { c.raw.Close() })
 	defer stop()
@@ -71,7 +71,7 @@
 	c.withPeer(func(_ time.Duration, peer *flowcontrol.Peer) { peer.Close() })
 }
 
-// readFrames handles frames until nothing more can be read. A panic ends this connection alone.
+// readFrames handles frames until nothing more can be read. It recovers from panics, so that a panic ends only this connection.
 func (c *Conn) readFrames() {
 	defer func() {
 		if p := recover(); p != nil {
@@ -81,7 +81,7 @@
 	newFrameReader(c).run()
 }
 
-// finish begins the connection's end: its open streams are cancelled, and the writer ends once the queue is written.
+// finish starts to end the connection: it cancels the open streams and lets the writer end once the queue is written.
 func (c *Conn) finish() {
 	unanswered := c.closeStreams()
 	c.reportClose(unanswered)
@@ -91,7 +91,7 @@
 	c.wakeWriter()
 }
 
-// closeStreams closes all streams and lists those whose client still waited.
+// closeStreams closes all streams and returns those whose answer the client still waited for.
 func (c *Conn) closeStreams() []uint32 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +107,7 @@
 	return unanswered
 }
 
-// flushExpired returns whether flushTimeout has passed since the connection ended, so that the rest of the queue is dropped.
+// flushExpired returns whether flushTimeout has passed since the connection ended. If so, the rest of the queue is dropped.
 func (c *Conn) flushExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/connection_test.go
+++ b/internal/downstream/connection_test.go
@@ -21,15 +21,15 @@
 	conn := await(t, handler.statements)
 	conn.Answer(1, CodeCompleted, nil)
 	assert.Equal(t, uint32(1), readFrame(t, r).stream)
-	require.Eventually(t, func() bool { return !conn.hasOpenStreams() }, eventTimeout, time.Millisecond) // its write has returned
+	require.Eventually(t, func() bool { return !conn.hasOpenStreams() }, eventTimeout, time.Millisecond) // the write of the answer has returned
 	assert.Zero(t, server.Violations.Total())
 	conn.Answer(1, CodeAborted, nil)
 	assert.Equal(t, int64(1), server.Violations.Recorded(invariant.OneAnswer))
-	write(t, client, appendFrame(nil, frameReadinessQuery, 0, 0)) // its answer has to be the next frame
+	write(t, client, appendFrame(nil, frameReadinessQuery, 0, 0)) // the reply must be the next frame
 	assert.Equal(t, frameReadinessReply, readFrame(t, r).kind)
 }
 
-// Closing a connection with an unanswered statement is recorded if this side closes it, but not if its client does.
+// Closing a connection with an unanswered statement is recorded as a violation if the router closes it, but not if the client does.
 func TestLostStatementIsRecorded(t *testing.T) {
 	for reason, recorded := range map[closeReason]int64{closeEvicted: 1, closeIdle: 1, closeByClient: 0} {
 		t.Run(string(reason), func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// What arrives on the connection of a client that is disconnected as too slow is rejected: it was not handled, so a retry is harmless.
+// A statement that arrives while its client is being disconnected as too slow is rejected. It was not handled, so a retry is harmless.
 func TestStatementOfSlowClientIsRejected(t *testing.T) {
 	_, handler, address := serve(t)
 	client := dial(t, address)
@@ -62,7 +62,7 @@
 	assert.Empty(t, handler.statements)
 }
 
-// Large frames that are not complete share a bounded memory, and give it back.
+// Incomplete large frames share a limited memory, which is released when a connection ends.
 func TestLargeFramesShareMemory(t *testing.T) {
 	const memory = maxFrameLength + 100
 	server := newTestServer(nopHandler{}, memory)
@@ -70,12 +70,12 @@
 	begin := appendFrame(nil, frameStatement, 1, maxFrameLength-minFrameLength)
 	first := dial(t, address)
 	write(t, first, begin)
-	require.Eventually(t, func() bool { return server.frameMemory.Load() < memory }, eventTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return server.freeFrameMemory.Load() < memory }, eventTimeout, time.Millisecond)
 	second := dial(t, address)
 	write(t, second, begin)
 	received, err := io.ReadAll(second)
 	require.NoError(t, err)
 	assert.Contains(t, string(received), errNoFrameMemory.Error())
 	first.Close()
-	require.Eventually(t, func() bool { return server.frameMemory.Load() == memory }, eventTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return server.freeFrameMemory.Load() == memory }, eventTimeout, time.Millisecond)
 }
--- a/internal/downstream/errors.go
+++ b/internal/downstream/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Why a frame or statement is not handled. All texts but the first are sent to clients.
+// Errors for frames and statements that are not handled. All texts except that of errConnEnded are sent to clients.
 var (
 	errConnEnded      = errors.New("the connection has ended")
 	errTooManyOpen    = errors.New("too many open statements")
@@ -15,12 +15,12 @@
 	errTooManyInvalid = errors.New("too many frames that cannot be used")
 )
 
-// streamUsedError is a statement on a stream that is not new.
+// streamUsedError is returned for a statement on a stream that was used before, or on stream 0. Its text is sent to clients.
 type streamUsedError struct{ stream uint32 }
 
 func (e *streamUsedError) Error() string { return fmt.Sprintf("stream %d is not new", e.stream) }
 
-// frameTypeError is a frame of a type that clients do not send.
+// frameTypeError is returned for a frame of a type that a client must not send. Its text is sent to clients.
 type frameTypeError struct{ kind frameType }
 
 func (e *frameTypeError) Error() string {
--- a/internal/downstream/eviction_crossing_test.go
+++ b/internal/downstream/eviction_race_test.go
@@ -9,19 +9,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// gatedHandler stands in Ready until its gate is opened.
-type gatedHandler struct {
+// blockingHandler blocks in Ready until the gate is closed.
+type blockingHandler struct {
 	*chanHandler
 	gate chan struct{}
 }
 
-func (h gatedHandler) Ready() bool {
+func (h blockingHandler) Ready() bool {
 	h.queries <- struct{}{}
 	<-h.gate
 	return true
 }
 
-// makeIdle has a connection count as idle for a minute.
+// makeIdle makes a connection count as idle for a minute.
 func makeIdle(conn *Conn) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -29,17 +29,18 @@
 	conn.idleSince = time.Now().Add(-time.Minute)
 }
 
-// A connection was chosen to be closed for another, its lock was given back, and the second look, before the close, asked only whether it
-// had ended or a stream was open. What had come in between was lost: an answer that waited, or a statement that nobody had read.
-func TestEvictionLooksAgainAtAll(t *testing.T) {
+// Between the choice of a connection for eviction and its close, the lock is released, and the connection may stop being idle. Earlier, the
+// check before the close only tested whether the connection had ended or a stream was open, so that a queued answer or an unread
+// statement was lost. The check must test all conditions again.
+func TestEvictionRechecksAllConditions(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	for _, c := range []struct {
-		name    string
-		happens func(*testing.T, *Conn, net.Conn)
+		name     string
+		activity func(*testing.T, *Conn, net.Conn)
 	}{
-		{"an answer waits", func(_ *testing.T, conn *Conn, _ net.Conn) {
+		{"an answer is queued", func(_ *testing.T, conn *Conn, _ net.Conn) {
 			conn.openStream(1)
 			conn.Answer(1, CodeCompleted, nil)
 			conn.CloseStream(1)
@@ -50,7 +51,7 @@
 			defer conn.mu.Unlock()
 			conn.framesInWrite = 1
 		}},
-		{"a statement lies unread", func(t *testing.T, conn *Conn, client net.Conn) {
+		{"a statement is unread", func(t *testing.T, conn *Conn, client net.Conn) {
 			write(t, client, statementFrame(1))
 			require.Eventually(t, func() bool { return conn.unreadBytes() > 0 }, eventTimeout, time.Millisecond)
 		}},
@@ -68,17 +69,17 @@
 			server := newTestServer(newChanHandler(), 1<<20)
 			conn := newConn(server, raw, server.flow.OpenPeer("x"), time.Now().Add(-time.Minute))
 			makeIdle(conn)
-			require.Equal(t, evictIdle, conn.evictionRank(), "it is chosen")
-			c.happens(t, conn, client)
+			require.Equal(t, evictIdle, conn.evictionRank(), "the connection is chosen")
+			c.activity(t, conn, client)
 			assert.False(t, conn.closeIfIdle())
 		})
 	}
 }
 
-// The reader has read a statement and stands before it, at the query that came with it, when the connection is closed for another. Nothing
-// was unread and no stream was open, so the statement was read and had no answer.
+// The reader has read a readiness query and a statement and is still handling the query when the eviction of the connection is requested.
+// Earlier, the connection was closed, since nothing was unread and no stream was open, and the statement was lost without an answer.
 func TestStatementThatWasReadPreventsEviction(t *testing.T) {
-	handler := gatedHandler{newChanHandler(), make(chan struct{})}
+	handler := blockingHandler{newChanHandler(), make(chan struct{})}
 	server := newTestServer(handler, 1<<20)
 	client := dial(t, listenAndServe(t, server))
 	write(t, client, appendFrame(nil, frameReadinessQuery, 0, 0), statementFrame(1))
@@ -91,7 +92,7 @@
 	assert.Same(t, conn, await(t, handler.statements))
 }
 
-// A statement of which a part was read is on its way: its connection is not closed for another.
+// A connection is not evicted if a part of a statement was read, since the rest is in flight.
 func TestPartOfStatementPreventsEviction(t *testing.T) {
 	server, handler, address := serve(t)
 	client := dial(t, address)
@@ -106,8 +107,8 @@
 	assert.Same(t, conn, await(t, handler.statements))
 }
 
-// The choice among idle connections compares how long they are idle, which their own goroutines change. The race detector reported it.
-func TestChoiceBesideOtherGoroutines(t *testing.T) {
+// evictOne compares the idle times of connections while their own goroutines change them. The race detector reported unsynchronized access.
+func TestEvictOneConcurrentWithActivity(t *testing.T) {
 	server := newTestServer(newChanHandler(), 1<<20)
 	var conns []*Conn
 	for range 50 {
@@ -137,8 +138,8 @@
 	}
 }
 
-// A client that has sent an invalid frame is the first to be closed for another, but not with a statement unread or an answer that it has
-// not acknowledged: those were valid.
+// A client that has sent an invalid frame is evicted first, but not while a statement is unread or an answer is not acknowledged, since
+// those are valid.
 func TestEvictionOfMisbehavingClientLosesNoStatement(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -146,13 +147,13 @@
 	for _, c := range []struct {
 		name        string
 		framingLost bool
-		happens     func(*testing.T, *Conn, net.Conn)
+		activity    func(*testing.T, *Conn, net.Conn)
 		evictable   bool
 	}{
-		{"nothing", false, func(*testing.T, *Conn, net.Conn) {}, true},
-		{"a statement lies unread", false, leaveStatementUnread, false},
+		{"no activity", false, func(*testing.T, *Conn, net.Conn) {}, true},
+		{"a statement is unread", false, leaveStatementUnread, false},
 		{"an answer is not acknowledged", false, leaveAnswerUnacknowledged, false},
-		{"framing lost: what lies unread is no statement", true, leaveStatementUnread, true},
+		{"framing lost, so that unread input is not a statement", true, leaveStatementUnread, true},
 		{"framing lost, and an earlier answer is not acknowledged", true, leaveAnswerUnacknowledged, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -165,8 +166,8 @@
 			makeIdle(conn)
 			conn.countInvalidFrame()
 			conn.framingLost.Store(c.framingLost)
-			require.Equal(t, evictMisbehaving, conn.evictionRank(), "it is chosen")
-			c.happens(t, conn, client)
+			require.Equal(t, evictMisbehaving, conn.evictionRank(), "the connection is chosen")
+			c.activity(t, conn, client)
 			assert.Equal(t, c.evictable, conn.closeIfIdle())
 		})
 	}
@@ -178,7 +179,7 @@
 	require.Eventually(t, func() bool { return conn.unreadBytes() > 0 }, eventTimeout, time.Millisecond)
 }
 
-// leaveAnswerUnacknowledged fills the client's receive buffer and leaves the rest in the router's send buffer.
+// leaveAnswerUnacknowledged writes until the client's receive buffer and the router's send buffer are full.
 func leaveAnswerUnacknowledged(t *testing.T, conn *Conn, _ net.Conn) {
 	t.Helper()
 	require.NoError(t, conn.raw.SetWriteDeadline(time.Now().Add(100*time.Millisecond)))
--- a/internal/downstream/frame.go
+++ b/internal/downstream/frame.go
@@ -6,16 +6,16 @@
 	"fmt"
 )
 
-// frameType is the type byte of a frame, by the protocol's numbers.
+// frameType is the type byte of a frame. The values are defined by the protocol.
 type frameType byte
 
 const (
-	frameReadinessQuery frameType = 1 // client: may statements be sent?
-	frameReadinessReply frameType = 2 // router: its answer, a code
-	frameDraining       frameType = 3 // router: send no new statements on this connection
+	frameReadinessQuery frameType = 1 // client: asks whether the router accepts statements
+	frameReadinessReply frameType = 2 // router: the reply to a readiness query, a code
+	frameDraining       frameType = 3 // router: asks the client to send no new statements on this connection
 	frameStatement      frameType = 7 // client: a statement on a new stream
-	frameAnswer         frameType = 8 // router: the answer of a stream, or on stream 0 an error of the connection
-	frameCancel         frameType = 9 // client: the answer of a stream is not awaited any more
+	frameAnswer         frameType = 8 // router: the answer of a stream, or an error of the connection on stream 0
+	frameCancel         frameType = 9 // client: no longer waits for the answer of a stream
 )
 
 // Code is the first byte of an answer.
@@ -23,38 +23,40 @@
 
 // The codes of an answer.
 const (
-	CodeCompleted Code = 20 // the statement ran; the body is its result
-	CodeRejected  Code = 50 // the statement never ran; the body is the reason
-	CodeAborted   Code = 51 // whether the statement ran is not known; the body is the reason
+	CodeCompleted Code = 20 // the statement completed; the body is its result
+	CodeRejected  Code = 50 // the statement did not run; the body is the reason
+	CodeAborted   Code = 51 // the statement may have run; the body is the reason
 )
 
-// A frame is its length (4 bytes, big-endian, of all that follows), its type (1 byte), its stream (4 bytes) and a payload.
+// A frame consists of its length (4 bytes, big-endian, of the rest of the frame), its type (1 byte), its stream (4 bytes, big-endian)
+// and a payload.
 const (
 	lengthBytes     = 4
 	frameHeadBytes  = lengthBytes + minFrameLength
-	minFrameLength  = 5 // type and stream
+	minFrameLength  = 5 // of type and stream, with an empty payload
 	maxFrameLength  = 262144
-	answerHeadBytes = 2 // code, and the number of fields
+	answerHeadBytes = 2 // code and number of fields
 )
 
-// errFraming is returned for a frame length outside the limits; the beginning of the next frame is not known then.
+// errFraming is returned for a frame length outside the limits. The start of the next frame cannot be found then.
 var errFraming = errors.New("frame length outside the limits")
 
 var errFieldsTruncated = errors.New("fields are cut short")
 
-// duplicateFieldError is a frame that names a field twice.
+// duplicateFieldError is returned for a frame with two fields of the same name.
 type duplicateFieldError struct{ name string }
 
 func (e *duplicateFieldError) Error() string { return fmt.Sprintf("field %q stands twice", e.name) }
 
-// frame is one frame; its payload is valid until the next read.
+// frame is a parsed frame. Its payload is valid until the next read.
 type frame struct {
 	kind    frameType
 	stream  uint32
 	payload []byte
 }
 
-// parseFrame reads the first frame and returns its size in bytes; size 0: the frame is not complete yet. The only error is errFraming.
+// parseFrame parses the frame at the start of raw and returns its size in bytes, or size 0 if the frame is incomplete. Its only error
+// is errFraming.
 func parseFrame(raw []byte) (f frame, size int, err error) {
 	if len(raw) < lengthBytes {
 		return frame{}, 0, nil
@@ -75,19 +77,20 @@
 	return f, size, nil
 }
 
-// claimedFrameSize is the size in bytes of the frame that begins here, as it claims; 0: not known yet.
-func claimedFrameSize(raw []byte) int {
+// declaredFrameSize returns the size in bytes of the frame at the start of raw, by its length field, or 0 if that is incomplete.
+func declaredFrameSize(raw []byte) int {
 	if len(raw) < lengthBytes {
 		return 0
 	}
 	return lengthBytes + int(binary.BigEndian.Uint32(raw))
 }
 
-// Fields are the named values of a frame.
+// Fields are the fields of a frame: values by name.
 type Fields map[string]string
 
-// parseFields reads the fields at the start of a payload and returns what follows them. A field is its name behind one byte
-// of length and its value behind two.
+// parseFields parses the fields at the start of a payload and returns them and the rest of the payload. The payload starts with the
+// number of fields (1 byte). A field consists of the length of its name (1 byte), its name, the length of its value (2 bytes,
+// big-endian) and its value.
 func parseFields(payload []byte) (Fields, []byte, error) {
 	if len(payload) < 1 {
 		return nil, nil, errFieldsTruncated
@@ -109,7 +112,7 @@
 	return fields, rest, nil
 }
 
-// cutField reads one field and returns what follows it.
+// cutField parses the field at the start of raw and returns it and the rest of raw.
 func cutField(raw []byte) (name, value string, after []byte, err error) {
 	const valueLengthBytes = 2
 	if len(raw) < 1 {
@@ -127,16 +130,16 @@
 	return string(raw[1:nameEnd]), string(after[:valueLength]), after[valueLength:], nil
 }
 
-// appendFrame appends the length, type and stream of a frame whose payload has payloadBytes; the caller appends the payload.
-func appendFrame(to []byte, kind frameType, stream uint32, payloadBytes int) []byte {
-	to = binary.BigEndian.AppendUint32(to, uint32(minFrameLength+payloadBytes))
-	to = append(to, byte(kind))
-	return binary.BigEndian.AppendUint32(to, stream)
+// appendFrame appends the length, type and stream of a frame with a payload of payloadBytes bytes. The caller appends the payload.
+func appendFrame(dst []byte, kind frameType, stream uint32, payloadBytes int) []byte {
+	dst = binary.BigEndian.AppendUint32(dst, uint32(minFrameLength+payloadBytes))
+	dst = append(dst, byte(kind))
+	return binary.BigEndian.AppendUint32(dst, stream)
 }
 
-// appendAnswer appends a frame with a code, no fields and a body.
-func appendAnswer(to []byte, kind frameType, stream uint32, code Code, body []byte) []byte {
-	to = appendFrame(to, kind, stream, answerHeadBytes+len(body))
-	to = append(to, byte(code), 0)
-	return append(to, body...)
+// appendAnswer appends a complete frame with a code, no fields and a body.
+func appendAnswer(dst []byte, kind frameType, stream uint32, code Code, body []byte) []byte {
+	dst = appendFrame(dst, kind, stream, answerHeadBytes+len(body))
+	dst = append(dst, byte(code), 0)
+	return append(dst, body...)
 }
--- a/internal/downstream/frame_reader.go
+++ b/internal/downstream/frame_reader.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// idleTimeout is after how long without a frame a connection with nothing open is closed.
+	// idleTimeout is the time without a frame after which a connection without open streams is closed.
 	idleTimeout = 60 * time.Second
-	// lateReadTimeout bounds a read, after its deadline, of bytes that arrived in time while the router did not run.
+	// lateReadTimeout limits the read of bytes that arrived before a read deadline while the router process was not running.
 	lateReadTimeout = 20 * time.Millisecond
-	// peekInterval is how often an unread connection is checked for cancel frames and a close by its client.
+	// peekInterval is how often a connection from which the server does not read is checked for cancel frames and for a close by its client.
 	peekInterval = 50 * time.Millisecond
-	// smallFrameBytes is the largest frame that needs no reservation in the frame memory that all connections share.
+	// smallFrameBytes is the size of the largest frame that needs no reservation in Server.freeFrameMemory, which all connections share.
 	smallFrameBytes = 4 << 10
 
-	maxInvalidFrames     = 128                  // of a connection, which then ends
-	invalidFrameDelay    = 2 * time.Millisecond // before the next read, for each invalid frame so far
+	maxInvalidFrames     = 128                  // per connection; one more closes it
+	invalidFrameDelay    = 2 * time.Millisecond // per invalid frame so far, before the next read
 	maxInvalidFrameDelay = 50 * time.Millisecond
-	discardLinger        = time.Second // how long input is still discarded after the last answer
+	discardLinger        = time.Second // how long input is still read and discarded after the last answer
 )
 
 // frameReader reads the frames of a connection.
@@ -29,30 +29,30 @@
 	conn           *Conn
 	buffer         *readbuffer.Buffer
 	limits         flowcontrol.Limits
-	awaitedSince   time.Time // since when the present frame is awaited
+	frameWaitStart time.Time // when the wait for the current frame began
 	hasReadFrame   bool
-	invalidFrames  int   // of the connection, as last seen
-	lateBytes      int64 // of the present frame, those that arrived after its grace
-	reservedMemory int64 // bytes taken of Server.frameMemory
+	invalidFrames  int   // of the connection, as of the last frame handled
+	lateBytes      int64 // of the current frame, received after limits.FrameGrace
+	reservedMemory int64 // bytes of Server.freeFrameMemory reserved for the current frame
 }
 
 func newFrameReader(c *Conn) *frameReader {
 	return &frameReader{
-		conn:         c,
-		buffer:       readbuffer.New(lengthBytes + maxFrameLength),
-		limits:       c.server.flow.Limits(),
-		awaitedSince: c.acceptedAt,
+		conn:           c,
+		buffer:         readbuffer.New(lengthBytes + maxFrameLength),
+		limits:         c.server.flow.Limits(),
+		frameWaitStart: c.acceptedAt,
 	}
 }
 
-// run handles frames until nothing more can be read, or nothing more is to be.
+// run reads and handles frames until nothing more can be read or the connection is to be closed.
 func (r *frameReader) run() {
 	defer r.releaseMemory()
-	for r.handleBuffered() && r.delayInvalid() && r.reserveMemory() && r.awaitClient() && r.checkEviction() && r.fill() {
+	for r.handleBuffered() && r.delayInvalid() && r.reserveMemory() && r.waitWhileStalled() && r.checkEviction() && r.fill() {
 	}
 }
 
-// handleBuffered handles all complete frames that were read. Like the steps behind it, it returns whether to go on.
+// handleBuffered handles all complete frames in the buffer. Like the other steps that run calls, it returns whether to continue.
 func (r *frameReader) handleBuffered() bool {
 	for {
 		f, size, err := parseFrame(r.buffer.Bytes())
@@ -76,37 +76,37 @@
 	}
 }
 
-// restartGrace restarts the present frame's time limit after a delay that does not count against the client.
+// restartGrace restarts the time limit of the current frame after a delay that does not count against the client.
 func (r *frameReader) restartGrace() {
-	r.awaitedSince = time.Now()
+	r.frameWaitStart = time.Now()
 	r.lateBytes = 0
 }
 
-// delayInvalid slows down a client that sends invalid frames. Their answers were queued before.
+// delayInvalid slows down a client that sends invalid frames by delaying the next read. The answers to them are already queued.
 func (r *frameReader) delayInvalid() bool {
 	if r.invalidFrames == 0 {
 		return true
 	}
 	time.Sleep(min(maxInvalidFrameDelay, time.Duration(r.invalidFrames)*invalidFrameDelay))
-	return r.checkDeparture(r.conn.peekForDeparture(r.buffer.Bytes()))
+	return r.continueUnlessClosed(r.conn.peekForCancelOrClose(r.buffer.Bytes()))
 }
 
-// checkDeparture ends the reading of a connection that the client has closed.
-func (r *frameReader) checkDeparture(closed bool) bool {
+// continueUnlessClosed sets the close reason if the client has closed the connection, and returns whether to continue reading.
+func (r *frameReader) continueUnlessClosed(closed bool) bool {
 	if closed {
 		r.conn.setCloseReason(closeByClient)
 	}
 	return !closed
 }
 
-// reserveMemory reserves memory for the present frame, if it is a large one, in the frame memory that all connections share.
+// reserveMemory reserves memory for the current frame in Server.freeFrameMemory if the frame is larger than smallFrameBytes.
 func (r *frameReader) reserveMemory() bool {
-	size := claimedFrameSize(r.buffer.Bytes())
+	size := declaredFrameSize(r.buffer.Bytes())
 	if size <= smallFrameBytes || r.reservedMemory != 0 {
 		return true
 	}
 	r.reservedMemory = int64(size)
-	if r.conn.server.frameMemory.Add(-r.reservedMemory) < 0 {
+	if r.conn.server.freeFrameMemory.Add(-r.reservedMemory) < 0 {
 		r.conn.discardInput(errNoFrameMemory)
 		return false
 	}
@@ -114,14 +114,14 @@
 }
 
 func (r *frameReader) releaseMemory() {
-	r.conn.server.frameMemory.Add(r.reservedMemory)
+	r.conn.server.freeFrameMemory.Add(r.reservedMemory)
 	r.reservedMemory = 0
 }
 
-// awaitClient waits while the client is stalled.
-func (r *frameReader) awaitClient() bool {
+// waitWhileStalled waits while the client is stalled.
+func (r *frameReader) waitWhileStalled() bool {
 	waited, closed := r.conn.awaitReadResumed(r.buffer.Bytes())
-	if !r.checkDeparture(closed) {
+	if !r.continueUnlessClosed(closed) {
 		return false
 	}
 	if waited {
@@ -130,29 +130,29 @@
 	return true
 }
 
-// checkEviction ends the reading of a connection that is to be closed for another one, unless a part of a frame was read.
+// checkEviction closes the connection if its eviction was requested and no part of a frame was read. It returns whether to continue.
 func (r *frameReader) checkEviction() bool {
 	return !r.conn.evictIfRequested(len(r.buffer.Bytes()) > 0)
 }
 
-// fill reads once.
+// fill reads once from the connection into the buffer and handles a read error.
 func (r *frameReader) fill() bool {
 	idle := r.hasReadFrame && len(r.buffer.Bytes()) == 0
 	n, err := r.readBefore(r.deadline(idle))
 	switch {
 	case idle && n > 0:
-		r.awaitedSince = time.Now()
-	case time.Since(r.awaitedSince) > r.limits.FrameGrace:
+		r.frameWaitStart = time.Now()
+	case time.Since(r.frameWaitStart) > r.limits.FrameGrace:
 		r.lateBytes += int64(n)
 	}
 	if err == nil {
 		return true
 	}
 	if isTimeout(err) {
-		if r.conn.evictionRequested.Load() { // it ended the read
+		if r.conn.evictionRequested.Load() { // requestEviction interrupted the read
 			return true
 		}
-		if r.conn.hasOpenStreams() { // the connection stays open until they are answered
+		if r.conn.hasOpenStreams() { // keep the connection open until they are answered
 			r.restartGrace()
 			return true
 		}
@@ -164,19 +164,20 @@
 	return false
 }
 
-// deadline returns until when the next bytes are awaited.
+// deadline returns the time by which the next bytes must arrive. idle tells whether the connection is between two frames.
 func (r *frameReader) deadline(idle bool) time.Time {
 	if idle {
 		return time.Now().Add(idleTimeout)
 	}
-	return time.Now().Add(r.limits.FrameReadTimeout(time.Since(r.awaitedSince), r.lateBytes))
+	return time.Now().Add(r.limits.FrameReadTimeout(time.Since(r.frameWaitStart), r.lateBytes))
 }
 
-// readBefore reads once, before a deadline. Bytes that arrived in time while the router did not run are read after it.
+// readBefore reads once, until a deadline. If bytes are unread at the deadline, they arrived before it while the router process was not
+// running, and readBefore still reads them.
 func (r *frameReader) readBefore(deadline time.Time) (int, error) {
 	raw := r.conn.raw
 	raw.SetReadDeadline(deadline)
-	if r.conn.evictionRequested.Load() { // its deadline may have been replaced by this one
+	if r.conn.evictionRequested.Load() { // the deadline set above may have replaced the one that requestEviction set
 		return 0, os.ErrDeadlineExceeded
 	}
 	n, err := r.buffer.Fill(raw)
@@ -187,12 +188,12 @@
 	return n, err
 }
 
-// awaitReadResumed waits while the client is stalled. It returns whether it had to wait, and whether the client has closed the
-// connection meanwhile. pending is input that was read and not handled yet.
+// awaitReadResumed waits while the client is stalled. It returns whether it had to wait, and whether the connection was closed
+// meanwhile. pending is input that was read and not handled yet.
 func (c *Conn) awaitReadResumed(pending []byte) (waited, closed bool) {
 	for c.readingStopped() {
 		waited = true
-		if c.peekForDeparture(pending) {
+		if c.peekForCancelOrClose(pending) {
 			return waited, true
 		}
 		select {
@@ -205,21 +206,22 @@
 	return waited, false
 }
 
+// readingStopped returns whether the reader has to wait because the client is stalled.
 func (c *Conn) readingStopped() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stalled && !c.ended && c.disconnectedAt.IsZero()
 }
 
-// discardInput sends a last error on a connection of which nothing more can be read. Statements that were taken before are still
-// answered; what arrives meanwhile is discarded, since the kernel would drop unacknowledged answers if the connection were
-// closed with bytes unread.
+// discardInput sends a last error on a connection from which no further frame can be read. Statements that were received before are
+// still answered. Input that arrives meanwhile is read and discarded, because the kernel drops unacknowledged answers when a
+// connection with unread bytes is closed.
 func (c *Conn) discardInput(reason error) {
 	c.setCloseReason(closeFramingLost)
 	c.sendConnError(reason)
 	c.framingLost.Store(true)
 	scratch := make([]byte, smallFrameBytes)
-	var deadline time.Time // zero until all is answered
+	var deadline time.Time // zero until all answers are written
 	for deadline.IsZero() || time.Now().Before(deadline) {
 		if deadline.IsZero() && c.flushed() {
 			deadline = time.Now().Add(discardLinger)
@@ -231,13 +233,13 @@
 			c.recordReadError(err)
 			return
 		}
-		if n > 0 { // no faster than invalid frames
+		if n > 0 { // read no faster than invalid frames are
 			time.Sleep(maxInvalidFrameDelay)
 		}
-		if c.clientClosed() { // even if input is still unread
+		if c.clientClosed() { // also if input is still unread
 			return
 		}
-		if c.evictIfRequested(false) { // what is read here is discarded
+		if c.evictIfRequested(false) { // no statement is lost, since all input read here is discarded
 			return
 		}
 	}
--- a/internal/downstream/frame_test.go
+++ b/internal/downstream/frame_test.go
@@ -19,13 +19,13 @@
 		invalid bool
 	}{
 		{"complete", complete, 11, false},
-		{"with the next one behind it", append(complete[:11:11], complete...), 11, false},
-		{"nothing", nil, 0, false},
+		{"followed by the next frame", append(complete[:11:11], complete...), 11, false},
+		{"empty input", nil, 0, false},
 		{"part of a length", complete[:3], 0, false},
 		{"part of a payload", complete[:10], 0, false},
 		{"too short", withLength(minFrameLength - 1), 0, true},
 		{"shortest", withLength(minFrameLength), 9, false},
-		{"longest, not complete", withLength(maxFrameLength), 0, false},
+		{"longest, incomplete", withLength(maxFrameLength), 0, false},
 		{"too long", withLength(maxFrameLength + 1), 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,15 +51,15 @@
 		rest      string
 		err       error
 	}{
-		{"none", "\x00body", Fields{}, "body", nil},
-		{"two", "\x02\x01c\x00\x02hi\x01d\x00\x00rest", Fields{"c": "hi", "d": ""}, "rest", nil},
-		{"nothing at all", "", nil, "", errFieldsTruncated},
+		{"no fields", "\x00body", Fields{}, "body", nil},
+		{"two fields", "\x02\x01c\x00\x02hi\x01d\x00\x00rest", Fields{"c": "hi", "d": ""}, "rest", nil},
+		{"empty payload", "", nil, "", errFieldsTruncated},
 		{"no name", "\x01", nil, "", errFieldsTruncated},
 		{"part of a name", "\x01\x05ab", nil, "", errFieldsTruncated},
-		{"part of a size", "\x01\x01c\x00", nil, "", errFieldsTruncated},
+		{"part of a value length", "\x01\x01c\x00", nil, "", errFieldsTruncated},
 		{"part of a value", "\x01\x01c\x00\x05hi", nil, "", errFieldsTruncated},
-		{"one less than counted", "\x02\x01c\x00\x02hi", nil, "", errFieldsTruncated},
-		{"twice", "\x02\x01c\x00\x00\x01c\x00\x00", nil, "", duplicate},
+		{"fewer fields than counted", "\x02\x01c\x00\x02hi", nil, "", errFieldsTruncated},
+		{"duplicate field", "\x02\x01c\x00\x00\x01c\x00\x00", nil, "", duplicate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, rest, err := parseFields([]byte(c.raw))
@@ -83,7 +83,7 @@
 			return
 		}
 		if _, rest, err := parseFields(parsed.payload); err == nil && len(rest) > len(parsed.payload) {
-			t.Fatal("more came out than went in")
+			t.Fatal("the rest is longer than the payload")
 		}
 	})
 }
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// eventTimeout bounds what must happen; nothing takes so long when all is well.
+	// eventTimeout limits the wait for an expected event. A correct implementation is much faster.
 	eventTimeout = 10 * time.Second
-	// slowClientTimeout is the least time before a client that reads nothing is disconnected, which cancels its streams.
+	// slowClientTimeout is the minimum time before a client that reads nothing is disconnected, which cancels its streams.
 	slowClientTimeout = 8 * time.Second
 
 	maxTestConnections = 10
@@ -35,13 +35,13 @@
 func (nopHandler) AbortOpenStatements(*Conn, string)                  {}
 func (nopHandler) Ready() bool                                        { return true }
 
-// chanHandler passes its calls to a test, which answers by hand.
+// chanHandler reports its calls on channels; the test sends the answers.
 type chanHandler struct {
 	nopHandler
 	statements   chan *Conn
 	cancelled    chan uint32
-	queries      chan struct{}               // for readiness
-	beforeCancel atomic.Pointer[func(*Conn)] // called before a cancel is passed on
+	queries      chan struct{}               // calls of Ready
+	beforeCancel atomic.Pointer[func(*Conn)] // called before a cancel is reported
 }
 
 func newChanHandler() *chanHandler {
@@ -75,7 +75,7 @@
 	return New(handler, maxTestConnections, frameMemory, flowcontrol.DeriveLimits(64, maxTestConnections), zap.NewNop())
 }
 
-// listenAndServe serves on a port of loopback until the test ends, and returns the address.
+// listenAndServe serves on a loopback port until the test ends, and returns the address.
 func listenAndServe(t *testing.T, server *Server) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,7 +103,7 @@
 	return dialWith(t, net.Dialer{}, address)
 }
 
-// dialSmallBuffer dials with a receive buffer so small that the kernel does not take in what the client does not read.
+// dialSmallBuffer dials with a small receive buffer, so that answers that the client does not read stay unacknowledged.
 func dialSmallBuffer(t *testing.T, address string) net.Conn {
 	t.Helper()
 	return dialWith(t, net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -125,7 +125,7 @@
 	select {
 	case event = <-events:
 	case <-time.After(eventTimeout):
-		t.Fatal("it did not happen")
+		t.Fatal("timed out waiting for an event")
 	}
 	return event
 }
@@ -151,7 +151,7 @@
 	head := make([]byte, lengthBytes)
 	_, err := io.ReadFull(r, head)
 	require.NoError(t, err)
-	raw := append(head, make([]byte, claimedFrameSize(head)-lengthBytes)...)
+	raw := append(head, make([]byte, declaredFrameSize(head)-lengthBytes)...)
 	_, err = io.ReadFull(r, raw[lengthBytes:])
 	require.NoError(t, err)
 	f, _, err := parseFrame(raw)
@@ -159,7 +159,7 @@
 	return f
 }
 
-// reset closes a connection with a reset: the kernel drops what it has sent.
+// reset closes a connection with a TCP reset, so that the receiving kernel drops unread input.
 func reset(conn net.Conn) {
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
--- a/internal/downstream/idle_eviction.go
+++ b/internal/downstream/idle_eviction.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// newConnGrace is how long the first statement of a new connection may be on its way.
+	// newConnGrace is the time for which a new connection is kept because its first statement may be in flight.
 	newConnGrace = 500 * time.Millisecond
-	// evictionIdleTime is how long the next statement of a connection that was answered may be on its way.
+	// evictionIdleTime is the time for which an idle connection is kept because its next statement may be in flight.
 	evictionIdleTime = time.Second
 )
 
-// evictionRank orders connections by what closing them would lose: the higher, the less.
+// evictionRank orders connections for eviction: the connection with the highest rank is evicted first.
 type evictionRank int
 
 const (
-	notEvictable     evictionRank = iota // a client might not receive an answer
-	evictIdle                            // nothing open, and nothing sent for a while
-	evictSilent                          // has never sent a frame
+	notEvictable     evictionRank = iota // evicting it might leave a client without an answer
+	evictIdle                            // has no open stream and has been idle for evictionIdleTime
+	evictSilent                          // has not sent a frame within newConnGrace
 	evictMisbehaving                     // has sent an invalid frame
 )
 
-// evictOne asks the connection whose loss is least to end; among equals, the one that has been idle longest.
+// evictOne requests the eviction of the connection with the highest rank and, among equal ranks, the longest idle time. It does
+// nothing if no connection can be evicted.
 func (s *Server) evictOne() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +28,7 @@
 	var candidateIdleSince time.Time
 	highest := notEvictable
 	for c := range s.connections {
-		if c.evictionRequested.Load() { // its slot is about to be free
+		if c.evictionRequested.Load() { // its slot will be free soon
 			continue
 		}
 		rank, idleSince := c.evictionState()
@@ -48,21 +49,22 @@
 	s.evicted++
 }
 
-// Evicted returns the number of connections that were closed to free a slot for another one, since the start.
+// Evicted returns the number of connections that were closed since the start to free a slot for another one.
 func (s *Server) Evicted() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.evicted
 }
 
-// requestEviction asks the reader to close the connection. It alone knows what it has read and not handled yet, so it alone may decide.
+// requestEviction asks the reader to close the connection. Only the reader knows whether it has read input that it has not handled yet,
+// so only the reader decides.
 func (c *Conn) requestEviction() {
 	c.evictionRequested.Store(true)
-	c.raw.SetReadDeadline(time.Now()) // ends a read that waits
+	c.raw.SetReadDeadline(time.Now()) // interrupts a blocked read
 }
 
-// evictIfRequested closes the connection where that was requested and still loses nothing; hasInput reports whether the reader has input
-// that it did not handle yet. It returns whether it has closed the connection. Only the reader calls it.
+// evictIfRequested closes the connection if its eviction was requested and no client would lose an answer. hasInput tells whether the
+// reader has input that it has not handled yet. It returns whether it has closed the connection. Only the reader may call it.
 func (c *Conn) evictIfRequested(hasInput bool) (evicted bool) {
 	if !c.evictionRequested.Load() {
 		return false
@@ -75,30 +77,30 @@
 	return false
 }
 
-// evictionRank is the rank of evictionState.
+// evictionRank returns the connection's present rank.
 func (c *Conn) evictionRank() evictionRank {
 	rank, _ := c.evictionState()
 	return rank
 }
 
-// evictionState returns what closing the connection would lose, and since when no stream is open.
+// evictionState returns the connection's present rank and since when it has been idle.
 func (c *Conn) evictionState() (rank evictionRank, idleSince time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lockedEvictionRank(), c.idleSince
 }
 
-// lockedEvictionRank is notEvictable for a connection with something open, whose client has not acknowledged its last answer yet, or
-// whose next statement may well be on its way. The caller holds mu.
+// lockedEvictionRank returns the connection's present rank. The rank is notEvictable if a stream is open, an answer is queued, being
+// written or not acknowledged by the client, or a statement is unread or may be in flight. The caller must hold mu.
 func (c *Conn) lockedEvictionRank() evictionRank {
 	switch {
 	case c.ended || len(c.openStreams) > 0 || len(c.queue) > 0 || c.framesInWrite > 0:
 		return notEvictable
-	case c.hasUnacknowledged(): // a close would have the kernel drop it if something lies unread
+	case c.hasUnacknowledged(): // on a close with unread input the kernel drops unacknowledged answers
 		return notEvictable
-	case c.framingLost.Load(): // what lies unread is no statement
+	case c.framingLost.Load(): // unread input is not handled as a statement any more
 		return evictMisbehaving
-	case c.unreadBytes() > 0: // it arrived while the router did not run, or while the reader waits after an invalid frame
+	case c.unreadBytes() > 0: // may be a statement that arrived while the router process was not running or during delayInvalid
 		return notEvictable
 	case c.invalidFrames > 0:
 		return evictMisbehaving
@@ -112,14 +114,15 @@
 	return evictIdle
 }
 
-// hasUnacknowledged returns whether the client has not acknowledged all that was written. Where the kernel does not report it, it has.
+// hasUnacknowledged returns whether there are written bytes that the client has not acknowledged. It returns false if the kernel does
+// not report that.
 func (c *Conn) hasUnacknowledged() bool {
 	unsent, known := c.unsentBytes()
 	return known && unsent > 0
 }
 
-// closeIfIdle closes a connection whose loss leaves no client without an answer, and returns whether it did: what arrives on it is not
-// handled any more.
+// closeIfIdle closes the connection unless its rank is notEvictable, and returns whether it did. Input that arrives after the close is
+// not handled.
 func (c *Conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/idle_eviction_test.go
+++ b/internal/downstream/idle_eviction_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A connection is closed for another only where that leaves no client without an answer.
+// A connection may be evicted only if that leaves no client without an answer.
 func TestEvictionRank(t *testing.T) {
 	now := time.Now()
 	long := now.Add(-time.Minute)
@@ -19,11 +19,11 @@
 		want evictionRank
 	}{
 		{"an open stream", &Conn{openStreams: map[uint32]streamState{1: streamAwaited}, hasSentFrame: true, acceptedAt: long, idleSince: long}, notEvictable},
-		{"an answer not written", &Conn{queue: make([]queuedFrame, 1), hasSentFrame: true, acceptedAt: long, idleSince: long}, notEvictable},
-		{"an answer that is being written", &Conn{framesInWrite: 1, hasSentFrame: true, acceptedAt: long, idleSince: long}, notEvictable},
-		{"new: its first statement may be on its way", &Conn{acceptedAt: now, idleSince: now}, notEvictable},
+		{"an answer is queued", &Conn{queue: make([]queuedFrame, 1), hasSentFrame: true, acceptedAt: long, idleSince: long}, notEvictable},
+		{"an answer is being written", &Conn{framesInWrite: 1, hasSentFrame: true, acceptedAt: long, idleSince: long}, notEvictable},
+		{"new, so that its first statement may be in flight", &Conn{acceptedAt: now, idleSince: now}, notEvictable},
 		{"silent", &Conn{acceptedAt: long, idleSince: long}, evictSilent},
-		{"answered just now: its next statement may be on its way", &Conn{hasSentFrame: true, acceptedAt: long, idleSince: now}, notEvictable},
+		{"answered just now, so that its next statement may be in flight", &Conn{hasSentFrame: true, acceptedAt: long, idleSince: now}, notEvictable},
 		{"idle", &Conn{hasSentFrame: true, acceptedAt: long, idleSince: long}, evictIdle},
 		{"invalid frames", &Conn{hasSentFrame: true, invalidFrames: 1, acceptedAt: now, idleSince: now}, evictMisbehaving},
 		{"ended", &Conn{ended: true, acceptedAt: long, idleSince: long}, notEvictable},
@@ -34,7 +34,7 @@
 	}
 }
 
-// A statement that arrived in time, on a connection that was not read since, is handled, and its connection is not closed for another.
+// A connection with an unread statement is not evicted, and the statement is handled.
 func TestUnreadStatementPreventsEviction(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,9 +1,9 @@
-// Package downstream serves clients: binary frames over TCP, and the connections that carry them.
+// Package downstream implements the router's side of the client protocol: binary frames over TCP.
 //
-// Server accepts connections, bounds how many are open and disconnects clients that do not read their answers. Each Conn has a
-// goroutine that reads frames and one that writes them; statements go to a Handler, which answers through the Conn.
+// Server accepts connections, limits how many are open and disconnects clients that do not read their answers. Each Conn has one
+// goroutine that reads frames and one that writes them. It passes statements to a Handler, which answers through the Conn.
 //
-// Lock order: Server.mu, Conn.mu, Server.flowMu. No Handler is called with a lock held.
+// Locks are acquired in the order Server.mu, Conn.mu, Server.flowMu. No Handler method is called with a lock held.
 package downstream
 
 import (
@@ -21,39 +21,39 @@
 	"bankledge/internal/logevent"
 )
 
-// acceptRetryInterval is the delay before the next attempt to accept a connection, or to acquire a slot for one.
+// acceptRetryInterval is the delay before the server tries again to accept a connection or to acquire a slot for one.
 const acceptRetryInterval = 20 * time.Millisecond
 
-// Handler handles what clients send. No call may block on a socket; slices are valid for the call only.
+// Handler handles the requests of clients. Its methods must not block on a socket and must not keep the slices that they are given.
 type Handler interface {
-	// HandleStatement takes a statement. The handler then has to call Answer once for its stream, unless HandleCancel is called. It returns
-	// whether the statement was valid; an invalid one has been answered already.
+	// HandleStatement handles a statement. The handler must call Answer once for its stream, unless HandleCancel is called for it.
+	// HandleStatement returns whether the statement was valid; it has answered an invalid statement before it returns.
 	HandleStatement(c *Conn, stream uint32, fields Fields, text []byte) (valid bool)
-	// HandleCancel is called when the client does not wait for these streams any more.
+	// HandleCancel is called when the client no longer waits for the answers of these streams.
 	HandleCancel(c *Conn, streams []uint32)
-	// HandleBackpressure is called when reading from a client stops, since it does not read its answers, and when reading resumes.
+	// HandleBackpressure is called when the server stops reading from a client that does not read its answers, and when it resumes.
 	HandleBackpressure(c *Conn, stalled bool)
-	// AbortOpenStatements has to answer all open statements of a connection: its client is disconnected for the reason given.
+	// AbortOpenStatements must answer all open statements of a connection, since its client is being disconnected for the given reason.
 	AbortOpenStatements(c *Conn, reason string)
-	// Ready returns whether statements may be sent to the router.
+	// Ready returns whether the router accepts statements.
 	Ready() bool
 }
 
-// Server owns the clients' connections.
+// Server accepts client connections and manages them until they are closed.
 type Server struct {
-	// Violations records second answers of a stream and statements that are lost by a close.
+	// Violations records duplicate answers to a stream and statements that are lost because the server closes their connection.
 	Violations *invariant.Recorder
 
-	handler     Handler
-	log         *zap.Logger
-	connSlots   chan struct{} // holds an element for each open connection
-	frameMemory atomic.Int64  // free bytes for large frames that are not complete
-	peekBuffers sync.Pool     // of *[peekBytes]byte
+	handler         Handler
+	log             *zap.Logger
+	connSlots       chan struct{} // a semaphore with one element for each open connection
+	freeFrameMemory atomic.Int64  // bytes that are still free for incomplete large frames
+	peekBuffers     sync.Pool     // of *[peekBytes]byte
 
-	awaitingSlot atomic.Int64 // connections that were accepted and wait for a slot
+	awaitingSlot atomic.Int64 // accepted connections that wait for a slot
 
-	clockStart time.Time  // zero of the clock that flow uses
-	flowMu     sync.Mutex // guards flow; innermost
+	clockStart time.Time  // time zero of the clock that flow uses
+	flowMu     sync.Mutex // guards flow; always acquired last
 	flow       *flowcontrol.Controller
 
 	mu                 sync.Mutex
@@ -64,7 +64,8 @@
 	slowClientLoggedAt time.Time
 }
 
-// New returns a server that holds at most maxConnections, and at most frameMemory bytes of large frames that are not complete.
+// New returns a server that keeps at most maxConnections connections open and at most frameMemory bytes of incomplete large frames in
+// memory.
 func New(handler Handler, maxConnections int, frameMemory int64, limits flowcontrol.Limits, log *zap.Logger) *Server {
 	s := &Server{
 		Violations:  invariant.NewRecorder(log),
@@ -76,12 +77,12 @@
 		flow:        flowcontrol.NewController(limits),
 		connections: map[*Conn]struct{}{},
 	}
-	s.frameMemory.Store(frameMemory)
+	s.freeFrameMemory.Store(frameMemory)
 	return s
 }
 
-// Serve accepts connections until the listener is closed, and waits until all have ended. When ctx ends, so do the
-// connections. Its error is always nil: a failed accept is logged and repeated.
+// Serve accepts connections until the listener is closed, then waits until all connections have ended. When ctx is cancelled, it
+// closes them. The returned error is always nil: Serve logs a failed accept and retries it.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -99,7 +100,7 @@
 		}
 		if err != nil {
 			s.log.Warn(logevent.ClientAcceptFailed, zap.Error(err))
-			if !sleep(ctx, acceptRetryInterval) { // e.g. no file descriptor is free: the server goes on
+			if !sleep(ctx, acceptRetryInterval) { // the error may be temporary, e.g. no free file descriptor
 				return nil
 			}
 			continue
@@ -115,7 +116,7 @@
 	}
 }
 
-// sleep waits; it returns false if ctx ends first.
+// sleep waits for d. It returns false if ctx is cancelled first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -125,7 +126,7 @@
 	}
 }
 
-// admit waits for a slot and makes the connection; it returns nil once ctx has ended.
+// admit waits for a slot, then creates and registers the connection. It returns nil if ctx is cancelled first.
 func (s *Server) admit(ctx context.Context, raw net.Conn) *Conn {
 	s.awaitingSlot.Add(1)
 	defer s.awaitingSlot.Add(-1)
@@ -146,8 +147,8 @@
 	return conn
 }
 
-// acquireSlot takes a slot for a connection. Where there is none, others are evicted; as long as all of them have open
-// statements, the new one waits. It returns false once ctx has ended.
+// acquireSlot acquires a slot for a connection. If none is free, it evicts another connection; while none can be evicted, the new
+// connection waits. It returns false if ctx is cancelled first.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	for {
 		select {
@@ -166,7 +167,7 @@
 	}
 }
 
-// register adds a connection. While the server drains, the client is notified.
+// register adds a connection. If the server is draining, it notifies the client.
 func (s *Server) register(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -1,7 +1,7 @@
 package downstream
 
-// StartDraining notifies every client, now and later, to send no new statement on its connection. Those that arrive all the same
-// are still handled.
+// StartDraining asks every client, including those that connect later, to send no new statements on its connection. Statements that
+// arrive nevertheless are still handled.
 func (s *Server) StartDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -11,20 +11,21 @@
 	}
 }
 
-// sendDraining queues the frame that asks for no new statements. The caller holds Server.mu, which enqueue would lock to count a slow
-// client; that cannot happen here, since a frame as short as this one never makes a client count as slow.
+// sendDraining queues the frame that asks the client to send no new statements. The caller holds Server.mu, which enqueue locks to
+// count stalled clients and shortened answers. That does not deadlock here, since a frame this short neither stalls a client nor is
+// shortened.
 func (c *Conn) sendDraining() {
 	c.enqueue(appendFrame(nil, frameDraining, 0, 0), 0)
 }
 
-// PendingWrites is the number of frames that wait to be written or are being written, and of connections whose client has not
-// acknowledged yet all that was.
+// PendingWrites returns the number of frames that are queued or being written, plus the number of connections whose client has not
+// acknowledged all written bytes.
 func (s *Server) PendingWrites() (pending int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
 		pending += c.pendingFrames()
-		if c.hasUnacknowledged() { // the kernel might drop it if the process ended now
+		if c.hasUnacknowledged() { // the kernel might drop the bytes if the process exited now
 			pending++
 		}
 	}
@@ -37,8 +38,8 @@
 	return len(c.queue) + c.framesInWrite + c.answersQueued
 }
 
-// PendingReads returns the number of connections that wait for a slot, or that have unread input: it may be a statement that arrived
-// in time.
+// PendingReads returns the number of connections that wait for a slot or have unread input, which may be a statement that arrived
+// before the shutdown.
 func (s *Server) PendingReads() int {
 	pending := int(s.awaitingSlot.Load())
 	s.mu.Lock()
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -25,7 +25,7 @@
 	assert.False(t, AcceptPending(listener))
 }
 
-// What was not accepted or not read yet is counted: it may be a statement that arrived in time.
+// Connections that are not accepted yet and unread input are counted, since they may carry statements that arrived before the shutdown.
 func TestPendingReads(t *testing.T) {
 	server, handler, address := serve(t)
 	gate := make(chan struct{})
@@ -35,12 +35,12 @@
 	write(t, client, statementFrame(1), cancelFrame(1))
 	await(t, handler.statements)
 	assert.Zero(t, server.PendingReads())
-	write(t, client, statementFrame(2)) // its reader stands at the gate
+	write(t, client, statementFrame(2)) // the reader is blocked at the gate
 	require.Eventually(t, func() bool { return server.PendingReads() == 1 }, eventTimeout, time.Millisecond)
 	close(gate)
 	await(t, handler.statements)
 	assert.Zero(t, server.PendingReads())
-	for range maxTestConnections - 1 { // all slots are taken by clients that wait for an answer
+	for range maxTestConnections - 1 { // clients that wait for an answer take all slots
 		write(t, dial(t, address), statementFrame(1))
 		await(t, handler.statements)
 	}
@@ -48,7 +48,8 @@
 	require.Eventually(t, func() bool { return server.PendingReads() == 1 }, eventTimeout, time.Millisecond)
 }
 
-// What the kernel holds for a client that has not acknowledged it is pending: a router that ended now might have it dropped.
+// Bytes in the kernel's send buffer that the client has not acknowledged count as pending, since the kernel may drop them if the router
+// exits.
 func TestUnacknowledgedAnswersArePendingWrites(t *testing.T) {
 	server, handler, address := serve(t)
 	client := dialSmallBuffer(t, address)
@@ -56,7 +57,7 @@
 	conn := await(t, handler.statements)
 	body := bytes.Repeat([]byte("row\n"), 12_000)
 	conn.Answer(1, CodeCompleted, body)
-	require.Eventually(t, conn.flushed, eventTimeout, time.Millisecond, "it is with the kernel")
+	require.Eventually(t, conn.flushed, eventTimeout, time.Millisecond, "the answer was passed to the kernel")
 	assert.Positive(t, server.PendingWrites())
 	rankWhenIdle := func() evictionRank {
 		conn.mu.Lock()
@@ -64,7 +65,7 @@
 		conn.mu.Unlock()
 		return conn.evictionRank()
 	}
-	assert.Equal(t, notEvictable, rankWhenIdle(), "nor is its connection closed for another")
+	assert.Equal(t, notEvictable, rankWhenIdle(), "the connection may not be evicted")
 	assert.Equal(t, body, readFrame(t, bufio.NewReader(client)).payload[answerHeadBytes:])
 	require.Eventually(t, func() bool { return server.PendingWrites() == 0 }, eventTimeout, time.Millisecond)
 	assert.Equal(t, evictIdle, rankWhenIdle())
--- a/internal/downstream/slow_client.go
+++ b/internal/downstream/slow_client.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// flowCheckInterval is how often each client's rate is judged.
+	// flowCheckInterval is the interval at which the read rate of each client is checked.
 	flowCheckInterval = 250 * time.Millisecond
-	// slowClientLogInterval is the least time between two log lines: many clients may be disconnected at once.
+	// slowClientLogInterval is the minimum time between two log lines, since many clients may be disconnected at once.
 	slowClientLogInterval = time.Second
 )
 
-// tooSlowReason is sent to clients.
+// tooSlowReason is sent to clients, in the short aborts that replace answers and in the error before a disconnect.
 const tooSlowReason = "the client takes its answers in too slowly"
 
-// SlowClientStats counts, since the start, what slow clients led to.
+// SlowClientStats counts, since the start of the server, the measures taken against slow clients.
 type SlowClientStats struct {
-	Stalled   int64 // times that reading from a client was stopped
-	Released  int64 // clients that were disconnected
-	Shortened int64 // answers that were replaced by a short abort
+	Stalled   int64 // times that the server stopped reading from a client
+	Released  int64 // clients that were disconnected as too slow
+	Shortened int64 // answers that a short abort replaced
 }
 
-// FlowControlStats returns what slow clients led to so far, and how many bytes of answers and of statements' texts are in memory now.
+// FlowControlStats returns the counts for slow clients and the bytes of answers and of statement texts that are in memory now.
 func (s *Server) FlowControlStats() (stats SlowClientStats, answerBytes, textBytes int64) {
 	s.mu.Lock()
 	stats = s.slowClients
@@ -46,7 +46,8 @@
 	update(&s.slowClients)
 }
 
-// watchSlowClients checks all connections periodically, until ctx ends or, once accepting is closed, the last one has ended.
+// watchSlowClients checks all connections periodically. It returns when ctx is cancelled, or when accepting is closed and no
+// connection is left.
 func (s *Server) watchSlowClients(ctx context.Context, accepting <-chan struct{}) {
 	ticker := time.NewTicker(flowCheckInterval)
 	defer ticker.Stop()
@@ -70,21 +71,23 @@
 	}
 }
 
+// snapshot returns the connections that are open now.
 func (s *Server) snapshot() []*Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.connections))
 }
 
-// flowChange is what a check of a connection's flow leads to.
+// flowChange is the result of a check of a connection's flow control state.
 type flowChange struct {
-	stalled        bool // nothing is read from the client
+	stalled        bool // the server does not read from the client
 	stalledChanged bool
-	disconnect     bool // the client has just been found too slow
-	close          bool // the client was disconnected, and has had time for its last answers
+	disconnect     bool // this check found the client too slow
+	close          bool // the client was found too slow, and its last answers were written or flushTimeout has passed
 }
 
-// checkFlow judges how the client reads its answers: whether reading from it stops or resumes, and whether it is disconnected.
+// checkFlow checks how fast the client reads its answers. Depending on that, the server stops or resumes reading from the client, or
+// disconnects it.
 func (c *Conn) checkFlow() {
 	change := c.updateFlow()
 	if change.stalledChanged {
@@ -96,15 +99,15 @@
 	if change.disconnect {
 		c.disconnectSlowClient()
 	}
-	if !change.stalled || change.disconnect { // the reader has to see a disconnected client's connection end
+	if !change.stalled || change.disconnect { // the reader must notice that the connection of a disconnected client ends
 		c.resumeReading()
 	}
-	if change.close { // what is in the kernel's send buffer is still sent
+	if change.close { // the kernel still sends what is in its send buffer
 		c.closeBy(closeSlowClient)
 	}
 }
 
-// updateFlow judges the client and notes the result.
+// updateFlow checks the client's flow control state and records the result in the connection.
 func (c *Conn) updateFlow() flowChange {
 	var inSendBuffer, stalled, tooSlow bool
 	c.withPeer(func(_ time.Duration, peer *flowcontrol.Peer) {
@@ -133,7 +136,7 @@
 	return change
 }
 
-// resumeReading wakes the reader where it waits for the client to read its answers.
+// resumeReading wakes the reader if it waits for the client to read its answers.
 func (c *Conn) resumeReading() {
 	select {
 	case c.readResumed <- struct{}{}:
@@ -141,8 +144,9 @@
 	}
 }
 
-// disconnectSlowClient begins to end a connection whose client reads at less than the least rate. Answers that are queued are
-// replaced by short aborts, open statements are aborted, and then the connection is closed.
+// disconnectSlowClient starts to end a connection whose client reads more slowly than the minimum rate. It replaces queued answers by
+// short aborts and has the handler abort open statements. checkFlow closes the connection once the last answers are written or
+// flushTimeout has passed.
 func (c *Conn) disconnectSlowClient() {
 	c.server.recordSlowClient(c)
 	shortened := c.replaceQueuedAnswers()
@@ -151,7 +155,7 @@
 	c.sendConnError(errClientTooSlow)
 }
 
-// recordSlowClient counts a client that is disconnected, and logs it.
+// recordSlowClient counts a client that is disconnected as too slow, and logs it at most once per slowClientLogInterval.
 func (s *Server) recordSlowClient(c *Conn) {
 	s.mu.Lock()
 	s.slowClients.Released++
@@ -166,7 +170,7 @@
 	}
 }
 
-// replaceQueuedAnswers replaces each long answer that is not being written yet by a short abort, and returns their number.
+// replaceQueuedAnswers replaces each queued answer longer than alwaysQueuedBytes by a short abort, and returns how many it replaced.
 func (c *Conn) replaceQueuedAnswers() (replaced int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +187,7 @@
 	return replaced
 }
 
-// tooSlowAbort returns the short answer that replaces one for which a slow client's queue is too long.
+// tooSlowAbort returns the short abort that replaces an answer to a slow client.
 func tooSlowAbort(stream uint32) []byte {
 	return appendAnswer(nil, frameAnswer, stream, CodeAborted, []byte(tooSlowReason))
 }
--- a/internal/downstream/socket.go
+++ b/internal/downstream/socket.go
@@ -9,14 +9,14 @@
 	"bankledge/internal/tcpsocket"
 )
 
-// The kernel's states of a connection that the other side has closed.
+// Linux TCP states of a connection that the peer has closed (TCP_CLOSE and TCP_CLOSE_WAIT).
 const (
 	tcpStateClose     = 7
 	tcpStateCloseWait = 8
 )
 
-// AcceptPending returns whether a connection waits to be accepted. On a closed listener none does: the kernel has reset those that
-// waited. Where the kernel does not report it, none is taken to wait.
+// AcceptPending returns whether a connection waits to be accepted. It returns false for a closed listener, whose waiting connections
+// the kernel has reset, and if the kernel does not report the state.
 func AcceptPending(listener net.Listener) (pending bool) {
 	err := tcpsocket.Control(listener, func(fd int) {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
@@ -26,8 +26,9 @@
 	return err == nil && pending
 }
 
-// unsentBytes returns how many written bytes the client has not acknowledged; ok is false if the kernel does not report it. After a
-// close by this side there are none to wait for: the kernel goes on sending what it has, also when the process has ended.
+// unsentBytes returns how many written bytes the client has not acknowledged. ok is false if the kernel does not report it. If the
+// router has closed the connection, unsentBytes returns 0: the kernel continues to send what it has, also after the process has exited,
+// so nothing needs to be waited for.
 func (c *Conn) unsentBytes() (unsent int, ok bool) {
 	unsent, err := tcpsocket.UnsentBytes(c.raw)
 	if errors.Is(err, net.ErrClosed) {
@@ -36,7 +37,8 @@
 	return unsent, err == nil && unsent >= 0
 }
 
-// unreadBytes returns how many received bytes were not read yet. After a close by this side there are none: nothing more is read.
+// unreadBytes returns how many received bytes have not been read yet. It returns 0 if the router has closed the connection, since
+// nothing more is read from it, or if the kernel does not report it.
 func (c *Conn) unreadBytes() int {
 	unread, err := tcpsocket.UnreadBytes(c.raw)
 	if err != nil {
@@ -45,7 +47,7 @@
 	return unread
 }
 
-// clientClosed returns whether the client has closed its connection, also if unread bytes precede the close, or this side has.
+// clientClosed returns whether the client has closed the connection, even if unread bytes precede the close, or the router has.
 func (c *Conn) clientClosed() (closed bool) {
 	err := tcpsocket.Control(c.raw, func(fd int) {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -56,14 +58,15 @@
 	return closed || errors.Is(err, net.ErrClosed)
 }
 
-// closeBy closes the connection for a reason. The reader is woken, which would not notice it while it waits for the client.
+// closeBy closes the connection for the given reason. It wakes the reader, which would not notice the close while it waits for a
+// stalled client.
 func (c *Conn) closeBy(reason closeReason) {
 	c.setCloseReason(reason)
 	c.raw.Close()
 	c.resumeReading()
 }
 
-// closeWrite ends the router's direction of the connection.
+// closeWrite closes the router's sending direction of the connection.
 func (c *Conn) closeWrite() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok {
 		tcp.CloseWrite()
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	maxOpenStatements    = 32   // of a connection
-	maxOutOfOrderStreams = 1024 // that are remembered of a connection
+	maxOpenStatements    = 32   // per connection
+	maxOutOfOrderStreams = 1024 // per connection, in streamSet
 )
 
-// streamState is whether the client still waits for an open stream's answer.
+// streamState tells whether the client still waits for the answer of an open stream.
 type streamState int
 
 const (
@@ -35,6 +35,7 @@
 	}
 }
 
+// handleReadinessQuery replies whether the router accepts statements.
 func (c *Conn) handleReadinessQuery(stream uint32) {
 	code := CodeRejected
 	if c.server.handler.Ready() {
@@ -43,7 +44,7 @@
 	c.enqueue(appendAnswer(nil, frameReadinessReply, stream, code, nil), 0)
 }
 
-// handleStatement opens the statement's stream and hands it to the handler.
+// handleStatement opens the statement's stream and passes the statement to the handler.
 func (c *Conn) handleStatement(f frame) {
 	if err := c.openStream(f.stream); err != nil {
 		c.refuseStatement(f.stream, err)
@@ -60,8 +61,8 @@
 	}
 }
 
-// refuseStatement answers a statement whose stream could not be opened. One whose stream is not new cannot be answered on it, so that is
-// an error of the connection; any other is rejected.
+// refuseStatement answers a statement whose stream could not be opened. An answer on a stream that is not new would not identify this
+// statement, so the client gets a connection error in that case. Otherwise the statement is rejected.
 func (c *Conn) refuseStatement(stream uint32, reason error) {
 	var used *streamUsedError
 	switch {
@@ -74,8 +75,8 @@
 	}
 }
 
-// openStream opens a stream. It returns errConnEnded, a streamUsedError, or, for a stream that is new but not opened, errClientTooSlow
-// or errTooManyOpen.
+// openStream opens a stream. It returns errConnEnded, a streamUsedError, errClientTooSlow or errTooManyOpen. After the last two the
+// stream counts as used.
 func (c *Conn) openStream(stream uint32) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,24 +86,24 @@
 	if !c.usedStreams.add(stream) {
 		return &streamUsedError{stream}
 	}
-	if !c.disconnectedAt.IsZero() { // statements that arrive before it is closed have to be answered
+	if !c.disconnectedAt.IsZero() { // statements that arrive before the close still need an answer
 		return errClientTooSlow
 	}
-	if len(c.openStreams)-c.answersQueued >= maxOpenStatements { // a client may know of an answer before its write returns here
+	if len(c.openStreams)-c.answersQueued >= maxOpenStatements { // the client may have received an answer before the write of it returns here
 		return errTooManyOpen
 	}
 	c.openStreams[stream] = streamAwaited
 	return nil
 }
 
-// cancelStream notes that the client does not wait for a stream any more; a second time it has no effect.
+// cancelStream handles a cancel frame for a stream. It has no effect if the stream is not open or was cancelled before.
 func (c *Conn) cancelStream(stream uint32) {
 	if c.markCancelled(stream) {
 		c.server.handler.HandleCancel(c, []uint32{stream})
 	}
 }
 
-// markCancelled returns whether the stream was open and awaited.
+// markCancelled marks an open stream as cancelled. It returns false if the stream is not open or was cancelled before.
 func (c *Conn) markCancelled(stream uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,14 +115,14 @@
 	return true
 }
 
-// CloseStream closes a stream that needs no answer.
+// CloseStream closes a stream without an answer.
 func (c *Conn) CloseStream(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deleteStream(stream)
 }
 
-// deleteStream removes an open stream. The caller holds mu.
+// deleteStream removes an open stream. The caller must hold mu.
 func (c *Conn) deleteStream(stream uint32) {
 	delete(c.openStreams, stream)
 	c.idleSince = time.Now()
@@ -145,10 +146,10 @@
 	return c.invalidFrames
 }
 
-// streamSet remembers in bounded memory which streams were used. Clients use them in ascending order, more or less.
+// streamSet records in bounded memory which streams were used. It relies on clients using streams in roughly ascending order.
 type streamSet struct {
-	upTo       uint32          // all streams up to this one are used
-	outOfOrder map[uint32]bool // and these above it
+	upTo       uint32          // all streams up to and including this one count as used
+	outOfOrder map[uint32]bool // used streams above upTo
 }
 
 // add marks a stream as used, and returns whether it was new. Stream 0 is never new.
@@ -157,7 +158,7 @@
 		return false
 	}
 	s.outOfOrder[stream] = true
-	if len(s.outOfOrder) > maxOutOfOrderStreams { // lower streams that were skipped count as used
+	if len(s.outOfOrder) > maxOutOfOrderStreams { // lower streams that were skipped count as used from now on
 		clear(s.outOfOrder)
 		s.upTo = max(s.upTo, stream)
 	}
--- a/internal/downstream/wire_test.go
+++ b/internal/downstream/wire_test.go
@@ -25,12 +25,12 @@
 
 var update = flag.Bool("update", false, "rewrite the received frames of testdata/wire")
 
-// wireHandler is a handler that passes its calls to a transcript, as text.
+// wireHandler reports its calls as the text of transcript events.
 type wireHandler struct {
 	events    chan string
 	conns     chan *Conn
 	ready     chan bool
-	abortOpen []uint32 // streams that an abort of what is open answers
+	abortOpen []uint32 // streams that AbortOpenStatements answers
 }
 
 func (w *wireHandler) Ready() bool { return <-w.ready }
@@ -59,20 +59,20 @@
 	w.events <- "abort " + strconv.Quote(reason)
 }
 
-// TestWireTranscripts plays the exchanges of testdata/wire, byte for byte. A line of a transcript is a step:
+// TestWireTranscripts runs the transcripts in testdata/wire and compares all bytes. Each line of a transcript is a step:
 //
-//	send HEX [*N]        the client writes bytes, so many times
+//	send HEX [*N]        the client writes the bytes, N times
 //	receive HEX          the client reads one frame, which must be these bytes
-//	eof                  the client reads the end of the connection
-//	closewrite           the client ends its direction of the connection
-//	connect, small       the client makes another connection; small: with a small receive buffer
-//	ready BOOL           what the next question for readiness is answered
-//	event TEXT           the next call of the handler
-//	answer N CODE BODY   the handler answers a stream of the latest connection; BODY is a quoted string, and *N repeats it
-//	closestream N        the handler ends a stream that needs no answer
-//	aborts N...          streams that the handler aborts when it is asked to abort what is open
-//	drain                the server stops taking new statements
-//	limits ...           before all else: bytes for large frames, bytes of answers, a reader's grace and window
+//	eof                  the client reads the end of the stream
+//	closewrite           the client closes its sending direction of the connection
+//	connect [small]      the client opens another connection; small: with a small receive buffer
+//	ready BOOL           the result of the next call of Ready
+//	event TEXT           the next call of the handler, which must have this text
+//	answer N CODE BODY   the handler answers stream N of the connection of the latest statement; BODY is a quoted string, which *N repeats
+//	closestream N        the handler closes stream N without an answer
+//	aborts N...          the streams that AbortOpenStatements answers
+//	drain                the server starts draining
+//	limits ...           frame memory, Limits.AnswerBytes, ReadGrace and ReadWindow; allowed as the first step only
 func TestWireTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/wire/*.txt")
 	require.NoError(t, err)
@@ -83,14 +83,14 @@
 			raw, err := os.ReadFile(file)
 			require.NoError(t, err)
 			lines := strings.Split(string(raw), "\n")
-			player := &wirePlayer{t: t}
+			runner := &transcriptRunner{t: t}
 			for i, line := range lines {
 				step, comment, commented := strings.Cut(line, " #")
 				step = strings.TrimSpace(step)
 				if step == "" || step[0] == '#' {
 					continue
 				}
-				got := player.play(step)
+				got := runner.runStep(step)
 				if got == "" {
 					continue
 				}
@@ -109,8 +109,8 @@
 	}
 }
 
-// wirePlayer plays one transcript.
-type wirePlayer struct {
+// transcriptRunner runs the steps of one transcript.
+type transcriptRunner struct {
 	t       *testing.T
 	server  *Server
 	handler *wireHandler
@@ -119,147 +119,147 @@
 	conn    *Conn    // of the latest statement
 }
 
-// play plays a step. If it is one of what the server does, it returns what the step should have been.
-func (p *wirePlayer) play(step string) string {
-	p.t.Helper()
+// runStep runs a step. If the step expects an output of the server, it returns the step with the actual output.
+func (r *transcriptRunner) runStep(step string) string {
+	r.t.Helper()
 	name, rest, _ := strings.Cut(step, " ")
 	if name == "limits" {
-		p.serveWithLimits(strings.Fields(rest))
+		r.serveWithLimits(strings.Fields(rest))
 		return ""
 	}
-	if p.server == nil {
-		p.serve(1<<20, flowcontrol.DeriveLimits(64, maxTestConnections))
+	if r.server == nil {
+		r.serve(1<<20, flowcontrol.DeriveLimits(64, maxTestConnections))
 	}
-	if p.client == nil && name != "connect" {
-		p.connect(false)
+	if r.client == nil && name != "connect" {
+		r.connect(false)
 	}
 	switch name {
 	case "send":
-		p.send(rest)
+		r.send(rest)
 	case "receive":
-		return "receive " + p.receive()
+		return "receive " + r.receive()
 	case "eof":
-		n, err := p.client.Read(make([]byte, 1))
-		assert.Zero(p.t, n)
-		require.ErrorIs(p.t, err, io.EOF)
+		n, err := r.client.Read(make([]byte, 1))
+		assert.Zero(r.t, n)
+		require.ErrorIs(r.t, err, io.EOF)
 	case "closewrite":
-		closeWrite(p.client)
+		closeWrite(r.client)
 	case "connect":
-		p.connect(rest == "small")
+		r.connect(rest == "small")
 	case "ready":
-		p.handler.ready <- rest == "true"
+		r.handler.ready <- rest == "true"
 	case "event":
-		return "event " + p.event()
+		return "event " + r.event()
 	case "answer":
-		p.answer(rest)
+		r.answer(rest)
 	case "closestream":
-		p.conn.CloseStream(uint32(p.number(rest)))
+		r.conn.CloseStream(uint32(r.number(rest)))
 	case "aborts":
 		for _, stream := range strings.Fields(rest) {
-			p.handler.abortOpen = append(p.handler.abortOpen, uint32(p.number(stream)))
+			r.handler.abortOpen = append(r.handler.abortOpen, uint32(r.number(stream)))
 		}
 	case "drain":
-		p.server.StartDraining()
+		r.server.StartDraining()
 	default:
-		p.t.Fatalf("unknown step %q", step)
+		r.t.Fatalf("unknown step %q", step)
 	}
 	return ""
 }
 
-func (p *wirePlayer) serveWithLimits(words []string) {
+func (r *transcriptRunner) serveWithLimits(words []string) {
 	limits := flowcontrol.DeriveLimits(64, maxTestConnections)
-	limits.AnswerBytes = int64(p.number(words[1]))
-	limits.ReadGrace = p.duration(words[2])
-	limits.ReadWindow = p.duration(words[3])
-	p.serve(int64(p.number(words[0])), limits)
+	limits.AnswerBytes = int64(r.number(words[1]))
+	limits.ReadGrace = r.duration(words[2])
+	limits.ReadWindow = r.duration(words[3])
+	r.serve(int64(r.number(words[0])), limits)
 }
 
-func (p *wirePlayer) serve(frameMemory int64, limits flowcontrol.Limits) {
-	p.handler = &wireHandler{
+func (r *transcriptRunner) serve(frameMemory int64, limits flowcontrol.Limits) {
+	r.handler = &wireHandler{
 		events: make(chan string, 100),
 		conns:  make(chan *Conn, 100),
 		ready:  make(chan bool, 100),
 	}
-	p.server = New(p.handler, maxTestConnections, frameMemory, limits, zap.NewNop())
-	p.address = listenAndServe(p.t, p.server)
+	r.server = New(r.handler, maxTestConnections, frameMemory, limits, zap.NewNop())
+	r.address = listenAndServe(r.t, r.server)
 }
 
-func (p *wirePlayer) connect(smallBuffer bool) {
+func (r *transcriptRunner) connect(smallBuffer bool) {
 	if smallBuffer {
-		p.client = dialSmallBuffer(p.t, p.address)
+		r.client = dialSmallBuffer(r.t, r.address)
 	} else {
-		p.client = dial(p.t, p.address)
+		r.client = dial(r.t, r.address)
 	}
-	require.NoError(p.t, p.client.SetDeadline(time.Now().Add(6*eventTimeout)))
+	require.NoError(r.t, r.client.SetDeadline(time.Now().Add(6*eventTimeout)))
 }
 
-func (p *wirePlayer) send(text string) {
-	text, times := p.cutRepetition(text)
+func (r *transcriptRunner) send(text string) {
+	text, times := r.cutRepetition(text)
 	raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
-	require.NoError(p.t, err)
-	write(p.t, p.client, bytes.Repeat(raw, times))
+	require.NoError(r.t, err)
+	write(r.t, r.client, bytes.Repeat(raw, times))
 }
 
-func (p *wirePlayer) answer(text string) {
+func (r *transcriptRunner) answer(text string) {
 	words := strings.SplitN(text, " ", 3)
-	quoted, times := p.cutRepetition(words[2])
+	quoted, times := r.cutRepetition(words[2])
 	body, err := strconv.Unquote(quoted)
-	require.NoError(p.t, err)
-	p.conn.Answer(uint32(p.number(words[0])), Code(p.number(words[1])), []byte(strings.Repeat(body, times)))
+	require.NoError(r.t, err)
+	r.conn.Answer(uint32(r.number(words[0])), Code(r.number(words[1])), []byte(strings.Repeat(body, times)))
 }
 
-// event returns the next call of the handler.
-func (p *wirePlayer) event() string {
-	event := await(p.t, p.handler.events)
+// event waits for the next call of the handler and returns its text.
+func (r *transcriptRunner) event() string {
+	event := await(r.t, r.handler.events)
 	if strings.HasPrefix(event, "statement") {
-		p.conn = await(p.t, p.handler.conns)
+		r.conn = await(r.t, r.handler.conns)
 	}
 	return event
 }
 
-// receive reads one frame and returns it in hex: its length, its type, its stream, and its payload, of which a long one is cut to
-// its beginning and its size.
-func (p *wirePlayer) receive() string {
-	p.t.Helper()
+// receive reads one frame and returns its length, type, stream and payload as text. A payload of more than 1000 bytes, whose body must
+// repeat one byte, is shortened to its beginning and its size.
+func (r *transcriptRunner) receive() string {
+	r.t.Helper()
 	head := make([]byte, frameHeadBytes)
-	_, err := io.ReadFull(p.client, head)
-	require.NoError(p.t, err)
+	_, err := io.ReadFull(r.client, head)
+	require.NoError(r.t, err)
 	payload := make([]byte, binary.BigEndian.Uint32(head)-minFrameLength)
-	_, err = io.ReadFull(p.client, payload)
-	require.NoError(p.t, err)
+	_, err = io.ReadFull(r.client, payload)
+	require.NoError(r.t, err)
 	text := fmt.Sprintf("%x %x %x", head[:4], head[4], head[5:])
 	switch {
 	case len(payload) > 1000:
 		for _, b := range payload[2:] {
-			require.Equal(p.t, payload[2], b)
+			require.Equal(r.t, payload[2], b)
 		}
 		return fmt.Sprintf("%s %x %x and so on, %d", text, payload[:2], payload[2:3], len(payload))
 	case len(payload) > 1:
 		return fmt.Sprintf("%s %x %x %q", text, payload[:1], payload[1:2], payload[2:])
 	}
-	require.Empty(p.t, payload)
+	require.Empty(r.t, payload)
 	return text
 }
 
-// cutRepetition cuts "TEXT * N" into its parts; N is 1 if it is left out.
-func (p *wirePlayer) cutRepetition(text string) (string, int) {
+// cutRepetition splits "TEXT * N" into TEXT and N. N is 1 if it is left out.
+func (r *transcriptRunner) cutRepetition(text string) (string, int) {
 	text, times, repeated := strings.Cut(text, "*")
 	if !repeated {
 		return text, 1
 	}
-	return strings.TrimSpace(text), p.number(times)
+	return strings.TrimSpace(text), r.number(times)
 }
 
-func (p *wirePlayer) number(text string) int {
-	p.t.Helper()
+func (r *transcriptRunner) number(text string) int {
+	r.t.Helper()
 	n, err := strconv.Atoi(strings.TrimSpace(text))
-	require.NoError(p.t, err)
+	require.NoError(r.t, err)
 	return n
 }
 
-func (p *wirePlayer) duration(text string) time.Duration {
-	p.t.Helper()
+func (r *transcriptRunner) duration(text string) time.Duration {
+	r.t.Helper()
 	d, err := time.ParseDuration(text)
-	require.NoError(p.t, err)
+	require.NoError(r.t, err)
 	return d
 }
