--- a/internal/flowcontrol/controller.go
+++ b/internal/flowcontrol/controller.go
@@ -1,11 +1,12 @@
-// Package flowcontrol accounts for the answers and texts in memory for each peer, and decides when they are too many or are read too
-// slowly. A peer is one connection; all connections of one address make up a host; one Controller accounts for all. It records bytes and times
-// and returns decisions: no I/O, no clock, no goroutines. Nothing in it is safe for concurrent use; its owner locks.
+// Package flowcontrol tracks the bytes of answers and statement texts that are in memory for each client, and decides when a client has
+// too many or reads its answers too slowly.
 //
-// Times are durations on one monotonic clock of the owner's.
+// A Peer represents one connection, a host all connections from one address, and a Controller all hosts. The package only records bytes
+// and times and returns decisions: it does no I/O, reads no clock and starts no goroutine. Its types are not safe for concurrent use;
+// callers must lock. All times are durations on one monotonic clock of the caller.
 package flowcontrol
 
-// Controller accounts for all peers.
+// Controller holds the limits and the totals of all peers.
 type Controller struct {
 	limits       Limits
 	answerBytes  int64
@@ -14,7 +15,7 @@
 	hosts        map[string]*host
 }
 
-// host is the account of all connections of one address.
+// host holds the totals of all connections from one address.
 type host struct {
 	name         string
 	peers        int
@@ -23,15 +24,15 @@
 	pendingPeers int // peers with pending answers
 }
 
-// NewController returns a controller without peers.
+// NewController returns a Controller without peers.
 func NewController(limits Limits) *Controller {
 	return &Controller{limits: limits, hosts: map[string]*host{}}
 }
 
-// Limits returns the limits that the controller was made with.
+// Limits returns the limits that were passed to NewController.
 func (c *Controller) Limits() Limits { return c.limits }
 
-// Usage returns the totals: bytes of pending answers, bytes of texts, and the number of peers.
+// Usage returns the bytes of pending answers, the bytes of statement texts and the number of open peers.
 func (c *Controller) Usage() (answerBytes, textBytes int64, peers int) {
 	for _, h := range c.hosts {
 		peers += h.peers
@@ -39,7 +40,7 @@
 	return c.answerBytes, c.textBytes, peers
 }
 
-// OpenPeer opens the account of a connection from an address; Peer.Close closes it.
+// OpenPeer adds a connection from an address. The caller must call Peer.Close when the connection ends.
 func (c *Controller) OpenPeer(address string) *Peer {
 	h := c.hosts[address]
 	if h == nil {
--- a/internal/flowcontrol/limits.go
+++ b/internal/flowcontrol/limits.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Limits bound the bytes in memory for clients, and the rates, in bytes per second, at which clients have to read and write.
+// Limits are the maximum bytes in memory for clients and the minimum rates, in bytes per second, at which clients must read and write.
 type Limits struct {
-	AnswerBytes     int64         // of answers, for all peers: queued, or written and not yet acknowledged
-	TextBytes       int64         // of statements' texts, for all peers
-	SendBufferBytes int64         // written to one peer and not yet acknowledged, before no more is written
-	MinReadRate     int64         // at which a peer reads its answers, in the mean over ReadWindow
-	MinWriteRate    int64         // at which a frame arrives after FrameGrace
-	ReadGrace       time.Duration // before a reader is judged
-	ReadWindow      time.Duration // over which a reader is judged
-	FrameGrace      time.Duration // in which any frame may arrive, however slowly
+	AnswerBytes     int64         // answers of all peers, queued or written and not yet acknowledged
+	TextBytes       int64         // statement texts of all peers
+	SendBufferBytes int64         // bytes written to one peer and not yet acknowledged, above which writing pauses
+	MinReadRate     int64         // at which a peer must read its answers, averaged over ReadWindow
+	MinWriteRate    int64         // at which a frame must arrive after FrameGrace
+	ReadGrace       time.Duration // before ReadWindow, in which the read rate is not measured
+	ReadWindow      time.Duration // over which the read rate is measured
+	FrameGrace      time.Duration // after the start of a frame, in which MinWriteRate does not apply
 }
 
-// What limits are derived by, and the rates and times that hold on any machine.
+// The constants from which DeriveLimits computes the limits, and the rates and times that do not depend on the machine.
 const (
-	answerMemoryDivisor = 8 // of the memory: queued answers are on the heap, and a full heap slows down every request
-	textMemoryDivisor   = 6
+	answerMemoryDivisor = 8 // 1/8 of the memory: queued answers are on the heap, and a full heap slows down every request
+	textMemoryDivisor   = 6 // 1/6 of the memory
 	minSendBufferBytes  = 16 << 10
-	maxSendBufferBytes  = 64 << 10 // a complete result, and the beginning of the next one
+	maxSendBufferBytes  = 64 << 10 // holds a complete result and the beginning of the next one
 	defaultMinReadRate  = 1 << 10
 	defaultMinWriteRate = 16 << 10
 	defaultReadGrace    = 4 * time.Second
@@ -28,7 +28,7 @@
 	frameReadSlack      = 500 * time.Millisecond
 )
 
-// DeriveLimits returns the limits for a memory in MiB and a number of connections.
+// DeriveLimits returns the limits for a router with memoryMB MiB of memory and at most maxPeers connections.
 func DeriveLimits(memoryMB int64, maxPeers int) Limits {
 	memory := memoryMB << 20
 	answerBytes := memory / answerMemoryDivisor
@@ -45,9 +45,9 @@
 	}
 }
 
-// FrameReadTimeout returns how long to wait for the next bytes of a frame whose first byte arrived elapsed ago, and of which lateBytes
-// have arrived since FrameGrace ended. From then on it has to arrive at MinWriteRate or faster, with frameReadSlack to spare. The
-// result is negative once the frame is too late.
+// FrameReadTimeout returns how long to wait for the next bytes of a frame that began to arrive elapsed ago and of which lateBytes bytes
+// have arrived since FrameGrace ended. After FrameGrace, the frame must arrive at MinWriteRate or faster, with a tolerance of
+// frameReadSlack. The result is negative if the frame is too slow.
 func (l Limits) FrameReadTimeout(elapsed time.Duration, lateBytes int64) time.Duration {
 	earned := time.Duration(float64(lateBytes) / float64(l.MinWriteRate) * float64(time.Second))
 	return l.FrameGrace + frameReadSlack + earned - elapsed
--- a/internal/flowcontrol/peer.go
+++ b/internal/flowcontrol/peer.go
@@ -4,7 +4,7 @@
 
 const (
 	reserveDivisor    = 4 // 1/4 of Limits.AnswerBytes is reserved for peers without pending answers
-	trustFactor       = 4 // a peer is trusted with an answer after it has read this many times its size
+	trustFactor       = 4 // a peer is trusted with an answer if it has read this many times its size so far
 	maxTrustedBytes   = 4 * maxSendBufferBytes
 	maxUntrustedBytes = 2 * maxSendBufferBytes
 	pressureDivisor   = 4 // above 1/4 of Limits.AnswerBytes in use, only trusted peers may have pending answers without stalling
@@ -12,20 +12,20 @@
 	sharedTextDivisor = 2 // 1/2 of Limits.TextBytes is divided among hosts; the rest is first come, first served
 )
 
-// Peer is one connection's account.
+// Peer holds the byte counts and the read rate of one connection.
 type Peer struct {
 	controller      *Controller
 	host            *host
-	queuedBytes     int64 // of answers not written yet
+	queuedBytes     int64 // answers not written yet
 	sendBufferBytes int64 // written and, at the last check, not yet acknowledged
 	textBytes       int64
-	receivedBytes   int64 // acknowledged in all
-	refused         bool  // TryQueue rejected an answer; the peer is stalled until enough memory is free again
+	receivedBytes   int64 // acknowledged since the connection was opened
+	refused         bool  // TryQueue refused an answer; the peer is stalled until at most half of Limits.AnswerBytes is in use
 	readRate        rateMeter
 	closed          bool
 }
 
-// Close releases the peer's pending answers. Its texts stay accounted for until ReleaseText is called for each.
+// Close removes the peer and releases its pending answers. Its texts stay counted until ReleaseText is called for each.
 func (p *Peer) Close() {
 	if p.closed {
 		return
@@ -38,7 +38,7 @@
 	p.removeIdleHost()
 }
 
-// removeIdleHost deletes the host once it has neither peers nor texts.
+// removeIdleHost deletes the host if it has neither peers nor texts.
 func (p *Peer) removeIdleHost() {
 	if p.host.peers == 0 && p.host.textBytes == 0 {
 		delete(p.controller.hosts, p.host.name)
@@ -51,7 +51,7 @@
 // SendBufferBytes returns the bytes written to the peer and, at the last check, not yet acknowledged.
 func (p *Peer) SendBufferBytes() int64 { return p.sendBufferBytes }
 
-// addPending updates the host's and the controller's sums. It must be called before the peer's own counts change.
+// addPending adds to the totals of the host and the controller. It must be called before the peer's own counts change.
 func (p *Peer) addPending(bytes int64) {
 	before := p.PendingBytes()
 	if p.host.answerBytes == 0 && bytes > 0 {
@@ -70,13 +70,13 @@
 	}
 }
 
-// sharedAnswerBytes returns the memory for answers that is not reserved for peers without pending answers.
+// sharedAnswerBytes returns the part of Limits.AnswerBytes that is not reserved for peers without pending answers.
 func (c *Controller) sharedAnswerBytes() int64 {
 	return c.limits.AnswerBytes - c.limits.AnswerBytes/reserveDivisor
 }
 
-// fairShare returns the peer's fair share of the shared memory, which is divided among hosts with pending answers, and within a host
-// among its peers with pending answers.
+// fairShare returns the peer's fair share of sharedAnswerBytes, which is divided equally among hosts with pending answers and, within a
+// host, equally among its peers with pending answers.
 func (p *Peer) fairShare() int64 {
 	hosts := p.controller.pendingHosts
 	if p.host.answerBytes == 0 {
@@ -89,7 +89,7 @@
 	return p.controller.sharedAnswerBytes() / int64(max(1, hosts)) / int64(max(1, peers))
 }
 
-// TryQueue accounts for an answer to be queued for the peer, and returns false if it may not be queued.
+// TryQueue counts an answer as queued for the peer, or returns false if the answer must not be queued.
 func (p *Peer) TryQueue(now time.Duration, bytes int64) bool {
 	if p.closed || !p.mayQueue(bytes) {
 		p.refused = true
@@ -99,8 +99,8 @@
 	return true
 }
 
-// mayQueue decides whether an answer may be queued. While there is memory at all, a peer without pending answers may have one, and one
-// that has read its answers so far may have several, even if other peers have used up the shared memory.
+// mayQueue returns whether an answer may be queued. Within Limits.AnswerBytes, a peer without pending answers may always have one
+// answer, and a peer that has read its answers so far may have several, even if other peers have used up sharedAnswerBytes.
 func (p *Peer) mayQueue(bytes int64) bool {
 	c := p.controller
 	total := c.answerBytes + bytes
@@ -112,29 +112,30 @@
 		return true
 	case p.sendBufferBytes == 0 && p.receivedBytes >= trustFactor*bytes && pending <= maxTrustedBytes:
 		return true
-	case total <= c.limits.AnswerBytes/2 && pending <= maxUntrustedBytes: // e.g. an answer that was in flight when the peer became slow
+	case total <= c.limits.AnswerBytes/2 && pending <= maxUntrustedBytes: // e.g. for an answer in flight when the peer became slow
 		return true
 	}
 	return total <= c.sharedAnswerBytes() && pending <= p.fairShare()
 }
 
-// ForceQueue accounts for frames that have to be queued in any case: the short ones that end a statement or a connection. A negative
-// number releases queued bytes that are not sent.
+// ForceQueue counts bytes as queued regardless of the limits. It is meant for the short frames that end a statement or a connection. A
+// negative number releases queued bytes that are not sent.
 func (p *Peer) ForceQueue(now time.Duration, bytes int64) {
 	if p.closed {
 		return
 	}
 	p.addPending(bytes)
 	p.queuedBytes += bytes
-	p.readRate.setWaiting(now, true)
+	p.readRate.setPending(now, true)
 }
 
-// CanWrite returns whether so many bytes may be written now without exceeding Limits.SendBufferBytes in the kernel's send buffer.
+// CanWrite returns whether writing so many bytes now keeps the kernel's send buffer within Limits.SendBufferBytes. It returns true if the
+// send buffer is empty.
 func (p *Peer) CanWrite(bytes int64) bool {
 	return p.sendBufferBytes == 0 || p.sendBufferBytes+bytes <= p.controller.limits.SendBufferBytes
 }
 
-// RecordWritten records that so many queued bytes were written to the kernel.
+// RecordWritten records that so many queued bytes were passed to the kernel.
 func (p *Peer) RecordWritten(bytes int64) {
 	if p.closed {
 		return
@@ -143,7 +144,7 @@
 	p.sendBufferBytes += bytes
 }
 
-// RecordUnsent records how many written bytes the peer has not acknowledged yet, by the kernel's count.
+// RecordUnsent records how many written bytes the peer has not acknowledged yet, as reported by the kernel.
 func (p *Peer) RecordUnsent(now time.Duration, unsent int64) {
 	if p.closed || unsent >= p.sendBufferBytes {
 		return
@@ -153,10 +154,10 @@
 	p.sendBufferBytes = unsent
 	p.receivedBytes += received
 	p.readRate.record(now, received)
-	p.readRate.setWaiting(now, p.PendingBytes() > 0)
+	p.readRate.setPending(now, p.PendingBytes() > 0)
 }
 
-// Stalled returns whether the peer has so many pending answers that no more is read from it and no more of its statements are started.
+// Stalled returns whether the peer has so many pending answers that the router must stop reading from it and starting its statements.
 func (p *Peer) Stalled() bool {
 	c := p.controller
 	pending := p.PendingBytes()
@@ -172,17 +173,18 @@
 	return pending > p.fairShare()/stallDivisor || pending > maxUntrustedBytes || c.answerBytes > c.limits.AnswerBytes/pressureDivisor
 }
 
-// TooSlow returns whether the peer reads its answers at less than Limits.MinReadRate. It is judged only while it has pending answers,
-// and is not too slow if it has read as many bytes within the window as are pending now, however few.
+// TooSlow returns whether the peer reads its answers more slowly than Limits.MinReadRate. The rate is measured only while answers are
+// pending. A peer that has read at least as many bytes within the window as are pending now is not too slow, however few they are.
 func (p *Peer) TooSlow(now time.Duration) bool {
 	limits := p.controller.limits
-	moved, judged := p.readRate.movedWithin(now, limits.ReadGrace, limits.ReadWindow)
+	bytesRead, measured := p.readRate.bytesReadWithin(now, limits.ReadGrace, limits.ReadWindow)
 	required := int64(float64(limits.MinReadRate) * limits.ReadWindow.Seconds())
-	return judged && moved < p.PendingBytes() && moved < required
+	return measured && bytesRead < p.PendingBytes() && bytesRead < required
 }
 
-// ReserveText accounts for a statement's text, and returns false if the peer may not have it in memory. Half of the memory is first
-// come, first served; the rest is divided among hosts and within a host among its peers, so that a flooding peer only limits itself.
+// ReserveText counts the text of a statement, or returns false if the peer must not have it in memory. Half of Limits.TextBytes is
+// first come, first served. The rest is divided equally among hosts and, within a host, among its peers, so that a peer that floods the
+// router only limits itself.
 func (p *Peer) ReserveText(bytes int64) bool {
 	c := p.controller
 	total := c.textBytes + bytes
@@ -197,13 +199,13 @@
 	return true
 }
 
-// textShare returns the peer's share, in bytes, of the memory for texts that is divided among hosts.
+// textShare returns the peer's share, in bytes, of the part of Limits.TextBytes that is divided among hosts.
 func (p *Peer) textShare() int64 {
 	shared := p.controller.limits.TextBytes / sharedTextDivisor
 	return shared / int64(max(1, len(p.controller.hosts))) / int64(max(1, p.host.peers))
 }
 
-// ReleaseText releases a text's bytes; it may be called after Close.
+// ReleaseText releases the bytes of a text that ReserveText counted. It may be called after Close.
 func (p *Peer) ReleaseText(bytes int64) {
 	p.addText(-bytes)
 	if p.closed {
--- a/internal/flowcontrol/peer_test.go
+++ b/internal/flowcontrol/peer_test.go
@@ -22,7 +22,7 @@
 func TestTryQueue(t *testing.T) {
 	controller := NewController(Limits{AnswerBytes: 1024 * kb, SendBufferBytes: 64 * kb})
 	slow := openPeers(controller, "a", 20)
-	for _, p := range slow { // each has one answer that it does not read
+	for _, p := range slow { // each has one answer, which it does not read
 		if !p.TryQueue(0, 48*kb) {
 			break
 		}
@@ -32,7 +32,7 @@
 	assert.Equal(t, 20, peers)
 	assert.Greater(t, answerBytes, int64(900*kb))
 	assert.True(t, slow[0].Stalled())
-	assert.False(t, slow[0].TryQueue(0, 48*kb), "no second one under pressure")
+	assert.False(t, slow[0].TryQueue(0, 48*kb), "no second answer while memory is scarce")
 	assert.False(t, slow[0].CanWrite(48*kb))
 	fresh := controller.OpenPeer("b")
 	assert.True(t, fresh.TryQueue(0, 40*kb), "memory is reserved for a peer without pending answers")
@@ -46,13 +46,13 @@
 		p.Close()
 		p.Close()
 	}
-	assert.False(t, refused.Stalled(), "until memory is free")
+	assert.False(t, refused.Stalled(), "the stall ends when memory is free")
 	answerBytes, _, _ = controller.Usage()
 	assert.Zero(t, answerBytes)
-	assert.False(t, slow[0].TryQueue(0, 1), "nothing is accounted for one that has ended")
+	assert.False(t, slow[0].TryQueue(0, 1), "nothing is counted for a closed peer")
 }
 
-// A peer that reads its answers may have several waiting, also while others fill what is shared.
+// A peer that reads its answers may have several answers pending, even if other peers have used up the shared memory.
 func TestTryQueueTrustsReaders(t *testing.T) {
 	controller := NewController(Limits{AnswerBytes: 1024 * kb, SendBufferBytes: 64 * kb})
 	reader := controller.OpenPeer("a")
@@ -70,7 +70,7 @@
 	assert.False(t, reader.Stalled())
 }
 
-// Many connections of one address against one of another: what is shared is divided among addresses first.
+// One address has many connections and another has one. The shared memory is divided among addresses first, then among connections.
 func TestHostsShareFairly(t *testing.T) {
 	controller := NewController(Limits{AnswerBytes: 4096 * kb, SendBufferBytes: 64 * kb})
 	many := openPeers(controller, "a", 60)
@@ -89,25 +89,25 @@
 	for _, c := range []struct {
 		name  string
 		reads func(second int) int64 // bytes
-		at    int                    // second in which it is too slow; 0: never in two minutes
+		at    int                    // the second at which the peer is too slow; 0: not within two minutes
 	}{
 		{"reads nothing", func(int) int64 { return 0 }, 12},
 		{"200 bytes a second", func(int) int64 { return 200 }, 12},
-		{"a little below", func(int) int64 { return kb - 100 }, 12},
-		{"a little above", func(int) int64 { return kb + 100 }, 0},
-		{"in bursts above the rate", func(second int) int64 {
+		{"a little below the rate", func(int) int64 { return kb - 100 }, 12},
+		{"a little above the rate", func(int) int64 { return kb + 100 }, 0},
+		{"in bursts, above the rate", func(second int) int64 {
 			if second%7 == 0 {
 				return 9 * kb
 			}
 			return 0
 		}, 0},
-		{"stops for three seconds and goes on", func(second int) int64 {
+		{"stops for three seconds and resumes", func(second int) int64 {
 			if second > 5 && second <= 8 {
 				return 0
 			}
 			return 4 * kb
 		}, 0},
-		{"alternates to stay above", func(second int) int64 { return int64(second%2) * 3 * kb }, 0},
+		{"reads every other second, above the rate", func(second int) int64 { return int64(second%2) * 3 * kb }, 0},
 		{"stops later on", func(second int) int64 {
 			if second > 30 {
 				return 0
@@ -130,7 +130,7 @@
 			assert.Equal(t, c.at, at)
 		})
 	}
-	t.Run("judged only while answers are pending", func(t *testing.T) {
+	t.Run("measured only while answers are pending", func(t *testing.T) {
 		p := NewController(limits).OpenPeer("a")
 		p.TryQueue(0, 100)
 		p.RecordWritten(100)
@@ -138,12 +138,12 @@
 		assert.False(t, p.TooSlow(time.Hour), "no answer is pending")
 		p.TryQueue(time.Hour, 100<<10)
 		p.RecordWritten(100 << 10)
-		assert.False(t, p.TooSlow(time.Hour+11*time.Second), "its grace begins anew")
+		assert.False(t, p.TooSlow(time.Hour+11*time.Second), "the grace starts again")
 		assert.True(t, p.TooSlow(time.Hour+12*time.Second))
 	})
 	t.Run("small answers that are read as they arrive", func(t *testing.T) {
 		p := NewController(limits).OpenPeer("a")
-		for second := range 60 { // the kernel always waits for the last one's acknowledgement
+		for second := range 60 { // the last answer is never acknowledged yet when the rate is checked
 			now := time.Duration(second) * time.Second
 			p.TryQueue(now, 100)
 			p.RecordWritten(100)
@@ -162,7 +162,7 @@
 		texts++
 	}
 	assert.Equal(t, 32, texts, "half is first come, first served")
-	assert.True(t, other.ReserveText(200*kb), "the rest is shared")
+	assert.True(t, other.ReserveText(200*kb), "the rest is divided among hosts")
 	assert.False(t, other.ReserveText(900*kb))
 	flooding.Close()
 	for range texts {
@@ -176,15 +176,15 @@
 	assert.Empty(t, controller.hosts, "an address without connections is deleted")
 }
 
-// peerModel plays random operations on peers, and keeps the texts that they hold.
+// peerModel runs random operations on peers and records the texts that they have reserved.
 type peerModel struct {
 	random     *rand.Rand
 	controller *Controller
 	peers      []*Peer
-	texts      map[*Peer][]int64 // their sizes
+	texts      map[*Peer][]int64 // the sizes of the texts
 }
 
-// step does one operation on one peer.
+// step runs a random operation on a random peer.
 func (m *peerModel) step(now time.Duration) {
 	if len(m.peers) < 30 {
 		m.peers = append(m.peers, m.controller.OpenPeer(string(rune('a'+m.random.IntN(5)))))
@@ -220,7 +220,7 @@
 	p.TooSlow(now)
 }
 
-// check compares the controller's sums with those over peers and texts.
+// check compares the controller's totals with the sums over all peers and texts.
 func (m *peerModel) check(t *testing.T) {
 	t.Helper()
 	answerBytes := int64(0)
@@ -245,8 +245,8 @@
 	require.LessOrEqual(t, textBytes, m.controller.limits.TextBytes)
 }
 
-// Whatever happens, sums agree, nothing is below 0, and limits hold.
-func TestSumsAgree(t *testing.T) {
+// After any sequence of operations, the totals equal the sums over peers, no count is negative, and the limits are not exceeded.
+func TestTotalsEqualSums(t *testing.T) {
 	model := peerModel{
 		random: rand.New(rand.NewPCG(1, 1)),
 		controller: NewController(Limits{
@@ -265,7 +265,7 @@
 	}
 }
 
-// BenchmarkAnswer is what an answer costs: queued, written, seen to be acknowledged.
+// BenchmarkAnswer measures the accounting for one answer that is queued, written and acknowledged.
 func BenchmarkAnswer(b *testing.B) {
 	p := NewController(DeriveLimits(48, 170)).OpenPeer("a")
 	b.ReportAllocs()
--- a/internal/readbuffer/buffer.go
+++ b/internal/readbuffer/buffer.go
@@ -1,5 +1,5 @@
-// Package readbuffer provides a connection's one read buffer: it grows as needed, is compacted in place, and shrinks again after
-// something large.
+// Package readbuffer provides a read buffer for a connection. The buffer grows as needed, is compacted in place, and is released once it
+// is empty if it has grown large.
 package readbuffer
 
 import (
@@ -8,28 +8,28 @@
 )
 
 const (
-	initialSize     = 4 << 10  // bytes, at the start and after something large
+	initialSize     = 4 << 10  // bytes; also the size after a large buffer was released
 	maxRetainedSize = 16 << 10 // bytes; a larger buffer is released once it is empty
 )
 
-// ErrFull is returned when what is awaited is larger than the buffer may grow.
-var ErrFull = errors.New("larger than the buffer may grow")
+// ErrFull is returned by Fill if the buffer is full and has its maximum size.
+var ErrFull = errors.New("read buffer is full at its maximum size")
 
-// Buffer stores bytes that were read and not yet discarded. It is not safe for concurrent use.
+// Buffer holds bytes that were read and not yet discarded. It is not safe for concurrent use.
 type Buffer struct {
 	data    []byte
-	start   int // of the unread bytes in data
-	end     int
+	start   int // index in data of the first byte that was not discarded
+	end     int // index in data after the last byte read
 	maxSize int
 }
 
-// New returns a buffer that grows to maxSize bytes.
+// New returns an empty buffer that grows to at most maxSize bytes.
 func New(maxSize int) *Buffer { return &Buffer{maxSize: maxSize} }
 
-// Bytes returns the bytes read and not yet discarded; the slice is valid until the next Fill.
+// Bytes returns the bytes that were read and not yet discarded. The slice is valid until the next Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Discard drops the first n of Bytes.
+// Discard discards the first n bytes of Bytes.
 func (b *Buffer) Discard(n int) {
 	b.start += n
 	if b.start < b.end {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Fill reads once, behind what is there already, and returns the number of bytes read. Its error is the reader's, or ErrFull.
+// Fill calls r.Read once, appends the result to the buffer and returns the number of bytes read. It returns the error of r, or ErrFull.
 func (b *Buffer) Fill(r io.Reader) (int, error) {
 	if b.end == len(b.data) {
 		if err := b.ensureSpace(); err != nil {
@@ -54,7 +54,7 @@
 	return n, err
 }
 
-// ensureSpace compacts the buffer, or grows it where compacting frees too little.
+// ensureSpace compacts the buffer, or grows it if no bytes were discarded.
 func (b *Buffer) ensureSpace() error {
 	if b.start > 0 {
 		b.end = copy(b.data, b.data[b.start:b.end])
--- a/internal/readbuffer/buffer_test.go
+++ b/internal/readbuffer/buffer_test.go
@@ -17,9 +17,9 @@
 		err           error
 	}{
 		{"small pieces", 10_000, initialSize, 7, nil},
-		{"grows for something large", 100_000, 200_000, 100_000, nil},
-		{"compacts in place, so that what is left always fits", 90_000, initialSize, initialSize - 1, nil},
-		{"larger than it may grow", 100_000, 50_000, 100_000, ErrFull},
+		{"grows as needed", 100_000, 200_000, 100_000, nil},
+		{"compacts in place, so that the rest always fits", 90_000, initialSize, initialSize - 1, nil},
+		{"larger than the maximum size", 100_000, 50_000, 100_000, ErrFull},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			want := bytes.Repeat([]byte("0123456789"), c.size/10)
@@ -40,7 +40,7 @@
 			}
 			require.NoError(t, c.err)
 			assert.Equal(t, want, got)
-			assert.LessOrEqual(t, len(b.data), maxRetainedSize, "shrinks again")
+			assert.LessOrEqual(t, len(b.data), maxRetainedSize, "a large buffer is released")
 		})
 	}
 }
--- a/internal/retrybudget/observer/observer_test.go
+++ b/internal/retrybudget/observer/observer_test.go
@@ -13,9 +13,9 @@
 	"bankledge/internal/retrybudget"
 )
 
-// playFleet plays routers that cause all the extra work that their budgets allow, and counts the windows and those over the
-// bound. In a greedy fleet routers do not always ask their budgets.
-func playFleet(seed uint64, restart, greedy bool) (windows, over int) {
+// simulateRouters simulates routers that cause all the extra work that their budgets allow. It returns the number of windows, counted
+// per kind of work, and how many of them exceed the bound. If unbudgeted is set, routers sometimes cause extra work without a unit.
+func simulateRouters(seed uint64, restart, unbudgeted bool) (windows, exceeded int) {
 	const routers, step, end = 300, 50 * time.Millisecond, 14 * time.Second
 	r := rand.New(rand.NewPCG(seed, 5))
 	bounds := retrybudget.Bounds{Window: 2 * time.Second, ByKind: [retrybudget.NumWorkKinds]retrybudget.Bound{
@@ -51,48 +51,49 @@
 				}
 			}
 			for _, k := range []retrybudget.WorkKind{retrybudget.AdditionalAttempt, retrybudget.HealthCheck} {
-				for budget.TrySpend(now, k) || greedy && r.IntN(20) == 0 {
+				for budget.TrySpend(now, k) || unbudgeted && r.IntN(20) == 0 {
 					observer.RecordExtraWork(now, k)
 				}
 			}
 		}
 		if now%bounds.Window == 0 {
 			windows += 2
-			over += len(observer.Violations(now))
+			exceeded += len(observer.Violations(now))
 		}
 	}
-	return windows, over
+	return windows, exceeded
 }
 
-// SEEDS=1000 in the environment plays more fleets.
-func TestTheSumOfAllRoutersKeepsTheBound(t *testing.T) {
+// All routers together stay within the bound, although each enforces only its own part. The environment variable SEEDS sets the number of
+// simulations, e.g. SEEDS=1000.
+func TestSumOfAllRoutersStaysWithinBound(t *testing.T) {
 	seeds := 40
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		seeds = n
 	}
 	for name, restart := range map[string]bool{
-		"one has eight times the traffic, nothing completes for a while": false,
-		"and seven in ten restart":                                       true,
+		"one router has eight times the traffic, nothing completes for two seconds": false,
+		"the same, and seven in ten routers restart":                                true,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			windows, over := 0, 0
+			windows, exceeded := 0, 0
 			for seed := range seeds {
-				n, o := playFleet(uint64(seed), restart, false)
+				n, e := simulateRouters(uint64(seed), restart, false)
 				windows += n
-				over += o
+				exceeded += e
 			}
-			t.Logf("%d of %d windows over the bound, stated probability 0.001", over, windows)
-			assert.LessOrEqual(t, float64(over), 0.001*float64(windows)+2)
+			t.Logf("%d of %d windows exceed the bound, stated probability 0.001", exceeded, windows)
+			assert.LessOrEqual(t, float64(exceeded), 0.001*float64(windows)+2)
 		})
 	}
-	_, over := playFleet(1, false, true)
-	assert.Positive(t, over, "routers that do not ask their budget exceed the bound")
+	_, exceeded := simulateRouters(1, false, true)
+	assert.Positive(t, exceeded, "routers that cause extra work without a unit exceed the bound")
 }
 
 func TestMaxUnits(t *testing.T) {
 	assert.Equal(t, 0.0, MaxUnits(retrybudget.Bound{}, 100, 100, 1e-3))
-	assert.Equal(t, 200.0, MaxUnits(retrybudget.Bound{PerAdmitted: 2}, 100, 0, 1e-3), "whole shares are certain")
+	assert.Equal(t, 200.0, MaxUnits(retrybudget.Bound{PerAdmitted: 2}, 100, 0, 1e-3), "the integer part of a share is certain")
 	units := MaxUnits(retrybudget.Bound{PerCompleted: 0.1}, 0, 100, 1e-3)
 	assert.Equal(t, 20.0, units, "a binomial of 100 and 0.1 exceeds 20 once in 1,235 times")
 	assert.Greater(t, MaxUnits(retrybudget.Bound{PerAdmitted: 0.001}, 5e9, 0, 1e-3), 5e6)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -10,7 +10,7 @@
 	"bankledge/internal/detrand"
 )
 
-func TestNothingIsEarnedByTimeAlone(t *testing.T) {
+func TestUnitsAreEarnedByStatementsOnly(t *testing.T) {
 	b := Budget{Bounds: Bounds{
 		Window: time.Second,
 		ByKind: [NumWorkKinds]Bound{AdditionalAttempt: {PerCompleted: 1}},
@@ -19,14 +19,14 @@
 	b.RecordCompleted(time.Hour)
 	b.RecordAdmitted(time.Hour)
 	assert.True(t, b.TrySpend(time.Hour+time.Second-1, AdditionalAttempt))
-	assert.False(t, b.TrySpend(time.Hour+time.Second-1, AdditionalAttempt), "one unit is spent once")
+	assert.False(t, b.TrySpend(time.Hour+time.Second-1, AdditionalAttempt), "a unit is spent only once")
 	b.RecordCompleted(time.Hour)
 	assert.False(t, b.TrySpend(time.Hour+time.Second, AdditionalAttempt), "a unit expires after one window")
 	assert.Equal(t, int64(3), b.Denied()[AdditionalAttempt])
 	assert.True(t, b.TrySpend(0, HealthCheck), "a kind without a bound")
 }
 
-func TestKindWithoutABoundIsNeverDenied(t *testing.T) {
+func TestKindWithoutBoundIsNeverDenied(t *testing.T) {
 	b := Budget{Bounds: Bounds{Window: time.Second}}
 	for range 2 * maxUnits {
 		assert.True(t, b.TrySpend(0, Cancellation))
@@ -34,8 +34,8 @@
 	assert.Zero(t, b.Denied())
 }
 
-// Whatever arrives in whatever order, a router never spends more in a window than it earned in that window and the one before, or, where
-// the kind has no bound, is never denied a unit.
+// For any sequence of statements, a router spends at most as many units in a window as it earned in that window and the one before. If
+// the kind has no bound, the router is never denied a unit.
 func TestSpendsNoMoreThanEarned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := Bound{
@@ -74,7 +74,7 @@
 	})
 }
 
-// sumAfter sums the amounts at times after one and up to another.
+// sumAfter returns the sum of the amounts at times later than after and not later than upTo.
 func sumAfter(amounts map[time.Duration]int, after, upTo time.Duration) int {
 	sum := 0
 	for at, n := range amounts {
@@ -91,7 +91,7 @@
 	assert.InDelta(t, 0.5*0.02/0.2+0.1*(0.2+0.01)/0.2, b.WorstCaseShare(costs, 0.2), 1e-9)
 }
 
-func TestEachWorkKindHasAName(t *testing.T) {
+func TestWorkKindNames(t *testing.T) {
 	for k := range NumWorkKinds {
 		assert.NotEmpty(t, k.String())
 	}
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue keeps functions that are to be called at later times, ordered by their times. It has no clock: its
-// owner tells it the time.
+// Package timerqueue implements a queue of functions that are to be called at later times. It reads no clock: the caller passes the
+// current time.
 package timerqueue
 
 import (
@@ -8,27 +8,30 @@
 	"time"
 )
 
-// minCancelledToCompact is the least number of cancelled timers that are removed before they are due.
+// minCancelledToCompact is the number of cancelled timers below which they are not removed before they are due.
 const minCancelledToCompact = 1024
 
-// Queue holds what is scheduled. Its zero value is empty. One goroutine at a time may use it.
+// Queue holds the scheduled timers. Its zero value is an empty queue. It is not safe for concurrent use.
 //
-// A cancelled timer releases its function at once. The timer itself stays until it is due, or until more than half of the timers are
-// cancelled ones: so cancelling takes constant time in the mean, and at most minCancelledToCompact, or as many as are left, are kept.
+// Cancelling a timer releases its function at once. The timer itself stays in the queue until it is due or until Cancel removes all
+// cancelled timers. Cancel does so once there are at least minCancelledToCompact and they are more than half of all timers, so that
+// cancelling takes amortized constant time and the number of cancelled timers stays bounded by minCancelledToCompact or by the number of
+// other timers, whichever is larger.
 type Queue struct {
 	heap      timerHeap
 	sequence  int
 	cancelled int // timers in heap that were cancelled
 }
 
-// Timer is a function that is scheduled.
+// Timer is a scheduled function.
 type Timer struct {
 	at       time.Duration
-	sequence int    // orders timers of the same time
-	do       func() // nil: it was called or cancelled
+	sequence int    // orders timers with the same time
+	do       func() // nil once it was called or cancelled
 }
 
-// Schedule has a function called at a time. Functions of the same time are called in the order of their scheduling.
+// Schedule schedules a function to be called at a time. Functions with the same time are called in the order in which they were
+// scheduled.
 func (q *Queue) Schedule(at time.Duration, do func()) *Timer {
 	q.sequence++
 	t := &Timer{at: at, sequence: q.sequence, do: do}
@@ -36,7 +39,7 @@
 	return t
 }
 
-// Cancel has a timer's function not called. It has no effect on nil, or once the function was called or cancelled.
+// Cancel cancels a timer, so that its function is not called. It has no effect if the timer is nil, or was called or cancelled before.
 func (q *Queue) Cancel(t *Timer) {
 	if t == nil || t.do == nil {
 		return
@@ -55,8 +58,8 @@
 	q.cancelled = 0
 }
 
-// RunDue calls all functions whose time has come, the earliest first. They may schedule further ones, which are called,
-// too, if they are due.
+// RunDue calls all functions that are due at now, the earliest first. The functions may schedule further ones, which RunDue also
+// calls if they are due.
 func (q *Queue) RunDue(now time.Duration) {
 	for len(q.heap) > 0 && q.heap[0].at <= now {
 		t := heap.Pop(&q.heap).(*Timer)
@@ -70,12 +73,12 @@
 	}
 }
 
-// Next returns the earliest time scheduled, or otherwise if nothing is scheduled before that. The time may be a cancelled timer's.
-func (q *Queue) Next(otherwise time.Duration) time.Duration {
-	if len(q.heap) > 0 && q.heap[0].at < otherwise {
+// Next returns the earliest scheduled time, or limit if nothing is scheduled before it. The time may be that of a cancelled timer.
+func (q *Queue) Next(limit time.Duration) time.Duration {
+	if len(q.heap) > 0 && q.heap[0].at < limit {
 		return q.heap[0].at
 	}
-	return otherwise
+	return limit
 }
 
 // timerHeap implements heap.Interface, the earliest timer first.
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestFunctionsRunInTheOrderOfTheirTimes(t *testing.T) {
+func TestRunDueOrder(t *testing.T) {
 	var q Queue
 	var ran []string
-	note := func(name string) func() { return func() { ran = append(ran, name) } }
-	q.Schedule(2*time.Second, note("second"))
-	q.Schedule(time.Second, note("first"))
-	q.Schedule(2*time.Second, note("second, scheduled later"))
-	q.Schedule(3*time.Second, note("third"))
+	record := func(name string) func() { return func() { ran = append(ran, name) } }
+	q.Schedule(2*time.Second, record("second"))
+	q.Schedule(time.Second, record("first"))
+	q.Schedule(2*time.Second, record("second, scheduled later"))
+	q.Schedule(3*time.Second, record("third"))
 
 	assert.Equal(t, time.Second, q.Next(time.Minute))
 	assert.Equal(t, time.Millisecond, q.Next(time.Millisecond), "nothing is scheduled before")
@@ -28,7 +28,7 @@
 	assert.Equal(t, time.Minute, q.Next(time.Minute), "the queue is empty")
 }
 
-func TestFunctionsScheduleFurtherOnes(t *testing.T) {
+func TestFunctionsScheduleFunctions(t *testing.T) {
 	var q Queue
 	var ran []string
 	q.Schedule(time.Second, func() {
@@ -42,7 +42,8 @@
 	assert.Equal(t, []string{"first", "due at once", "due later"}, ran)
 }
 
-// Cancelled timers are not called, the others are, in the order of their times, and most of what was cancelled is given back at once.
+// The functions of cancelled timers are not called, the others are called in the order of their times, and Cancel removes most cancelled
+// timers from the queue at once.
 func TestCancel(t *testing.T) {
 	var q Queue
 	var ran []int
@@ -64,7 +65,7 @@
 	assert.IsIncreasing(t, ran)
 	assert.Empty(t, q.heap)
 	assert.Zero(t, q.cancelled)
-	q.Cancel(scheduled[0]) // it was called
+	q.Cancel(scheduled[0]) // its function was called
 	q.Cancel(nil)
 	assert.Zero(t, q.cancelled)
 }
