--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -10,43 +10,43 @@
 	"bankledge/internal/rules"
 )
 
-// ClientSettings are fixed at a router's start.
+// ClientSettings configure a Client. They do not change while the router runs.
 type ClientSettings struct {
 	Durations    Durations
-	Name         string               // of the router, for operators
-	Incarnation  string               // unique to this process
-	Lineage      string               // the only one to follow; empty: the first one that is received
-	LocalRules   *rules.Rules         // the router's local settings
-	Guards       configversion.Guards // checked in addition to those of the control group
-	AddressCount int                  // number of processes of the control group
-	Seed         uint64               // of the jitter
+	Name         string               // of the router, shown to operators
+	Incarnation  string               // unique to this process of the router
+	Lineage      string               // the only one to follow; if empty, that of the first accepted version
+	LocalRules   *rules.Rules         // rules of the router's local settings
+	Guards       configversion.Guards // applied in addition to those of the control group
+	AddressCount int                  // number of control group addresses, one for each process
+	Seed         uint64               // of the jitter of renewals and backoffs
 }
 
 // Client is the lease state machine of a router. It is not safe for concurrent use.
 type Client struct {
 	settings ClientSettings
-	random   detrand.Source // of the jitter
+	random   detrand.Source // generates the jitter
 
 	// Versions.
 	lineage         string
-	activated       *configversion.Version // newest one that is activated, as far as this router knows
-	pending         *configversion.Version // newest one that is known, while it is not activated
-	activatedNumber uint64                 // highest number that was reported as activated; its version may still be unknown
-	applied         ActiveConfiguration    // of the last ApplyRules
+	activated       *configversion.Version // newest version that is known to be activated, or nil
+	pending         *configversion.Version // newest version while it is not known to be activated, or nil
+	activatedNumber uint64                 // highest version number reported as activated; the version itself may not be received yet
+	applied         ActiveConfiguration    // configuration of the last ApplyRules
 
 	// Renewals.
 	leaseExpiry     time.Duration // 0: no lease
 	lastSeq         uint64
-	sent            [rememberedRenewals]sentRenewal // by Seq modulo the length
-	awaitingReply   bool                            // to the renewal lastSeq
+	sent            [rememberedRenewals]sentRenewal // ring buffer, indexed by Seq modulo its length
+	awaitingReply   bool                            // the reply to renewal lastSeq is outstanding
 	nextRenewal     time.Duration
-	renewalFailures int // in a row
-	addressIndex    int // that renewals are sent to
-	lastMessage     string
+	renewalFailures int    // consecutive
+	addressIndex    int    // index of the address that renewals are sent to
+	lastMessage     string // sent with each renewal; cleared by a grant
 
 	// Stream.
-	streamFailures int           // in a row
-	reopenStreamAt time.Duration // 0: the stream is open
+	streamFailures int           // consecutive
+	reopenStreamAt time.Duration // 0: the stream is open and not to be reopened
 }
 
 // NewClient returns the client of a router that has received no version yet and acts on its local settings.
@@ -55,14 +55,14 @@
 		settings:       settings,
 		lineage:        settings.Lineage,
 		random:         detrand.Source{Seed: settings.Seed},
-		reopenStreamAt: 1, // at once; 0 would mean that the stream is open
+		reopenStreamAt: 1, // opens the stream on the first Step
 	}
 }
 
-// Step takes an event that happened now and returns what to do, in order.
+// Step handles an event that happened at now, and returns the actions to carry out, in order.
 func (c *Client) Step(now time.Duration, event ClientEvent) []ClientAction {
 	actions := c.handle(now, event)
-	// The lease is checked before anything is decided, so that a process that was paused does not act on an old version.
+	// The lease is checked before the rules are chosen, so that a process that was paused does not act on an outdated version.
 	actions = append(actions, c.expireLease(now)...)
 	if apply, changed := c.applyRules(); changed {
 		actions = append(actions, apply)
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// NextDeadline is when the client needs a ClientTick at the latest.
+// NextDeadline returns the latest time at which the client needs a ClientTick.
 func (c *Client) NextDeadline() time.Duration {
 	deadline := c.nextRenewal
 	if c.awaitingReply {
@@ -113,7 +113,7 @@
 	return deadline
 }
 
-// LeaseExpiry is when the lease expires, or 0 without a lease. An action that was decided under the lease must not be carried out after it.
+// LeaseExpiry returns when the lease expires, or 0 without a lease. A decision that was made under the lease must not be carried out later.
 func (c *Client) LeaseExpiry() time.Duration { return c.leaseExpiry }
 
 func (c *Client) expireLease(now time.Duration) []ClientAction {
@@ -124,7 +124,8 @@
 	return c.report("the term is over: on the cautious side of what is known")
 }
 
-// report logs a message for operators and sends it to the group with the next renewal. A repeated message is not logged again.
+// report logs a message for operators, and sends it to the control group with the next renewals. A message that equals the last one is not
+// logged again.
 func (c *Client) report(text string) []ClientAction {
 	text = truncate(strings.ToValidUTF8(text, "?"), maxTextBytes)
 	if text == c.lastMessage {
@@ -134,7 +135,7 @@
 	return []ClientAction{LogMessage{text}}
 }
 
-// truncate returns the longest prefix of valid UTF-8 that has at most so many bytes and ends between two characters.
+// truncate returns the longest prefix of text that has at most maxBytes bytes and does not end inside a character. text is valid UTF-8.
 func truncate(text string, maxBytes int) string {
 	if len(text) <= maxBytes {
 		return text
--- a/internal/lease/client_events.go
+++ b/internal/lease/client_events.go
@@ -7,12 +7,12 @@
 	"bankledge/internal/rules"
 )
 
-// ClientEvent is something that happened to a router.
+// ClientEvent is an input of Client.Step.
 type ClientEvent interface{ clientEvent() }
 
 // The events of a client.
 type (
-	// ClientTick lets time pass. It is due before each batch of decisions, and no later than Client.NextDeadline.
+	// ClientTick only advances the time. It has to be sent before each batch of decisions, and no later than Client.NextDeadline.
 	ClientTick struct{}
 
 	// ReplyReceived is a reply to a renewal.
@@ -21,13 +21,13 @@
 	// RenewalFailed reports that a renewal will get no reply.
 	RenewalFailed struct{ Seq uint64 }
 
-	// VersionReceived is a version from the stream, with the newest number that was activated when it was sent.
+	// VersionReceived is a version from the stream, with the highest version number that was activated when it was sent.
 	VersionReceived struct {
 		Version   *configversion.Version
 		Activated uint64
 	}
 
-	// VersionActivated reports, from the stream, that all versions up to a number are activated.
+	// VersionActivated is an event of the stream: all versions up to a number are activated.
 	VersionActivated struct {
 		Lineage string
 		Number  uint64
@@ -48,30 +48,30 @@
 func (InvalidVersionReceived) clientEvent() {}
 func (StreamLost) clientEvent()             {}
 
-// ClientAction is something that a router has to do.
+// ClientAction is an output of Client.Step that the router has to carry out.
 type ClientAction interface{ clientAction() }
 
-// The actions of a client. AddressIndex counts the processes of the control group, from 0.
+// The actions of a client. AddressIndex is the index of an address of the control group, from 0.
 type (
-	// SendRenewal sends a renewal. The client counts its lease from now.
+	// SendRenewal sends a renewal. A lease that its reply grants counts from the time of the Step that returned the action.
 	SendRenewal struct {
 		Renewal      Renewal
 		AddressIndex int
 	}
 
-	// ApplyRules has the router act on these rules from the next decision on.
+	// ApplyRules replaces the rules that the router acts on, from the next decision on.
 	ApplyRules struct {
 		Rules         *rules.Rules
 		Configuration ActiveConfiguration
 	}
 
-	// ReopenStream opens a new stream of versions, in place of the present one, for the versions after a number.
+	// ReopenStream replaces the stream of versions by a new one, which starts after version AfterVersion.
 	ReopenStream struct {
 		AddressIndex int
 		AfterVersion uint64
 	}
 
-	// LogMessage is a message for operators.
+	// LogMessage logs a message for operators.
 	LogMessage struct{ Text string }
 )
 
@@ -82,9 +82,9 @@
 
 // ActiveConfiguration identifies the versions that a router acts on.
 type ActiveConfiguration struct {
-	Leased    bool   // a lease is held; without one the local settings apply, too
-	Activated uint64 // activated version, 0 if none is known
-	Pending   uint64 // newer version that is known but not activated, 0 if there is none
+	Leased    bool   // the router holds a lease; without one its local settings restrict the rules, too
+	Activated uint64 // number of the activated version, 0 if none is known
+	Pending   uint64 // number of the newer version that is not activated, 0 if there is none
 }
 
 // String describes the configuration for a log.
--- a/internal/lease/client_renewal.go
+++ b/internal/lease/client_renewal.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// rememberedRenewals is how many of the last renewals may still be answered. The reply to an older one is dropped.
+// rememberedRenewals is how many of the latest renewals are remembered until their reply is received. A reply to an older one is dropped.
 const rememberedRenewals = 8
 
-// sentRenewal is a renewal that has no reply yet. The lease is counted from when it was sent, however late the reply is.
+// sentRenewal is a renewal without a reply. A lease that the reply grants counts from sentAt, however late the reply is received.
 type sentRenewal struct {
-	seq    uint64 // 0: none, or its reply was received
+	seq    uint64 // 0: no renewal, or its reply was received
 	sentAt time.Duration
 }
 
-// Jitter of the interval between renewals and of backoffs, as fractions of the nominal time, so that routers do not act all at once.
+// Jitter of the renewal interval and of backoffs: a duration is multiplied by a random factor from the minimum to the minimum plus the range,
+// so that routers do not all send at the same time.
 const (
 	minRenewJitter     = 0.8
 	renewJitterRange   = 0.4
@@ -19,7 +20,7 @@
 	backoffJitterRange = 1.0
 )
 
-// renew sends a renewal. The lease is counted from now, before anything is written to the network.
+// renew sends a renewal. A lease that its reply grants counts from now, which is before anything is written to the network.
 func (c *Client) renew(now time.Duration) ClientAction {
 	c.lastSeq++
 	c.awaitingReply = true
@@ -42,7 +43,7 @@
 	return SendRenewal{Renewal: renewal, AddressIndex: c.addressIndex}
 }
 
-// replyDeadline is when the last renewal counts as failed.
+// replyDeadline returns when the last renewal counts as failed if it has no reply.
 func (c *Client) replyDeadline() time.Duration {
 	return c.sent[c.lastSeq%rememberedRenewals].sentAt + c.settings.Durations.ReplyTimeout
 }
@@ -61,19 +62,19 @@
 	c.renewalFailures++
 }
 
-// backoff is the time to wait after a number of failures in a row. It grows to the renewal interval once each address has failed twice,
-// and is jittered, so that a group that recovers is not overloaded.
+// backoff returns the time to wait after a number of consecutive failures. It grows from a quarter of the renewal interval to the whole
+// interval once each address has failed twice, and is jittered, so that a recovering group is not overloaded.
 func (c *Client) backoff(failures int) time.Duration {
 	rounds := min(failures/c.addresses(), 2)
 	nominal := c.settings.Durations.RenewInterval / time.Duration(4>>rounds)
 	return time.Duration(float64(nominal) * (minBackoffJitter + backoffJitterRange*c.random.Float64()))
 }
 
-// addresses is the number of addresses to choose from.
+// addresses returns the number of addresses, at least 1.
 func (c *Client) addresses() int { return max(1, c.settings.AddressCount) }
 
-// takeSent returns when a renewal was sent, and forgets it, so that a duplicate reply has no effect. It returns false if the renewal is
-// not remembered.
+// takeSent returns when a renewal was sent, and removes it from the remembered ones, so that a duplicate reply has no effect. It returns
+// false if the renewal is not remembered.
 func (c *Client) takeSent(seq uint64) (time.Duration, bool) {
 	sent := c.sent[seq%rememberedRenewals]
 	if seq == 0 || sent.seq != seq {
@@ -83,7 +84,7 @@
 	return sent.sentAt, true
 }
 
-// receiveReply extends the lease by a grant, counted from when the renewal was sent.
+// receiveReply handles a reply. A grant extends the lease, counted from when the renewal was sent.
 func (c *Client) receiveReply(now time.Duration, reply Reply) []ClientAction {
 	sentAt, remembered := c.takeSent(reply.Seq)
 	if !remembered {
@@ -106,7 +107,7 @@
 		c.leaseExpiry = max(c.leaseExpiry, sentAt+c.settings.Durations.ClientLease())
 		c.lastMessage = ""
 	case reply.Newest > c.newestNumber():
-		c.expectMissingVersion(now)
+		c.scheduleStreamReopen(now)
 	}
 	c.activate(reply.Lineage, reply.Activated)
 	return nil
@@ -118,9 +119,9 @@
 	return reply.Granted && newest != nil && reply.Newest == newest.Number && reply.Lineage == c.lineage
 }
 
-// expectMissingVersion lets the stream be reopened unless it delivers, within a short time, a version that is known to exist: the
-// connection may be dead, or the process at its other end may lag behind.
-func (c *Client) expectMissingVersion(now time.Duration) {
+// scheduleStreamReopen schedules a new stream when a version exists that the client has not received: the connection may be broken, or the
+// process at its other end may lag. The delay leaves the present stream time to deliver the version; the stream is reopened even if it does.
+func (c *Client) scheduleStreamReopen(now time.Duration) {
 	if c.reopenStreamAt == 0 {
 		c.reopenStreamAt = now + c.settings.Durations.RenewInterval/4
 	}
--- a/internal/lease/client_test.go
+++ b/internal/lease/client_test.go
@@ -14,7 +14,7 @@
 	"bankledge/internal/rules"
 )
 
-// appliedMultiple returns the multiple of the last rules that a step applies, 0 if there are none.
+// appliedMultiple returns the SlowStartMultiple of the last rules that the actions apply, 0 if they apply none.
 func appliedMultiple(actions []ClientAction) float64 {
 	applied := clientActions[ApplyRules](actions)
 	if len(applied) == 0 {
@@ -23,7 +23,7 @@
 	return applied[len(applied)-1].Rules.SlowStartMultiple
 }
 
-// nextRenewal has the client send its next renewal, and returns it.
+// nextRenewal advances the time until the client sends a renewal, and returns that.
 func nextRenewal(t *testing.T, c *Client, now time.Duration) Renewal {
 	t.Helper()
 	for range 20 {
@@ -32,30 +32,31 @@
 		}
 		now = max(now, c.NextDeadline())
 	}
-	require.Fail(t, "no renewal is sent")
+	require.Fail(t, "the client sends no renewal")
 	return Renewal{}
 }
 
-// A tighter version takes effect on receipt, a looser one on activation; a lease counts from when its renewal was sent, however late the
-// reply is, and once it has expired the client acts on the intersection of all versions that it knows.
+// A more restrictive version takes effect on receipt, a less restrictive one on activation. A lease counts from when its renewal was sent,
+// however late the reply is received. After the lease has expired, the client acts on the intersection of the versions in force and its local
+// settings.
 func TestClientAppliesRules(t *testing.T) {
 	c := newTestClient(t)
 	versions := lineageOf(t, "l", 3)
 	actions := c.Step(0, VersionReceived{versions[0], 0})
 	assert.Equal(t, 1.0, appliedMultiple(actions), "restricted by the local settings until a version is activated")
 	first := clientActions[SendRenewal](actions)[0].Renewal
-	assert.Equal(t, uint64(1), first.KnownVersion, "the version is acknowledged at once")
+	assert.Equal(t, uint64(1), first.KnownVersion, "the version is acknowledged without delay")
 
 	grant := ReplyReceived{Reply{Seq: first.Seq, Granted: true, Lineage: "l", Newest: 1, Activated: 1}}
 	assert.Equal(t, 2.0, appliedMultiple(c.Step(300*ms, grant)))
-	assert.Equal(t, c.LeaseExpiry(), DefaultDurations().ClientLease(), "counted from the sending, at 0")
+	assert.Equal(t, c.LeaseExpiry(), DefaultDurations().ClientLease(), "the lease counts from when the renewal was sent, at 0")
 	c.Step(310*ms, grant)
-	assert.Equal(t, c.LeaseExpiry(), DefaultDurations().ClientLease(), "a reply counts once")
+	assert.Equal(t, c.LeaseExpiry(), DefaultDurations().ClientLease(), "a duplicate reply does not extend the lease")
 
-	assert.Equal(t, 2.0, appliedMultiple(c.Step(400*ms, VersionReceived{versions[1], 1})), "a looser version has no effect yet")
+	assert.Equal(t, 2.0, appliedMultiple(c.Step(400*ms, VersionReceived{versions[1], 1})), "a less restrictive version has no effect before it is activated")
 	assert.Equal(t, ActiveConfiguration{Leased: true, Activated: 1, Pending: 2}, c.applied)
 	assert.Equal(t, 3.0, appliedMultiple(c.Step(500*ms, VersionActivated{"l", 2})))
-	assert.Equal(t, 1.5, appliedMultiple(c.Step(600*ms, VersionReceived{successor(t, versions[1], 1.5), 2})), "a tighter version")
+	assert.Equal(t, 1.5, appliedMultiple(c.Step(600*ms, VersionReceived{successor(t, versions[1], 1.5), 2})), "a more restrictive version has an effect on receipt")
 
 	assert.Equal(t, 1.0, appliedMultiple(c.Step(DefaultDurations().ClientLease(), ClientTick{})), "the lease has expired")
 	assert.Contains(t, c.lastMessage, "cautious")
@@ -115,7 +116,7 @@
 		{"a gap before an activated version", []ClientEvent{VersionReceived{versions[0], 0}, VersionReceived{versions[3], 4}}, "", 4},
 		{"first version received is not activated", []ClientEvent{VersionReceived{versions[3], 3}}, "missing", 0},
 		{"first version received is activated", []ClientEvent{VersionReceived{versions[3], 4}, VersionReceived{versions[4], 4}}, "", 5},
-		{"received in part", []ClientEvent{VersionReceived{versions[0], 0}, InvalidVersionReceived{errors.New("hash")}}, "not taken: hash", 1},
+		{"invalid event of the stream", []ClientEvent{VersionReceived{versions[0], 0}, InvalidVersionReceived{errors.New("hash")}}, "not taken: hash", 1},
 		{"all engines removed", []ClientEvent{VersionReceived{withEngines, 1}, VersionReceived{emptied, 1}}, "no engine is active", 1},
 		{"guards forced", []ClientEvent{VersionReceived{withEngines, 1}, VersionReceived{emptiedByForce, 1}}, "", 2},
 	} {
@@ -133,12 +134,12 @@
 				return
 			}
 			assert.Contains(t, logged, test.wantMessage)
-			assert.Contains(t, nextRenewal(t, c, time.Second).LastMessage, test.wantMessage, "the group is notified of the reason")
+			assert.Contains(t, nextRenewal(t, c, time.Second).LastMessage, test.wantMessage, "the next renewal contains the reason")
 		})
 	}
 }
 
-// A client whose group does not answer tries each address in turn, at first after a short backoff and then at the renewal interval.
+// A client whose control group does not answer tries the addresses in turn, first after a short backoff and later at the renewal interval.
 func TestClientRetriesWithBackoff(t *testing.T) {
 	c := newTestClient(t)
 	renewals := map[int]int{} // by address
@@ -163,8 +164,8 @@
 	assert.Greater(t, reopened, 15)
 }
 
-// Whatever events it receives in whatever order, a client never acts on more than each version in force permits, and without a lease
-// never on more than its local settings permit.
+// For any sequence of events, the client's rules permit nothing that a version in force forbids, and without a lease nothing that its local
+// settings forbid.
 func TestClientNeverExceedsVersionsInForce(t *testing.T) {
 	versions := lineageOf(t, "l", 8)
 	local := rulesWithMultiple(t, 1)
@@ -180,9 +181,9 @@
 				case SendRenewal:
 					seqs = append(seqs, a.Renewal.Seq)
 				case ApplyRules:
-					checkApplied(rt, a, versions, local)
+					checkAppliedRules(rt, a, versions, local)
 					if a.Configuration.Leased != (c.LeaseExpiry() > now) {
-						rt.Fatalf("leased %v, until %v at %v", a.Configuration.Leased, c.LeaseExpiry(), now)
+						rt.Fatalf("Leased is %v, but the lease expires at %v and the time is %v", a.Configuration.Leased, c.LeaseExpiry(), now)
 					}
 				}
 			}
@@ -209,13 +210,13 @@
 	return ClientTick{}
 }
 
-func checkApplied(rt *rapid.T, applied ApplyRules, versions []*configversion.Version, local *rules.Rules) {
+func checkAppliedRules(rt *rapid.T, applied ApplyRules, versions []*configversion.Version, local *rules.Rules) {
 	for _, number := range []uint64{applied.Configuration.Activated, applied.Configuration.Pending} {
 		if number > 0 && len(rules.Conflicts(applied.Rules, versions[number-1].Rules)) > 0 {
-			rt.Fatalf("acts on more than version %d permits", number)
+			rt.Fatalf("applied rules permit what version %d forbids", number)
 		}
 	}
 	if !applied.Configuration.Leased && len(rules.Conflicts(applied.Rules, local)) > 0 {
-		rt.Fatal("without a lease, acts on more than the local settings permit")
+		rt.Fatal("without a lease, applied rules permit what the local settings forbid")
 	}
 }
--- a/internal/lease/client_versions.go
+++ b/internal/lease/client_versions.go
@@ -9,10 +9,11 @@
 	"bankledge/internal/rules"
 )
 
-// errPreviousMissing is returned for a version that can't be accepted yet: the intersection would lack the version before it.
+// errPreviousMissing is returned for a version that can't be accepted yet: the version before it is in force, too, but was not received, so
+// the intersection of the two is unknown.
 var errPreviousMissing = errors.New("the one before it, which is still in force beside it, is missing")
 
-// newest is the newest version that the client knows, or nil.
+// newest returns the newest version that the client has accepted, or nil.
 func (c *Client) newest() *configversion.Version {
 	if c.pending != nil {
 		return c.pending
@@ -27,30 +28,30 @@
 	return 0
 }
 
-// receiveVersion accepts a version, or rejects it and reports the reason. After a rejection the client gets no lease any more, as it does not
-// know the newest version.
+// receiveVersion accepts a version, or rejects it and reports the reason. After a rejection the client is granted no further lease, since it
+// does not know the newest version.
 func (c *Client) receiveVersion(now time.Duration, v *configversion.Version, activated uint64) []ClientAction {
 	c.streamFailures = 0
 	if err := c.checkVersion(v, activated); err != nil {
 		if errors.Is(err, errPreviousMissing) {
-			c.expectMissingVersion(now)
+			c.scheduleStreamReopen(now)
 		}
 		return c.report(err.Error())
 	}
 	if v.Number <= c.newestNumber() {
-		return nil // out of order, or sent twice
+		return nil // received out of order, or twice
 	}
 	c.lineage = v.Lineage
-	if c.pending != nil { // there are never three: it was activated before this one was committed
+	if c.pending != nil { // at most two are in force: v was committed after the pending one was activated
 		c.activated = c.pending
 	}
 	c.pending = v
 	c.activate(v.Lineage, max(activated, v.Number-1))
-	c.nextRenewal = min(c.nextRenewal, now) // acknowledges it at once
+	c.nextRenewal = min(c.nextRenewal, now) // acknowledges v without delay
 	return nil
 }
 
-// checkVersion returns an error that says why a version is rejected.
+// checkVersion returns the reason for which a version is rejected, or nil.
 func (c *Client) checkVersion(v *configversion.Version, activated uint64) error {
 	if c.lineage != "" && v.Lineage != c.lineage {
 		return fmt.Errorf("version %d turned down: it is of lineage %s, this router follows %s", v.Number, v.Lineage, c.lineage)
@@ -77,7 +78,7 @@
 	return c.checkGuards(newest.Rules, v)
 }
 
-// checkGuards applies this router's own guards. The control group alone checks the floor.
+// checkGuards applies the guards of this router's settings. The floor is not passed: only the control group checks it.
 func (c *Client) checkGuards(previous *rules.Rules, v *configversion.Version) error {
 	if err := c.settings.Guards.Check(previous, nil, v.Rules, v.ForcedGuards); err != nil {
 		return fmt.Errorf("version %d turned down: %w", v.Number, err)
@@ -97,10 +98,10 @@
 	}
 }
 
-// applyRules returns the rules to act on from now on, if they have changed.
+// applyRules returns the rules to act on from now on, and whether they have changed.
 func (c *Client) applyRules() (ApplyRules, bool) {
 	configuration := c.activeConfiguration()
-	if configuration == c.applied { // initially the zero value: a router starts with its local settings
+	if configuration == c.applied { // initially the zero value, which represents the local settings
 		return ApplyRules{}, false
 	}
 	c.applied = configuration
@@ -118,8 +119,8 @@
 	return configuration
 }
 
-// effectiveRules is the intersection of the versions in force and, without a lease or an activated version, the local settings: before
-// the first version is activated all routers act on their local settings.
+// effectiveRules returns the intersection of the versions in force. Without a lease it includes the local settings, and also before the first
+// version is activated, since until then all routers act on their local settings.
 func (c *Client) effectiveRules(configuration ActiveConfiguration) *rules.Rules {
 	var effective *rules.Rules
 	restrict := func(with *rules.Rules) {
--- a/internal/lease/coordinator.go
+++ b/internal/lease/coordinator.go
@@ -6,13 +6,13 @@
 	"bankledge/internal/configregister"
 )
 
-// Coordinator is the lease state machine of a process of the control group: while the process leads, it grants leases, activates
-// versions and admits proposals. Its state is not replicated; a new leader waits out the leases that an earlier one may have granted. It
-// is not safe for concurrent use.
+// Coordinator is the lease state machine of a process of the control group. While the process leads, the coordinator grants leases,
+// activates versions and admits proposals. Its state is not replicated: a new leader activates no version until all leases that an earlier
+// leader may have granted have expired. It is not safe for concurrent use.
 type Coordinator struct {
 	durations Durations
 	isLeader  bool
-	// earlierLeasesEnd is when the last lease that an earlier leader may have granted has expired.
+	// earlierLeasesEnd is when the last lease that an earlier leader may have granted expires.
 	earlierLeasesEnd time.Duration
 
 	// The replicated state.
@@ -21,21 +21,21 @@
 	newestHash string
 	activated  uint64
 
-	// The last activation that was proposed, and when.
+	// The version number of the last proposed activation, and when it was proposed.
 	proposedActivation   uint64
 	proposedActivationAt time.Duration
 
 	sessions map[string]*Session // by incarnation
 
 	// Requests that wait for a confirmation of leadership.
-	unconfirmed        []request // received after the last ConfirmLeadership
-	confirming         []request // received before it
-	confirmationToken  uint64    // of the last ConfirmLeadership; never used twice by a process
+	unconfirmed        []request // received after the last ConfirmLeadership; the next one covers them
+	confirming         []request // received before it; its confirmation answers them
+	confirmationToken  uint64    // of the last ConfirmLeadership; a process never reuses one
 	confirmationSentAt time.Duration
 
 	// Proposals.
-	queuedProposals   []proposal          // wait until the version before them is activated
-	appendedProposals map[string]proposal // by id; wait for their outcome
+	queuedProposals   []proposal          // wait until the newest version is activated
+	appendedProposals map[string]proposal // by id; were written to the log and wait for their outcome
 }
 
 // NewCoordinator returns the coordinator of a process that does not lead.
@@ -47,7 +47,7 @@
 	}
 }
 
-// Step takes an event that happened now and returns what to do, in order.
+// Step handles an event that happened at now, and returns the actions to carry out, in order.
 func (c *Coordinator) Step(now time.Duration, event CoordinatorEvent) []CoordinatorAction {
 	actions := c.handle(now, event)
 	if !c.isLeader {
@@ -56,7 +56,7 @@
 	actions = append(actions, c.confirmLeadership(now)...)
 	actions = append(actions, c.activateNewest(now)...)
 	actions = append(actions, c.appendNextProposal()...)
-	c.forgetSessions(now)
+	c.removeStaleSessions(now)
 	return actions
 }
 
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// gainLeadership keeps only the replicated state: which leases an earlier leader granted is not known. Confirmation tokens go on: this
-// process may have led before in the same term, and confirmations of that leadership may still arrive.
+// gainLeadership resets the state that is not replicated, since the leases that an earlier leader granted are not known. Confirmation tokens
+// continue to increase: this process may have led before in the same term, and confirmations of that leadership may still arrive.
 func (c *Coordinator) gainLeadership(now time.Duration) {
 	*c = Coordinator{
 		confirmationToken: c.confirmationToken,
@@ -122,8 +122,8 @@
 	return actions
 }
 
-// activateNewest proposes to activate the newest version once each client with a lease knows that version. A proposal that
-// has no effect is repeated after a lease duration.
+// activateNewest proposes to activate the newest version once each client with a lease knows that version, and no lease of an earlier leader
+// remains. The proposal is repeated after a lease duration if the version is still not activated.
 func (c *Coordinator) activateNewest(now time.Duration) []CoordinatorAction {
 	if c.activated >= c.newest || now < c.earlierLeasesEnd {
 		return nil
@@ -141,7 +141,7 @@
 	return []CoordinatorAction{AppendEntry{configregister.Entry{Kind: configregister.EntryActivate, Number: c.newest}}}
 }
 
-// NextDeadline is when the coordinator needs a CoordinatorTick at the latest, while this process leads.
+// NextDeadline returns the latest time at which the coordinator needs a CoordinatorTick, while this process leads.
 func (c *Coordinator) NextDeadline(now time.Duration) time.Duration {
 	deadline := now + c.durations.RenewInterval
 	if c.activated < c.newest {
@@ -153,7 +153,8 @@
 	return max(deadline, now+time.Millisecond)
 }
 
-// activationDeadline is when the next lease expires that delays the activation of the newest version.
+// activationDeadline returns when the next of the leases that delay the activation of the newest version expires, but at most a renewal
+// interval from now.
 func (c *Coordinator) activationDeadline(now time.Duration) time.Duration {
 	deadline := now + c.durations.RenewInterval
 	for _, s := range c.sessions {
--- a/internal/lease/coordinator_events.go
+++ b/internal/lease/coordinator_events.go
@@ -2,7 +2,7 @@
 
 import "bankledge/internal/configregister"
 
-// CoordinatorEvent is something that happened to a process of the control group. A CallID identifies the caller that waits for an answer.
+// CoordinatorEvent is an input of Coordinator.Step. A CallID identifies the call that waits for an answer.
 type CoordinatorEvent interface{ coordinatorEvent() }
 
 // The events of a coordinator.
@@ -13,7 +13,7 @@
 	// LeadershipLost reports that this process is no longer the leader.
 	LeadershipLost struct{}
 
-	// StateApplied reports the replicated state, and the outcomes of the proposals that were applied since the last StateApplied.
+	// StateApplied reports the replicated state, and the outcomes of the proposals that were applied after the last StateApplied.
 	StateApplied struct {
 		Lineage           string
 		Newest, Activated uint64
@@ -27,8 +27,8 @@
 		Renewal Renewal
 	}
 
-	// LeadershipConfirmed reports that this process still led after the ConfirmLeadership with this token, and has applied all entries
-	// that were committed by then.
+	// LeadershipConfirmed reports that this process still led after the ConfirmLeadership with this token, and that it has applied all
+	// entries that were committed by then.
 	LeadershipConfirmed struct{ Token uint64 }
 
 	// ProposalReceived is a proposal of an operator.
@@ -43,14 +43,14 @@
 		Err        error
 	}
 
-	// LeadershipCheckRequested requests a confirmation that this process leads. The answer is a SendOutcome with the newest version's
-	// number.
+	// LeadershipCheckRequested requests a confirmation that this process leads. The answer is a SendOutcome with the number of the newest
+	// version.
 	LeadershipCheckRequested struct{ CallID uint64 }
 
 	// CallCancelled reports that the caller no longer waits for the outcome of its proposal.
 	CallCancelled struct{ CallID uint64 }
 
-	// CoordinatorTick lets time pass. It is due no later than Coordinator.NextDeadline.
+	// CoordinatorTick only advances the time. It has to be sent no later than Coordinator.NextDeadline.
 	CoordinatorTick struct{}
 )
 
@@ -65,7 +65,7 @@
 func (CallCancelled) coordinatorEvent()            {}
 func (CoordinatorTick) coordinatorEvent()          {}
 
-// CoordinatorAction is something that a process of the control group has to do.
+// CoordinatorAction is an output of Coordinator.Step that the process has to carry out.
 type CoordinatorAction interface{ coordinatorAction() }
 
 // The actions of a coordinator.
--- a/internal/lease/coordinator_proposals.go
+++ b/internal/lease/coordinator_proposals.go
@@ -7,10 +7,10 @@
 	"bankledge/internal/configregister"
 )
 
-// maxProposals bounds the proposals that wait for their outcome.
+// maxProposals bounds the queued and appended proposals.
 const maxProposals = 512
 
-// proposal is a proposal whose call waits for the outcome.
+// proposal is an operator's proposal whose call waits for the outcome.
 type proposal struct {
 	callID uint64
 	entry  configregister.Entry
@@ -20,7 +20,7 @@
 	return SendOutcome{CallID: p.callID, Outcome: configregister.Outcome{ID: p.entry.ID, Error: err.Error()}}
 }
 
-// receiveProposal queues a proposal until the version before it is activated.
+// receiveProposal queues a proposal until the newest version is activated, or rejects it.
 func (c *Coordinator) receiveProposal(event ProposalReceived) []CoordinatorAction {
 	p := proposal{callID: event.CallID, entry: event.Entry}
 	if err := c.checkProposal(p); err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// checkProposal returns an error if a proposal has to be rejected before it is queued.
+// checkProposal returns the reason for which a proposal can't be queued, or nil.
 func (c *Coordinator) checkProposal(p proposal) error {
 	switch {
 	case !c.isLeader:
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// appendNextProposal writes the next proposal to the log: one at a time, and only once the group is founded and the version before it is
+// appendNextProposal writes the next proposal to the log: one at a time, and only once the group has a lineage and the newest version is
 // activated.
 func (c *Coordinator) appendNextProposal() []CoordinatorAction {
 	if len(c.queuedProposals) == 0 || len(c.appendedProposals) > 0 || c.newest > c.activated || c.lineage == "" {
@@ -57,8 +57,8 @@
 
 // finishProposal answers a proposal that was applied, unless its call was cancelled or made to another process.
 func (c *Coordinator) finishProposal(outcome configregister.Outcome) []CoordinatorAction {
-	p, waits := c.appendedProposals[outcome.ID]
-	if !waits {
+	p, found := c.appendedProposals[outcome.ID]
+	if !found {
 		return nil
 	}
 	delete(c.appendedProposals, outcome.ID)
@@ -70,14 +70,14 @@
 	return c.finishProposal(configregister.Outcome{ID: id, Error: err.Error()})
 }
 
-// cancelProposal forgets a proposal whose caller has left. One that was written to the log may still be committed.
+// cancelProposal drops a proposal whose caller no longer waits. If it was written to the log, it may still be committed.
 func (c *Coordinator) cancelProposal(callID uint64) {
 	c.queuedProposals = slices.DeleteFunc(c.queuedProposals, func(p proposal) bool { return p.callID == callID })
 	maps.DeleteFunc(c.appendedProposals, func(_ string, p proposal) bool { return p.callID == callID })
 }
 
-// rejectProposals answers all waiting proposals with ErrNotLeader. Whether an appended one will be committed is not
-// known, so its author has to retry with the same id.
+// rejectProposals answers all waiting proposals with ErrNotLeader. Whether an appended proposal will be committed is unknown, so the caller
+// has to retry it with the same id.
 func (c *Coordinator) rejectProposals() []CoordinatorAction {
 	var actions []CoordinatorAction
 	for _, p := range c.queuedProposals {
--- a/internal/lease/coordinator_renewal.go
+++ b/internal/lease/coordinator_renewal.go
@@ -8,18 +8,18 @@
 	"bankledge/internal/configregister"
 )
 
-// maxWaitingRequests bounds the requests received since the last ConfirmLeadership.
+// maxWaitingRequests bounds the requests that are received after the last ConfirmLeadership.
 const maxWaitingRequests = 8192
 
 // request is a renewal, or a request for a leadership check, that waits for a confirmation of leadership.
 type request struct {
 	callID     uint64
-	receivedAt time.Duration // a lease is counted from here
+	receivedAt time.Duration // a granted lease counts from here
 	renewal    Renewal       // zero for a leadership check
-	checkOnly  bool          // a leadership check
+	checkOnly  bool          // set for a leadership check, which is granted no lease
 }
 
-// respond is the action that answers the request.
+// respond returns the action that answers the request.
 func (r request) respond(reply Reply) CoordinatorAction {
 	if r.checkOnly {
 		return SendOutcome{CallID: r.callID, Outcome: configregister.Outcome{Number: reply.Newest, Error: reply.RejectReason}}
@@ -27,7 +27,7 @@
 	return SendReply{CallID: r.callID, Reply: reply}
 }
 
-// receiveRenewal queues a renewal until it is confirmed that this process still led after its receipt.
+// receiveRenewal queues a renewal until a quorum confirms that this process still led after it received the renewal.
 func (c *Coordinator) receiveRenewal(now time.Duration, event RenewalReceived) []CoordinatorAction {
 	if err := c.checkAdmission(event.Renewal); err != nil {
 		reply := Reply{Seq: event.Renewal.Seq, Lineage: c.lineage, RejectReason: err.Error()}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// checkAdmission returns an error if a renewal has to be rejected before it is queued.
+// checkAdmission returns the reason for which a renewal can't be queued, or nil.
 func (c *Coordinator) checkAdmission(renewal Renewal) error {
 	switch {
 	case !c.isLeader:
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// confirmLeadership requests one confirmation for all waiting requests. One is outstanding at a time; if it is overdue, another is
-// requested, and the requests for which a lease would have expired by now are dropped.
+// confirmLeadership requests one confirmation for all waiting requests. Only one is outstanding at a time. If it is overdue, another is
+// requested, and requests that are older than a lease duration are dropped, since a lease for them would have expired.
 func (c *Coordinator) confirmLeadership(now time.Duration) []CoordinatorAction {
 	if len(c.confirming)+len(c.unconfirmed) == 0 {
 		return nil
@@ -80,8 +80,8 @@
 	return []CoordinatorAction{ConfirmLeadership{c.confirmationToken}}
 }
 
-// receiveConfirmation answers the requests that were received before the confirmation was requested. An earlier token proves nothing
-// for them.
+// receiveConfirmation answers the requests that were received before the confirmation was requested. The confirmation of an earlier token is
+// ignored, since it does not prove that this process led after their receipt.
 func (c *Coordinator) receiveConfirmation(now time.Duration, token uint64) []CoordinatorAction {
 	if token != c.confirmationToken {
 		return nil
@@ -98,7 +98,8 @@
 	return actions
 }
 
-// grant grants a lease to a client that knows the newest version, counted from the receipt of its renewal.
+// grant returns the reply to a renewal. A client that knows the newest version is granted a lease, which counts from the receipt of the
+// renewal.
 func (c *Coordinator) grant(now time.Duration, r request) Reply {
 	renewal := r.renewal
 	reply := Reply{Seq: renewal.Seq, Lineage: c.lineage, Newest: c.newest, Activated: c.activated}
@@ -115,7 +116,7 @@
 		return reply
 	}
 	if renewal.KnownVersion == 0 || renewal.KnownVersion < c.newest {
-		// The client has to catch up first. Its lease continues nevertheless, as this may be an older renewal that was delayed.
+		// The client has to catch up first. Its present lease stays valid, since this may be an older renewal that was delayed.
 		return reply
 	}
 	session.KnownVersion = max(session.KnownVersion, renewal.KnownVersion)
@@ -124,7 +125,7 @@
 	return reply
 }
 
-// checkRenewal returns an error if this group can't grant the client a lease even once the client knows the newest version.
+// checkRenewal returns the reason for which this group can't grant the client a lease even after the client has caught up, or nil.
 func (c *Coordinator) checkRenewal(renewal Renewal) error {
 	switch {
 	case renewal.DurationsKey != c.durations.CompatibilityKey():
--- a/internal/lease/coordinator_sessions.go
+++ b/internal/lease/coordinator_sessions.go
@@ -10,25 +10,25 @@
 // Limits on the sessions of a coordinator.
 const (
 	maxSessions      = 4096
-	sessionRetention = 10 * time.Minute // after the lease has expired, for operators to see
+	sessionRetention = 10 * time.Minute // after the lease and the last renewal, so that operators can see the session
 )
 
-// Session is one process of a router, as a coordinator knows it. It is encoded as JSON for operators.
+// Session is a coordinator's record of one router process. It is encoded as JSON for operators.
 type Session struct {
 	Name            string        `json:"name"`
 	Incarnation     string        `json:"incarnation"`
 	KnownVersion    uint64        `json:"known"` // newest version for which a lease was granted
-	Expiry          time.Duration `json:"-"`     // of its lease, by the coordinator's clock
+	Expiry          time.Duration `json:"-"`     // of the lease, by the coordinator's clock
 	LastRenewal     time.Duration `json:"-"`     // when it was handled, by the coordinator's clock
-	RemainingMillis int64         `json:"left"`  // of its lease, in milliseconds; set by Sessions
+	RemainingMillis int64         `json:"left"`  // of the lease, in milliseconds; set by Sessions
 	SilentMillis    int64         `json:"ago"`   // since the last renewal, in milliseconds; set by Sessions
-	DuplicateName   bool          `json:"twins"` // another process of this name holds a lease, too; set by Sessions
+	DuplicateName   bool          `json:"twins"` // several processes of this name hold a lease; set by Sessions
 	LastMessage     string        `json:"word"`  // for operators, from its last renewal
 }
 
 func (s *Session) leased(now time.Duration) bool { return s.Expiry > now }
 
-// session returns the session of an incarnation, a new one if there is none.
+// session returns the session of an incarnation, and creates it if there is none.
 func (c *Coordinator) session(incarnation string) (*Session, error) {
 	if s := c.sessions[incarnation]; s != nil {
 		return s, nil
@@ -41,14 +41,14 @@
 	return s, nil
 }
 
-// forgetSessions drops the sessions that have been without a lease, and silent, for long.
-func (c *Coordinator) forgetSessions(now time.Duration) {
+// removeStaleSessions removes the sessions whose lease has expired, and whose last renewal was handled, at least sessionRetention ago.
+func (c *Coordinator) removeStaleSessions(now time.Duration) {
 	maps.DeleteFunc(c.sessions, func(_ string, s *Session) bool {
 		return now >= max(s.Expiry, s.LastRenewal)+sessionRetention
 	})
 }
 
-// Sessions lists the routers that this coordinator knows, sorted by name and incarnation.
+// Sessions returns the sessions, sorted by name and incarnation.
 func (c *Coordinator) Sessions(now time.Duration) []Session {
 	leasesByName := map[string]int{}
 	for _, s := range c.sessions {
--- a/internal/lease/durations.go
+++ b/internal/lease/durations.go
@@ -11,14 +11,15 @@
 	LeaseDuration time.Duration
 	// RenewInterval is the time between two renewals of a client.
 	RenewInterval time.Duration
-	// ReplyTimeout is how long a client waits for the reply to a renewal before it sends another, and a coordinator for the
-	// confirmation of its leadership.
+	// ReplyTimeout is how long a client waits for the reply to a renewal before it counts the renewal as failed, and a coordinator for the
+	// confirmation of its leadership before it requests another.
 	ReplyTimeout time.Duration
-	// MaxClockDrift bounds the rate of clocks: one second on a clock is from 1-MaxClockDrift to 1+MaxClockDrift seconds.
+	// MaxClockDrift bounds the rate error of clocks: in one second of real time a clock advances by 1-MaxClockDrift to 1+MaxClockDrift
+	// seconds.
 	MaxClockDrift float64
-	// MaxBatch is the longest time from when a router checks its lease until the last decision that rests on the check is carried out.
+	// MaxBatch is the longest time from when a router checks its lease until the last decision that depends on the check is carried out.
 	MaxBatch time.Duration
-	// MaxPause is the longest pause of a router's process, between the check and an action, that the router can't detect.
+	// MaxPause is the longest pause of a router's process, between the check of the lease and an action, that the router can't detect.
 	MaxPause time.Duration
 }
 
@@ -42,35 +43,35 @@
 	}
 }
 
-// ClientLease is how long a client holds a lease by its own clock. It is shorter than LeaseDuration by the drift, so that on a slow
-// clock, too, the lease ends after LeaseDuration of real time at the latest.
+// ClientLease returns how long a client holds a lease by its own clock. It is shorter than LeaseDuration by the drift, so that even on a slow
+// clock the lease ends within LeaseDuration of real time.
 func (d Durations) ClientLease() time.Duration {
 	return time.Duration(float64(d.LeaseDuration) * (1 - d.MaxClockDrift))
 }
 
-// CoordinatorLease is how long a coordinator takes a lease to run by its own clock. It is longer than LeaseDuration by the drift, so that
-// on a fast clock, too, it waits for at least LeaseDuration of real time.
+// CoordinatorLease returns how long a coordinator treats a lease as valid by its own clock. It is longer than LeaseDuration by the drift, so
+// that even on a fast clock the coordinator waits for at least LeaseDuration of real time.
 func (d Durations) CoordinatorLease() time.Duration {
 	return time.Duration(float64(d.LeaseDuration) * (1 + d.MaxClockDrift))
 }
 
-// MaxContradiction bounds the time during which two routers act on conflicting rules, counted from when the first of them receives the
-// newer version. docs/control.md calls it T and proves it.
+// MaxContradiction bounds the time during which two routers may act on conflicting rules, counted from when the first of them receives the
+// newer version. docs/control.md calls the bound T and proves it.
 func (d Durations) MaxContradiction() time.Duration { return d.LeaseDuration + d.MaxBatch + d.MaxPause }
 
-// MaxActivation bounds the time from the commit of a version until it is activated everywhere, as long as the leader does not change; a
-// new leader starts over.
+// MaxActivation bounds the time from the commit of a version until it is activated everywhere, provided that the leader does not change. A
+// new leader starts this time anew.
 func (d Durations) MaxActivation() time.Duration {
 	return time.Duration(float64(d.CoordinatorLease())/(1-d.MaxClockDrift)) + d.RenewInterval
 }
 
-// CompatibilityKey identifies the durations on which router and group have to agree. It is sent with each renewal.
+// CompatibilityKey identifies the durations that a router and its control group have to share. It is sent with each renewal.
 func (d Durations) CompatibilityKey() string {
 	return fmt.Sprintf("term %v, drift %v", d.LeaseDuration, d.MaxClockDrift)
 }
 
-// Validate returns an error that names the first setting with which the proof of MaxContradiction does not hold, or with which leases
-// could not be renewed in time.
+// Validate returns an error that names the first setting for which the proof of MaxContradiction does not hold, or for which leases could not
+// be renewed in time.
 func (d Durations) Validate() error {
 	for _, setting := range []struct {
 		name            string
@@ -87,10 +88,10 @@
 			return fmt.Errorf("%s: %v is not from %v to %v", setting.name, setting.value, setting.lowest, setting.highest)
 		}
 	}
-	if !(d.MaxClockDrift >= 0 && d.MaxClockDrift <= maxClockDrift) { // also refuses NaN
+	if !(d.MaxClockDrift >= 0 && d.MaxClockDrift <= maxClockDrift) { // also rejects NaN
 		return fmt.Errorf("drift: %v is not from 0 to %v", d.MaxClockDrift, maxClockDrift)
 	}
-	// The lease has to last for two renewals: one lost reply must not end a lease.
+	// The lease has to last for two renewals, so that one lost reply does not end it.
 	if lowest := 2 * (d.RenewInterval + d.ReplyTimeout); d.ClientLease() < lowest {
 		return fmt.Errorf("term: %v, less drift, is under %v: one answer that is lost would end it", d.LeaseDuration, lowest)
 	}
--- a/internal/lease/durations_test.go
+++ b/internal/lease/durations_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestRecordedDurations lists what follows from the configured durations, and the texts of the errors.
+// TestRecordedDurations checks the values that are derived from the configured durations, and the texts of the errors.
 func TestRecordedDurations(t *testing.T) {
 	var lines []string
 	for _, s := range []Durations{
--- a/internal/lease/helpers_test.go
+++ b/internal/lease/helpers_test.go
@@ -11,7 +11,7 @@
 	"bankledge/internal/rules"
 )
 
-// rulesWithMultiple returns rules that differ only in the load on a warming engine: more is looser.
+// rulesWithMultiple returns rules with a given SlowStartMultiple: a larger one is less restrictive.
 func rulesWithMultiple(t *testing.T, multiple float64) *rules.Rules {
 	t.Helper()
 	r := &rules.Rules{Routers: 3, SlowStartMultiple: multiple, SlowStartShare: 0.3, HealthChecksPerStatement: 2}
@@ -19,13 +19,13 @@
 	return r
 }
 
-// successor returns the version after another (nil: the first of lineage l), with rulesWithMultiple.
+// successor returns the version after previous, or the first of lineage l if that is nil, with the rules of rulesWithMultiple.
 func successor(t *testing.T, previous *configversion.Version, multiple float64) *configversion.Version {
 	t.Helper()
 	return configversion.New(previous, "l", rulesWithMultiple(t, multiple), nil, "")
 }
 
-// lineageOf returns versions 1 to n of a lineage, with the multiples 2, 3, 4, 2, 3, 4 and so on.
+// lineageOf returns versions 1 to n of a lineage. Their SlowStartMultiple is 2, 3, 4, 2, 3, 4 and so on.
 func lineageOf(t *testing.T, lineage string, n int) []*configversion.Version {
 	t.Helper()
 	var versions []*configversion.Version
@@ -61,16 +61,16 @@
 	return found
 }
 
-// coordinatorFixture drives a coordinator at a time that the test sets.
+// coordinatorFixture steps a coordinator at a time that the test sets.
 type coordinatorFixture struct {
 	*Coordinator
 	t          *testing.T
 	now        time.Duration
-	actions    []CoordinatorAction // of the last step or renewal
+	actions    []CoordinatorAction // of the last step or renew
 	lastCallID uint64
 }
 
-// newCoordinatorFixture returns a coordinator that does not lead, of a group whose version 1 is activated.
+// newCoordinatorFixture returns the coordinator of a process that does not lead, in a group whose version 1 is activated.
 func newCoordinatorFixture(t *testing.T) *coordinatorFixture {
 	t.Helper()
 	f := &coordinatorFixture{Coordinator: NewCoordinator(DefaultDurations()), t: t}
@@ -83,7 +83,7 @@
 	return f
 }
 
-// renew hands in a renewal, confirms the leadership if that is requested, and returns the reply.
+// renew sends a renewal to the coordinator, confirms the leadership if the coordinator requests that, and returns the reply.
 func (f *coordinatorFixture) renew(renewal Renewal) Reply {
 	f.t.Helper()
 	renewal.DurationsKey = DefaultDurations().CompatibilityKey()
@@ -99,7 +99,7 @@
 			return reply.Reply
 		}
 	}
-	require.Fail(f.t, "no reply")
+	require.Fail(f.t, "the coordinator sends no reply")
 	return Reply{}
 }
 
--- a/internal/lease/long_message_test.go
+++ b/internal/lease/long_message_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A message that is too long is cut between two characters. Cut inside one, it was no UTF-8 any more: encoded as JSON it came to more bytes
-// than a renewal may hold, and the group refused the renewal.
-func TestLongMessageIsCutBetweenCharacters(t *testing.T) {
+// A message that is too long is truncated between two characters. Truncated inside a character, it was invalid UTF-8. JSON encoding replaces
+// the invalid bytes by longer ones, so the message exceeded the size limit, and the group rejected the renewal.
+func TestLongMessageIsTruncatedBetweenCharacters(t *testing.T) {
 	for shift := range 3 {
 		client := newTestClient(t)
 		actions := client.report(strings.Repeat("x", shift) + strings.Repeat("ร", maxTextBytes))
--- a/internal/lease/recording_client_test.go
+++ b/internal/lease/recording_client_test.go
@@ -37,16 +37,16 @@
 	}
 }
 
-// clientRecording drives a client with random events of the kinds that a group may send.
+// clientRecording steps a client with random events, of the kinds that a control group may cause.
 type clientRecording struct {
 	*recording
 	client       *Client
 	local        *rules.Rules
 	versions     []*configversion.Version
 	otherLineage []*configversion.Version
-	renewals     []Renewal // the last ones that were sent
-	known        int       // number of the version that the client was sent last
-	newest       int       // number of the version that was committed last
+	renewals     []Renewal // the last 12 that the client sent, at most
+	known        int       // number of the last version that was sent to the client in order
+	newest       int       // number of the last committed version
 }
 
 func newClientRecording(r *recording) *clientRecording {
@@ -76,7 +76,7 @@
 	return c
 }
 
-// step hands the client an event and records its actions.
+// step passes an event to the client and records the resulting actions.
 func (c *clientRecording) step(event ClientEvent) {
 	for _, action := range c.client.Step(c.now, event) {
 		switch a := action.(type) {
@@ -101,7 +101,7 @@
 	c.line("times", "%d %d", c.client.NextDeadline(), c.client.LeaseExpiry())
 }
 
-// recordedText describes a configuration in the wording of the log at the commit of the hashes.
+// recordedText describes a configuration in the wording of ActiveConfiguration.String at the commit at which the hashes were computed.
 func recordedText(configuration ActiveConfiguration) string {
 	text := fmt.Sprintf("version %d", configuration.Activated)
 	switch {
@@ -116,7 +116,7 @@
 	return text
 }
 
-// drawEvent lets time pass and versions be committed, and returns the next event.
+// drawEvent advances the time, at times commits a version, and returns the next event.
 func (c *clientRecording) drawEvent() ClientEvent {
 	c.advance()
 	if c.chance(0.03) && c.newest < len(c.versions) {
@@ -150,7 +150,7 @@
 	return InvalidVersionReceived{Err: errors.New(text)}
 }
 
-// unexpectedVersion is a version out of order, a duplicate, one of another lineage, or a different version with a known number.
+// unexpectedVersion returns a version out of order, a duplicate, one of another lineage, or a different version with a known number.
 func (c *clientRecording) unexpectedVersion(draw int) *configversion.Version {
 	if draw == 86 {
 		return configversion.New(c.versions[max(0, c.newest-2)], "", c.local, nil, fmt.Sprint(c.now))
@@ -162,7 +162,7 @@
 	return versions[c.random.IntN(c.newest)]
 }
 
-// reply answers one of the renewals, mostly as a real group does.
+// reply returns a reply to one of the renewals, in most cases one that a real group would send.
 func (r *recording) reply(renewals []Renewal, newest, activated uint64) Reply {
 	renewal := renewals[len(renewals)-1]
 	if r.chance(0.15) {
--- a/internal/lease/recording_coordinator_test.go
+++ b/internal/lease/recording_coordinator_test.go
@@ -41,20 +41,20 @@
 	}
 }
 
-// replicated is the state up to which the group's log was applied.
-type replicated struct {
+// replicatedState is the replicated state of the simulated group.
+type replicatedState struct {
 	newest    uint64
 	activated uint64
 	hash      string
-	written   []configregister.Entry // appended and not applied yet
+	appended  []configregister.Entry // entries that were appended and not applied yet
 }
 
-// apply applies the oldest written entry, or some state of an older leader.
-func (s *replicated) apply(r *recording) StateApplied {
+// apply applies the oldest appended entry, if there is one, and returns the event that reports the state.
+func (s *replicatedState) apply(r *recording) StateApplied {
 	var outcomes []configregister.Outcome
-	if len(s.written) > 0 {
-		entry := s.written[0]
-		s.written = s.written[1:]
+	if len(s.appended) > 0 {
+		entry := s.appended[0]
+		s.appended = s.appended[1:]
 		switch {
 		case entry.Kind == "settle":
 			s.activated = max(s.activated, min(entry.Number, s.newest))
@@ -69,12 +69,12 @@
 	return StateApplied{Lineage: "l", Newest: s.newest, Activated: s.activated, Hash: s.hash, Outcomes: outcomes}
 }
 
-// coordinatorRecording drives a coordinator with random events of the kinds that routers, operators and the log may cause.
+// coordinatorRecording steps a coordinator with random events, of the kinds that routers, operators and the log may cause.
 type coordinatorRecording struct {
 	*recording
 	coordinator *Coordinator
-	state       replicated
-	tokens      []uint64 // of the confirmations that were requested
+	state       replicatedState
+	tokens      []uint64 // of the requested confirmations
 	callID      uint64   // of the last call
 	isLeader    bool
 }
@@ -83,13 +83,13 @@
 	c := &coordinatorRecording{
 		recording:   r,
 		coordinator: NewCoordinator(DefaultDurations()),
-		state:       replicated{newest: 1, activated: 1, hash: "hash1"},
+		state:       replicatedState{newest: 1, activated: 1, hash: "hash1"},
 	}
 	c.step(c.state.apply(r))
 	return c
 }
 
-// step hands the coordinator an event and records its actions.
+// step passes an event to the coordinator and records the resulting actions.
 func (c *coordinatorRecording) step(event CoordinatorEvent) {
 	for _, action := range c.coordinator.Step(c.now, event) {
 		switch a := action.(type) {
@@ -100,7 +100,7 @@
 			c.line("answer", "%d %s", a.CallID, c.json(a.Reply))
 		case AppendEntry:
 			c.line("append", "%s", c.json(a.Entry))
-			c.state.written = append(c.state.written, a.Entry)
+			c.state.appended = append(c.state.appended, a.Entry)
 		case SendOutcome:
 			c.line("tell", "%d %s", a.CallID, c.json(a.Outcome))
 		default:
@@ -110,7 +110,7 @@
 	c.line("wake", "%d", c.coordinator.NextDeadline(c.now))
 }
 
-// drawEvent lets time pass and returns the next event.
+// drawEvent advances the time and returns the next event. The first event is LeadershipGained.
 func (c *coordinatorRecording) drawEvent(first bool) CoordinatorEvent {
 	c.advance()
 	c.callID++
@@ -120,7 +120,7 @@
 		return LeadershipGained{}
 	case draw < 20:
 		c.isLeader = false
-		c.state.written = nil
+		c.state.appended = nil
 		return LeadershipLost{}
 	case draw < 370:
 		return RenewalReceived{CallID: c.callID, Renewal: c.renewal(&c.state)}
@@ -134,9 +134,9 @@
 		return ProposalReceived{CallID: c.callID, Entry: c.proposal(c.callID)}
 	case draw < 850:
 		return c.state.apply(c.recording)
-	case draw < 870 && len(c.state.written) > 0:
-		entry := c.state.written[0]
-		c.state.written = c.state.written[1:]
+	case draw < 870 && len(c.state.appended) > 0:
+		entry := c.state.appended[0]
+		c.state.appended = c.state.appended[1:]
 		return AppendFailed{ProposalID: entry.ID, Err: errors.New("not written")}
 	case draw < 900:
 		return LeadershipCheckRequested{CallID: c.callID}
@@ -148,7 +148,7 @@
 	return CoordinatorTick{}
 }
 
-// floodWithProposals hands in more proposals than are queued, and returns the last of them.
+// floodWithProposals passes 999 proposals to the coordinator and returns another one: together more than the coordinator accepts.
 func (c *coordinatorRecording) floodWithProposals() CoordinatorEvent {
 	for range 999 {
 		c.callID++
@@ -165,7 +165,7 @@
 }
 
 // renewal returns a renewal that a router may send, at times one that is rejected.
-func (r *recording) renewal(state *replicated) Renewal {
+func (r *recording) renewal(state *replicatedState) Renewal {
 	incarnation := fmt.Sprint("x", r.random.IntN(12))
 	renewal := Renewal{Name: "r" + incarnation[1:2], Incarnation: incarnation, Seq: r.random.Uint64N(1000), Lineage: "l", KnownVersion: state.newest, KnownHash: state.hash, DurationsKey: DefaultDurations().CompatibilityKey()}
 	switch r.random.IntN(30) {
@@ -212,12 +212,12 @@
 	return entry
 }
 
-// TestRecordedCoordinatorLimits hands in more renewals than are queued, and hashes the replies.
+// TestRecordedCoordinatorLimits sends more renewals than the coordinator queues, and hashes the replies.
 func TestRecordedCoordinatorLimits(t *testing.T) {
 	r := newRecording(t, 5)
-	group := NewCoordinator(DefaultDurations())
+	coordinator := NewCoordinator(DefaultDurations())
 	step := func(event CoordinatorEvent) {
-		for _, action := range group.Step(r.now, event) {
+		for _, action := range coordinator.Step(r.now, event) {
 			switch a := action.(type) {
 			case SendReply:
 				r.line("answer", "%d %s", a.CallID, r.json(a.Reply))
--- a/internal/lease/recording_test.go
+++ b/internal/lease/recording_test.go
@@ -13,21 +13,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The recordings drive the state machines with generated events and hash every action, rendered in a form that does not depend on
-// identifiers. The hashes were computed at commit 05e118f: a difference is a change of behaviour.
+// The recording tests step the state machines with generated events, and hash every action in a text form that does not depend on Go
+// identifiers. The hashes were computed at commit 05e118f: a different hash is a change of behaviour.
 
 const (
 	ms            = time.Millisecond
 	eventsPerSeed = 4000
 )
 
-// recording hashes the rendered actions of one state machine.
+// recording hashes the actions of one state machine.
 type recording struct {
 	t      *testing.T
 	random *rand.Rand
 	hash   hash.Hash
 	now    time.Duration
-	counts map[string]int // of each action, by its rendered name
+	counts map[string]int // of the hashed lines, by kind
 }
 
 func newRecording(t *testing.T, seed uint64) *recording {
@@ -42,10 +42,10 @@
 
 func (r *recording) sum() string { return hex.EncodeToString(r.hash.Sum(nil)) }
 
-// chance reports whether something of this probability happens.
+// chance returns true with the given probability.
 func (r *recording) chance(probability float64) bool { return r.random.Float64() < probability }
 
-// advance lets a random time pass: mostly short, at times more than a lease duration.
+// advance advances the time by a random duration: usually a short one, at times more than a lease duration.
 func (r *recording) advance() {
 	switch {
 	case r.chance(0.5):
