--- a/internal/consensus/effects.go
+++ b/internal/consensus/effects.go
@@ -8,19 +8,19 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Effects are what has to be done, in this order: Persist is written, and synced if MustSync; then Messages are sent, Snapshot and
-// CommittedEntries applied, and Advance called. A process whose disk fails must not carry out the steps after Persist.
+// Effects is the work that the caller has to do, in this order: write Persist, and sync it if MustSync is set; send Messages; apply Snapshot
+// and CommittedEntries; call Advance. If the write or the sync fails, the process must not do the work after it.
 type Effects struct {
 	Persist          PersistentState
 	MustSync         bool
 	Messages         []*pb.Message
-	Snapshot         *pb.Snapshot // replaces the state before CommittedEntries, unless nil
+	Snapshot         *pb.Snapshot // replaces the state before CommittedEntries are applied; nil: none
 	CommittedEntries []*pb.Entry
 	ConfirmedReads   []ConfirmedRead
 	RoleChange       *Role // nil: unchanged
 }
 
-// HasWork reports whether there is anything to do.
+// HasWork reports whether the effects are not empty.
 func (e *Effects) HasWork() bool {
 	return e.Persist.HardState != nil ||
 		e.Persist.Snapshot != nil ||
@@ -31,31 +31,31 @@
 		e.RoleChange != nil
 }
 
-// ConfirmedRead reports that this process still led after RequestReadConfirmation was called with the token. A read is linearizable
-// once the log is applied up to Index.
+// ConfirmedRead reports that this process still led after RequestReadConfirmation was called with the token. A read of the state is
+// linearizable once the log is applied up to Index.
 type ConfirmedRead struct {
 	Token uint64
 	Index uint64
 }
 
-// Effects returns what has to be done now, if anything. Advance has to be called before the next ones are returned.
+// Effects returns the work that is due now, if any. It returns none while earlier effects wait for Advance.
 func (n *Node) Effects(now time.Duration) Effects {
 	var effects Effects
-	if n.effectsOpen {
+	if n.awaitingAdvance {
 		return effects
 	}
 	if n.rawNode.HasReady() {
 		n.ready = n.rawNode.Ready()
-		n.effectsOpen = true
-		n.storeReady()
+		n.awaitingAdvance = true
+		n.updateStorage()
 		effects = n.readyEffects()
 	}
 	effects.RoleChange = n.updateRole(now)
 	return effects
 }
 
-// storeReady writes to the library's in-memory log what the caller is about to persist.
-func (n *Node) storeReady() {
+// updateStorage writes to the library's in-memory log the changes that the caller is about to persist.
+func (n *Node) updateStorage() {
 	if !raft.IsEmptySnap(n.ready.Snapshot) {
 		if err := n.storage.ApplySnapshot(n.ready.Snapshot); err == nil {
 			metadata := n.ready.Snapshot.GetMetadata()
@@ -67,7 +67,7 @@
 		n.storage.SetHardState(n.ready.HardState)
 	}
 	if err := n.storage.Append(n.ready.Entries); err != nil {
-		panic(err) // the library hands out only entries that follow on the stored ones
+		panic(err) // can't happen: the library returns only entries that are consecutive to the stored ones
 	}
 }
 
@@ -85,28 +85,28 @@
 		effects.Snapshot = n.ready.Snapshot
 		effects.MustSync = true
 	}
-	if !n.silenced {
+	if !n.quorumLost {
 		effects.Messages = n.ready.Messages
 	}
 	for _, read := range n.ready.ReadStates {
 		token, err := strconv.ParseUint(string(read.RequestCtx), 10, 64)
 		if err != nil {
-			continue // not requested by RequestReadConfirmation
+			continue // requested by other means than RequestReadConfirmation
 		}
 		effects.ConfirmedReads = append(effects.ConfirmedReads, ConfirmedRead{Token: token, Index: read.Index})
 	}
 	return effects
 }
 
-// Advance reports that the last effects were carried out.
+// Advance reports that the caller has carried out the last effects.
 func (n *Node) Advance() {
-	if !n.effectsOpen {
+	if !n.awaitingAdvance {
 		return
 	}
 	if committed := n.ready.CommittedEntries; len(committed) > 0 {
 		n.appliedIndex = committed[len(committed)-1].GetIndex()
 	}
 	n.rawNode.Advance(n.ready)
-	n.effectsOpen = false
+	n.awaitingAdvance = false
 	n.ready = raft.Ready{}
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// A leader is silenced after this many election timeouts without a response from a quorum.
+	// A leader has lost its quorum after this many election timeouts without a response from a quorum.
 	quorumContactTimeouts = 2
-	// A leader that was paused for more heartbeat intervals than this does not make up for the missed heartbeats.
+	// A leader that was paused for more heartbeat intervals than this does not send the missed heartbeats.
 	maxHeartbeatBacklog = 4
 )
 
@@ -21,7 +21,7 @@
 	Term     uint64
 }
 
-// Tick lets time pass: a leader sends heartbeats, any other voter calls an election once its timer has run out.
+// Tick advances the time: a leader sends the heartbeats that are due, any other voter starts an election once its election timer has expired.
 func (n *Node) Tick(now time.Duration) {
 	if n.raftLeader {
 		n.tickLeader(now)
@@ -38,8 +38,8 @@
 }
 
 func (n *Node) tickLeader(now time.Duration) {
-	n.updateSilenced(now)
-	if n.silenced {
+	n.checkQuorum(now)
+	if n.quorumLost {
 		n.nextHeartbeat = now + n.settings.HeartbeatInterval
 	}
 	for now >= n.nextHeartbeat {
@@ -52,7 +52,7 @@
 	n.resetElectionTimer(now)
 }
 
-// NextDeadline is when Tick has to be called at the latest.
+// NextDeadline returns the latest time at which Tick has to be called.
 func (n *Node) NextDeadline() time.Duration {
 	if n.raftLeader {
 		return n.nextHeartbeat
@@ -60,30 +60,30 @@
 	return n.electionDeadline
 }
 
-// resetElectionTimer chooses at random when the next election is called: after one to two election timeouts.
+// resetElectionTimer sets the time of the next election at random: after one to two election timeouts.
 func (n *Node) resetElectionTimer(now time.Duration) {
 	timeout := n.settings.ElectionTimeout
 	n.electionDeadline = now + timeout + time.Duration(n.random.Float64()*float64(timeout))
 }
 
-// isVoter reports whether this process may vote: a learner or a removed process calls no election.
+// isVoter reports whether this process is a voter. A learner or a removed process starts no election.
 func (n *Node) isVoter() bool { return slices.Contains(n.confState.GetVoters(), n.settings.ID) }
 
-// hasLiveLeader reports whether this process leads or has received a message of the leader within an election timeout. Such a process
-// does not help to replace the leader, so that a process behind a broken link can't depose it.
+// hasLiveLeader reports whether this process leads, or has received a message from the leader within an election timeout. Such a process
+// ignores vote requests, so that a process that can't reach the leader over a broken link does not depose it.
 func (n *Node) hasLiveLeader(now time.Duration) bool {
 	return n.role.IsLeader || now < n.lastLeaderContact+n.settings.ElectionTimeout
 }
 
-// updateSilenced silences a leader without a response from a quorum, and ends that once a quorum responds. Otherwise such a leader would
-// keep its followers from electing another one while it can commit nothing.
-func (n *Node) updateSilenced(now time.Duration) {
+// checkQuorum sets quorumLost for a leader without a response from a quorum, and clears it once a quorum responds. Without this check such
+// a leader would keep its followers from electing another leader, while it can commit nothing itself.
+func (n *Node) checkQuorum(now time.Duration) {
 	graceOver := now >= n.leaderSince+quorumContactTimeouts*n.settings.ElectionTimeout
-	n.silenced = (n.silenced || graceOver) && !n.hasQuorumContact(now)
+	n.quorumLost = (n.quorumLost || graceOver) && !n.hasQuorumContact(now)
 }
 
-// hasQuorumContact reports whether a majority of the voters, this process included, has responded to this leader within
-// quorumContactTimeouts.
+// hasQuorumContact reports whether a majority of the voters, this process included, has responded to this leader within the last
+// quorumContactTimeouts election timeouts.
 func (n *Node) hasQuorumContact(now time.Duration) bool {
 	voters := n.confState.GetVoters()
 	responsive := 0
@@ -95,20 +95,20 @@
 	return 2*responsive > len(voters)
 }
 
-// updateRole derives the role from the library's state and returns it if it has changed.
+// updateRole derives the role from the library's state, and returns it if it has changed, otherwise nil.
 func (n *Node) updateRole(now time.Duration) *Role {
 	status := n.rawNode.BasicStatus()
 	raftLeader := status.RaftState == raft.StateLeader
 	if raftLeader && !n.raftLeader {
 		n.nextHeartbeat = now
 		n.leaderSince = now
-		n.silenced = false
+		n.quorumLost = false
 		clear(n.lastResponse)
 	}
 	n.raftLeader = raftLeader
-	n.silenced = n.silenced && raftLeader
+	n.quorumLost = n.quorumLost && raftLeader
 	role := Role{
-		IsLeader: raftLeader && !n.silenced,
+		IsLeader: raftLeader && !n.quorumLost,
 		Leader:   status.Lead,
 		Term:     status.HardState.GetTerm(),
 	}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -8,14 +8,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MembershipChange adds, promotes or removes one process. Only one change may be under way at a time.
+// MembershipChange adds, promotes or removes one process. Only one change may be in progress at a time.
 type MembershipChange struct {
 	ID     uint64
 	Remove bool
-	Voter  bool // promotes a learner; a process that is added is a learner until it has caught up
+	Voter  bool // true: promotes a learner to a voter; false: adds a learner
 }
 
-// changeType is the library's name for the change.
+// changeType returns the library's type of the change.
 func (c MembershipChange) changeType() pb.ConfChangeType {
 	switch {
 	case c.Remove:
@@ -27,8 +27,8 @@
 	}
 }
 
-// ProposeMembershipChange proposes a change; context is stored with it in the log. It returns raft.ErrProposalDropped unless this
-// process leads.
+// ProposeMembershipChange proposes a change. context is stored with the change in the log. It returns raft.ErrProposalDropped unless
+// this process leads.
 func (n *Node) ProposeMembershipChange(change MembershipChange, context []byte) error {
 	if !n.role.IsLeader {
 		return raft.ErrProposalDropped
@@ -40,20 +40,20 @@
 	})
 }
 
-// ApplyMembershipChange applies a committed change, and returns it with the configuration that results.
+// ApplyMembershipChange applies a committed change, and returns it with the resulting configuration.
 func (n *Node) ApplyMembershipChange(entry *pb.Entry) (*pb.ConfChange, *pb.ConfState, error) {
 	change := new(pb.ConfChange)
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		return nil, nil, fmt.Errorf("membership change at %d: %w", entry.GetIndex(), err)
+		return nil, nil, fmt.Errorf("decode membership change at index %d: %w", entry.GetIndex(), err)
 	}
 	n.confState = n.rawNode.ApplyConfChange(change)
 	return change, n.confState, nil
 }
 
-// ConfState lists the voters and learners of the group.
+// ConfState returns the voters and learners of the group.
 func (n *Node) ConfState() *pb.ConfState { return n.confState }
 
-// ReplicationLag is how many entries of the leader's log another process has not acknowledged. It is known only to the leader.
+// ReplicationLag returns how many entries of the leader's log another process has not acknowledged. It is known only on the leader.
 func (n *Node) ReplicationLag(id uint64) (entries uint64, known bool) {
 	progress, known := n.rawNode.Status().Progress[id]
 	lastIndex, err := n.storage.LastIndex()
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -1,10 +1,10 @@
-// Package consensus runs one process's part of a replicated log on go.etcd.io/raft. Neither the library nor this package does any
-// I/O or reads a clock: a Node is given messages and the time, and Effects returns what has to be done, in which order. The same
-// code runs in the control service, on a disk and sockets, and in the simulation.
+// Package consensus runs one member of a Raft group on go.etcd.io/raft. Neither the library nor this package does any I/O or reads a
+// clock: the caller passes messages and the time to a Node, and Effects returns the work to do, in order. The same code runs in the
+// control service, on a disk and sockets, and in the simulation.
 //
-// The library takes its election timeouts from a random source of its own, which can't be seeded. So its election timer is disabled,
-// and this package calls elections at random times from a seed. It also ignores votes while the leader is alive, and silences a leader
-// without a response from a quorum (see election.go).
+// The library draws its election timeouts from its own random source, which can't be seeded. So the library's election timer is disabled,
+// and this package starts elections at random times that are derived from a seed. It also ignores vote requests while the leader is alive,
+// and stops a leader that has lost contact with a quorum from sending messages (see election.go).
 package consensus
 
 import (
@@ -22,16 +22,17 @@
 // Limits of the library's flow control.
 const (
 	maxMessageBytes     = 1 << 20  // of entries in one message
-	maxInflightMessages = 64       // to one follower without a response
-	maxInflightBytes    = 16 << 20 // in bytes, likewise
-	maxUncommittedBytes = 64 << 20 // of proposals; more are dropped
+	maxInflightMessages = 64       // sent to one follower and not acknowledged
+	maxInflightBytes    = 16 << 20 // in bytes, sent to one follower and not acknowledged
+	maxUncommittedBytes = 64 << 20 // of proposals; further proposals are dropped
 	electionDisabled    = math.MaxInt32
 )
 
-// ErrMisdirected is returned for a message that is not addressed to this process or that no process may send.
+// ErrMisdirected is returned for a message that is not addressed to this process, names it as the sender, or has a type that is not sent
+// between processes.
 var ErrMisdirected = errors.New("message is not addressed to this process")
 
-// Node is one process's part of the replicated log. It is used by one goroutine.
+// Node is one member of the Raft group. It is not safe for concurrent use.
 type Node struct {
 	settings  Settings
 	rawNode   *raft.RawNode
@@ -40,28 +41,29 @@
 	role      Role
 	confState *pb.ConfState
 
-	ready        raft.Ready // of the last effects
-	effectsOpen  bool       // the last effects were returned, and Advance was not called yet
-	appliedIndex uint64
+	ready           raft.Ready // from which the last effects were made
+	awaitingAdvance bool       // effects were returned, and Advance was not called yet
+	appliedIndex    uint64
 
-	electionDeadline  time.Duration // when an election is called, unless a message of the leader arrives before
+	electionDeadline  time.Duration // when an election is started, unless the leader sends a message before
 	lastLeaderContact time.Duration
 	nextHeartbeat     time.Duration
-	raftLeader        bool                     // the library's view; role.IsLeader is false while silenced
+	raftLeader        bool                     // the library's view; role.IsLeader is false while quorumLost
 	leaderSince       time.Duration            // when raftLeader became true
-	silenced          bool                     // no quorum responds: nothing is sent, so that another process is elected
-	lastResponse      map[uint64]time.Duration // to this leader, by process
+	quorumLost        bool                     // no quorum responds to this leader: it sends nothing, so that another process is elected
+	lastResponse      map[uint64]time.Duration // received by this leader, by sender
 }
 
-// New restores a process from its stored state, or creates the state of a new group's founding member if that is empty and the settings
-// name voters. appliedIndex is how far the caller's state machine has applied the log; now is the time of the caller's monotonic clock.
+// New restores a member from its stored state. If that is empty and the settings name voters, New creates the state of an initial member of a
+// new group. appliedIndex is the index of the last entry that the caller's state machine has applied; now is the time of the caller's
+// monotonic clock.
 func New(settings Settings, stored PersistentState, appliedIndex uint64, now time.Duration) (*Node, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	if stored.isEmpty() && len(settings.Voters) > 0 {
-		stored = foundingState(settings.Voters)
-		appliedIndex = foundingIndex
+		stored = bootstrapState(settings.Voters)
+		appliedIndex = bootstrapIndex
 	}
 	stored = withCommitAtSnapshot(stored)
 	storage := raft.NewMemoryStorage()
@@ -103,15 +105,15 @@
 	return n, nil
 }
 
-// InitialState returns the state that a founding member has to store before any other change.
+// InitialState returns the state that an initial member of a new group has to store before any other change.
 func (n *Node) InitialState() PersistentState {
 	snapshot, _ := n.storage.Snapshot() // the in-memory storage returns no error here
 	hardState, _, _ := n.storage.InitialState()
 	return PersistentState{HardState: hardState, Snapshot: snapshot}
 }
 
-// Receive takes a message from another process. One that is not addressed to this process, or that the library rejects, is dropped
-// with an error, as if the network had lost it.
+// Receive handles a message from another process. A message that is not addressed to this process, or that the library rejects, is
+// dropped with an error, as if the network had lost it.
 func (n *Node) Receive(now time.Duration, message *pb.Message) error {
 	if message.GetTo() != n.settings.ID || message.GetFrom() == n.settings.ID || raft.IsLocalMsg(message.GetType()) {
 		return ErrMisdirected
@@ -144,8 +146,8 @@
 	n.rawNode.ReportSnapshot(id, status)
 }
 
-// Propose appends an entry to the log. It returns raft.ErrProposalDropped unless this process leads. An accepted proposal may still
-// be lost, without notice, when the leader changes.
+// Propose appends an entry to the log. It returns raft.ErrProposalDropped unless this process leads. An accepted proposal may still be
+// lost when the leader changes; the caller is not notified of that.
 func (n *Node) Propose(data []byte) error {
 	if !n.role.IsLeader {
 		return raft.ErrProposalDropped
@@ -153,23 +155,23 @@
 	return n.rawNode.Propose(data)
 }
 
-// RequestReadConfirmation asks a quorum to confirm that this process still leads. The answer is a ConfirmedRead with the same
-// token; there is none if this process no longer leads.
+// RequestReadConfirmation asks a quorum to confirm that this process still leads (a Raft read index request). The result is a
+// ConfirmedRead with the same token; there is none if this process no longer leads.
 func (n *Node) RequestReadConfirmation(token uint64) {
 	if n.role.IsLeader {
 		n.rawNode.ReadIndex(strconv.AppendUint(nil, token, 10))
 	}
 }
 
-// Role is the present role of this process.
+// Role returns the present role of this process.
 func (n *Node) Role() Role { return n.role }
 
-// AppliedIndex is the index of the last entry that was applied.
+// AppliedIndex returns the index of the last applied entry.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// Compact replaces the log up to the last applied entry by a snapshot with this data, and returns the snapshot, to be stored. In
-// memory the last keepEntries entries remain, for followers that lag a little behind. It returns raft.ErrSnapOutOfDate if there is a
-// snapshot of that index already.
+// Compact replaces the log up to the last applied entry by a snapshot with this data, and returns the snapshot, which the caller has to
+// store. The last keepEntries of these entries remain in memory, so that followers with a small lag need no snapshot. It returns
+// raft.ErrSnapOutOfDate if there is a snapshot of that index already.
 func (n *Node) Compact(data []byte, keepEntries uint64) (*pb.Snapshot, error) {
 	snapshot, err := n.storage.CreateSnapshot(n.appliedIndex, n.confState, data)
 	if err != nil {
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -68,11 +68,11 @@
 	var truncated *TruncatedLogError
 	require.ErrorAs(t, err, &truncated)
 	assert.Equal(t, TruncatedLogError{LastIndex: 5, CommitIndex: 7}, *truncated)
-	assert.EqualError(t, err, "the log ends at 5, and 7 was committed: it is damaged")
+	assert.EqualError(t, err, "stored log is damaged: it ends at index 5, but index 7 was committed")
 }
 
-// A snapshot may have been synced after the commit index was.
-func TestNewCommitsWhatTheSnapshotHolds(t *testing.T) {
+// A snapshot may have been synced after the stored commit index, which is then lower than the snapshot's index.
+func TestNewRaisesCommitIndexToSnapshot(t *testing.T) {
 	n, err := New(testSettings(1), PersistentState{Snapshot: storedSnapshot(5), HardState: storedHardState(3)}, 5, 0)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(5), n.InitialState().HardState.GetCommit())
@@ -98,7 +98,7 @@
 	}
 }
 
-// cluster runs processes under one clock, with a network that delivers at once or not at all.
+// cluster runs processes with one simulated clock, and a network that delivers a message immediately or drops it.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
@@ -118,7 +118,7 @@
 	return c
 }
 
-// run lets time pass.
+// run runs the cluster for a duration.
 func (c *cluster) run(duration time.Duration) {
 	c.t.Helper()
 	for end := c.now + duration; c.now < end; c.now += time.Millisecond {
@@ -149,7 +149,7 @@
 	n.Advance()
 }
 
-// leaders lists the processes that lead.
+// leaders returns the ids of the processes that lead.
 func (c *cluster) leaders() []uint64 {
 	var list []uint64
 	for id := uint64(1); id <= 3; id++ {
@@ -160,7 +160,7 @@
 	return list
 }
 
-// An isolated leader is silenced and replaced; once it is connected again it follows the new leader.
+// An isolated leader loses its quorum, sends nothing, and is replaced. After it is connected again, it follows the new leader.
 func TestIsolatedLeader(t *testing.T) {
 	c := newCluster(t)
 	c.run(time.Second)
@@ -175,7 +175,7 @@
 	assert.ErrorIs(t, c.nodes[first].Propose([]byte("x")), raft.ErrProposalDropped)
 	before := c.sent[first]
 	c.run(time.Second)
-	assert.Equal(t, before, c.sent[first], "a silenced leader sends nothing")
+	assert.Equal(t, before, c.sent[first], "a leader without a quorum sends nothing")
 
 	c.isolated[first] = false
 	c.run(time.Second)
@@ -183,8 +183,8 @@
 	assert.Equal(t, Role{Leader: second, Term: c.nodes[second].Role().Term}, c.nodes[first].Role())
 }
 
-// A process that was isolated calls elections, but the others still receive heartbeats of their leader and keep it.
-func TestIsolatedFollowerDoesNotDepose(t *testing.T) {
+// An isolated follower starts elections. After it is connected again the leader stays, since the others still receive its heartbeats.
+func TestIsolatedFollowerDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(t)
 	c.run(time.Second)
 	require.Len(t, c.leaders(), 1)
--- a/internal/consensus/settings.go
+++ b/internal/consensus/settings.go
@@ -8,16 +8,16 @@
 	"go.etcd.io/raft/v3"
 )
 
-// minHeartbeatsPerElection is how many heartbeat intervals an election timeout has to cover, so that one lost heartbeat calls no
+// minHeartbeatsPerElection is how many heartbeat intervals an election timeout has to cover, so that one lost heartbeat does not start an
 // election.
 const minHeartbeatsPerElection = 3
 
 // Settings of one process.
 type Settings struct {
-	ID                uint64        // from 1; an id is never used again after its process was removed
-	Voters            []uint64      // ids of the founding members; empty for a process that joins an existing group
+	ID                uint64        // from 1; never reused after its process was removed from the group
+	Voters            []uint64      // ids of the initial members of a new group; empty for a process that joins an existing group
 	HeartbeatInterval time.Duration // between two heartbeats of the leader
-	ElectionTimeout   time.Duration // a follower calls an election after one to two timeouts without the leader
+	ElectionTimeout   time.Duration // a follower starts an election after one to two timeouts without a message from the leader
 	Seed              uint64        // of the random part of the election timeouts
 	Logger            raft.Logger
 }
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -9,43 +9,44 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// All founding members start from the same empty snapshot, so that none of them has to replicate the first configuration.
+// Index and term of the empty snapshot from which all initial members of a group start. It holds the first configuration, so that the log does
+// not have to replicate it.
 const (
-	foundingIndex = 1
-	foundingTerm  = 1
+	bootstrapIndex = 1
+	bootstrapTerm  = 1
 )
 
-// PersistentState is what has to survive a restart of the process. As a change it contains only new values: nil fields leave the stored
-// ones as they are, and entries replace all stored entries from the index of the first one on.
+// PersistentState is the state that has to survive a restart of the process. As a change, it contains only new values: nil fields leave the
+// stored values unchanged, and Entries replace all stored entries from the index of the first one on.
 type PersistentState struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
 	Entries   []*pb.Entry
 }
 
-// isEmpty reports whether nothing was ever stored.
+// isEmpty reports whether the process has never stored anything.
 func (s *PersistentState) isEmpty() bool {
 	return s.HardState == nil && s.Snapshot == nil && len(s.Entries) == 0
 }
 
-// foundingState is what each founding member of a new group starts from.
-func foundingState(voters []uint64) PersistentState {
+// bootstrapState returns the state from which each initial member of a new group starts.
+func bootstrapState(voters []uint64) PersistentState {
 	return PersistentState{
 		Snapshot: &pb.Snapshot{Metadata: &pb.SnapshotMetadata{
-			Index:     proto.Uint64(foundingIndex),
-			Term:      proto.Uint64(foundingTerm),
+			Index:     proto.Uint64(bootstrapIndex),
+			Term:      proto.Uint64(bootstrapTerm),
 			ConfState: &pb.ConfState{Voters: slices.Sorted(slices.Values(voters))},
 		}},
 		HardState: &pb.HardState{
-			Term:   proto.Uint64(foundingTerm),
+			Term:   proto.Uint64(bootstrapTerm),
 			Vote:   proto.Uint64(0),
-			Commit: proto.Uint64(foundingIndex),
+			Commit: proto.Uint64(bootstrapIndex),
 		},
 	}
 }
 
-// withCommitAtSnapshot returns the state with a commit index that covers the snapshot. The commit index is not synced on its own,
-// while a later snapshot may have been; what a snapshot contains was committed.
+// withCommitAtSnapshot returns the state with a commit index of at least the snapshot's index. The stored commit index may be older than a
+// synced snapshot, since a change of the commit index alone is not synced; the entries in a snapshot were committed.
 func withCommitAtSnapshot(state PersistentState) PersistentState {
 	snapshotIndex := state.Snapshot.GetMetadata().GetIndex()
 	if state.HardState == nil || state.HardState.GetCommit() >= snapshotIndex {
@@ -63,16 +64,16 @@
 func restoreStorage(storage *raft.MemoryStorage, state PersistentState) error {
 	if state.Snapshot != nil {
 		if err := storage.ApplySnapshot(state.Snapshot); err != nil {
-			return fmt.Errorf("snapshot: %w", err)
+			return fmt.Errorf("restore snapshot: %w", err)
 		}
 	}
 	if state.HardState != nil {
 		if err := storage.SetHardState(state.HardState); err != nil {
-			return fmt.Errorf("hard state: %w", err)
+			return fmt.Errorf("restore hard state: %w", err)
 		}
 	}
 	if err := storage.Append(state.Entries); err != nil {
-		return fmt.Errorf("entries: %w", err)
+		return fmt.Errorf("restore entries: %w", err)
 	}
 	lastIndex, err := storage.LastIndex()
 	if err != nil {
@@ -84,12 +85,12 @@
 	return nil
 }
 
-// TruncatedLogError reports a stored log that ends before the commit index: the storage has lost synced data.
+// TruncatedLogError reports that a stored log ends before the commit index, so the storage has lost synced data.
 type TruncatedLogError struct {
 	LastIndex   uint64
 	CommitIndex uint64
 }
 
 func (e *TruncatedLogError) Error() string {
-	return fmt.Sprintf("the log ends at %d, and %d was committed: it is damaged", e.LastIndex, e.CommitIndex)
+	return fmt.Sprintf("stored log is damaged: it ends at index %d, but index %d was committed", e.LastIndex, e.CommitIndex)
 }
--- a/internal/consensus/store/errors.go
+++ b/internal/consensus/store/errors.go
@@ -6,24 +6,24 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// fatalLogger drops Pebble's messages about its files. A fatal error of Pebble becomes a panic, which recoverError turns into
-// an error of the call.
-type fatalLogger struct{}
+// panicLogger is Pebble's logger. It drops all messages except a fatal error, on which it panics; recoverError returns that panic as an error
+// of the call.
+type panicLogger struct{}
 
-func (fatalLogger) Infof(string, ...any)  {}
-func (fatalLogger) Errorf(string, ...any) {}
+func (panicLogger) Infof(string, ...any)  {}
+func (panicLogger) Errorf(string, ...any) {}
 
-func (fatalLogger) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+func (panicLogger) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
-// recoverError turns a panic of Pebble into an error. It is deferred by each exported call.
+// recoverError converts a panic of Pebble to an error. Each exported function that may panic defers it.
 func recoverError(err *error) {
 	if cause := recover(); cause != nil {
 		*err = fmt.Errorf("store: %v", cause)
 	}
 }
 
-// corruption adds ErrCorrupted to an error by which Pebble reports damaged data.
-func corruption(err error) error {
+// wrapCorruption adds ErrCorrupted to an error by which Pebble reports damaged data.
+func wrapCorruption(err error) error {
 	if pebble.IsCorruptionError(err) {
 		return fmt.Errorf("%w: %w", ErrCorrupted, err)
 	}
--- a/internal/consensus/store/record.go
+++ b/internal/consensus/store/record.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Keys of the database. An entry's key is the prefix and its index, big-endian, so that keys sort as indexes do.
+// Keys of the database. The key of an entry is the prefix followed by the index in big-endian order, so that entries are sorted by index.
 const entryPrefix = byte('l')
 
 var (
@@ -34,8 +34,8 @@
 	return len(key) == 1+uint64Bytes && binary.BigEndian.Uint64(key[1:]) == index
 }
 
-// putRecord adds a record to a batch: the checksum, big-endian, and the message. It panics on an error, since the library's messages
-// can always be encoded and a batch is memory.
+// putRecord adds a record to a batch: the big-endian checksum, followed by the encoded message. It panics on an error, which can't happen:
+// the library's messages can always be encoded, and a batch is in memory.
 func putRecord(batch *pebble.Batch, key []byte, message proto.Message) {
 	raw, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/consensus/store/sequence.go
+++ b/internal/consensus/store/sequence.go
@@ -10,13 +10,13 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// sequenceFile holds the number of the last change that was synced, and its checksum, both big-endian. It is not synced itself: an
-// older number only makes the check weaker.
+// sequenceFile is a file with the number of the last synced change and the checksum of the number, both big-endian. The file itself is not
+// synced: after a crash it may hold an older number, which only makes the check weaker.
 type sequenceFile struct{ file vfs.File }
 
 const sequenceFileBytes = uint64Bytes + checksumBytes
 
-// read returns the number; ok is false if there is none or it can't be read, which does not mean that the database is damaged.
+// read returns the number. ok is false if the file holds no valid number, which does not imply that the database is damaged.
 func (f *sequenceFile) read() (number uint64, ok bool) {
 	raw := make([]byte, sequenceFileBytes)
 	n, err := f.file.ReadAt(raw, 0)
@@ -38,11 +38,11 @@
 
 func (f *sequenceFile) close() { f.file.Close() }
 
-// openSequence reads the number of the last change from the database, and rejects a database that ends before the number in the
-// file: it has lost synced changes.
+// openSequence reads the number of the last change from the database, and rejects a database with a lower number than the one in the
+// file, since it has lost synced changes.
 func (s *Store) openSequence(fs vfs.FS, path string) error {
 	if err := s.readSequence(); err != nil {
-		return corruption(err)
+		return wrapCorruption(err)
 	}
 	file, err := fs.OpenReadWrite(path, vfs.WriteCategoryUnspecified)
 	if err != nil {
@@ -51,7 +51,7 @@
 	s.sequenceFile = &sequenceFile{file: file}
 	synced, ok := s.sequenceFile.read()
 	if ok && synced > s.sequence {
-		return fmt.Errorf("%w: it ends at change %d, and %d was synced", ErrCorrupted, s.sequence, synced)
+		return fmt.Errorf("%w: last stored change is %d, but change %d was synced", ErrCorrupted, s.sequence, synced)
 	}
 	return nil
 }
--- a/internal/consensus/store/store.go
+++ b/internal/consensus/store/store.go
@@ -1,9 +1,9 @@
-// Package store keeps one process's part of the replicated log on disk, in the embedded key-value store Pebble. Each change is one
-// batch that is synced before Save returns, so whatever was acknowledged survives a crash at any point.
+// Package store keeps one process's replica of the Raft log on disk, in the embedded key-value store Pebble. Each change is one batch that
+// is synced before Save returns, so acknowledged changes survive a crash at any point.
 //
-// Pebble verifies a checksum of each block that it reads, and drops a tail of its log that was not synced; each record here has a
-// checksum of its own in addition. Damage near the end of Pebble's log looks like an unsynced tail, so changes are numbered, and the
-// number of the last one that was synced is written to a file beside the database: a database that ends before it has lost synced data.
+// Pebble verifies a checksum of each block that it reads, and drops the tail of its log that was not synced. In addition each record here
+// has its own checksum. Damage near the end of Pebble's log looks like an unsynced tail. To detect it, changes are numbered, and the number
+// of the last synced change is written to a separate file: a database whose last change has a lower number has lost synced data.
 package store
 
 import (
@@ -21,7 +21,7 @@
 	"bankledge/internal/consensus"
 )
 
-// Names in a process's folder.
+// Names of the database's folder and of the sequence file in a process's folder.
 const (
 	databaseName = "log"
 	sequenceName = "mark"
@@ -33,12 +33,12 @@
 )
 
 // ErrCorrupted reports that stored data was damaged, or that synced data is missing.
-var ErrCorrupted = errors.New("the store is damaged: remove this process from the group, and add it anew with an empty folder")
+var ErrCorrupted = errors.New("stored data is damaged: remove this process from the group, and add it again with an empty folder")
 
-// errOtherOwner is returned for a folder that belongs to a process with another id.
-var errOtherOwner = errors.New("it is another process's: its id differs")
+// errOtherOwner reports that a folder belongs to a process with another id.
+var errOtherOwner = errors.New("folder belongs to a process with another id")
 
-// Store is one process's part of the log on disk. It is used by one goroutine.
+// Store is one process's replica of the log on disk. It is not safe for concurrent use.
 type Store struct {
 	db           *pebble.DB
 	sequence     uint64 // number of the last change
@@ -49,7 +49,7 @@
 // folder belongs to another id, and with ErrCorrupted if the stored data is damaged.
 func Open(dir string, id uint64) (*Store, error) { return OpenFS(vfs.Default, dir, id) }
 
-// OpenFS is Open on another file system, such as one that fails in a test.
+// OpenFS is Open on a given file system, such as one that injects faults in a test.
 func OpenFS(fs vfs.FS, dir string, id uint64) (store *Store, err error) {
 	defer recoverError(&err)
 	if fs == vfs.Default {
@@ -59,19 +59,19 @@
 	}
 	db, err := pebble.Open(filepath.Join(dir, databaseName), &pebble.Options{
 		FS:           fs,
-		Logger:       fatalLogger{},
+		Logger:       panicLogger{},
 		MemTableSize: memTableBytes,
-		// The newest format tells synced data that is damaged from a tail that was never synced.
+		// The newest format distinguishes damaged synced data from a tail that was never synced.
 		FormatMajorVersion: pebble.FormatNewest,
 	})
 	switch {
 	case pebble.IsCorruptionError(err):
 		return nil, fmt.Errorf("store: %w: %w", ErrCorrupted, err)
 	case err != nil:
-		return nil, fmt.Errorf("store: is it another process's? %w", err)
+		return nil, fmt.Errorf("store: cannot open the database, another process may have it open: %w", err)
 	}
 	s := &Store{db: db}
-	ownerErr := s.claim(id)
+	ownerErr := s.ensureOwner(id)
 	sequenceErr := s.openSequence(fs, filepath.Join(dir, sequenceName))
 	if err := errors.Join(ownerErr, sequenceErr); err != nil {
 		s.Close()
@@ -80,14 +80,14 @@
 	return s, nil
 }
 
-// claim writes the owner's id to a new store, and rejects a store that belongs to another process.
-func (s *Store) claim(id uint64) error {
+// ensureOwner writes the owner's id to a new store, and rejects a store that belongs to another process.
+func (s *Store) ensureOwner(id uint64) error {
 	raw, closer, err := s.db.Get(ownerKey)
 	if errors.Is(err, pebble.ErrNotFound) {
 		return s.db.Set(ownerKey, binary.BigEndian.AppendUint64(nil, id), pebble.Sync)
 	}
 	if err != nil {
-		return corruption(err)
+		return wrapCorruption(err)
 	}
 	defer closer.Close()
 	if len(raw) != uint64Bytes || binary.BigEndian.Uint64(raw) != id {
@@ -104,7 +104,7 @@
 	}
 	snapshotIndex := state.Snapshot.GetMetadata().GetIndex()
 	if len(state.Entries) > 0 && state.Entries[0].GetIndex() > snapshotIndex+1 {
-		return consensus.PersistentState{}, fmt.Errorf("store: entries from %d, the snapshot ends at %d: %w", state.Entries[0].GetIndex(), snapshotIndex, ErrCorrupted)
+		return consensus.PersistentState{}, fmt.Errorf("store: first entry is %d, but the snapshot ends at %d: %w", state.Entries[0].GetIndex(), snapshotIndex, ErrCorrupted)
 	}
 	for len(state.Entries) > 0 && state.Entries[0].GetIndex() <= snapshotIndex {
 		state.Entries = state.Entries[1:]
@@ -133,7 +133,7 @@
 	return state, err
 }
 
-// readRecord reads the record of a key; found is false if there is none.
+// readRecord reads the record of a key. found is false if there is none.
 func (s *Store) readRecord(key []byte, message proto.Message) (found bool, err error) {
 	raw, closer, err := s.db.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -144,35 +144,35 @@
 		closer.Close()
 	}
 	if err != nil {
-		return false, fmt.Errorf("%s: %w", key, corruption(err))
+		return false, fmt.Errorf("read record %q: %w", key, wrapCorruption(err))
 	}
 	return true, nil
 }
 
-// readEntries reads all entries; their indexes have to follow on each other.
+// readEntries reads all entries, and checks that their indexes are consecutive.
 func (s *Store) readEntries() ([]*pb.Entry, error) {
 	iterator, err := s.db.NewIter(&pebble.IterOptions{LowerBound: entryKey(0), UpperBound: entriesEnd})
 	if err != nil {
-		return nil, corruption(err)
+		return nil, wrapCorruption(err)
 	}
 	defer iterator.Close()
 	var entries []*pb.Entry
 	for valid := iterator.First(); valid; valid = iterator.Next() {
 		entry := new(pb.Entry)
 		if err := decodeRecord(iterator.Value(), entry); err != nil {
-			return nil, fmt.Errorf("entry: %w", err)
+			return nil, fmt.Errorf("decode entry: %w", err)
 		}
-		follows := len(entries) == 0 || entry.GetIndex() == entries[len(entries)-1].GetIndex()+1
-		if !follows || !isEntryKey(iterator.Key(), entry.GetIndex()) {
-			return nil, fmt.Errorf("entry %d: %w", entry.GetIndex(), ErrCorrupted)
+		isConsecutive := len(entries) == 0 || entry.GetIndex() == entries[len(entries)-1].GetIndex()+1
+		if !isConsecutive || !isEntryKey(iterator.Key(), entry.GetIndex()) {
+			return nil, fmt.Errorf("entry %d is not consecutive, or stored under another index: %w", entry.GetIndex(), ErrCorrupted)
 		}
 		entries = append(entries, entry)
 	}
-	return entries, corruption(iterator.Error())
+	return entries, wrapCorruption(iterator.Error())
 }
 
-// Save writes a change and syncs it before it returns: a snapshot replaces the entries that it covers, entries replace all from the
-// index of the first one on. After an error nothing that depends on the change may leave the process.
+// Save writes a change, and syncs it before it returns. A snapshot replaces the entries that it covers; entries replace all entries from
+// the index of the first one on. After an error the process must not send anything that depends on the change.
 func (s *Store) Save(change consensus.PersistentState) (err error) {
 	defer recoverError(&err)
 	batch := s.db.NewBatch()
@@ -204,10 +204,10 @@
 	return nil
 }
 
-// Size is how many bytes the store takes on disk.
+// Size returns the number of bytes that the store takes on disk.
 func (s *Store) Size() uint64 { return s.db.Metrics().DiskSpaceUsage() }
 
-// Close closes the files.
+// Close closes the database and the sequence file.
 func (s *Store) Close() (err error) {
 	defer recoverError(&err)
 	if s.sequenceFile != nil {
--- a/internal/consensus/store/store_test.go
+++ b/internal/consensus/store/store_test.go
@@ -46,7 +46,7 @@
 	return &pb.HardState{Term: proto.Uint64(term), Vote: proto.Uint64(1), Commit: proto.Uint64(commit)}
 }
 
-// save saves changes, each of which has to succeed.
+// save saves changes, and fails the test on an error.
 func save(t *testing.T, s *Store, changes ...consensus.PersistentState) {
 	t.Helper()
 	for _, change := range changes {
@@ -54,7 +54,7 @@
 	}
 }
 
-// Load returns all that was saved and not replaced; a snapshot replaces the entries that it covers.
+// Load returns everything that was saved and not replaced later; a snapshot replaces the entries that it covers.
 func TestSaveAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, 1)
@@ -66,11 +66,11 @@
 		consensus.PersistentState{Snapshot: snapshot(3)},
 	)
 	_, err = Open(dir, 1)
-	assert.ErrorContains(t, err, "another process's")
+	assert.ErrorContains(t, err, "another process may have it open")
 	require.NoError(t, s.Close())
 	_, err = Open(dir, 2)
 	assert.ErrorIs(t, err, errOtherOwner)
-	assert.ErrorContains(t, err, "its id differs")
+	assert.ErrorContains(t, err, "belongs to a process with another id")
 
 	s, err = Open(dir, 1)
 	require.NoError(t, err)
@@ -89,7 +89,7 @@
 	assert.Greater(t, s.Size(), uint64(0))
 }
 
-// A disk that fails at the write or the sync is an error, and data that was synced before is not lost.
+// Save returns an error if a write or a sync fails, and data that was synced before is not lost.
 func TestFailingDisk(t *testing.T) {
 	var fails atomic.Bool
 	memory := vfs.NewCrashableMem()
@@ -117,7 +117,7 @@
 	assert.GreaterOrEqual(t, len(loaded.Entries), 3)
 }
 
-// A folder that can't be created is an error.
+// Open returns an error if the folder can't be created.
 func TestFolderIsAFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
@@ -125,7 +125,7 @@
 	assert.ErrorContains(t, err, "store")
 }
 
-// After a power loss at any moment all changes for which Save had returned are loaded, whatever else of the disk's cache was lost.
+// After a power loss Load returns all changes for which Save had returned, whichever unsynced data the disk has lost.
 func TestPowerLoss(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 60 {
@@ -155,8 +155,8 @@
 	}
 }
 
-// loadsWithFile reports whether a copy of a stored folder can be loaded after one of its files was replaced. The loaded entries have to be
-// those that were stored: 2 to 60.
+// loadsWithFile reports whether a copy of a stored folder can be loaded after the content of one file was replaced. If so, the loaded entries
+// have to be the stored ones: 2 to 60.
 func loadsWithFile(t *testing.T, dir, name string, content []byte) bool {
 	t.Helper()
 	folder := t.TempDir()
@@ -174,12 +174,12 @@
 	for i, entry := range loaded.Entries {
 		require.Equal(t, []byte{byte(i + 2), 1}, entry.GetData(), name)
 	}
-	require.Len(t, loaded.Entries, 59, "%s: synced entries are gone without an error", name)
+	require.Len(t, loaded.Entries, 59, "%s: synced entries are lost without an error", name)
 	return true
 }
 
-// Truncated files and changed bytes are an error: synced data is never read as something else, and never lost
-// without notice.
+// A truncated file or a changed byte is detected, or has no effect on the loaded data: synced data is never returned with other values, and
+// never lost without an error.
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, 1)
@@ -194,7 +194,7 @@
 		require.NoError(t, err)
 		name := filepath.Base(file)
 		require.True(t, loadsWithFile(t, dir, name, content), name)
-		content = bytes.TrimRight(content, "\x00") // space that was only reserved
+		content = bytes.TrimRight(content, "\x00") // preallocated space
 		if len(content) <= 12 {
 			continue
 		}
