--- a/internal/replica/changed_settings_test.go
+++ b/internal/replica/changed_settings_test.go
@@ -14,7 +14,8 @@
 	"bankledge/internal/rules"
 )
 
-// openNewGroup opens a group of processes whose folders are empty. Process i has the i-th share as its setting most_gone.
+// openNewGroup opens a new group of processes with empty folders, one for each share. A process has its share as MaxRemovedShare, which the
+// settings file calls most_gone.
 func openNewGroup(t *testing.T, shares ...float64) *storedGroup {
 	t.Helper()
 	g := &storedGroup{t: t, folders: map[uint64]string{}, initial: map[uint64]Member{}, maxRemovedShares: map[uint64]float64{}}
@@ -28,7 +29,7 @@
 	return g
 }
 
-// proposeEngines proposes a list of so many active engines to the leader, and returns the outcome.
+// proposeEngines proposes rules with a number of active engines to the leader, and returns the outcome.
 func (g *storedGroup) proposeEngines(id string, engines int) configregister.Outcome {
 	g.t.Helper()
 	r := &rules.Rules{Routers: 2, SlowStartMultiple: 3, Engines: map[string]rules.Engine{}}
@@ -43,7 +44,8 @@
 	return g.outcomes[0]
 }
 
-// removeThreeOfEight commits a version of eight engines, and proposes one of five. It returns the last outcome once all have applied it.
+// removeThreeOfEight commits a version with eight engines, and proposes one with five. It returns the outcome of that proposal once all processes
+// have applied it.
 func (g *storedGroup) removeThreeOfEight() configregister.Outcome {
 	g.t.Helper()
 	g.runUntil(func() bool { return g.leader() != 0 })
@@ -73,8 +75,8 @@
 	}
 }
 
-// While most_gone is rolled out process by process, processes of one group have different shares. Each judged a committed proposal by
-// its own share, so one log gave different registers: newest version 2 where the share was 0.5, and 1 where it was 0.1.
+// While a change of most_gone is rolled out, the processes of a group have different shares. Each process applied a committed proposal with
+// its own share, so the same log resulted in different registers: newest version 2 with a share of 0.5, and 1 with a share of 0.1.
 func TestProcessesWithDifferentShares(t *testing.T) {
 	for _, shares := range [][]float64{{0.5, 0.1, 0.5}, {0.1, 0.5, 0.5}, {0.5, 0.5, 0.1}, {0.1, 0.1, 0.5}} {
 		t.Run(fmt.Sprint(shares), func(t *testing.T) {
@@ -83,7 +85,7 @@
 			outcome := g.removeThreeOfEight()
 			g.assertSameRegister()
 			if share := shares[g.leader()-1]; share < 3.0/8 {
-				assert.Contains(t, outcome.Error, "3 of 8 active engines go at once, over a share of 0.1", "the leader's share counts")
+				assert.Contains(t, outcome.Error, "3 of 8 active engines go at once, over a share of 0.1", "the proposal is checked with the leader's share")
 			} else {
 				assert.Equal(t, uint64(2), outcome.Number)
 			}
@@ -91,8 +93,8 @@
 	}
 }
 
-// A process that is started with another share than before holds what it held: whether it replays its log, or begins with a snapshot. The
-// replay judged the old proposals by the new share (newest version 1), the snapshot by the share stored in it (2).
+// A process that is restarted with another share has the same versions as before, whether it replays its log or starts from a snapshot. A
+// replay applied the old proposals with the new share (newest version 1), a snapshot with the share stored in it (newest version 2).
 func TestRestartWithAnotherShare(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
@@ -127,13 +129,14 @@
 				g.runUntil(func() bool { return g.allActivated(3) })
 			}
 			again := g.proposeEngines("five again", 5)
-			assert.Equal(t, c.after < 3.0/8, again.Error != "", "new proposals are judged by the present share: %s", again.Error)
+			assert.Equal(t, c.after < 3.0/8, again.Error != "", "new proposals are checked with the new share: %s", again.Error)
 			g.close()
 		})
 	}
 }
 
-// storeInEarlierFormat copies a process's stored state to a new folder, with the entries as earlier versions wrote them: without a share.
+// storeInEarlierFormat copies a process's stored state to a new folder, with entries in the format of earlier versions of this program: without
+// a share.
 func (g *storedGroup) storeInEarlierFormat(id uint64) {
 	g.t.Helper()
 	disk, err := store.Open(g.folders[id], id)
@@ -144,7 +147,7 @@
 	for _, entry := range stored.Entries {
 		var written configregister.LogEntry
 		if json.Unmarshal(entry.GetData(), &written) != nil {
-			continue // a leader's first entry, or a change of members
+			continue // a leader's first entry, or a membership change
 		}
 		earlier, err := json.Marshal(written.Entry)
 		require.NoError(g.t, err)
@@ -158,8 +161,8 @@
 	require.NoError(g.t, disk.Close())
 }
 
-// Entries of earlier versions hold no share. Started with the share that it had, a process holds the versions that it held, and from then on
-// it does so with any other share.
+// Entries of earlier versions of this program contain no share. A process that is restarted with its old share has the same versions as before,
+// and keeps them when it is later restarted with another share.
 func TestReplayOfEntriesWithoutShare(t *testing.T) {
 	for _, c := range []struct {
 		before, after float64
@@ -174,7 +177,7 @@
 				g.maxRemovedShares[1] = share
 				g.open()
 				g.runUntil(func() bool { return g.leader() != 0 && g.allActivated(c.newest) })
-				assert.Equal(t, c.newest, g.replicas[1].Register().NewestNumber(), "with %v", share)
+				assert.Equal(t, c.newest, g.replicas[1].Register().NewestNumber(), "with a share of %v", share)
 				g.close()
 			}
 		})
--- a/internal/replica/harness_test.go
+++ b/internal/replica/harness_test.go
@@ -23,7 +23,7 @@
 	"bankledge/internal/rules"
 )
 
-// storedGroup is a group of processes that runs on copies of stored folders, with a simulated clock and network.
+// storedGroup is a group of processes that store their state on disk, with a simulated clock and network.
 type storedGroup struct {
 	t        *testing.T
 	folders  map[uint64]string
@@ -34,11 +34,11 @@
 	inFlight []*pb.Message
 	outcomes []configregister.Outcome
 
-	maxRemovedShares   map[uint64]float64 // by process; 0.5 for one that is not in it
+	maxRemovedShares   map[uint64]float64 // by process; testMaxRemovedShare for a process that is not in the map
 	compactionInterval uint64             // 0: testCompactionInterval
 }
 
-// Settings of a process for which a test names no others.
+// Settings of processes, unless a test sets others.
 const (
 	testMaxRemovedShare    = 0.5
 	testCompactionInterval = 20
@@ -118,14 +118,14 @@
 	g.carryOut(id, g.replicas[id].Step(g.now, event))
 }
 
-// runUntil lets time pass until the condition holds.
-func (g *storedGroup) runUntil(reached func() bool) {
+// runUntil runs the group until the condition holds.
+func (g *storedGroup) runUntil(condition func() bool) {
 	g.t.Helper()
 	deadline := g.now + time.Minute
-	for !reached() {
+	for !condition() {
 		g.deliverMessages()
 		g.now += 5 * time.Millisecond
-		require.Less(g.t, g.now, deadline, "the group has not reached the state in time")
+		require.Less(g.t, g.now, deadline, "the condition does not hold within a minute")
 		for id := uint64(1); id <= uint64(len(g.replicas)); id++ {
 			if g.now >= g.replicas[id].NextDeadline(g.now) || g.replicas[id].IsLeader() {
 				g.step(id, Tick{})
@@ -146,7 +146,7 @@
 	}
 }
 
-// leader is the process that leads, 0 if none does.
+// leader returns the id of the process that leads, 0 if none does.
 func (g *storedGroup) leader() uint64 {
 	for id, replica := range g.replicas {
 		if replica.IsLeader() {
@@ -156,7 +156,7 @@
 	return 0
 }
 
-// allActivated reports whether a version is in force on each process.
+// allActivated reports whether a version is activated on each process.
 func (g *storedGroup) allActivated(number uint64) bool {
 	for _, replica := range g.replicas {
 		if replica.Register().Activated < number {
@@ -166,7 +166,7 @@
 	return true
 }
 
-// propose proposes rules and returns the number of the version once it is in force on all processes.
+// propose proposes rules, and returns the number of the version once it is activated on all processes.
 func (g *storedGroup) propose(retryBudgetFree float64) uint64 {
 	g.t.Helper()
 	r := &rules.Rules{Routers: 2, SlowStartMultiple: 3, RetryBudgetFree: retryBudgetFree}
@@ -188,7 +188,7 @@
 	return g.outcomes[0].Number
 }
 
-// served returns the state that a process serves, in the format of the recorded files.
+// served returns the versions and members that a process serves, in the format of the recorded files.
 func (g *storedGroup) served(id uint64) (versions, members string) {
 	g.t.Helper()
 	register := g.replicas[id].Register()
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -13,7 +13,7 @@
 	"bankledge/internal/lease"
 )
 
-// processLog carries out the effects of the log until there are none.
+// processLog processes the effects of the log until there are none.
 func (r *Replica) processLog(now time.Duration) []Action {
 	var actions []Action
 	for {
@@ -26,7 +26,7 @@
 	}
 }
 
-// processEffects carries out one set of effects in the order that consensus.Effects demands.
+// processEffects processes one set of effects, in the order that consensus.Effects requires.
 func (r *Replica) processEffects(now time.Duration, effects consensus.Effects) []Action {
 	var actions []Action
 	if effects.MustSync {
@@ -48,7 +48,7 @@
 	return append(actions, r.compact()...)
 }
 
-// serveConfirmedReads hands the coordinator each confirmation whose index the log has been applied up to.
+// serveConfirmedReads passes each confirmation to the coordinator once the log is applied up to the confirmation's index.
 func (r *Replica) serveConfirmedReads() []Action {
 	var actions []Action
 	r.confirmedReads = slices.DeleteFunc(r.confirmedReads, func(read consensus.ConfirmedRead) bool {
@@ -61,19 +61,19 @@
 	return actions
 }
 
-// changeRole applies a change of the consensus role.
+// changeRole handles a change of the consensus role.
 func (r *Replica) changeRole(role consensus.Role) []Action {
 	var actions []Action
 	if !role.IsLeader && r.isLeader {
 		actions = r.stepDown()
 	}
-	if role.IsLeader { // a leader that is no longer silenced applied its first entry before
+	if role.IsLeader { // starts a leader that has regained its quorum, which applied its first entry earlier
 		actions = append(actions, r.startLeading(role.Term)...)
 	}
 	return append(actions, RoleChanged{role})
 }
 
-// stepDown ends the duties of a leader, and answers all waiting calls.
+// stepDown ends the work of a leader, and rejects all waiting calls.
 func (r *Replica) stepDown() []Action {
 	r.isLeader = false
 	r.confirmedReads = nil
@@ -85,8 +85,8 @@
 	return actions
 }
 
-// startLeading begins the duties of a leader once an entry of its own term is applied: then all entries that earlier leaders committed
-// are applied, too. The first leader of a group writes its lineage.
+// startLeading starts the work of a leader once an entry of its own term is applied, since then all entries that earlier leaders committed
+// are applied, too. The first leader of a group writes the group's lineage to the log.
 func (r *Replica) startLeading(term uint64) []Action {
 	if r.isLeader || r.lastAppliedTerm != term {
 		return nil
@@ -99,8 +99,9 @@
 	return actions
 }
 
-// appendEntry proposes an entry to the log. If that fails, the proposer is notified; an entry without a proposer is requested again by the
-// coordinator itself. This process's share is written with the entry, so that all processes judge it alike, now and when they replay it.
+// appendEntry proposes an entry to the log. If that fails, the caller that proposed it is notified; an entry without a proposal id is
+// requested again by the coordinator. The entry contains this process's MaxRemovedShare, so that all processes apply it with the same
+// result, also when they replay it.
 func (r *Replica) appendEntry(entry configregister.Entry) []Action {
 	raw, err := json.Marshal(configregister.LogEntry{Entry: entry, MaxRemovedShare: r.settings.Guards.MaxRemovedShare})
 	if err == nil {
@@ -112,7 +113,7 @@
 	return r.stepCoordinator(lease.AppendFailed{ProposalID: entry.ID, Err: err})
 }
 
-// applyEntries applies committed entries to the register and the members, and notifies the coordinator of the result.
+// applyEntries applies committed entries to the register and the members, and reports the new state to the coordinator.
 func (r *Replica) applyEntries(entries []*pb.Entry) []Action {
 	if len(entries) == 0 {
 		return nil
@@ -128,7 +129,7 @@
 			if outcome, hasOutcome := r.register.Apply(entry.GetData()); hasOutcome {
 				outcomes = append(outcomes, outcome)
 			}
-			r.appliedEarlierFormat = r.appliedEarlierFormat || configregister.IsFromEarlierVersion(entry.GetData())
+			r.appliedLegacyEntry = r.appliedLegacyEntry || configregister.IsFromEarlierVersion(entry.GetData())
 		}
 	}
 	actions = append(actions, r.stepCoordinator(r.stateApplied(outcomes))...)
@@ -138,7 +139,7 @@
 	return append(actions, PublishState{})
 }
 
-// stateApplied describes the register to the coordinator.
+// stateApplied returns the event that reports the register to the coordinator.
 func (r *Replica) stateApplied(outcomes []configregister.Outcome) lease.StateApplied {
 	applied := lease.StateApplied{
 		Lineage:   r.register.Lineage,
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -15,28 +15,28 @@
 	"bankledge/internal/lease"
 )
 
-// maxPromotionLag is how many entries a learner may lag behind the leader when it is made a voter.
+// maxPromotionLag is the maximum number of entries that a learner may lag behind the leader when it is promoted to a voter.
 const maxPromotionLag = 16
 
-// Reasons for which a membership change is rejected; operators read the texts.
+// Reasons for which a membership change is rejected. The texts are sent to operators.
 var (
 	errIncompleteMember = errors.New("a member needs an id, and addresses for the others and for routers")
-	errChangeUnderWay   = errors.New("another change of members is under way")
+	errChangeInProgress = errors.New("another change of members is under way")
 )
 
 // changeContext is stored with a membership change in the log.
 type changeContext struct {
 	CallID   uint64 `json:"call"`
-	Proposer uint64 `json:"by"` // process to which the call was made
+	Proposer uint64 `json:"by"` // id of the process that received the call
 	Member   Member `json:"member"`
 }
 
-// membershipOutcome answers the call that requested a membership change.
+// membershipOutcome returns the action that answers the call of a membership request.
 func membershipOutcome(callID uint64, outcome configregister.Outcome) Action {
 	return LeaseResponse{lease.SendOutcome{CallID: callID, Outcome: outcome}}
 }
 
-// requestMembershipChange proposes a change, one at a time. A new member is a learner until it has caught up.
+// requestMembershipChange proposes a change, or rejects it while another one is in progress. A new member is a learner until it has caught up.
 func (r *Replica) requestMembershipChange(request MembershipRequest) []Action {
 	err := r.checkMembershipRequest(request)
 	if err == nil {
@@ -63,7 +63,7 @@
 		return err
 	}
 	if len(r.pendingChanges) > 0 {
-		return errChangeUnderWay
+		return errChangeInProgress
 	}
 	return nil
 }
@@ -102,7 +102,7 @@
 	return r.node.ProposeMembershipChange(change, context)
 }
 
-// applyMembershipChange applies a committed change to the members, and answers the call if it was made to this process.
+// applyMembershipChange applies a committed change to the members, and answers the call if this process received it.
 func (r *Replica) applyMembershipChange(entry *pb.Entry) []Action {
 	change, confState, err := r.node.ApplyMembershipChange(entry)
 	if err != nil {
@@ -134,7 +134,7 @@
 	}
 }
 
-// promoteLearners proposes to make voters of learners that have caught up, at most once in an election timeout each.
+// promoteLearners proposes to promote learners that have caught up to voters, each at most once in an election timeout.
 func (r *Replica) promoteLearners(now time.Duration) {
 	if !r.isLeader {
 		return
@@ -145,7 +145,7 @@
 			continue
 		}
 		r.lastPromotion[id] = now
-		// A proposal that is dropped is made again later.
+		// A dropped proposal is repeated after an election timeout.
 		r.node.ProposeMembershipChange(consensus.MembershipChange{ID: id, Voter: true}, nil)
 	}
 }
--- a/internal/replica/membership_test.go
+++ b/internal/replica/membership_test.go
@@ -10,7 +10,7 @@
 	"bankledge/internal/configregister"
 )
 
-// openSingle opens a copy of the folder of a group of one process.
+// openSingle opens a group of one process on a copy of the recorded folder.
 func openSingle(t *testing.T) *storedGroup {
 	t.Helper()
 	g := &storedGroup{
@@ -23,7 +23,7 @@
 	return g
 }
 
-// request requests a membership change and returns the answer.
+// request requests a membership change, and returns the outcome.
 func (g *storedGroup) request(event MembershipRequest) configregister.Outcome {
 	g.t.Helper()
 	g.outcomes = nil
@@ -32,7 +32,7 @@
 	return g.outcomes[0]
 }
 
-// The answers of a leader to membership changes; operators read their texts.
+// The texts for rejected membership requests, which operators read.
 func TestMembershipRequests(t *testing.T) {
 	g := openSingle(t)
 	assert.Equal(t, "this process does not lead the group", g.request(MembershipRequest{CallID: 1, MemberID: 8, Remove: true}).Error)
@@ -65,5 +65,5 @@
 	assert.Equal(t, map[uint64]Member{1: {Peer: "p1", Client: "c1", Voter: true}, 9: {Peer: "p9", Client: "c9"}}, g.replicas[1].Members())
 	g.now += time.Second
 	g.step(1, Tick{})
-	assert.False(t, g.replicas[1].Members()[9].Voter, "it has not caught up")
+	assert.False(t, g.replicas[1].Members()[9].Voter, "a learner that has not caught up is not promoted")
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,9 +1,9 @@
-// Package replica is one process of the control group as a state machine. It combines the replicated log (consensus), the register of
-// configuration versions that the log holds, and, while the process leads, the lease coordinator.
+// Package replica implements one process of the control group as a state machine. It combines the replicated log (package consensus), the
+// register of configuration versions that results from the log, and, while the process leads, the lease coordinator.
 //
-// Step takes an event and returns actions, which have to be carried out in order: what is persisted is synced before any action
-// after it, and a process whose disk fails carries out no more actions. There is no I/O and no clock here, so the same code runs in the
-// service and in the simulation.
+// Step takes an event and returns actions, which have to be carried out in order. Persist has to be synced before any later action, and a
+// process whose disk fails must not carry out further actions. The package does no I/O and reads no clock, so the same code runs in the service
+// and in the simulation.
 package replica
 
 import (
@@ -16,7 +16,7 @@
 	"bankledge/internal/lease"
 )
 
-// Replica is one process of the group. It is used by one goroutine.
+// Replica is one process of the group. It is not safe for concurrent use.
 type Replica struct {
 	settings    Settings
 	node        *consensus.Node
@@ -25,18 +25,19 @@
 	members     map[uint64]Member
 
 	now             time.Duration             // of the last Step
-	isLeader        bool                      // leads, and has applied what earlier leaders committed
-	lastAppliedTerm uint64                    // of the last entry that was applied
-	confirmedReads  []consensus.ConfirmedRead // that wait until the log is applied up to their index
+	isLeader        bool                      // leads, and has applied all entries that earlier leaders committed
+	lastAppliedTerm uint64                    // term of the last applied entry
+	confirmedReads  []consensus.ConfirmedRead // waiting until the log is applied up to their index
 	snapshotIndex   uint64                    // of the last snapshot
-	// appliedEarlierFormat: since the last snapshot an entry was applied that holds no share.
-	appliedEarlierFormat bool
-	pendingChanges       map[uint64]struct{}      // calls that wait for their membership change
-	lastPromotion        map[uint64]time.Duration // of a learner, when it was proposed last
+	// appliedLegacyEntry is set when, after the last snapshot, an entry of an earlier version of this program was applied: one without
+	// MaxRemovedShare.
+	appliedLegacyEntry bool
+	pendingChanges     map[uint64]struct{}      // ids of the calls that wait for their membership change
+	lastPromotion      map[uint64]time.Duration // when the promotion of a learner was proposed last, by id
 }
 
-// New restores a process from its stored state, or makes it a founding member of a group if that state is empty. now is the caller's
-// monotonic clock. The actions have to be carried out before the first Step.
+// New restores a process from its stored state. If that state is empty and the process is not joining a group, New makes it an initial member
+// of a new group. now is the time of the caller's monotonic clock. The actions have to be carried out before the first Step.
 func New(settings Settings, stored consensus.PersistentState, now time.Duration) (*Replica, []Action, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, nil, err
@@ -67,15 +68,15 @@
 		return nil, nil, err
 	}
 	var actions []Action
-	founding := stored.HardState == nil && stored.Snapshot == nil && len(stored.Entries) == 0 && !settings.Joining
-	if founding {
+	isNewGroup := stored.HardState == nil && stored.Snapshot == nil && len(stored.Entries) == 0 && !settings.Joining
+	if isNewGroup {
 		actions = append(actions, Persist{r.node.InitialState()})
 	}
 	actions = append(actions, r.processLog(now)...)
 	return r, publishLast(actions), nil
 }
 
-// Step handles an event at a time of the caller's monotonic clock, and returns what has to be done, in order.
+// Step handles an event at a time of the caller's monotonic clock, and returns the actions to carry out, in order.
 func (r *Replica) Step(now time.Duration, event Event) []Action {
 	r.now = now
 	var actions []Action
@@ -104,8 +105,8 @@
 	return publishLast(actions)
 }
 
-// publishLast moves PublishState after all other actions, at most once: the state that it publishes is the one after all of them,
-// and a version that is published before it is synced could be lost, and its number given to another one.
+// publishLast replaces all PublishState actions by one at the end. The published state is the one after all actions, and it must not be
+// visible before Persist: a version that is published before it is synced could be lost, and its number given to another version.
 func publishLast(actions []Action) []Action {
 	publish := false
 	actions = slices.DeleteFunc(actions, func(action Action) bool {
@@ -119,7 +120,7 @@
 	return actions
 }
 
-// stepCoordinator hands the lease coordinator an event, and carries out or returns the actions that it requests.
+// stepCoordinator passes an event to the lease coordinator, and carries out or returns the resulting actions.
 func (r *Replica) stepCoordinator(event lease.CoordinatorEvent) []Action {
 	return r.handleCoordinatorActions(r.coordinator.Step(r.now, event))
 }
@@ -139,23 +140,23 @@
 	return actions
 }
 
-// Register is the replicated state. The caller must not change it.
+// Register returns the replicated state. The caller must not change it.
 func (r *Replica) Register() *configregister.Register { return &r.register }
 
-// Members are the processes of the group by id. The caller must not change them.
+// Members returns the processes of the group by id. The caller must not change the map.
 func (r *Replica) Members() map[uint64]Member { return r.members }
 
-// IsLeader reports whether this process leads and grants leases.
+// IsLeader reports whether this process acts as the leader, that is, grants leases and accepts proposals.
 func (r *Replica) IsLeader() bool { return r.isLeader }
 
-// Role is this process's role in the consensus protocol. Its IsLeader precedes that of the replica, which has to apply what earlier
-// leaders committed first.
+// Role returns this process's role in the consensus protocol. Role.IsLeader becomes true before Replica.IsLeader, since the replica first has
+// to apply all entries that earlier leaders committed.
 func (r *Replica) Role() consensus.Role { return r.node.Role() }
 
-// Sessions lists the routers that this process knows as the leader.
+// Sessions returns the sessions of the routers that this process knows as the leader.
 func (r *Replica) Sessions(now time.Duration) []lease.Session { return r.coordinator.Sessions(now) }
 
-// NextDeadline is when Step has to be called at the latest.
+// NextDeadline returns the latest time at which Step has to be called with a Tick.
 func (r *Replica) NextDeadline(now time.Duration) time.Duration {
 	deadline := r.node.NextDeadline()
 	if r.isLeader {
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -9,7 +9,7 @@
 	"bankledge/internal/lease"
 )
 
-// Member is how one process of the group is reached.
+// Member holds the addresses of one process of the group, and whether it votes.
 type Member struct {
 	Peer   string `json:"peer"`   // address for the other processes
 	Client string `json:"client"` // address for routers and operators
@@ -21,10 +21,10 @@
 	Consensus          consensus.Settings
 	LeaseDurations     lease.Durations
 	Guards             configversion.Guards
-	InitialMembers     map[uint64]Member // the founding members; for a process that joins, the present members
-	Joining            bool              // the group exists already
-	Lineage            string            // of a group that is founded by this process
-	CompactionInterval uint64            // entries after which the log is replaced by a snapshot; 0: never
+	InitialMembers     map[uint64]Member // by id; the members of a new group, or for a process that joins a group, its present members
+	Joining            bool              // the process joins an existing group
+	Lineage            string            // written to the log if this process is the first leader of a new group
+	CompactionInterval uint64            // number of entries after which a snapshot replaces them; 0: never
 }
 
 // Validate returns an error that names the first invalid field by its key in the settings file.
@@ -41,7 +41,7 @@
 	if s.Lineage == "" {
 		return errors.New("lineage: missing")
 	}
-	validShare := s.Guards.MaxRemovedShare > 0 && s.Guards.MaxRemovedShare <= 1 // false for NaN, too
+	validShare := s.Guards.MaxRemovedShare > 0 && s.Guards.MaxRemovedShare <= 1 // also false for NaN
 	if !validShare {
 		return fmt.Errorf("most_gone: %v is not above 0 and up to 1", s.Guards.MaxRemovedShare)
 	}
--- a/internal/replica/stored_data_test.go
+++ b/internal/replica/stored_data_test.go
@@ -14,9 +14,9 @@
 	"bankledge/internal/consensus/store"
 )
 
-// testdata/README.md describes how the folders were made.
+// testdata/README.md describes how the stored folders were created.
 
-// readRecording reads the versions and members that a group served last.
+// readRecording reads the recorded versions and members that a group served last.
 func readRecording(t *testing.T, name string) (versions string, members map[uint64]Member) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", name+".versions.json"))
@@ -31,7 +31,8 @@
 	return versions, status.Members
 }
 
-// A group opens stored folders, serves the same versions and members, writes up to another snapshot, and opens that again.
+// A group that opens the recorded folders serves the recorded versions and members. It then commits versions until the next snapshot, and
+// serves the same state after another restart.
 func TestOpensStoredFolders(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -76,7 +77,7 @@
 	}
 }
 
-// The store reads from each folder the hard state, the snapshot, and the entries after it.
+// The store loads the hard state, the snapshot, and the entries after the snapshot from each recorded folder.
 func TestLoadsStoredState(t *testing.T) {
 	for _, c := range []struct {
 		folder string
