--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -17,7 +17,8 @@
 const (
 	startPath = "/x"
 
-	// minTimeLeft is the shortest time that an attempt is started with: the protocol's header counts milliseconds.
+	// minTimeLeft is the shortest remaining time with which an attempt is started: the protocol's header has a
+	// resolution of one millisecond.
 	minTimeLeft = time.Millisecond
 )
 
@@ -28,49 +29,49 @@
 	Engine      decision.EngineID
 	Workload    string
 	Text        []byte
-	Deadline    time.Time // the attempt is cancelled then
-	StartBefore time.Time // it is not started later; zero: at any time until Deadline
+	Deadline    time.Time // when the attempt is cancelled
+	StartBefore time.Time // the latest time at which the attempt may start; zero: any time until Deadline
 }
 
-// Attempt is one run of a statement at one engine: started once, then polled until its end, then its pages are
-// fetched. It holds at most one connection, beside the one on which it is cancelled.
+// Attempt is one run of a statement at one engine. The client starts it once, polls it until it ends and then fetches
+// its result pages. An attempt uses at most one connection, in addition to the one that carries its cancellation.
 type Attempt struct {
 	client *Client
 	AttemptRequest
 	resourcePath string
-	address      string // of the engine, when the attempt was requested
+	address      string // the engine's address when the attempt was requested
 	createdAt    time.Time
 	ctx          context.Context // done when the attempt is cancelled or its deadline has passed
 	cancel       context.CancelFunc
 	phase        atomic.Int32 // an attemptPhase
 
-	startConn     atomic.Pointer[connection] // carries the start while that has no response; nil otherwise
-	startWritten  atomic.Bool                // the kernel has taken the complete start
-	startResolved chan struct{}              // closed once the start has reached the engine or never will: nothing of it is under way
-	endConfirmed  chan struct{}              // closed once a response has proven that the engine does not run the attempt any more
+	startConn     atomic.Pointer[connection] // the connection with a start that has no response yet; nil otherwise
+	startWritten  atomic.Bool                // the kernel has accepted the complete start
+	startResolved chan struct{}              // closed once the start has reached the engine or can no longer reach it
+	endConfirmed  chan struct{}              // closed once a response has confirmed that the engine no longer runs the attempt
 	endOnce       sync.Once
-	reporting     sync.Mutex // held while progress is reported, and to set endReported
-	endReported   bool       // no progress is reported any more
+	reportMu      sync.Mutex // held while progress is reported and while endReported is set
+	endReported   bool       // the end has been reported; no progress is reported after it
 	lastRequest   sharedTime // when the engine was last sent a request that keeps the attempt alive
-	lastAbort     sharedTime // when a connection was reset because a request had no response
+	lastAbort     sharedTime // when a connection was last reset because a request had no response
 
-	// Only the goroutine in run uses these.
-	conn            *connection // nil: none is in use
-	unusableAnswers int
-	lastProgress    string // the last progress report's headers
+	// These fields are used only by the goroutine that executes run.
+	conn              *connection // nil: no connection is in use
+	unusableResponses int
+	lastProgress      string // the headers of the last progress report
 }
 
 // attemptPhase records whether an attempt can still be cancelled without a request to the engine.
 type attemptPhase = int32
 
 const (
-	phasePending         attemptPhase = iota // nothing was sent
-	phaseStarted                             // the engine may run it
-	phaseCancelledUnsent                     // nothing was sent, and nothing will be
+	phasePending         attemptPhase = iota // nothing was sent yet
+	phaseStarted                             // the engine may run the attempt
+	phaseCancelledUnsent                     // cancelled before anything was sent; nothing will be sent
 )
 
-// StartAttempt runs an attempt in the background. The listener is notified of its progress and of its one end. Once Run has closed the
-// client nothing is started, sent or notified.
+// StartAttempt runs an attempt in the background. The listener is notified of its progress and, once, of its end. After Run has closed
+// the client, StartAttempt starts and sends nothing and the listener is not notified.
 func (c *Client) StartAttempt(request AttemptRequest) *Attempt {
 	ctx, cancel := context.WithDeadline(c.lifetime, request.Deadline)
 	a := &Attempt{
@@ -98,29 +99,29 @@
 	defer a.cancel()
 	stop := context.AfterFunc(a.ctx, a.onContextDone)
 	end, known := a.run()
-	if known { // otherwise onContextDone reports the end, and may be yet to begin
+	if known { // otherwise onContextDone reports the end; it may not have begun yet
 		stop()
 		a.reportEnd(end)
 	}
 }
 
-// run takes an attempt to its end. known is false where the attempt was cancelled or expired while the engine had it:
-// onContextDone reports its end then.
+// run executes the attempt until it ends. known is false if the attempt was cancelled or its deadline passed after it
+// was started; onContextDone then reports the end.
 func (a *Attempt) run() (end attemptEnd, known bool) {
 	defer func() {
-		if cause := recover(); cause != nil { // a panic ends this attempt only
+		if cause := recover(); cause != nil { // a panic must end only this attempt, not the process
 			end, known = a.endFromPanic(cause), true
 		}
 	}()
 	outcome, connected := a.connect()
 	if !connected {
-		return attemptEnd{outcome: outcome, proof: ProofNotSent}, true
+		return attemptEnd{outcome: outcome, confirmation: ConfirmedNotSent}, true
 	}
 	received, sent, err := a.sendStart()
 	if sent {
 		end, known = a.pollUntilEnd(received, err)
 	} else {
-		end, known = attemptEnd{outcome: decision.NotSent, proof: ProofNotSent}, true
+		end, known = attemptEnd{outcome: decision.NotSent, confirmation: ConfirmedNotSent}, true
 	}
 	a.releaseConnection(true)
 	return end, known
@@ -128,14 +129,14 @@
 
 func (a *Attempt) endFromPanic(cause any) attemptEnd {
 	a.client.log.Error(logevent.UpstreamAttemptPanicked, logevent.Panic(cause), logevent.Stack())
-	if a.conn != nil { // it may have a request without a response
+	if a.conn != nil { // a request on it may still be without a response
 		a.abortConnection()
 	}
-	return attemptEnd{outcome: decision.Errored, proof: a.cancelAtEngine()}
+	return attemptEnd{outcome: decision.Errored, confirmation: a.cancelAtEngine()}
 }
 
-// connect acquires a connection for the start, within the time in which the attempt may still be started. The outcome of
-// a failure is ConnectFailed only where the failure speaks against the engine.
+// connect acquires a connection for the start, waiting no longer than StartBefore allows. The outcome is ConnectFailed
+// only if the failure counts against the engine, and NotSent otherwise.
 func (a *Attempt) connect() (outcome decision.Outcome, connected bool) {
 	ctx := a.ctx
 	if !a.StartBefore.IsZero() {
@@ -158,13 +159,13 @@
 	return decision.ConnectFailed, false
 }
 
-// sinceLastRequest returns how long ago the engine was last sent a request that keeps the attempt alive.
+// sinceLastRequest returns the time since the engine was last sent a request that keeps the attempt alive.
 func (a *Attempt) sinceLastRequest() time.Duration {
 	return time.Since(a.lastRequest.load(a.client.clockOrigin))
 }
 
-// releaseConnection returns the attempt's connection, if any, to the pool. It is the only place where an attempt does
-// so after a response.
+// releaseConnection returns the attempt's connection, if any, to the pool, or closes it if it is not usable. It is the
+// only place where an attempt releases its connection after a response.
 func (a *Attempt) releaseConnection(usable bool) {
 	if a.conn == nil {
 		return
@@ -177,8 +178,8 @@
 	a.conn = nil
 }
 
-// abortConnection resets the connection, whose request has no response: what of the request is still under way must
-// not reach the engine later.
+// abortConnection resets the connection, whose request has no response, so that parts of the request that are still in
+// flight do not reach the engine later.
 func (a *Attempt) abortConnection() {
 	a.client.pool.abort(a.conn)
 	a.lastAbort.store(a.client.clockOrigin, time.Now())
--- a/internal/upstream/attempt_cancel.go
+++ b/internal/upstream/attempt_cancel.go
@@ -13,49 +13,51 @@
 )
 
 const (
-	// engineRetention is how long an engine keeps an attempt without a poll or page request for it.
+	// engineRetention is how long an engine keeps an attempt for which it receives no poll or page request.
 	engineRetention = 2 * time.Second
-	// retentionMargin covers a request that was still on its way to the engine when the wait for its response ended.
+	// retentionMargin covers a request that was still in flight to the engine when the wait for its response ended.
 	retentionMargin = 300 * time.Millisecond
-	// resetMargin is the same after the connection was reset: only packets in the network can still arrive then.
+	// resetMargin replaces retentionMargin after the connection was reset: only packets that are already in the network
+	// can still arrive then.
 	resetMargin = 100 * time.Millisecond
 )
 
-// CancelUnsent cancels the attempt if nothing of it was sent; nothing will be then. It reports whether it did.
+// CancelUnsent cancels the attempt if nothing of it has been sent yet, and reports whether it did. Nothing is sent after
+// it has returned true.
 func (a *Attempt) CancelUnsent() bool {
 	if !a.phase.CompareAndSwap(phasePending, phaseCancelledUnsent) {
 		return false
 	}
-	a.cancel() // ends the wait for a connection
+	a.cancel() // also ends the wait for a connection
 	return true
 }
 
-// Cancel cancels the attempt of a statement that has ended, and does not block. Its end is reported once the engine is known not to run it
-// any more, with the outcome Cancelled unless another end comes first. A start that is still on its way is not delivered any more.
+// Cancel cancels the attempt of a statement that has ended. It does not block. The end is reported once it is confirmed that the engine no
+// longer runs the attempt, with the outcome Cancelled unless the attempt ends otherwise first. A start that is still in flight is aborted.
 func (a *Attempt) Cancel() {
 	a.CallOff()
 	a.WithholdStart()
 }
 
-// CallOff cancels the attempt like Cancel, but of a statement that may go on elsewhere: the end is to be proven soon, so a start that is
-// still on its way is not withheld.
+// CallOff cancels the attempt of a statement that may continue on another engine. Unlike Cancel it does not abort a start that is still in
+// flight, since the end of an aborted start takes longer to confirm.
 func (a *Attempt) CallOff() {
 	if !a.CancelUnsent() {
 		a.cancel()
 	}
 }
 
-// WithholdStart keeps a start that is still on its way from its engine, and does not block. It proves no end: the engine may have the start.
-// Where there is none to keep, it does not hold on to the attempt.
+// WithholdStart aborts a start that is still in flight, after startAbortDelay. It does not block. It confirms no end, since the engine may
+// have received the start already. If no start is in flight, WithholdStart keeps no reference to the attempt.
 func (a *Attempt) WithholdStart() {
-	if a.startIsOver() {
+	if a.startDone() {
 		return
 	}
 	time.AfterFunc(startAbortDelay, a.abortStart)
 }
 
 // onContextDone is called when the attempt is cancelled or its deadline has passed. It cancels a started attempt at
-// the engine and reports its end, beside the poll that is under way, whose connection stays usable.
+// the engine and reports its end, concurrently with a poll in flight, whose connection stays usable.
 func (a *Attempt) onContextDone() {
 	if a.phase.Load() != phaseStarted || a.client.lifetime.Err() != nil {
 		return
@@ -64,14 +66,15 @@
 	if errors.Is(a.ctx.Err(), context.DeadlineExceeded) {
 		outcome = decision.TimedOut
 	}
-	a.client.tasks.start(func() { // not after the last wait: the client has ended then
-		a.reportEnd(attemptEnd{outcome: outcome, proof: a.cancelAtEngine()})
+	a.client.tasks.start(func() { // not started once the task group is closed: the client has shut down then
+		a.reportEnd(attemptEnd{outcome: outcome, confirmation: a.cancelAtEngine()})
 	})
 }
 
-// expiresAtEngine returns when the engine will have dropped the attempt at the latest, if no further request keeps it alive.
-// A request with a response reached the engine, which may have delayed it, before that response: 2.55 s after the last
-// request. One without may have reached it until its connection was reset: 2.35 s after that, if it is later.
+// expiresAtEngine returns the latest time at which the engine drops the attempt if no further request keeps it alive.
+// A request with a response reached the engine, which may have held it, before that response: the attempt expires at the
+// latest 2.55 s after the last request. A request without a response may have reached the engine until its connection was
+// reset: the attempt expires at the latest 2.35 s after the reset, if that is later.
 func (a *Attempt) expiresAtEngine() time.Time {
 	afterRequest := a.lastRequest.load(a.client.clockOrigin).Add(pollHoldTime + engineRetention + retentionMargin)
 	if !a.lastAbort.isSet() {
@@ -84,39 +87,39 @@
 	return afterRequest
 }
 
-// cancelAtEngine makes sure that the engine does not run the attempt any more, and returns how that is known. There are
-// three ways: the engine has confirmed a cancellation that was sent after it had answered the start (a start that is
-// still on its way would begin the attempt anew); the attempt's end was received; or the engine's retention of an
-// attempt without requests has passed. A refused connection proves nothing: a draining engine accepts no new
-// connections but keeps running attempts, and can be reached on a connection accepted before, such as the poll's.
-func (a *Attempt) cancelAtEngine() EndProof {
+// cancelAtEngine makes sure that the engine no longer runs the attempt, and returns how that was confirmed. There are
+// three ways: the engine confirmed a cancellation that was sent after the engine had answered the start (a start that is
+// still in flight would start the attempt again); the response with the attempt's end was received; or the engine's
+// retention of an attempt without requests has passed. A refused connection confirms nothing: a draining engine accepts no
+// new connections but keeps running attempts, and is still reachable on connections accepted earlier, such as the poll's.
+func (a *Attempt) cancelAtEngine() EndConfirmation {
 	for {
-		proof, proven := a.cancelAtEngineUntil(a.expiresAtEngine())
-		if proven {
-			return proof
+		confirmation, hasEnded := a.cancelAtEngineUntil(a.expiresAtEngine())
+		if hasEnded {
+			return confirmation
 		}
 		if a.client.lifetime.Err() != nil {
-			return ProofShutdown
+			return UnconfirmedAtShutdown
 		}
-		if !time.Now().Before(a.expiresAtEngine()) { // a poll may have been sent meanwhile, which prolongs the attempt
-			return ProofExpiredAtEngine
+		if !time.Now().Before(a.expiresAtEngine()) { // a poll sent in the meantime postpones the expiry
+			return ConfirmedByExpiry
 		}
 	}
 }
 
-// cancelAtEngineUntil sends cancellations until one is a proof of the end or the time has passed.
-func (a *Attempt) cancelAtEngineUntil(deadline time.Time) (proof EndProof, proven bool) {
+// cancelAtEngineUntil sends cancellations until the end is confirmed or the deadline has passed.
+func (a *Attempt) cancelAtEngineUntil(deadline time.Time) (confirmation EndConfirmation, hasEnded bool) {
 	ctx, cancel := context.WithDeadline(a.client.lifetime, deadline)
 	defer cancel()
 	for ctx.Err() == nil {
 		startWasResolved := isClosed(a.startResolved)
 		confirmed := a.sendCancel(ctx)
 		if confirmed && startWasResolved {
-			return ProofCancelConfirmed, true
+			return ConfirmedByCancel, true
 		}
 		var retry <-chan time.Time
 		var startResolved <-chan struct{}
-		if confirmed { // it is sent again once the start has arrived
+		if confirmed { // the start may arrive later, so the cancellation is sent again once the start is resolved
 			startResolved = a.startResolved
 		} else {
 			retry = time.After(retryDelay)
@@ -125,15 +128,15 @@
 		case <-retry:
 		case <-startResolved:
 		case <-a.endConfirmed:
-			return ProofReportedByEngine, true
+			return ConfirmedByEngine, true
 		case <-ctx.Done():
 		}
 	}
 	return 0, false
 }
 
-// sendCancel sends one cancellation and reports whether the engine has confirmed it. An engine that does not know the
-// attempt any more answers with 500.
+// sendCancel sends one cancellation and reports whether the engine confirmed it. An engine that no longer knows the
+// attempt responds with 500, which also counts as confirmed.
 func (a *Attempt) sendCancel(ctx context.Context) (confirmed bool) {
 	conn, err := a.client.pool.acquire(ctx, a.Engine, a.address, false)
 	if err != nil {
--- a/internal/upstream/attempt_end.go
+++ b/internal/upstream/attempt_end.go
@@ -13,89 +13,90 @@
 	"bankledge/internal/logevent"
 )
 
-// EndProof is how it is known that an engine does not run an attempt any more, so that its statement may be started
-// elsewhere. Neither a broken connection nor a refused one is a proof: the engine may run on. These are:
+// EndConfirmation is how it is known that an engine no longer runs an attempt, so that its statement may be started on
+// another engine. A broken or refused connection confirms nothing, since the engine may continue to run the attempt. An
+// end is confirmed by one of these:
 //
-//   - ProofNotSent: no connection was established, or the start was not written completely.
-//   - ProofReportedByEngine: a response with an end that the protocol has: 200 with its pages, 503 or 504 with the
-//     header that nothing ran, or 500, which counts once no start can arrive behind it.
-//   - ProofCancelConfirmed: a DELETE was answered with 204, or with 500 by an engine that does not know the attempt any
-//     more, and was sent after the start was answered.
-//   - ProofExpiredAtEngine: engines drop attempts without requests for them, see expiresAtEngine.
+//   - ConfirmedNotSent: no connection was established, or the start was not written completely.
+//   - ConfirmedByEngine: a response with an end that the protocol defines: 200 with its pages, 503 or 504 with the
+//     header that nothing ran, or 500, which counts only once no start can arrive after it.
+//   - ConfirmedByCancel: a DELETE that was sent after the start was answered got the response 204, or 500 from an engine
+//     that no longer knows the attempt.
+//   - ConfirmedByExpiry: engines drop attempts for which they receive no requests, see expiresAtEngine.
 //
-// Any other end, such as an unknown status, is followed by a cancellation and counts with its proof.
-type EndProof int
+// After any other end, such as an unknown status, the client sends a cancellation and uses its confirmation.
+type EndConfirmation int
 
-// The proofs of an end.
+// The ways in which an end is confirmed.
 const (
-	ProofNotSent          EndProof = iota // the start never reached the engine complete
-	ProofReportedByEngine                 // the engine reported the end
-	ProofCancelConfirmed                  // the engine confirmed the cancellation
-	ProofExpiredAtEngine                  // the engine has dropped it, since no request kept it alive
-	ProofShutdown                         // none: the client shuts down and starts nothing any more
+	ConfirmedNotSent      EndConfirmation = iota // the engine never received the complete start
+	ConfirmedByEngine                            // the engine reported the end
+	ConfirmedByCancel                            // the engine confirmed the cancellation
+	ConfirmedByExpiry                            // the engine has dropped the attempt, since no request kept it alive
+	UnconfirmedAtShutdown                        // not confirmed: the client is shutting down and starts nothing more
 )
 
-var proofTexts = [...]string{
-	ProofNotSent:          "not sent",
-	ProofReportedByEngine: "reported by the engine",
-	ProofCancelConfirmed:  "cancellation confirmed",
-	ProofExpiredAtEngine:  "expired at the engine",
-	ProofShutdown:         "none: shutdown",
+var confirmationTexts = [...]string{
+	ConfirmedNotSent:      "not sent",
+	ConfirmedByEngine:     "reported by the engine",
+	ConfirmedByCancel:     "cancellation confirmed",
+	ConfirmedByExpiry:     "expired at the engine",
+	UnconfirmedAtShutdown: "none: shutdown",
 }
 
-// String returns the proof's text in logs.
-func (p EndProof) String() string { return proofTexts[p] }
+// String returns the text of the confirmation in logs.
+func (c EndConfirmation) String() string { return confirmationTexts[c] }
 
-// attemptEnd is how an attempt ended, and how that is known. A result is complete or nil.
+// attemptEnd is how an attempt ended and how the end was confirmed. result is either complete or nil.
 type attemptEnd struct {
-	outcome    decision.Outcome
-	proof      EndProof
-	loadReport *decision.LoadReport
-	result     []byte
+	outcome      decision.Outcome
+	confirmation EndConfirmation
+	loadReport   *decision.LoadReport
+	result       []byte
 }
 
-// endFromResponse returns the end that the engine has reported. An error counts as proven where it is the protocol's
-// (500) and no start can arrive behind it.
+// endFromResponse returns the end that the engine reported. An error is confirmed only if it is the protocol's own (500)
+// and no start can arrive after it.
 func (a *Attempt) endFromResponse(status attemptStatus, received response) (end attemptEnd, known bool) {
-	end = attemptEnd{outcome: status.outcome, proof: ProofReportedByEngine, loadReport: status.loadReport, result: received.body}
+	end = attemptEnd{outcome: status.outcome, confirmation: ConfirmedByEngine, loadReport: status.loadReport, result: received.body}
 	if status.outcome != decision.Errored {
 		return end, true
 	}
-	proven := received.Status == http.StatusInternalServerError && isClosed(a.startResolved)
-	if a.ctx.Err() != nil { // a cancelled attempt ends with an error as well, which does not speak against the engine
-		if proven {
+	confirmed := received.Status == http.StatusInternalServerError && isClosed(a.startResolved)
+	if a.ctx.Err() != nil { // a cancelled attempt also ends with an error, which must not count as a failure of the engine
+		if confirmed {
 			close(a.endConfirmed)
 		}
 		return attemptEnd{}, false
 	}
-	if !proven {
-		end.proof = a.cancelAtEngine()
+	if !confirmed {
+		end.confirmation = a.cancelAtEngine()
 	}
 	return end, true
 }
 
-// endFromError returns the end of an attempt of which nothing more can be received. isFinal must be true of err.
+// endFromError returns the end of an attempt for which no further response can be received. isFinal(err) must be true.
 func (a *Attempt) endFromError(err error) (end attemptEnd, known bool) {
 	switch {
 	case errors.Is(err, errAttemptStopped):
 		return attemptEnd{}, false
 	case errors.Is(err, errExpiredAtEngine):
-		return attemptEnd{outcome: decision.ConnectionReset, proof: ProofExpiredAtEngine}, true
-	case errors.Is(err, errUnknownEngine): // another engine has the address
-		return attemptEnd{outcome: decision.ConnectionReset, proof: a.cancelAtEngine()}, true
+		return attemptEnd{outcome: decision.ConnectionReset, confirmation: ConfirmedByExpiry}, true
+	case errors.Is(err, errUnknownEngine): // the address now belongs to another engine
+		return attemptEnd{outcome: decision.ConnectionReset, confirmation: a.cancelAtEngine()}, true
 	}
-	return attemptEnd{outcome: decision.Errored, proof: a.cancelAtEngine()}, true
+	return attemptEnd{outcome: decision.Errored, confirmation: a.cancelAtEngine()}, true
 }
 
-// reportEnd notifies the listener of the attempt's end; only the first call does. An end whose proof does not hold is
-// counted as a violation and reported once there is a proof that does.
+// reportEnd notifies the listener of the attempt's end; only the first call has an effect. If the confirmation is invalid,
+// reportEnd counts a violation, cancels the attempt at the engine and reports the end with the new confirmation.
 func (a *Attempt) reportEnd(end attemptEnd) {
 	a.endOnce.Do(func() {
-		if violation := a.proofViolation(end.proof); violation != nil {
+		if violation := a.confirmationViolation(end.confirmation); violation != nil {
 			a.client.Violations.Record(violation)
-			end.proof = a.cancelAtEngine()
+			end.confirmation = a.cancelAtEngine()
 		}
-		a.endProgress()
+		a.stopProgressReports()
 		a.logEnd(end)
 		a.client.pool.attemptFinished(a.Engine)
 		ended := decision.AttemptEnded{
@@ -110,32 +111,34 @@
 	})
 }
 
-// reportProgress notifies the listener of progress, unless the end was reported: a poll may be answered after that.
+// reportProgress notifies the listener of progress, unless the end was reported already: the response to a poll may be
+// received after the end.
 func (a *Attempt) reportProgress(progress decision.AttemptProgress) {
-	a.reporting.Lock()
-	defer a.reporting.Unlock()
+	a.reportMu.Lock()
+	defer a.reportMu.Unlock()
 	if a.endReported {
 		return
 	}
 	a.client.listener.AttemptProgressed(progress)
 }
 
-// endProgress has no progress reported from now on.
-func (a *Attempt) endProgress() {
-	a.reporting.Lock()
-	defer a.reporting.Unlock()
+// stopProgressReports makes later calls of reportProgress have no effect.
+func (a *Attempt) stopProgressReports() {
+	a.reportMu.Lock()
+	defer a.reportMu.Unlock()
 	a.endReported = true
 }
 
-// proofViolation returns why a proof does not hold, or nil. It does not rely on the decisions that led to the proof.
-func (a *Attempt) proofViolation(proof EndProof) *invariant.Violation {
+// confirmationViolation returns why a confirmation is invalid, or nil. It checks recorded facts only, independently of the
+// decisions that led to the confirmation.
+func (a *Attempt) confirmationViolation(confirmation EndConfirmation) *invariant.Violation {
 	reason := ""
 	switch {
-	case proof == ProofNotSent && a.startWritten.Load():
+	case confirmation == ConfirmedNotSent && a.startWritten.Load():
 		reason = "its start was written"
-	case proof == ProofExpiredAtEngine && a.sinceLastRequest() < engineRetention:
+	case confirmation == ConfirmedByExpiry && a.sinceLastRequest() < engineRetention:
 		reason = "the engine was asked for it " + a.sinceLastRequest().String() + " ago"
-	case proof == ProofShutdown && a.client.lifetime.Err() == nil:
+	case confirmation == UnconfirmedAtShutdown && a.client.lifetime.Err() == nil:
 		reason = "the client does not shut down"
 	default:
 		return nil
@@ -144,15 +147,15 @@
 	return &invariant.Violation{Rule: invariant.ProvenAttemptEnd, Statement: a.Statement, Detail: "attempt " + number + ": " + reason}
 }
 
-// logEnd logs how the attempt ended and by what proof. An end that no response of the engine proves is rare and means
-// that the engine or its network fails, so it is logged at a higher level.
+// logEnd logs how the attempt ended and how the end was confirmed. An end that is known only because the attempt expired
+// is rare and means that the engine or its network is failing, so it is logged at a higher level.
 func (a *Attempt) logEnd(end attemptEnd) {
 	level := zap.DebugLevel
-	if end.proof == ProofExpiredAtEngine {
+	if end.confirmation == ConfirmedByExpiry {
 		level = zap.InfoLevel
 	}
 	a.client.log.Log(level, logevent.UpstreamAttemptEnded, logevent.RequestID(a.Statement),
 		logevent.Attempt(a.AttemptRequest.Attempt), logevent.Endpoint(a.Engine), logevent.Outcome(end.outcome),
-		zap.Stringer("proof", end.proof), logevent.Duration(time.Since(a.createdAt)),
+		zap.Stringer("proof", end.confirmation), logevent.Duration(time.Since(a.createdAt)),
 		logevent.Milliseconds("since_last_request_ms", a.sinceLastRequest()))
 }
--- a/internal/upstream/attempt_end_test.go
+++ b/internal/upstream/attempt_end_test.go
@@ -17,16 +17,17 @@
 	"bankledge/internal/invariant"
 )
 
-// engineScript returns what is written for a request on the connection with a number, from 1; "" closes it.
+// engineScript returns the response to a request on the connection with the given number, counted from 1; "" closes the
+// connection.
 type engineScript func(engine *persistentEngine, method string, connection int) string
 
-// persistentEngine goes on running an attempt when its listener or its connections are closed.
+// persistentEngine is an engine that continues to run an attempt when its listener or its connections are closed.
 type persistentEngine struct {
 	listener       net.Listener
 	script         engineScript
-	requests       chan string   // their methods
-	startReceived  chan struct{} // for scripts
-	cancelReceived chan struct{} // closed with the first cancellation
+	requests       chan string   // the methods of the received requests
+	startReceived  chan struct{} // closed by scripts
+	cancelReceived chan struct{} // closed on the first cancellation
 	cancelOnce     sync.Once
 	serving        sync.WaitGroup
 
@@ -76,18 +77,18 @@
 			return
 		}
 		io.Copy(io.Discard, request.Body)
-		answer := e.script(e, request.Method, number)
-		e.take(request.Method, answer)
+		response := e.script(e, request.Method, number)
+		e.recordRequest(request.Method, response)
 		e.requests <- request.Method
-		if answer == "" {
+		if response == "" {
 			socket.Close()
 			return
 		}
-		io.WriteString(socket, answer)
+		io.WriteString(socket, response)
 	}
 }
 
-func (e *persistentEngine) take(method, answer string) {
+func (e *persistentEngine) recordRequest(method, response string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch method {
@@ -97,7 +98,7 @@
 	case http.MethodGet:
 		e.lastRequest = time.Now()
 	case http.MethodDelete:
-		e.running = e.running && answer != cancelledResponse
+		e.running = e.running && response != cancelledResponse
 		e.cancelOnce.Do(func() { close(e.cancelReceived) })
 	}
 }
@@ -116,7 +117,7 @@
 	return !e.lastRequest.IsZero()
 }
 
-// stillRuns reports whether the attempt is neither cancelled nor dropped for lack of requests.
+// stillRuns reports whether the attempt was started and was neither cancelled nor dropped for lack of requests.
 func (e *persistentEngine) stillRuns() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,7 +126,7 @@
 
 func (e *persistentEngine) awaitRequest(t *testing.T, method string) {
 	t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case received := <-e.requests:
@@ -138,14 +139,14 @@
 	}
 }
 
-// stopListening accepts no new connections once the attempt has been polled.
+// stopListening waits until the attempt has been polled and then closes the listener.
 func (e *persistentEngine) stopListening(t *testing.T) {
 	t.Helper()
 	e.awaitRequest(t, http.MethodGet)
 	e.listener.Close()
 }
 
-// holdPolls answers like an engine without progress: a poll after a while.
+// holdPolls responds like an engine without progress, which holds each poll for a while.
 func holdPolls(_ *persistentEngine, method string, _ int) string {
 	switch method {
 	case http.MethodDelete:
@@ -156,15 +157,16 @@
 	return noProgressResponse
 }
 
-// A statement may be started elsewhere when an attempt is reported as ended, so the engine must not run it any more,
-// whichever end is reported. Each case is one way in which an attempt ends, at an engine that would run on.
+// A statement may be started on another engine once its attempt is reported as ended, so the first engine must no longer
+// run the attempt, whichever end is reported. Each case is one way in which an attempt ends at an engine that would otherwise
+// continue to run it.
 func TestEndedAttemptsDoNotRun(t *testing.T) {
 	cases := map[string]struct {
 		script  engineScript
 		act     func(t *testing.T, engine *persistentEngine, client *Client, attempt *Attempt)
 		outcome decision.Outcome
 	}{
-		"cancelled at an engine that does not listen any more": {
+		"cancelled at an engine that no longer listens": {
 			script: holdPolls,
 			act: func(t *testing.T, engine *persistentEngine, _ *Client, attempt *Attempt) {
 				engine.stopListening(t)
@@ -172,7 +174,7 @@
 			},
 			outcome: decision.Cancelled,
 		},
-		"cancelled at an engine that does not listen any more and is not listed": {
+		"cancelled at an engine that no longer listens and is not listed": {
 			script: holdPolls,
 			act: func(t *testing.T, engine *persistentEngine, client *Client, attempt *Attempt) {
 				engine.stopListening(t)
@@ -181,7 +183,7 @@
 			},
 			outcome: decision.Cancelled,
 		},
-		"connections break at an engine that does not listen any more": {
+		"connections break at an engine that no longer listens": {
 			script: holdPolls,
 			act: func(t *testing.T, engine *persistentEngine, _ *Client, _ *Attempt) {
 				engine.stopListening(t)
@@ -189,7 +191,7 @@
 			},
 			outcome: decision.ConnectionReset,
 		},
-		"the address is another engine's, the connections are closed": {
+		"the address passes to another engine and the connections are closed": {
 			script: holdPolls,
 			act: func(t *testing.T, engine *persistentEngine, client *Client, _ *Attempt) {
 				engine.awaitRequest(t, http.MethodGet)
@@ -198,7 +200,7 @@
 			},
 			outcome: decision.ConnectionReset,
 		},
-		"the start arrives behind its cancellation": {
+		"the start arrives after its cancellation": {
 			script: func(engine *persistentEngine, method string, connection int) string {
 				if method == http.MethodPost {
 					close(engine.startReceived)
@@ -212,7 +214,7 @@
 			},
 			outcome: decision.Cancelled,
 		},
-		"an end that the protocol does not have": {
+		"an end that the protocol does not define": {
 			script: func(engine *persistentEngine, method string, connection int) string {
 				if method == http.MethodGet {
 					return "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -242,33 +244,33 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			ends := make(endRecorder, 10)
 			client := newTestClient(ctx, ends, 20, time.Second, engine.listener.Addr().String())
-			attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
+			attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: oneMinuteFromNow()})
 			if test.act != nil {
 				test.act(t, engine, client, attempt)
 			}
 			ended := receive(t, ends)
-			require.Eventually(t, engine.hasStarted, patience, time.Millisecond) // what was on its way has arrived
-			assert.False(t, engine.stillRuns(), "the engine still runs it")
+			require.Eventually(t, engine.hasStarted, testTimeout, time.Millisecond) // the start has arrived at the engine
+			assert.False(t, engine.stillRuns(), "the engine still runs the attempt")
 			assert.Equal(t, test.outcome, ended.Outcome)
 			cancel()
 			require.NoError(t, client.Run(ctx))
-			assert.Zero(t, client.ConnectionsInUse(), "all released")
-			assert.Empty(t, ends, "one end")
+			assert.Zero(t, client.ConnectionsInUse(), "all connections are released")
+			assert.Empty(t, ends, "the end is reported once")
 		})
 	}
 }
 
-// An end whose proof does not hold is counted, and reported only with a proof that does.
-func TestEndWithoutProofIsNotReported(t *testing.T) {
+// An end with an invalid confirmation is counted as a violation and reported only once a valid confirmation exists.
+func TestUnconfirmedEndIsNotReported(t *testing.T) {
 	for name, test := range map[string]struct {
-		proof      EndProof
-		violations int64
-		cancelled  bool // before the end is reported
+		confirmation EndConfirmation
+		violations   int64
+		cancelled    bool // whether a cancellation is sent before the end is reported
 	}{
-		"reported as expired, but requested just now": {ProofExpiredAtEngine, 1, true},
-		"reported as not sent, but sent":              {ProofNotSent, 1, true},
-		"a shutdown is claimed, and there is none":    {ProofShutdown, 1, true},
-		"the engine has reported the end":             {ProofReportedByEngine, 0, false},
+		"reported as expired, but a request was sent just now":      {ConfirmedByExpiry, 1, true},
+		"reported as not sent, but sent":                            {ConfirmedNotSent, 1, true},
+		"reported at shutdown, but the client is not shutting down": {UnconfirmedAtShutdown, 1, true},
+		"reported by the engine":                                    {ConfirmedByEngine, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine := startPersistentEngine(t, holdPolls)
@@ -279,10 +281,10 @@
 			attempt.startWritten.Store(true)
 			attempt.lastRequest.store(client.clockOrigin, time.Now())
 			client.pool.attemptStarted("e")
-			attempt.reportEnd(attemptEnd{outcome: decision.Cancelled, proof: test.proof})
+			attempt.reportEnd(attemptEnd{outcome: decision.Cancelled, confirmation: test.confirmation})
 			assert.Equal(t, decision.Cancelled, receive(t, ends).Outcome)
 			assert.Equal(t, test.violations, client.Violations.Recorded(invariant.ProvenAttemptEnd))
-			assert.Equal(t, test.cancelled, isClosed(engine.cancelReceived), "whether the engine was sent a cancellation")
+			assert.Equal(t, test.cancelled, isClosed(engine.cancelReceived), "whether a cancellation was sent to the engine")
 		})
 	}
 }
--- a/internal/upstream/attempt_poll.go
+++ b/internal/upstream/attempt_poll.go
@@ -15,42 +15,42 @@
 )
 
 const (
-	pollSuffix = "/0" // of an attempt's path
+	pollSuffix = "/0" // appended to the attempt's path in a poll
 
-	// pollHoldTime is how long an engine holds a poll when there is no progress to report.
+	// pollHoldTime is how long an engine holds a poll while it has no progress to report.
 	pollHoldTime = 250 * time.Millisecond
-	// pageTimeout is the time for the response to a request that the engine does not hold, such as a page's.
+	// pageTimeout limits the wait for the response to a request that the engine does not hold, such as one for a page.
 	pageTimeout = 300 * time.Millisecond
-	// pollTimeout is the time for the response to a request that the engine may hold.
+	// pollTimeout limits the wait for the response to a request that the engine may hold.
 	pollTimeout = pollHoldTime + pageTimeout
-	// retryDelay lies between repeats of a poll, a page or a cancellation.
+	// retryDelay is the delay before a poll, a page request or a cancellation is repeated.
 	retryDelay = 50 * time.Millisecond
-	// minPollHoldTime: a response without progress that arrives sooner may be the duplicate of an earlier one, since the
-	// engine would have delayed it.
+	// minPollHoldTime is the time before which a response without new progress may be a duplicate of an earlier one: the
+	// engine would have held the poll for longer.
 	minPollHoldTime = pollHoldTime / 4
 
 	progressSeparator = " " // between the kind and the value of a progress report
 
-	// maxUnusableAnswers is how many responses of one attempt may be unusable before its outcome is an error.
-	maxUnusableAnswers = 16
+	// maxUnusableResponses is how many unusable responses an attempt may receive before its outcome becomes an error.
+	maxUnusableResponses = 16
 )
 
 var (
 	errAttemptStopped    = errors.New("the attempt was cancelled or its deadline has passed")
-	errExpiredAtEngine   = errors.New("connection refused, and the engine has dropped the attempt")
-	errUnusableAnswer    = errors.New("unusable response")
-	errResultUnavailable = errors.New("the result is not available")
+	errExpiredAtEngine   = errors.New("connection refused after the engine has dropped the attempt")
+	errUnusableResponse  = errors.New("response does not match the request or is followed by extra bytes")
+	errResultUnavailable = errors.New("complete result could not be fetched")
 )
 
-// isFinal reports whether nothing more is requested after an error.
+// isFinal reports whether an error ends the polling: nothing more is requested after it.
 func isFinal(err error) bool {
 	return errors.Is(err, errAttemptStopped) || errors.Is(err, errExpiredAtEngine) ||
 		errors.Is(err, errUnknownEngine) || errors.Is(err, errResultUnavailable)
 }
 
-// pollUntilEnd takes the response to the start, or the error in its place, and polls until the end. A started attempt
-// is not started again here: the engine keeps a completed one and its pages, so that what broke or was spoilt on its
-// way is requested again.
+// pollUntilEnd handles the response to the start, or the error that replaced it, and polls until the attempt ends. It never
+// sends the start again. The engine keeps a completed attempt and its pages, so a response that was lost or corrupted is
+// requested again.
 func (a *Attempt) pollUntilEnd(received response, err error) (end attemptEnd, known bool) {
 	for {
 		if err == nil {
@@ -66,14 +66,14 @@
 			a.client.log.Debug(logevent.UpstreamResponseUnusable, logevent.RequestID(a.Statement), zap.Error(err))
 		}
 		received, err = a.fetch(pollSuffix, pollTimeout, isStatusResponse)
-		startArrived := err == nil && received.Status != http.StatusInternalServerError // a 500 may overtake the start
+		startArrived := err == nil && received.Status != http.StatusInternalServerError // a 500 may be sent before the start arrives
 		if startArrived && !isClosed(a.startResolved) {
 			close(a.startResolved)
 		}
 	}
 }
 
-// handleStatus acts on a response to the start or to a poll. ended is false where polling goes on.
+// handleStatus handles a response to the start or to a poll. ended is false if polling continues.
 func (a *Attempt) handleStatus(received response) (end attemptEnd, known, ended bool) {
 	status := readStatus(received.Header)
 	switch {
@@ -103,10 +103,10 @@
 	return a.endFromResponse(status, received)
 }
 
-// mayBeStale reports whether a response without an end may be a late duplicate of an earlier one: it brings no progress
-// sooner than an engine would have released the poll, or the same progress again. Then the response to the poll is
-// still to come on this connection, and would be taken for the response to the next request there, whichever attempt
-// sends that.
+// mayBeStale reports whether a response without an end may be a late duplicate of an earlier one: it contains no progress,
+// or the same progress as before, and arrived sooner than an engine would have answered the poll. In that case the actual
+// response to the poll has yet to arrive on this connection, and would be mistaken for the response to the next request,
+// which may belong to another attempt.
 func (a *Attempt) mayBeStale(received response) bool {
 	progress := received.Field(headerProgressKind) + progressSeparator + received.Field(headerProgressValue)
 	isNew := progress != progressSeparator && progress != a.lastProgress
@@ -114,10 +114,10 @@
 	return !isNew && a.sinceLastRequest() < minPollHoldTime
 }
 
-// fetch requests status or a page until there is a usable response: on another connection when one breaks, hangs or
-// brings an unusable response.
+// fetch requests the status or a page until it receives a usable response. It switches to another connection when one
+// breaks, hangs or delivers an unusable response.
 func (a *Attempt) fetch(suffix string, timeout time.Duration, isExpected func(response) bool) (response, error) {
-	var previous *response // the last unusable one that was of the expected kind
+	var previous *response // the last response of the expected kind that was unusable
 	forceNew := false
 	for tries := 0; ; tries++ {
 		if tries > 1 {
@@ -146,22 +146,23 @@
 		}
 		a.client.log.Debug(logevent.UpstreamCallRetried, logevent.RequestID(a.Statement), zap.String("path_suffix", suffix), zap.Error(err),
 			zap.Int("status", received.Status), zap.Bool("extra_bytes", received.extraBytes), zap.Int("body_bytes", len(received.body)))
-		unusable := errors.Is(err, errUnusableAnswer) || errors.Is(err, http1.ErrMalformed)
+		unusable := errors.Is(err, errUnusableResponse) || errors.Is(err, http1.ErrMalformed)
 		forceNew = !unusable
 		if !unusable {
 			continue
 		}
-		a.unusableAnswers++
-		if a.unusableAnswers > maxUnusableAnswers {
+		a.unusableResponses++
+		if a.unusableResponses > maxUnusableResponses {
 			return response{}, errResultUnavailable
 		}
 	}
 }
 
-// ensureConnection makes sure that the attempt has a connection without unexpected data on it. A refused connection
-// proves nothing before the engine has dropped the attempt: a draining engine does not listen any more and runs on.
+// ensureConnection makes sure that the attempt has a connection without unexpected data on it. A refused connection counts
+// as the attempt's end only once the engine has dropped the attempt: a draining engine no longer listens but continues to
+// run attempts.
 func (a *Attempt) ensureConnection(forceNew bool) error {
-	if a.conn != nil && a.conn.inspect() != stateQuiet {
+	if a.conn != nil && a.conn.inspect() != stateOpen {
 		a.releaseConnection(false)
 	}
 	if a.conn != nil {
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// roundTrip sends a request on the attempt's connection and closes the connection where it must not be used again.
+// roundTrip sends a request on the attempt's connection, and closes the connection if it must not be used again.
 func (a *Attempt) roundTrip(timeout time.Duration, request []byte) (response, error) {
 	now := time.Now()
 	a.lastRequest.store(a.client.clockOrigin, now)
@@ -190,14 +191,15 @@
 	a.conn.startUnanswered.Store(false)
 	state := a.conn.inspect()
 	received.extraBytes = state == stateUnexpectedData
-	if state != stateQuiet || received.Close || reportsNeverRan(received.Header) {
-		// A late duplicate of "never ran" would be taken for the response to the next attempt on this connection.
+	if state != stateOpen || received.Close || reportsNeverRan(received.Header) {
+		// A late duplicate of a "never ran" response would be mistaken for the response to the next attempt's start on
+		// this connection.
 		a.releaseConnection(false)
 	}
 	return received, nil
 }
 
-// waitRetryDelay waits for retryDelay or until the attempt is cancelled or expires.
+// waitRetryDelay waits for retryDelay, or until the attempt is cancelled or its deadline has passed.
 func (a *Attempt) waitRetryDelay() {
 	select {
 	case <-time.After(retryDelay):
@@ -205,22 +207,22 @@
 	}
 }
 
-// checkResponse returns errUnusableAnswer for a response of another kind than expected, and for rows with more bytes
-// behind them: their length may be wrong, so they count once they have been received the same a second time.
+// checkResponse returns errUnusableResponse for a response that is not of the expected kind, and for rows that are followed
+// by extra bytes: their length may be wrong, so they are accepted only once they have been received identically twice.
 func checkResponse(received response, isExpected func(response) bool, previous *response) error {
 	if !isExpected(received) {
-		return errUnusableAnswer
+		return errUnusableResponse
 	}
 	if !received.extraBytes || received.Status != http.StatusOK {
 		return nil
 	}
 	if previous == nil || !bytes.Equal(previous.body, received.body) {
-		return errUnusableAnswer
+		return errUnusableResponse
 	}
 	return nil
 }
 
-// isStatusResponse reports whether a response is one that the protocol has for a start or a poll.
+// isStatusResponse reports whether the protocol defines a response as one to a start or a poll.
 func isStatusResponse(received response) bool {
 	switch received.Status {
 	case http.StatusOK:
--- a/internal/upstream/attempt_start.go
+++ b/internal/upstream/attempt_start.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// startAbortDelay is how long a start may stay without a response after its statement has ended. An engine that has the start answers it
-// once it has the cancellation; otherwise the network may hold the start up, and it must not come there 0.1 s after its client left.
+// startAbortDelay is how long a start may remain without a response after its statement has ended. An engine that has received the start
+// answers it once it receives the cancellation. Otherwise the network may be delaying the start, and the start must not reach the engine
+// 0.1 s or more after its client has left.
 const startAbortDelay = 50 * time.Millisecond
 
-// sendStart sends the statement, once, and reads the response. sent is false where the start cannot have reached the
-// engine complete, so that the engine cannot run it.
+// sendStart sends the statement, once, and reads the response. sent is false if the complete start cannot have reached
+// the engine, so that the engine cannot run the attempt.
 func (a *Attempt) sendStart() (received response, sent bool, err error) {
 	a.startConn.Store(a.conn)
 	defer a.finishStart()
 	if !a.markStarted() {
 		return response{}, false, nil
 	}
-	timeLeft := time.Until(a.Deadline) // only now: markStarted may have waited
+	timeLeft := time.Until(a.Deadline) // computed after markStarted, which may have waited
 	if timeLeft < minTimeLeft {
 		return response{}, false, nil
 	}
@@ -39,8 +40,8 @@
 	return received, true, err
 }
 
-// resetByRouter reports whether a start without a response failed because the router gave it up: the engine may yet read it. A connection
-// that the engine has broken is not read any more.
+// resetByRouter reports whether a start without a response failed because the router aborted it: the engine may still read it. The engine
+// no longer reads from a connection that it has closed itself.
 func resetByRouter(err error) bool { return isTimeout(err) || errors.Is(err, net.ErrClosed) }
 
 func (a *Attempt) formatStart(timeLeft time.Duration) []byte {
@@ -51,8 +52,8 @@
 		headerField{"Content-Length", strconv.Itoa(len(a.Text))})
 }
 
-// abortStart resets the connection that carries the start, if that has no response, so that the kernel and the network do not go on
-// delivering it. It is called from another goroutine than run's, which gets net.ErrClosed.
+// abortStart resets the connection that carries the start, if the start has no response yet, so that the kernel stops delivering it. It is
+// not called by the goroutine that executes run; that goroutine receives net.ErrClosed from the connection.
 func (a *Attempt) abortStart() {
 	conn := a.startConn.Swap(nil)
 	if conn == nil {
@@ -62,9 +63,9 @@
 	conn.socket.Close()
 }
 
-// startIsOver reports whether nothing of the start is under way, nor will be: it has its response, or will not be sent. startConn is
-// set before the phase is, and reset once there is a response.
-func (a *Attempt) startIsOver() bool {
+// startDone reports whether the start is not in flight and never will be: its response was received, or it will not be sent. startConn is
+// set before the phase, and cleared once there is a response.
+func (a *Attempt) startDone() bool {
 	switch a.phase.Load() {
 	case phaseCancelledUnsent:
 		return true
@@ -74,17 +75,18 @@
 	return false
 }
 
-// finishStart keeps abortStart from the connection, which may serve other attempts from now on. If abortStart came first, the connection
-// is not used again.
+// finishStart prevents abortStart from resetting the connection, which may serve other attempts afterwards. If abortStart was first, the
+// connection is not used again.
 func (a *Attempt) finishStart() {
 	if a.startConn.Swap(nil) == nil && a.conn != nil {
 		a.abortConnection()
 	}
 }
 
-// markStarted makes an attempt a started one, unless it was cancelled, it is too late to start it, or its engine is
-// draining, removed or elsewhere by now. The engine may run it from here on. The time of the last request is stored
-// before the phase, since a concurrent cancellation that finds the attempt started computes the engine's retention from it.
+// markStarted marks the attempt as started and reports whether the start may be sent. It may not if the attempt was
+// cancelled, its start deadline has passed, or its engine is draining, was removed or has another address now. After
+// markStarted the engine may run the attempt. The time of the last request is stored before the phase, since a concurrent
+// cancellation that finds the attempt started computes the end of the engine's retention from it.
 func (a *Attempt) markStarted() bool {
 	if a.client.AwaitDiscovery != nil {
 		a.client.AwaitDiscovery()
@@ -96,10 +98,10 @@
 	if !a.phase.CompareAndSwap(phasePending, phaseStarted) {
 		return false
 	}
-	return a.ctx.Err() == nil // otherwise onContextDone may have found it pending, and reports no end
+	return a.ctx.Err() == nil // otherwise onContextDone may have found the attempt pending and reports no end
 }
 
-// startDeadlinePassed reports whether the attempt must not be started any more.
+// startDeadlinePassed reports whether it is too late to start the attempt.
 func (a *Attempt) startDeadlinePassed() bool {
 	return !a.StartBefore.IsZero() && !time.Now().Before(a.StartBefore)
 }
--- a/internal/upstream/attempt_status.go
+++ b/internal/upstream/attempt_status.go
@@ -8,7 +8,7 @@
 	"bankledge/internal/http1"
 )
 
-// The protocol's headers.
+// Headers of the engine protocol.
 const (
 	headerStatementID   = "X-Txn"
 	headerWorkload      = "X-Lane"
@@ -21,11 +21,11 @@
 	headerLoadReport    = "X-Gauges"
 )
 
-// attemptStatus is the state of an attempt in an engine's response to a start or a poll.
+// attemptStatus is the state of an attempt as reported by an engine's response to a start or a poll.
 type attemptStatus struct {
 	ended      bool
-	outcome    decision.Outcome // if ended
-	pageCount  int              // if completed
+	outcome    decision.Outcome // valid if ended
+	pageCount  int              // valid if completed
 	progress   *decision.AttemptProgress
 	loadReport *decision.LoadReport
 }
@@ -36,8 +36,8 @@
 	"waits":  decision.ProgressWaiting,
 }
 
-// outcomeOf maps a response to the outcome of the attempt. The attempt counts as not run only if the response states
-// so; after a response outside the protocol it may have run.
+// outcomeOf maps a response to the outcome of the attempt. The attempt counts as not run only if the response says so;
+// after a response that the protocol does not define it may have run.
 func outcomeOf(status int, neverRan bool) (outcome decision.Outcome, ended bool) {
 	switch {
 	case status == http.StatusAccepted:
@@ -54,8 +54,8 @@
 
 func reportsNeverRan(header http1.Header) bool { return header.Field(headerNeverRan) == "1" }
 
-// readStatus reads a response's headers. Absent and invalid ones are ignored, but for the number of pages: a result of
-// unknown length is an error.
+// readStatus reads a response's headers. It ignores missing and invalid headers, except for the number of pages: a result
+// with an unknown number of pages is an error.
 func readStatus(header http1.Header) attemptStatus {
 	status := attemptStatus{loadReport: parseLoadReport(header.Field(headerLoadReport))}
 	status.outcome, status.ended = outcomeOf(header.Status, reportsNeverRan(header))
@@ -73,7 +73,8 @@
 	return status
 }
 
-// readProgress returns a response's progress report, without its attempt; nil if there is none.
+// readProgress returns a response's progress report, or nil if there is none. The caller sets the statement, the attempt
+// and the engine.
 func readProgress(header http1.Header) *decision.AttemptProgress {
 	kind, known := progressKinds[header.Field(headerProgressKind)]
 	if !known {
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -17,8 +17,8 @@
 
 var emptyStatusByMethod = map[string]int{http.MethodPost: 202, http.MethodGet: 202, http.MethodDelete: 204}
 
-// Whenever an attempt is cancelled or expires, before, while and after it is started, it has one end, and one that was
-// never started never reached the engine.
+// Each attempt ends exactly once, whether it is cancelled or its deadline passes before, during or after its start. An
+// attempt that ends as not sent never reached the engine.
 func TestEveryAttemptEndsOnce(t *testing.T) {
 	started := make(chan string, 1000)
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 	client := newTestClient(ctx, ends, 20, time.Second, engine.Listener.Addr().String())
 	const attempts = 300
 	for i := range attempts {
-		request := AttemptRequest{Statement: decision.StatementID(strconv.Itoa(i)), Engine: "e", Deadline: inAMinute()}
+		request := AttemptRequest{Statement: decision.StatementID(strconv.Itoa(i)), Engine: "e", Deadline: oneMinuteFromNow()}
 		delay := time.Duration(i) * 10 * time.Microsecond
 		if i%2 == 0 {
 			request.Deadline = time.Now().Add(delay + time.Millisecond)
@@ -52,121 +52,121 @@
 			require.Contains(t, []decision.Outcome{decision.NotSent, decision.Cancelled, decision.TimedOut}, ended.Outcome)
 			outcomes[ended.Statement] = ended.Outcome
 		case <-time.After(20 * time.Second):
-			t.Fatalf("only %d of %d have ended", len(outcomes), attempts)
+			t.Fatalf("only %d of %d attempts have ended", len(outcomes), attempts)
 		}
 	}
-	outcomes["late"] = endOfAttemptCancelledBeforeItsStart(t, ctx, client)
+	outcomes["late"] = outcomeOfAttemptCancelledBeforeStart(t, ctx, client)
 
 	cancel()
 	require.NoError(t, client.Run(ctx))
-	assert.Zero(t, client.ConnectionsInUse(), "all released")
+	assert.Zero(t, client.ConnectionsInUse(), "all connections are released")
 	for len(started) > 0 {
 		assert.NotEqual(t, decision.NotSent, outcomes[decision.StatementID(<-started)])
 	}
 }
 
-// endOfAttemptCancelledBeforeItsStart runs an attempt that is cancelled after it has a connection and before it is
-// started: its end must be known to the goroutine that runs it, since no other goroutine would report it.
-func endOfAttemptCancelledBeforeItsStart(t *testing.T, ctx context.Context, client *Client) decision.Outcome {
+// outcomeOfAttemptCancelledBeforeStart runs an attempt that is cancelled after it has acquired a connection and before it
+// is started. The goroutine that runs it must report its end, since no other goroutine would.
+func outcomeOfAttemptCancelledBeforeStart(t *testing.T, ctx context.Context, client *Client) decision.Outcome {
 	t.Helper()
 	require.NoError(t, client.Preconnect(ctx, "e"))
 	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
-	attempt := &Attempt{client: client, ctx: cancelled, AttemptRequest: AttemptRequest{Statement: "late", Engine: "e", Deadline: inAMinute()}}
+	attempt := &Attempt{client: client, ctx: cancelled, AttemptRequest: AttemptRequest{Statement: "late", Engine: "e", Deadline: oneMinuteFromNow()}}
 	end, known := attempt.run()
 	assert.True(t, known)
-	assert.Equal(t, attemptEnd{outcome: decision.NotSent, proof: ProofNotSent}, end)
+	assert.Equal(t, attemptEnd{outcome: decision.NotSent, confirmation: ConfirmedNotSent}, end)
 	return end.outcome
 }
 
-// An engine starts draining, is removed, or its address passes to another, while an attempt waits for a descriptor or
-// its connection is being established: nothing of it is sent, and it ends as not sent.
-func TestNothingIsSentToAnEngineThatDrainsMeanwhile(t *testing.T) {
+// An engine starts draining, is removed, or its address passes to another engine while an attempt waits for a connection
+// slot or dials: nothing of the attempt is sent, and it ends as not sent.
+func TestNothingIsSentToAnEngineThatDrainsWhileConnecting(t *testing.T) {
 	changes := map[string]func(client *Client, address string){
 		"drains":            func(client *Client, _ string) { client.DrainEngine("e") },
 		"is removed":        func(client *Client, _ string) { client.RemoveEngine("e") },
 		"is not retained":   func(client *Client, _ string) { client.RetainEngines(map[decision.EngineID]bool{}) },
 		"loses its address": func(client *Client, address string) { client.UpdateEngine("other", address, true) },
-		"drains and is listed": func(client *Client, address string) {
+		"drains and is listed as not ready": func(client *Client, address string) {
 			client.DrainEngine("e")
 			client.UpdateEngine("e", address, false)
 		},
-		"comes back elsewhere": func(client *Client, _ string) {
+		"is listed again at another address": func(client *Client, _ string) {
 			client.RemoveEngine("e")
 			client.UpdateEngine("e", "127.0.0.1:1", true)
 		},
 	}
 	for name, change := range changes {
-		t.Run("waits for a descriptor, "+name, func(t *testing.T) {
+		t.Run("waits for a connection slot, "+name, func(t *testing.T) {
 			listener := listenOnLoopback(t)
-			requests := serveAtOnce(t, listener)
+			requests := serveImmediately(t, listener)
 			ends := make(endRecorder, 1)
-			client := newTestClient(t.Context(), ends, 1, patience, listener.Addr().String())
+			client := newTestClient(t.Context(), ends, 1, testTimeout, listener.Addr().String())
 			require.NoError(t, client.pool.acquireSlot(t.Context()))
-			client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: inAMinute()})
+			client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: oneMinuteFromNow()})
 			require.Eventually(t, func() bool {
 				client.pool.mu.Lock()
 				defer client.pool.mu.Unlock()
 				return client.pool.slotWaiters == 1
-			}, patience, time.Millisecond)
+			}, testTimeout, time.Millisecond)
 			change(client, listener.Addr().String())
 			<-client.pool.slots
 			assert.Equal(t, decision.NotSent, receive(t, ends).Outcome)
 			assert.Empty(t, requests)
 		})
-		t.Run("its connection is being established, "+name, func(t *testing.T) {
+		t.Run("dials, "+name, func(t *testing.T) {
 			t.Parallel()
 			listener, accept, err := fakes.ListenWithFullBacklog()
 			require.NoError(t, err)
 			ends := make(endRecorder, 1)
-			client := newTestClient(t.Context(), ends, 4, patience, listener.Addr().String())
-			client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: inAMinute()})
-			require.Eventually(t, func() bool { return client.ConnectionsInUse() == 1 }, patience, time.Millisecond)
+			client := newTestClient(t.Context(), ends, 4, testTimeout, listener.Addr().String())
+			client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: oneMinuteFromNow()})
+			require.Eventually(t, func() bool { return client.ConnectionsInUse() == 1 }, testTimeout, time.Millisecond)
 			change(client, listener.Addr().String())
 			accept()
-			requests := serveAtOnce(t, listener)
+			requests := serveImmediately(t, listener)
 			assert.Equal(t, decision.NotSent, receive(t, ends).Outcome)
 			assert.Empty(t, requests)
 		})
 	}
 }
 
-// A retry of what may have run must be started while the engines remember the first attempt: one that has waited for
-// longer, for a descriptor or for its connection, or that would be started just then, is never sent.
+// A retry of a statement that may have run must start while the engines remember the first attempt. A retry is never sent
+// if StartBefore passes while it waits for a connection slot, while it dials, or just before it would be started.
 func TestNothingIsSentAfterTheStartDeadline(t *testing.T) {
 	const soon = 20 * time.Millisecond
 	startSoon := func(client *Client) {
-		client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: inAMinute(), StartBefore: time.Now().Add(soon)})
+		client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: oneMinuteFromNow(), StartBefore: time.Now().Add(soon)})
 	}
-	t.Run("waits for a descriptor", func(t *testing.T) {
+	t.Run("waits for a connection slot", func(t *testing.T) {
 		listener := listenOnLoopback(t)
-		requests := serveAtOnce(t, listener)
+		requests := serveImmediately(t, listener)
 		ends := make(endRecorder, 1)
-		client := newTestClient(t.Context(), ends, 1, patience, listener.Addr().String())
+		client := newTestClient(t.Context(), ends, 1, testTimeout, listener.Addr().String())
 		require.NoError(t, client.pool.acquireSlot(t.Context()))
 		startSoon(client)
 		assert.Equal(t, decision.NotSent, receive(t, ends).Outcome)
 		assert.Empty(t, requests)
 	})
-	t.Run("its connection is being established", func(t *testing.T) {
+	t.Run("dials", func(t *testing.T) {
 		listener, accept, err := fakes.ListenWithFullBacklog()
 		require.NoError(t, err)
 		ends := make(endRecorder, 1)
-		client := newTestClient(t.Context(), ends, 1, patience, listener.Addr().String())
+		client := newTestClient(t.Context(), ends, 1, testTimeout, listener.Addr().String())
 		startSoon(client)
-		assert.Equal(t, decision.NotSent, receive(t, ends).Outcome, "no failure of its engine")
+		assert.Equal(t, decision.NotSent, receive(t, ends).Outcome, "does not count as a failure of the engine")
 		accept()
-		assert.Empty(t, serveAtOnce(t, listener))
+		assert.Empty(t, serveImmediately(t, listener))
 	})
 	t.Run("is started", func(t *testing.T) {
 		listener := listenOnLoopback(t)
-		requests := serveAtOnce(t, listener)
-		client := newTestClient(t.Context(), make(endRecorder, 1), 4, patience, listener.Addr().String())
-		attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "s", Deadline: inAMinute(), StartBefore: time.Now()})
+		requests := serveImmediately(t, listener)
+		client := newTestClient(t.Context(), make(endRecorder, 1), 4, testTimeout, listener.Addr().String())
+		attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "s", Deadline: oneMinuteFromNow(), StartBefore: time.Now()})
 		assert.False(t, attempt.markStarted())
-		attempt.StartBefore = inAMinute()
+		attempt.StartBefore = oneMinuteFromNow()
 		assert.True(t, attempt.markStarted())
-		client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: inAMinute(), StartBefore: inAMinute()})
+		client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: oneMinuteFromNow(), StartBefore: oneMinuteFromNow()})
 		assert.Equal(t, "POST", receive(t, requests))
 	})
 }
--- a/internal/upstream/client_shutdown_test.go
+++ b/internal/upstream/client_shutdown_test.go
@@ -12,9 +12,9 @@
 	"bankledge/decision"
 )
 
-// The event loop decides on until it learns that the router ends, so an attempt may be started while Client.Run waits for the last tasks,
-// or after that. WaitGroup.Go beside WaitGroup.Wait was reported by the race detector (write in Run, read in StartAttempt), and what
-// began after Run had returned outlived the client.
+// The event loop continues to make decisions until it is notified of the shutdown, so an attempt may be started while Client.Run waits for
+// the last tasks, or after that. The race detector reported WaitGroup.Go concurrent with WaitGroup.Wait (write in Run, read in
+// StartAttempt), and tasks that began after Run had returned outlived the client.
 func TestStartAttemptDuringShutdown(t *testing.T) {
 	listener := listenOnLoopback(t)
 	for range 20 {
@@ -24,17 +24,17 @@
 		finished := make(chan error, 1)
 		go func() { finished <- client.Run(ctx) }()
 		cancel()
-		for i := range 20 { // nothing orders these and Run
-			client.StartAttempt(AttemptRequest{Statement: decision.StatementID(strconv.Itoa(i)), Engine: "e", Deadline: inAMinute()})
+		for i := range 20 { // not synchronized with Run
+			client.StartAttempt(AttemptRequest{Statement: decision.StatementID(strconv.Itoa(i)), Engine: "e", Deadline: oneMinuteFromNow()})
 			client.CheckHealth("e")
 		}
 		require.NoError(t, receive(t, finished))
 
 		reported := len(ends)
-		late := client.StartAttempt(AttemptRequest{Statement: "late", Engine: "e", Deadline: inAMinute()})
+		late := client.StartAttempt(AttemptRequest{Statement: "late", Engine: "e", Deadline: oneMinuteFromNow()})
 		client.CheckHealth("e")
 		late.Cancel()
-		time.Sleep(time.Millisecond) // what must not happen has time to happen
+		time.Sleep(time.Millisecond) // time for an unwanted end to be reported
 		assert.Len(t, ends, reported, "nothing begins once Run has returned")
 		assert.Zero(t, client.ConnectionsInUse())
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -13,10 +13,10 @@
 	"bankledge/internal/http1"
 )
 
-// maxPageBytes is the largest body of a response: the protocol's limit of a result page.
+// maxPageBytes is the maximum size of a response body: the protocol's limit for a result page.
 const maxPageBytes = 6_000
 
-// requestHeaderBytes is the buffer space reserved for a request's start line and headers.
+// requestHeaderBytes is the buffer capacity reserved for a request's start line and headers.
 const requestHeaderBytes = 256
 
 // connection is one connection to an engine, used by one request at a time.
@@ -25,20 +25,20 @@
 	reader    *http1.Reader
 	engine    decision.EngineID
 	address   string
-	idleSince time.Time // set when it is put into the pool
+	idleSince time.Time // when the connection was returned to the pool
 
-	startUnanswered atomic.Bool // the start of an attempt was written, or is about to be, and has no response
+	startUnanswered atomic.Bool // the start of an attempt was written, or is about to be, and has no response yet
 }
 
 // response is an engine's response to one request.
 type response struct {
 	http1.Header
 	body           []byte
-	requestWritten bool // the complete request may have reached the engine; known also when there is an error
-	extraBytes     bool // more was received than belongs to the response
+	requestWritten bool // the complete request may have reached the engine; valid also with an error
+	extraBytes     bool // bytes that do not belong to the response were received after it
 }
 
-// roundTrip writes one request and reads the response to it.
+// roundTrip writes one request and reads its response.
 func (c *connection) roundTrip(deadline time.Time, request []byte) (response, error) {
 	c.socket.SetDeadline(deadline)
 	written, err := c.socket.Write(request)
@@ -50,7 +50,7 @@
 	return received, err
 }
 
-// resetOnClose makes the socket's close send a reset, which discards what the kernel has not delivered yet.
+// resetOnClose makes the closing of the socket send a reset, which discards data that the kernel has not delivered yet.
 func (c *connection) resetOnClose() {
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -61,14 +61,13 @@
 type connectionState int
 
 const (
-	stateQuiet          connectionState = iota // nothing: it may be used
-	stateEnded                                 // the engine has closed it, or it broke
-	stateUnexpectedData                        // unrequested bytes: responses can no longer be matched to requests
+	stateOpen           connectionState = iota // open and without unread bytes: the connection may be used
+	stateClosed                                // closed by the engine, or broken
+	stateUnexpectedData                        // unrequested bytes were received: responses can no longer be matched to requests
 )
 
-// inspect determines the state without blocking. It clears the read deadline of the previous request first: a socket
-// whose deadline has passed cannot be read, and every connection that had been idle for longer than that would look
-// closed.
+// inspect determines the state without blocking. It first clears the read deadline of the previous request: a socket
+// whose deadline has passed cannot be read, so a connection that has been idle past that deadline would appear closed.
 func (c *connection) inspect() connectionState {
 	if c.reader.Buffered() {
 		return stateUnexpectedData
@@ -76,24 +75,24 @@
 	c.socket.SetReadDeadline(time.Time{})
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
-		return stateEnded
+		return stateClosed
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return stateEnded
+		return stateClosed
 	}
-	state := stateEnded
+	state := stateClosed
 	err = raw.Read(func(descriptor uintptr) bool {
 		state = peek(int(descriptor))
 		return true
 	})
 	if err != nil {
-		return stateEnded
+		return stateClosed
 	}
 	return state
 }
 
-// peek reads a socket's receive queue without consuming it.
+// peek inspects a socket's receive queue without consuming it.
 func peek(descriptor int) connectionState {
 	var buffer [1]byte
 	received, _, err := syscall.Recvfrom(descriptor, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -101,9 +100,9 @@
 	case received > 0:
 		return stateUnexpectedData
 	case errors.Is(err, syscall.EAGAIN):
-		return stateQuiet
+		return stateOpen
 	}
-	return stateEnded
+	return stateClosed
 }
 
 func isTimeout(err error) bool {
@@ -117,7 +116,7 @@
 // headerField is one header of a request.
 type headerField struct{ name, value string }
 
-// formatRequest returns a request's bytes, with the headers in the given order behind Host.
+// formatRequest returns the bytes of a request, with the headers in the given order after Host.
 func formatRequest(method, path, host string, body []byte, fields ...headerField) []byte {
 	var request bytes.Buffer
 	request.Grow(requestHeaderBytes + len(body))
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// minRestTime is how long a connection stays unused after a response: a late duplicate of that response shows by
-	// then, and is not taken for the response to the next request.
-	minRestTime = 10 * time.Millisecond
+	// minIdleBeforeReuse is how long a connection stays unused after a response. A late duplicate of that response arrives
+	// within this time and is detected, so that it is not mistaken for the response to the next request.
+	minIdleBeforeReuse = 10 * time.Millisecond
 
-	// Idle connections are looked through this many times in the time that they may be idle, but not more often than
-	// each minMaintenanceInterval.
-	maintenancesPerIdleTime = 8
-	minMaintenanceInterval  = 10 * time.Millisecond
+	// maintenanceRunsPerIdleTime is how many times the pool checks idle connections within the maximum idle time, but at
+	// most once per minMaintenanceInterval.
+	maintenanceRunsPerIdleTime = 8
+	minMaintenanceInterval     = 10 * time.Millisecond
 )
 
 var (
-	errUnknownEngine    = errors.New("the engine is not listed at this address")
-	errNoConnectionSlot = errors.New("all descriptors for engines are in use")
+	errUnknownEngine    = errors.New("engine is not listed, or its address belongs to another engine")
+	errNoConnectionSlot = errors.New("no connection slot is free: the limit on connections to engines is reached")
 )
 
-// connectionPool owns all connections to engines, by engine, and the descriptors that they may use.
+// connectionPool owns all connections to engines and limits their number.
 type connectionPool struct {
-	slots          chan struct{} // one element for each connection that exists or is being dialled
+	slots          chan struct{} // one element for each connection that is open or being dialled
 	maxIdleTime    time.Duration
 	connectTimeout time.Duration
 
 	mu               sync.Mutex
-	addresses        map[decision.EngineID]string        // of the listed engines
-	engineAt         map[string]decision.EngineID        // the inverse of addresses
-	idle             map[decision.EngineID][]*connection // the latest used last
+	addresses        map[decision.EngineID]string        // addresses of the listed engines
+	engineByAddress  map[string]decision.EngineID        // the inverse of addresses
+	idle             map[decision.EngineID][]*connection // in order of last use, the most recent last
 	attemptsInFlight map[decision.EngineID]int
-	draining         map[decision.EngineID]bool // of the listed engines
-	open             map[*connection]struct{}   // all that exist, idle or in use
+	draining         map[decision.EngineID]bool // listed engines that are draining
+	open             map[*connection]struct{}   // all open connections, idle or in use
 	slotWaiters      int
 	stats            ConnectionStats
 	closed           bool
@@ -52,7 +52,7 @@
 		maxIdleTime:      maxIdleTime,
 		connectTimeout:   connectTimeout,
 		addresses:        map[decision.EngineID]string{},
-		engineAt:         map[string]decision.EngineID{},
+		engineByAddress:  map[string]decision.EngineID{},
 		idle:             map[decision.EngineID][]*connection{},
 		attemptsInFlight: map[decision.EngineID]int{},
 		draining:         map[decision.EngineID]bool{},
@@ -60,11 +60,11 @@
 	}
 }
 
-// acquire takes an idle connection or dials one, within the connect timeout. With forceNew it always dials. It fails
-// with errUnknownEngine where the address belongs to another engine by now, and with errNoConnectionSlot where no
-// descriptor became free in time.
+// acquire returns an idle connection or dials a new one, within the connect timeout. With forceNew it always dials. It
+// fails with errUnknownEngine if the address is empty or now belongs to another engine, and with errNoConnectionSlot if no
+// slot became free in time.
 func (p *connectionPool) acquire(ctx context.Context, engine decision.EngineID, address string, forceNew bool) (*connection, error) {
-	if address == "" || p.isOfOtherEngine(address, engine) {
+	if address == "" || p.belongsToOtherEngine(address, engine) {
 		return nil, errUnknownEngine
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
@@ -77,15 +77,16 @@
 	return p.dial(ctx, engine, address)
 }
 
-// takeUsable takes an idle connection that may be used, and closes those that it finds unusable; nil if there is none.
+// takeUsable removes a usable idle connection from the pool and returns it, or nil if there is none. It closes unusable
+// connections that it finds.
 func (p *connectionPool) takeUsable(engine decision.EngineID, address string) *connection {
 	for {
-		conn := p.takeRestedIdle(engine)
+		conn := p.takeIdleForReuse(engine)
 		if conn == nil {
 			return nil
 		}
 		state := conn.inspect()
-		if state == stateQuiet && conn.address == address && time.Since(conn.idleSince) < p.maxIdleTime {
+		if state == stateOpen && conn.address == address && time.Since(conn.idleSince) < p.maxIdleTime {
 			return conn
 		}
 		p.updateStats(func(stats *ConnectionStats) {
@@ -98,14 +99,15 @@
 	}
 }
 
-// takeRestedIdle removes the latest used idle connection that has rested for long enough; nil if there is none.
-func (p *connectionPool) takeRestedIdle(engine decision.EngineID) *connection {
+// takeIdleForReuse removes and returns the most recently used connection that has been idle for minIdleBeforeReuse or
+// longer, or nil if there is none.
+func (p *connectionPool) takeIdleForReuse(engine decision.EngineID) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[engine]
 	for i := len(idle) - 1; i >= 0; i-- {
 		conn := idle[i]
-		if time.Since(conn.idleSince) >= minRestTime {
+		if time.Since(conn.idleSince) >= minIdleBeforeReuse {
 			p.idle[engine] = slices.Delete(idle, i, i+1)
 			return conn
 		}
@@ -135,14 +137,14 @@
 	p.open[conn] = struct{}{}
 	closed := p.closed
 	p.mu.Unlock()
-	if closed { // shutdown has closed those that were open by then, and missed this one
+	if closed { // shutDown ran before this connection was added to open, so it did not close it
 		p.close(conn)
 		return nil, context.Canceled
 	}
 	return conn, nil
 }
 
-// acquireSlot takes a slot. When there is none, the connection that has been idle longest is closed for it.
+// acquireSlot takes a slot. If none is free, it closes the connection that has been idle longest to free one.
 func (p *connectionPool) acquireSlot(ctx context.Context) error {
 	select {
 	case p.slots <- struct{}{}:
@@ -169,7 +171,7 @@
 	}
 }
 
-// removeOldestIdle removes the connection that has been idle longest; nil if none is idle. The caller holds mu.
+// removeOldestIdle removes and returns the connection that has been idle longest, or nil if none is idle. The caller holds mu.
 func (p *connectionPool) removeOldestIdle() *connection {
 	var oldest *connection
 	for _, idle := range p.idle {
@@ -183,7 +185,7 @@
 	return oldest
 }
 
-// release returns a connection to the pool after a response that keeps it usable, or closes it where it is not reusable.
+// release returns a connection to the pool after a response that leaves it usable, or closes it if it is not reusable.
 func (p *connectionPool) release(conn *connection) {
 	p.mu.Lock()
 	reusable := p.isReusable(conn)
@@ -199,8 +201,8 @@
 	}
 }
 
-// isReusable reports whether a connection may be used again. One to an engine removed from the endpoint list is kept
-// while attempts are in flight there, since the engine may accept no new connections. The caller holds mu.
+// isReusable reports whether a connection may be used again. A connection to an engine that was removed from the endpoint
+// list is kept while attempts are in flight there, since the engine may accept no new connections. The caller holds mu.
 func (p *connectionPool) isReusable(conn *connection) bool {
 	if p.closed || p.slotWaiters > 0 {
 		return false
@@ -209,21 +211,21 @@
 	if address == conn.address {
 		return true
 	}
-	return !listed && p.attemptsInFlight[conn.engine] > 0 && p.engineAt[conn.address] == ""
+	return !listed && p.attemptsInFlight[conn.engine] > 0 && p.engineByAddress[conn.address] == ""
 }
 
-// releaseOrClose returns a connection to the pool after a response, unless the response or data behind it makes it unusable.
+// releaseOrClose returns a connection to the pool after a response, or closes it if the response or data after it makes it unusable.
 func (p *connectionPool) releaseOrClose(conn *connection, header http1.Header) {
-	if header.Close || conn.inspect() != stateQuiet {
+	if header.Close || conn.inspect() != stateOpen {
 		p.close(conn)
 		return
 	}
 	p.release(conn)
 }
 
-// abort closes a connection whose request has no response. The connection is reset, so that the kernel does not go on
-// delivering the request: one that the network has delayed for seconds would otherwise start an attempt that counts as
-// ended, or keep it alive.
+// abort closes a connection whose request has no response. It resets the connection, so that the kernel does not continue
+// to deliver the request: a request that the network has delayed for seconds could otherwise start an attempt that counts
+// as ended, or keep it alive.
 func (p *connectionPool) abort(conn *connection) {
 	conn.resetOnClose()
 	p.close(conn)
@@ -252,7 +254,7 @@
 	p.closeAll(idle)
 }
 
-// closeIdleFor closes the connections that have been idle for a duration or longer.
+// closeIdleFor closes the connections that have been idle for the given duration or longer.
 func (p *connectionPool) closeIdleFor(duration time.Duration) {
 	p.mu.Lock()
 	var expired []*connection
@@ -271,12 +273,12 @@
 	p.closeAll(expired)
 }
 
-// inUse returns the number of descriptors in use.
+// inUse returns the number of slots in use.
 func (p *connectionPool) inUse() int { return len(p.slots) }
 
-// run closes connections that have been idle for too long, until ctx ends; then it shuts the pool down.
+// run periodically closes connections that have been idle for too long. When ctx is done, it shuts the pool down.
 func (p *connectionPool) run(ctx context.Context) {
-	ticker := time.NewTicker(max(p.maxIdleTime/maintenancesPerIdleTime, minMaintenanceInterval))
+	ticker := time.NewTicker(max(p.maxIdleTime/maintenanceRunsPerIdleTime, minMaintenanceInterval))
 	defer ticker.Stop()
 	for {
 		select {
@@ -289,9 +291,9 @@
 	}
 }
 
-// shutDown closes all sockets, also those in use: a request to an engine that hangs would hold up the program's end. A
-// connection with the start of an attempt on its way is reset, so that the start does not arrive after this program has
-// ended and cannot cancel it any more.
+// shutDown closes all sockets, including those in use: a request to an engine that hangs would otherwise delay the exit of
+// the process. A connection with an unanswered start is reset, so that the start does not arrive after the process has
+// exited and can no longer cancel the attempt.
 func (p *connectionPool) shutDown() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -13,31 +13,31 @@
 	"bankledge/internal/faultlab"
 )
 
-// A connection that was idle for longer than its last request had is as good as before. One that its engine has closed
-// meanwhile is not, nor one that was idle for too long.
-func TestConnectionOutlivesTheDeadlineOfARequest(t *testing.T) {
+// An idle connection remains usable after the deadline of its last request has passed. A connection that the engine has
+// closed in the meantime is not reused.
+func TestConnectionIsReusableAfterARequestDeadline(t *testing.T) {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }))
 	defer engine.Close()
 	pool := newConnectionPool(4, time.Minute, time.Second)
 	pool.updateEngine("e", engine.Listener.Addr().String(), true)
 	first, err := pool.acquire(t.Context(), "e", pool.addressOf("e"), false)
 	require.NoError(t, err)
-	_, err = first.roundTrip(inAMinute(), formatRequest(http.MethodDelete, "/x/s", first.address, nil))
+	_, err = first.roundTrip(oneMinuteFromNow(), formatRequest(http.MethodDelete, "/x/s", first.address, nil))
 	require.NoError(t, err)
-	rest := func() {
+	releaseAndAge := func() {
 		first.socket.SetDeadline(time.Now().Add(-time.Second)) // the request's deadline has passed
 		pool.release(first)
-		first.idleSince = first.idleSince.Add(-minRestTime)
+		first.idleSince = first.idleSince.Add(-minIdleBeforeReuse)
 	}
-	rest()
+	releaseAndAge()
 	again, err := pool.acquire(t.Context(), "e", pool.addressOf("e"), false)
 	require.NoError(t, err)
 	assert.Same(t, first, again)
-	_, err = again.roundTrip(inAMinute(), formatRequest(http.MethodDelete, "/x/s", first.address, nil))
+	_, err = again.roundTrip(oneMinuteFromNow(), formatRequest(http.MethodDelete, "/x/s", first.address, nil))
 	assert.NoError(t, err)
-	rest()
+	releaseAndAge()
 	engine.CloseClientConnections()
-	require.Eventually(t, func() bool { return first.inspect() == stateEnded }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return first.inspect() == stateClosed }, testTimeout, time.Millisecond)
 	other, err := pool.acquire(t.Context(), "e", pool.addressOf("e"), false)
 	require.NoError(t, err)
 	assert.NotSame(t, first, other)
@@ -46,11 +46,11 @@
 	assert.Zero(t, pool.inUse())
 }
 
-// Shutdown does not wait for engines: a request to one that hangs is aborted.
-func TestShutdownWaitsForNoEngine(t *testing.T) {
+// Shutdown does not wait for engines: it aborts a request to an engine that hangs.
+func TestShutdownDoesNotWaitForEngines(t *testing.T) {
 	listener := listenOnLoopback(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	client := newTestClient(ctx, make(endRecorder, 1), 4, patience, listener.Addr().String())
+	client := newTestClient(ctx, make(endRecorder, 1), 4, testTimeout, listener.Addr().String())
 	finished := make(chan error, 1)
 	go func() { finished <- client.Run(ctx) }()
 	conn, err := client.pool.acquire(ctx, "e", client.pool.addressOf("e"), false)
@@ -62,33 +62,33 @@
 	engine, err := listener.Accept()
 	require.NoError(t, err)
 	defer engine.Close()
-	_, err = engine.Read(make([]byte, 1)) // the request is out
+	_, err = engine.Read(make([]byte, 1)) // the request has arrived
 	require.NoError(t, err)
 	cancel()
 	require.NoError(t, receive(t, finished))
 	assert.Zero(t, client.ConnectionsInUse())
 	_, err = client.pool.acquire(t.Context(), "e", client.pool.addressOf("e"), true)
-	require.Error(t, err, "nothing is dialled after it")
+	require.Error(t, err, "nothing is dialled after the shutdown")
 	assert.Zero(t, client.ConnectionsInUse())
 }
 
-// The router shuts down while a start is delayed on its way to an engine: the start must not arrive any more, since
-// the attempt can no longer be cancelled.
+// The router shuts down while the network delays a start that is in flight to an engine. The start must not arrive later,
+// since the attempt could no longer be cancelled.
 func TestShutdownResetsADelayedStart(t *testing.T) {
 	listener := listenOnLoopback(t)
-	requests := serveAtOnce(t, listener)
+	requests := serveImmediately(t, listener)
 	link, err := faultlab.NewLink(listener.Addr().String())
 	require.NoError(t, err)
 	defer link.Close()
 	link.Impair(faultlab.Impairment{Blocked: true}, faultlab.Impairment{Blocked: true})
 	ctx, cancel := context.WithCancel(t.Context())
-	client := newTestClient(ctx, make(endRecorder, 1), 4, patience, link.Address())
-	client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Text: []byte("update"), Deadline: inAMinute()})
-	require.Eventually(t, func() bool { return link.InFlight() > 0 }, patience, time.Millisecond)
+	client := newTestClient(ctx, make(endRecorder, 1), 4, testTimeout, link.Address())
+	client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Text: []byte("update"), Deadline: oneMinuteFromNow()})
+	require.Eventually(t, func() bool { return link.InFlight() > 0 }, testTimeout, time.Millisecond)
 	cancel()
 	require.NoError(t, client.Run(ctx))
-	require.Eventually(t, func() bool { return link.Resets() > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return link.Resets() > 0 }, testTimeout, time.Millisecond)
 	link.Impair(faultlab.Impairment{}, faultlab.Impairment{})
-	require.Eventually(t, func() bool { return link.InFlight() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return link.InFlight() == 0 }, testTimeout, time.Millisecond)
 	assert.Never(t, func() bool { return len(requests) > 0 }, 200*time.Millisecond, time.Millisecond)
 }
--- a/internal/upstream/connection_stats.go
+++ b/internal/upstream/connection_stats.go
@@ -6,18 +6,18 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ConnectionStats counts connections opened since the previous call of [Client.TakeConnectionStats], and why others
-// were closed.
+// ConnectionStats counts the connections opened since the previous call of [Client.TakeConnectionStats], and the reasons
+// for which connections were closed.
 type ConnectionStats struct {
-	Dialled        int           // dials, those that failed included
-	Failed         int           // dials that failed
-	Stale          int           // closed by the engine, at an old address or idle for too long when about to be used
-	Surplus        int           // closed after use: the descriptor was needed, or the engine was removed
-	UnexpectedData int           // of the stale ones: those with unrequested bytes
-	SlowestDial    time.Duration // of all dials, those that failed included
+	Dialled        int           // all dials, including failed ones
+	Failed         int           // failed dials
+	Stale          int           // found unusable before use: closed by the engine, at an old address or idle for too long
+	Surplus        int           // closed after use, since the slot was needed or the engine was removed
+	UnexpectedData int           // stale connections with unrequested bytes
+	SlowestDial    time.Duration // duration of the slowest dial, including failed ones
 }
 
-// MarshalLogObject writes the counts into a log line.
+// MarshalLogObject implements zapcore.ObjectMarshaler.
 func (s ConnectionStats) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	encoder.AddInt("dialled", s.Dialled)
 	encoder.AddInt("failed", s.Failed)
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// takeStats returns the counts and starts anew.
+// takeStats returns the counts and resets them.
 func (p *connectionPool) takeStats() ConnectionStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/duplicate_response_test.go
+++ b/internal/upstream/duplicate_response_test.go
@@ -13,8 +13,8 @@
 	"bankledge/decision"
 )
 
-// serveConnections calls a script for each request with the number of its connection and of the request on that
-// connection, both from 0, and writes what the script returns.
+// serveConnections creates a script for each connection, by the connection's number, and calls it for each request with
+// the request's number on that connection. It writes what the script returns. Numbers are counted from 0.
 func serveConnections(listener net.Listener, newScript func(connection int) func(request *http.Request, number int) string) {
 	for connection := 0; ; connection++ {
 		socket, err := listener.Accept()
@@ -37,8 +37,8 @@
 	}
 }
 
-// resultOf returns a response with a result that names the statement that a request asks for.
-func resultOf(request *http.Request) string {
+// resultResponse returns a response whose result contains the ID of the statement that a request is about.
+func resultResponse(request *http.Request) string {
 	statement := request.Header.Get(headerStatementID)
 	if parts := strings.Split(request.URL.Path, "/"); len(parts) > 2 {
 		statement = parts[2]
@@ -46,9 +46,9 @@
 	return "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\nof-" + statement + "\n\n"
 }
 
-// A response's duplicate arrives behind the next request of the same attempt and is taken for the response to it: what
-// was requested is then still to come on that connection, and must not become another statement's result.
-func TestDuplicateOfStatusIsNoOtherAttemptsResponse(t *testing.T) {
+// A duplicate of a response arrives after the next request of the same attempt and is mistaken for the response to it. The
+// actual response is still to arrive on that connection, and must not become the result of another statement.
+func TestDuplicateStatusIsNotUsedForAnotherAttempt(t *testing.T) {
 	const header = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n"
 	duplicates := map[string]string{
 		"no progress": header + "\r\n",
@@ -62,33 +62,33 @@
 				delayed := "" // the response to the previous request
 				return func(request *http.Request, _ int) string {
 					if connection > 0 {
-						return resultOf(request)
+						return resultResponse(request)
 					}
 					if delayed == "" && request.Method == http.MethodPost {
 						return duplicate
 					}
-					answer := delayed
-					if answer == "" {
-						answer = duplicate // the start's response once more
+					response := delayed
+					if response == "" {
+						response = duplicate // the duplicate of the start's response
 					}
-					delayed = resultOf(request)
-					return answer
+					delayed = resultResponse(request)
+					return response
 				}
 			})
 			results := make(resultRecorder, 2)
-			client := newTestClient(t.Context(), results, 4, patience, listener.Addr().String())
+			client := newTestClient(t.Context(), results, 4, testTimeout, listener.Addr().String())
 			for _, statement := range []decision.StatementID{"A", "B"} {
-				client.StartAttempt(AttemptRequest{Statement: statement, Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
+				client.StartAttempt(AttemptRequest{Statement: statement, Engine: "e", Text: []byte("select"), Deadline: oneMinuteFromNow()})
 				assert.Equal(t, string(statement)+" of-"+string(statement)+"\n\n", receive(t, results))
-				awaitRest(t, client)
+				awaitReusableIdle(t, client)
 			}
 		})
 	}
 }
 
-// An engine's response that a statement never ran arrives a second time, behind the next start on the same connection. It
-// must not be taken for the response to that start, which runs: otherwise its statement would be sent elsewhere and run twice.
-func TestDuplicateOfNeverRanIsNoOtherAttemptsResponse(t *testing.T) {
+// A duplicate of an engine's response that a statement never ran arrives after the next start on the same connection. It
+// must not be mistaken for the response to that start: the engine runs that statement, which would be retried and run twice.
+func TestDuplicateNeverRanIsNotUsedForAnotherAttempt(t *testing.T) {
 	const neverRan = "HTTP/1.1 503 Service Unavailable\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"
 	const result = "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 4\r\n\r\none\n"
 	listener := listenOnLoopback(t)
@@ -104,10 +104,10 @@
 		}
 	})
 	ends := make(endRecorder, 2)
-	client := newTestClient(t.Context(), ends, 4, patience, listener.Addr().String())
-	client.StartAttempt(AttemptRequest{Statement: "A", Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
+	client := newTestClient(t.Context(), ends, 4, testTimeout, listener.Addr().String())
+	client.StartAttempt(AttemptRequest{Statement: "A", Engine: "e", Text: []byte("select"), Deadline: oneMinuteFromNow()})
 	assert.Equal(t, decision.Overloaded, receive(t, ends).Outcome)
-	awaitRest(t, client)
-	client.StartAttempt(AttemptRequest{Statement: "B", Engine: "e", Text: []byte("update"), Deadline: inAMinute()})
+	awaitReusableIdle(t, client)
+	client.StartAttempt(AttemptRequest{Statement: "B", Engine: "e", Text: []byte("update"), Deadline: oneMinuteFromNow()})
 	assert.Equal(t, decision.Completed, receive(t, ends).Outcome)
 }
--- a/internal/upstream/engine_addresses.go
+++ b/internal/upstream/engine_addresses.go
@@ -7,8 +7,8 @@
 	"bankledge/decision"
 )
 
-// updateEngine sets an engine's address. Connections to its previous address are not used again, nor those to another
-// engine that was at the new one.
+// updateEngine sets an engine's address. Connections to its previous address are not reused, nor are those to another
+// engine that had the new address before; idle ones are closed at once.
 func (p *connectionPool) updateEngine(engine decision.EngineID, address string, ready bool) {
 	p.mu.Lock()
 	if ready {
@@ -19,30 +19,30 @@
 		p.mu.Unlock()
 		return
 	}
-	displaced := p.engineAt[address]
+	displaced := p.engineByAddress[address]
 	delete(p.addresses, displaced)
 	delete(p.draining, displaced)
-	if p.engineAt[previousAddress] == engine {
-		delete(p.engineAt, previousAddress)
+	if p.engineByAddress[previousAddress] == engine {
+		delete(p.engineByAddress, previousAddress)
 	}
 	p.addresses[engine] = address
-	p.engineAt[address] = engine
+	p.engineByAddress[address] = engine
 	p.mu.Unlock()
 	p.closeIdle(engine)
 	p.closeIdle(displaced)
 }
 
-// removeEngine forgets an engine that was removed from the endpoint list. Attempts in flight there go on at
-// the address that they have, until another engine takes it over; connections are kept that long, since the engine may
-// accept no new ones.
+// removeEngine deletes an engine that was removed from the endpoint list. Attempts in flight there continue at the engine's
+// last address until another engine takes over that address. Idle connections are kept while attempts are in flight, since
+// the engine may accept no new connections.
 func (p *connectionPool) removeEngine(engine decision.EngineID) {
 	p.mu.Lock()
 	address := p.addresses[engine]
 	inFlight := p.attemptsInFlight[engine]
 	delete(p.addresses, engine)
 	delete(p.draining, engine)
-	if p.engineAt[address] == engine {
-		delete(p.engineAt, address)
+	if p.engineByAddress[address] == engine {
+		delete(p.engineByAddress, address)
 	}
 	p.mu.Unlock()
 	if inFlight == 0 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// drainEngine prevents further starts at an engine. An engine that is not listed needs no mark: none is started there.
+// drainEngine prevents further starts at an engine. An engine that is not listed is not marked: no attempt starts there.
 func (p *connectionPool) drainEngine(engine decision.EngineID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// mayStartAttempt reports whether an attempt may be started that was decided on when the engine had this address.
+// mayStartAttempt reports whether an attempt may be started that was requested when the engine had the given address.
 func (p *connectionPool) mayStartAttempt(engine decision.EngineID, address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,11 +88,11 @@
 	return p.addresses[engine]
 }
 
-// isOfOtherEngine reports whether an address belongs to an engine other than this one.
-func (p *connectionPool) isOfOtherEngine(address string, engine decision.EngineID) bool {
+// belongsToOtherEngine reports whether an address belongs to an engine other than the given one.
+func (p *connectionPool) belongsToOtherEngine(address string, engine decision.EngineID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	owner := p.engineAt[address]
+	owner := p.engineByAddress[address]
 	return owner != "" && owner != engine
 }
 
@@ -103,15 +103,15 @@
 	return slices.Sorted(maps.Keys(p.addresses))
 }
 
-// attemptStarted counts an attempt in flight at an engine; attemptFinished must follow.
+// attemptStarted counts an attempt in flight at an engine. Each call must be followed by one of attemptFinished.
 func (p *connectionPool) attemptStarted(engine decision.EngineID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.attemptsInFlight[engine]++
 }
 
-// attemptFinished ends what attemptStarted began. The connections to an engine that has left the endpoint list are
-// closed when the last attempt there ends.
+// attemptFinished undoes one call of attemptStarted. When the last attempt at an engine that was removed from the endpoint
+// list ends, attemptFinished closes the idle connections to that engine.
 func (p *connectionPool) attemptFinished(engine decision.EngineID) {
 	p.mu.Lock()
 	p.attemptsInFlight[engine]--
--- a/internal/upstream/engine_addresses_test.go
+++ b/internal/upstream/engine_addresses_test.go
@@ -16,8 +16,8 @@
 
 func addressWithPort(port int) string { return "127.0.0.1:" + strconv.Itoa(port) }
 
-// A new engine at the address of a removed one inherits neither its connections nor its attempts, and no state of
-// removed engines remains.
+// A new engine at the address of a removed engine inherits neither its connections nor its attempts, and no state of
+// removed engines is kept.
 func TestEngineReplacedAtItsAddress(t *testing.T) {
 	requests := make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -35,9 +35,9 @@
 	client := newTestClient(ctx, ends, 20, time.Second, address)
 	require.NoError(t, client.Preconnect(ctx, "e"))
 	require.Len(t, client.pool.idle["e"], 1)
-	client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Deadline: inAMinute()})
+	client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Deadline: oneMinuteFromNow()})
 	require.Equal(t, http.MethodPost, receive(t, requests))
-	client.UpdateEngine("new", address, true) // before the removal of the other one is known
+	client.UpdateEngine("new", address, true) // before the removal of the other engine is known
 	client.pool.mu.Lock()
 	assert.Empty(t, client.pool.idle["e"])
 	client.pool.mu.Unlock()
@@ -46,7 +46,7 @@
 	_, err := client.pool.acquire(ctx, "e", address, false)
 	require.ErrorIs(t, err, errUnknownEngine)
 	client.RemoveEngine("e")
-	assert.Equal(t, address, client.pool.addressOf("new"), "it stays the new one's")
+	assert.Equal(t, address, client.pool.addressOf("new"), "the address still belongs to the new engine")
 	for i := range 1000 {
 		engine := decision.EngineID(strconv.Itoa(i))
 		client.UpdateEngine(engine, addressWithPort(1000+i), true)
@@ -56,26 +56,26 @@
 	}
 	client.RetainEngines(map[decision.EngineID]bool{"new": true})
 	assert.Len(t, client.pool.addresses, 1)
-	assert.Len(t, client.pool.engineAt, 1)
+	assert.Len(t, client.pool.engineByAddress, 1)
 	cancel()
 	require.NoError(t, client.Run(ctx))
 	assert.Empty(t, client.pool.idle)
-	assert.Less(t, len(requests), 50, "an engine that has no progress and answers at once is not polled without a pause")
+	assert.Less(t, len(requests), 50, "an engine that reports no progress and responds immediately is not polled without a delay")
 	assert.Zero(t, client.ConnectionsInUse())
 }
 
-// Attempts are started at an engine that was draining and is ready again.
+// Attempts are started at an engine that was draining and has become ready again.
 func TestEngineReadyAfterDraining(t *testing.T) {
 	listener := listenOnLoopback(t)
-	requests := serveAtOnce(t, listener)
+	requests := serveImmediately(t, listener)
 	address := listener.Addr().String()
-	client := newTestClient(t.Context(), make(endRecorder, 1), 4, patience, address)
+	client := newTestClient(t.Context(), make(endRecorder, 1), 4, testTimeout, address)
 	client.DrainEngine("e")
 	assert.False(t, client.pool.mayStartAttempt("e", address))
 	client.UpdateEngine("e", address, true)
-	client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: inAMinute()})
+	client.StartAttempt(AttemptRequest{Statement: "s", Engine: "e", Deadline: oneMinuteFromNow()})
 	assert.Equal(t, "POST", receive(t, requests))
-	for i := range 1000 { // no state of drained and removed engines remains
+	for i := range 1000 { // no state of drained and removed engines is kept
 		engine := decision.EngineID(strconv.Itoa(i))
 		client.DrainEngine(engine)
 		client.UpdateEngine(engine, addressWithPort(1000+i), true)
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	patience = 10 * time.Second // for what must happen
+	testTimeout = 10 * time.Second // limits the wait for expected events
 
 	noProgressResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 	cancelledResponse  = "HTTP/1.1 204 No Content\r\n\r\n"
 )
 
-// receive returns the next value of a channel, and fails the test if there is none in time.
+// receive returns the next value of a channel, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, channel <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-channel:
-	case <-time.After(patience):
-		t.Fatal("it did not happen")
+	case <-time.After(testTimeout):
+		t.Fatal("nothing was received before the test timeout")
 	}
 	return value
 }
 
-// endRecorder is a listener that keeps the ends of attempts.
+// endRecorder is a Listener that records the ends of attempts.
 type endRecorder chan decision.AttemptEnded
 
 func (r endRecorder) AttemptProgressed(decision.AttemptProgress)              {}
 func (r endRecorder) AttemptEnded(ended decision.AttemptEnded, result []byte) { r <- ended }
 func (r endRecorder) HealthCheckEnded(decision.HealthCheckEnded)              {}
 
-// resultRecorder is a listener that keeps the attempts' statements and results, separated by a space.
+// resultRecorder is a Listener that records each attempt's statement and result, separated by a space.
 type resultRecorder chan string
 
 func (r resultRecorder) AttemptProgressed(decision.AttemptProgress) {}
@@ -55,14 +55,14 @@
 	return listener
 }
 
-// newTestClient returns a client whose attempts end with ctx, which knows an engine "e" at an address.
+// newTestClient returns a client whose attempts end when ctx is done. The engine "e" is listed at the given address.
 func newTestClient(ctx context.Context, listener Listener, maxConnections int, connectTimeout time.Duration, address string) *Client {
 	client := New(ctx, listener, maxConnections, time.Minute, connectTimeout, zap.NewNop())
 	client.UpdateEngine("e", address, true)
 	return client
 }
 
-// newAttempt returns an attempt at the engine "e" that no goroutine runs.
+// newAttempt returns an attempt at the engine "e" without a goroutine that runs it.
 func newAttempt(ctx context.Context, client *Client, request AttemptRequest) *Attempt {
 	request.Engine = "e"
 	ctx, cancel := context.WithCancel(ctx)
@@ -79,21 +79,22 @@
 	}
 }
 
-func inAMinute() time.Time { return time.Now().Add(time.Minute) }
+func oneMinuteFromNow() time.Time { return time.Now().Add(time.Minute) }
 
-// awaitRest waits until an idle connection to the engine "e", if there is one, may be used again.
-func awaitRest(t *testing.T, client *Client) {
+// awaitReusableIdle waits until the idle connection to the engine "e", if there is one, may be reused.
+func awaitReusableIdle(t *testing.T, client *Client) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		client.pool.mu.Lock()
 		defer client.pool.mu.Unlock()
 		idle := client.pool.idle["e"]
-		return len(idle) == 0 || time.Since(idle[0].idleSince) > 2*minRestTime
-	}, patience, time.Millisecond)
+		return len(idle) == 0 || time.Since(idle[0].idleSince) > 2*minIdleBeforeReuse
+	}, testTimeout, time.Millisecond)
 }
 
-// serveAtOnce answers each request on a listener at once, without progress, and returns the first four bytes of each.
-func serveAtOnce(t *testing.T, listener net.Listener) <-chan string {
+// serveImmediately responds to each request on a listener at once, without progress. The returned channel receives the first
+// four bytes of each request.
+func serveImmediately(t *testing.T, listener net.Listener) <-chan string {
 	t.Helper()
 	requests := make(chan string, 1000)
 	go func() {
@@ -102,14 +103,14 @@
 			if err != nil {
 				return
 			}
-			go answerAtOnce(socket, requests)
+			go respondImmediately(socket, requests)
 		}
 	}()
 	t.Cleanup(func() { listener.Close() })
 	return requests
 }
 
-func answerAtOnce(socket net.Conn, requests chan<- string) {
+func respondImmediately(socket net.Conn, requests chan<- string) {
 	defer socket.Close()
 	buffer := make([]byte, 4096)
 	for {
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -9,19 +9,20 @@
 
 const healthCheckPath = "/busy"
 
-// CheckHealth requests an engine's load report and notifies the listener of the outcome. The connect timeout bounds
-// connecting and the response together. Nothing is checked once Run has closed the client.
+// CheckHealth requests an engine's load report in the background and notifies the listener of the outcome. The connect
+// timeout limits the total time for connecting and for the response. CheckHealth does nothing after Run has closed the
+// client.
 func (c *Client) CheckHealth(engine decision.EngineID) {
 	c.tasks.start(func() {
 		began := time.Now()
 		ended := decision.HealthCheckEnded{Engine: engine}
-		ended.Outcome, ended.Report = c.exchangeHealthCheck(engine, began.Add(c.pool.connectTimeout))
+		ended.Outcome, ended.Report = c.sendHealthCheck(engine, began.Add(c.pool.connectTimeout))
 		ended.Elapsed = time.Since(began)
 		c.listener.HealthCheckEnded(ended)
 	})
 }
 
-func (c *Client) exchangeHealthCheck(engine decision.EngineID, deadline time.Time) (decision.Outcome, *decision.LoadReport) {
+func (c *Client) sendHealthCheck(engine decision.EngineID, deadline time.Time) (decision.Outcome, *decision.LoadReport) {
 	conn, err := c.pool.acquire(c.lifetime, engine, c.pool.addressOf(engine), false)
 	if err != nil {
 		return decision.ConnectFailed, nil
--- a/internal/upstream/late_start_test.go
+++ b/internal/upstream/late_start_test.go
@@ -12,9 +12,9 @@
 	"bankledge/internal/faultlab"
 )
 
-// A statement's start is held up on its way, its client leaves, and 0.3 s later the start comes to the engine: an attempt that begins more
-// than 0.1 s after its client has gone (seed 30 of the shutdown soaks, 0.385 s). The connection was reset only when the start's response
-// was overdue, 0.55 s after it was sent. Now it is reset 50 ms after the statement's end; its end counts as unproven for 2.35 s then.
+// The network delays a start, its client leaves, and 0.3 s later the start arrives at the engine, which begins the attempt more than 0.1 s
+// after its client has left (seed 30 of the shutdown soaks: 0.385 s). The connection used to be reset only when the start's response timed
+// out, 0.55 s after the start was sent. It is now reset 50 ms after the statement's end; the attempt's end is then unconfirmed for 2.35 s.
 func TestStartIsNotDeliveredAfterItsClientLeft(t *testing.T) {
 	const departureSlack = 100 * time.Millisecond
 	engine := startPersistentEngine(t, func(_ *persistentEngine, method string, _ int) string {
@@ -28,10 +28,10 @@
 	defer link.Close()
 	client := newTestClient(t.Context(), make(endRecorder, 1), 4, time.Second, link.Address())
 	require.NoError(t, client.Preconnect(t.Context(), "e"))
-	awaitRest(t, client)
+	awaitReusableIdle(t, client)
 	link.Impair(faultlab.Impairment{Blocked: true}, faultlab.Impairment{})
-	attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
-	require.Eventually(t, func() bool { return link.InFlight() > 0 }, patience, time.Millisecond)
+	attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: oneMinuteFromNow()})
+	require.Eventually(t, func() bool { return link.InFlight() > 0 }, testTimeout, time.Millisecond)
 	attempt.Cancel()
 	time.Sleep(departureSlack + 200*time.Millisecond)
 	link.Restore()
@@ -41,24 +41,25 @@
 	}
 }
 
-// An attempt is called off, so that its statement can go elsewhere, while its start is held up; the start is withheld once the client leaves.
-func TestCalledOffStartIsWithheldOnceItsClientLeaves(t *testing.T) {
+// CallOff cancels an attempt, so that its statement can be retried, while the network delays the start. The start is not aborted until the
+// client leaves.
+func TestCalledOffStartIsWithheldAfterClientLeaves(t *testing.T) {
 	engine := startPersistentEngine(t, func(*persistentEngine, string, int) string { return cancelledResponse })
 	link, err := faultlab.NewLink(engine.listener.Addr().String())
 	require.NoError(t, err)
 	defer link.Close()
 	client := newTestClient(t.Context(), make(endRecorder, 1), 4, time.Second, link.Address())
 	require.NoError(t, client.Preconnect(t.Context(), "e"))
-	awaitRest(t, client)
+	awaitReusableIdle(t, client)
 	link.Impair(faultlab.Impairment{Blocked: true}, faultlab.Impairment{})
-	attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
-	require.Eventually(t, func() bool { return link.InFlight() > 0 }, patience, time.Millisecond)
+	attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: oneMinuteFromNow()})
+	require.Eventually(t, func() bool { return link.InFlight() > 0 }, testTimeout, time.Millisecond)
 	attempt.CallOff()
 	time.Sleep(2 * startAbortDelay)
 	assert.Zero(t, link.Resets())
 	withheld := time.Now()
 	attempt.WithholdStart()
-	require.Eventually(t, func() bool { return link.Resets() > 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return link.Resets() > 0 }, testTimeout, time.Millisecond)
 	assert.GreaterOrEqual(t, time.Since(withheld), startAbortDelay)
 	link.Restore()
 	engine.awaitRequest(t, http.MethodDelete)
@@ -68,9 +69,9 @@
 	}
 }
 
-// A start has come whole to its engine when its client leaves, and the engine begins it only after it has confirmed the cancellation. The
-// reset proves nothing: the attempt ends once the engine would have dropped it.
-func TestAbortedStartIsNotProvenByACancellation(t *testing.T) {
+// The engine has received the complete start when the client leaves, but begins the attempt only after it has confirmed the cancellation.
+// The reset of the connection confirms nothing: the attempt ends only once the engine's retention has passed.
+func TestAbortedStartIsNotConfirmedByACancellation(t *testing.T) {
 	release := make(chan struct{})
 	engine := startPersistentEngine(t, func(engine *persistentEngine, method string, _ int) string {
 		if method == http.MethodDelete {
@@ -82,20 +83,20 @@
 	})
 	ends := make(endRecorder, 1)
 	client := newTestClient(t.Context(), ends, 4, time.Second, engine.listener.Addr().String())
-	attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: inAMinute()})
+	attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: oneMinuteFromNow()})
 	receive(t, engine.startReceived)
 	attempt.Cancel()
 	engine.awaitRequest(t, http.MethodDelete)
-	require.Eventually(t, func() bool { return attempt.startConn.Load() == nil }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return attempt.startConn.Load() == nil }, testTimeout, time.Millisecond)
 	aborted := time.Now()
-	close(release) // the engine begins it now
+	close(release) // the engine begins the attempt now
 	assert.Equal(t, decision.Cancelled, receive(t, ends).Outcome)
 	assert.GreaterOrEqual(t, time.Since(aborted), engineRetention)
-	assert.False(t, engine.stillRuns(), "the engine still runs it")
+	assert.False(t, engine.stillRuns(), "the engine still runs the attempt")
 }
 
-// A start that is answered before the delay is over keeps its connection, which serves the next attempt: the abort that comes later must
-// not reset that one.
+// If a start is answered before startAbortDelay has passed, its connection stays open and may serve the next attempt. The later abort must
+// not reset that connection.
 func TestAnsweredStartKeepsItsConnection(t *testing.T) {
 	engine := startPersistentEngine(t, func(_ *persistentEngine, method string, _ int) string {
 		if method == http.MethodDelete {
@@ -105,7 +106,7 @@
 	})
 	ends := make(endRecorder, 1)
 	client := newTestClient(t.Context(), ends, 4, time.Second, engine.listener.Addr().String())
-	attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "1", Deadline: inAMinute()})
+	attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "1", Deadline: oneMinuteFromNow()})
 	client.pool.attemptStarted("e")
 	conn, err := client.pool.acquire(attempt.ctx, "e", attempt.address, false)
 	require.NoError(t, err)
@@ -115,29 +116,29 @@
 	require.True(t, sent)
 	attempt.releaseConnection(true)
 	attempt.abortStart()
-	awaitRest(t, client)
+	awaitReusableIdle(t, client)
 	next, err := client.pool.acquire(t.Context(), "e", attempt.address, false)
 	require.NoError(t, err)
 	assert.Same(t, conn, next)
 	client.pool.release(next)
 }
 
-// An abort that comes with the response, before the connection is given back, closes it: no other attempt may get a connection that is
-// about to be reset.
-func TestAbortBesideTheResponse(t *testing.T) {
+// An abort that occurs after the response was received and before the connection is released closes the connection: no other attempt may
+// acquire a connection that is about to be reset.
+func TestAbortConcurrentWithTheResponse(t *testing.T) {
 	answered := make(chan struct{})
 	engine := startPersistentEngine(t, func(*persistentEngine, string, int) string {
 		<-answered
 		return noProgressResponse
 	})
 	client := newTestClient(t.Context(), make(endRecorder, 1), 4, time.Second, engine.listener.Addr().String())
-	attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "1", Deadline: inAMinute()})
+	attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "1", Deadline: oneMinuteFromNow()})
 	var err error
 	attempt.conn, err = client.pool.acquire(attempt.ctx, "e", attempt.address, false)
 	require.NoError(t, err)
 	attempt.startConn.Store(attempt.conn)
 	close(answered)
-	_, err = attempt.roundTrip(patience, formatRequest(http.MethodPost, startPath, attempt.address, nil, headerField{"Content-Length", "0"}))
+	_, err = attempt.roundTrip(testTimeout, formatRequest(http.MethodPost, startPath, attempt.address, nil, headerField{"Content-Length", "0"}))
 	require.NoError(t, err)
 	attempt.abortStart()
 	attempt.finishStart()
@@ -145,23 +146,24 @@
 	assert.Zero(t, client.ConnectionsInUse())
 }
 
-// An attempt is held for the delay only while its start may be under way: its text counts as released once the attempt has ended.
-func TestWithholdingHoldsNoAttemptWithoutStart(t *testing.T) {
+// WithholdStart retains an attempt for startAbortDelay only while its start may be in flight: the memory of the attempt's text counts as
+// released once the attempt has ended.
+func TestWithholdStartReleasesAttemptWithoutStart(t *testing.T) {
 	engine := startPersistentEngine(t, func(*persistentEngine, string, int) string { return noProgressResponse })
 	client := newTestClient(t.Context(), make(endRecorder, 1), 4, time.Second, engine.listener.Addr().String())
-	attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "1", Deadline: inAMinute()})
-	assert.False(t, attempt.startIsOver(), "it may start yet")
+	attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "1", Deadline: oneMinuteFromNow()})
+	assert.False(t, attempt.startDone(), "the attempt may still be started")
 	var err error
 	attempt.conn, err = client.pool.acquire(attempt.ctx, "e", attempt.address, false)
 	require.NoError(t, err)
 	attempt.startConn.Store(attempt.conn)
 	require.True(t, attempt.markStarted())
-	assert.False(t, attempt.startIsOver())
+	assert.False(t, attempt.startDone())
 	attempt.finishStart()
-	assert.True(t, attempt.startIsOver())
+	assert.True(t, attempt.startDone())
 	attempt.releaseConnection(true)
 
-	unsent := newAttempt(t.Context(), client, AttemptRequest{Statement: "2", Deadline: inAMinute()})
+	unsent := newAttempt(t.Context(), client, AttemptRequest{Statement: "2", Deadline: oneMinuteFromNow()})
 	require.True(t, unsent.CancelUnsent())
-	assert.True(t, unsent.startIsOver())
+	assert.True(t, unsent.startDone())
 }
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -9,8 +9,8 @@
 	"bankledge/internal/settings"
 )
 
-// parseLoadReport reads pairs NAME:VALUE separated by semicolons, and ignores unknown names and invalid values; nil if
-// no valid pair remains.
+// parseLoadReport parses NAME:VALUE pairs separated by semicolons. It ignores unknown names and invalid values, and
+// returns nil if there is no valid pair.
 func parseLoadReport(text string) *decision.LoadReport {
 	var report *decision.LoadReport
 	for pair := range strings.SplitSeq(text, ";") {
@@ -28,7 +28,7 @@
 	return report
 }
 
-// parseNonNegative parses a finite number that is not below 0.
+// parseNonNegative parses a finite number that is 0 or greater.
 func parseNonNegative(text string) (value float64, valid bool) {
 	value, err := strconv.ParseFloat(text, 64)
 	return value, err == nil && value >= 0 && !math.IsInf(value, 0)
--- a/internal/upstream/result_pages.go
+++ b/internal/upstream/result_pages.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	maxResultBytes = 48_000 // the protocol's limit of a complete result
+	maxResultBytes = 48_000 // the protocol's limit for a complete result
 	maxPages       = 1 << 12
 )
 
-// fetchRemainingPages fetches the pages behind the first one and returns all rows, unchanged and in order.
+// fetchRemainingPages fetches the pages after the first one and returns all rows, unchanged and in order.
 func (a *Attempt) fetchRemainingPages(result []byte, pageCount int) ([]byte, error) {
 	for page := 1; page < pageCount && len(result) <= maxResultBytes; page++ {
 		received, err := a.fetchPage(page)
@@ -38,5 +38,5 @@
 	})
 }
 
-// endsWithCompleteRow reports whether a page ends with the end of a row; an empty one does.
+// endsWithCompleteRow reports whether a page ends at the end of a row. An empty page does.
 func endsWithCompleteRow(page []byte) bool { return len(page) == 0 || page[len(page)-1] == '\n' }
--- a/internal/upstream/shared_time.go
+++ b/internal/upstream/shared_time.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// sharedTime is a point in time that goroutines share. It is stored as a duration since an origin with a monotonic
-// reading, and not as a Unix time: a duration between Unix times changes when the wall clock is stepped.
+// sharedTime is a point in time that is safe for concurrent use. It is stored as the duration since an origin with a
+// monotonic reading rather than as a Unix time, since the difference between two Unix times changes when the wall clock is
+// stepped.
 type sharedTime struct{ nanosSinceOrigin atomic.Int64 }
 
 // store sets the time; at must have a monotonic reading.
--- a/internal/upstream/task_group.go
+++ b/internal/upstream/task_group.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// taskGroup runs tasks in goroutines until it is closed. Its methods are safe for concurrent use, which sync.WaitGroup's Go beside Wait is
-// not while the group may be empty.
+// taskGroup runs tasks in goroutines until it is closed. Its methods are safe for concurrent use, unlike calls of sync.WaitGroup.Go that
+// are concurrent with Wait while the group may be empty.
 type taskGroup struct {
 	mu      sync.Mutex
 	closed  bool
 	running sync.WaitGroup
 }
 
-// start runs a task, unless the group is closed. It returns whether it does.
+// start runs a task in a goroutine, unless the group is closed, and reports whether it does.
 func (g *taskGroup) start(task func()) (started bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -21,7 +21,7 @@
 	return true
 }
 
-// close has the group start no more tasks, and waits for those that run.
+// close prevents further tasks from being started and waits for the running ones.
 func (g *taskGroup) close() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// After a suspension an attempt waits for the control feed before it begins. The time that the engine is told is what the client has left
-// then, not what it had left before that wait.
-func TestTimeLeftIsThatAfterTheWaitForDiscovery(t *testing.T) {
+// After a suspension of the router, an attempt waits for the control feed before it starts. The remaining time that is sent to the engine
+// must be measured after that wait, not before it.
+func TestTimeLeftIsMeasuredAfterTheWaitForDiscovery(t *testing.T) {
 	const (
 		wait      = 400 * time.Millisecond
-		slack     = 150 * time.Millisecond // of the deadline that an engine is told
+		slack     = 150 * time.Millisecond // tolerance for the deadline that the engine computes
 		timeLimit = 5 * time.Second
 	)
 	type start struct {
@@ -43,8 +43,8 @@
 	assert.LessOrEqual(t, received.timeLeft, deadline.Sub(received.receivedAt)+slack)
 }
 
-// A deadline that passes in that wait leaves nothing to start.
-func TestNothingStartsOnceTheDeadlinePassedInTheWaitForDiscovery(t *testing.T) {
+// If the deadline passes during that wait, the attempt is not started.
+func TestNothingStartsIfTheDeadlinePassesDuringTheWaitForDiscovery(t *testing.T) {
 	engine := startPersistentEngine(t, func(*persistentEngine, string, int) string { return noProgressResponse })
 	ends := make(endRecorder, 1)
 	client := newTestClient(t.Context(), ends, 4, time.Second, engine.listener.Addr().String())
