--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -7,9 +7,9 @@
 	maxBackoff = 400 * time.Millisecond
 )
 
-// backoff is the pause between connections: none at first, then doubling from minBackoff to maxBackoff.
-type backoff struct{ pause time.Duration }
+// backoff computes the delay before the next connection: 0 at first, then doubling from minBackoff to maxBackoff.
+type backoff struct{ delay time.Duration }
 
-func (b *backoff) reset() { b.pause = 0 }
+func (b *backoff) reset() { b.delay = 0 }
 
-func (b *backoff) increase() { b.pause = min(maxBackoff, max(minBackoff, 2*b.pause)) }
+func (b *backoff) increase() { b.delay = min(maxBackoff, max(minBackoff, 2*b.delay)) }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,7 +1,7 @@
-// Package discovery watches the control feed: numbered changes of the endpoint list, as server-sent events.
+// Package discovery watches the control feed, which publishes numbered changes of the endpoint list as server-sent events.
 //
-// Client connects, requests what follows the last event that it handled, and goes on with a new connection when one ends, falls silent
-// or brings no events. liveConn decides when that is, startTimes works out when engines started.
+// Client connects, requests the events after the last one that it handled, and replaces a connection that ends, falls silent or delivers no
+// events. monitoredConn detects when a connection must be replaced; startTimes computes when engines started.
 package discovery
 
 import (
@@ -20,41 +20,41 @@
 	"bankledge/internal/logevent"
 )
 
-// maxEventErrors is how often an event that cannot be read is requested before it is skipped.
+// maxEventErrors is how often an event that cannot be parsed is requested before it is skipped.
 const maxEventErrors = 3
 
-// Client watches the control feed at an address. One goroutine owns it while it watches; SetAddress and HasUnreadEvents are safe for
-// concurrent use.
+// Client watches the control feed at an address. While Watch runs, only its goroutine may use the client, except for SetAddress and
+// HasUnreadEvents, which are safe for concurrent use.
 type Client struct {
 	address     string
 	LastEventID int64            // number of the last event handled
-	onEvent     func(WatchEvent) // called by Watch for each event that holds a list
+	onEvent     func(WatchEvent) // called by Watch for each event with a list
 	log         *zap.Logger
 
 	startTimes       startTimes
-	syncedAt         time.Time                   // when all events of the feed were known; zero: never yet
-	conn             atomic.Pointer[net.TCPConn] // the connection that is read
-	reading          atomic.Bool                 // a read is blocked, so everything read before was handled
-	stream           *liveConn                   // conn, for the goroutine that watches
-	spare            net.Conn                    // the connection to use after conn; nil: none
-	emptyConnections int                         // connections in a row that brought no line
+	syncedAt         time.Time                   // when the client last knew all events of the feed; zero: never yet
+	conn             atomic.Pointer[net.TCPConn] // the connection that is being read
+	reading          atomic.Bool                 // a read is in progress, so everything read before it was handled
+	stream           *monitoredConn              // wraps conn; used only by the goroutine of Watch
+	spare            net.Conn                    // an open connection that replaces conn; nil: none
+	emptyConnections int                         // number of consecutive connections that delivered no line
 
-	eventErrors  int  // failed attempts to read the next event
-	gapRequested bool // the events missing before the next one were requested again already
+	eventErrors  int  // number of failed attempts to parse the next event
+	gapRequested bool // the events missing before the next one were already requested again
 
 	mu               sync.Mutex
-	relocation       *relocation        // the new address, if one was set; nil: none
-	cancelConnection context.CancelFunc // ends the present connection, or the backoff before the next
+	addressChange    *addressChange     // the new address, if one was set; nil: none
+	cancelConnection context.CancelFunc // ends the current connection, or the backoff before the next one
 }
 
-// relocation is a new address of the feed, with the events that are known from another source.
-type relocation struct {
+// addressChange is a new address of the feed, with the events that are known from another source.
+type addressChange struct {
 	address     string
 	knownEvents []json.RawMessage
 }
 
-// New returns a client of the control feed at an address; Watch calls onEvent for each event with a list. origin is the zero of the
-// router's clock, with a monotonic reading.
+// New returns a client of the control feed at an address. Watch calls onEvent for each event with a list. origin is the origin of the
+// router's clock and must have a monotonic reading.
 func New(address string, origin time.Time, onEvent func(WatchEvent), log *zap.Logger) *Client {
 	return &Client{
 		address:    address,
@@ -64,11 +64,11 @@
 	}
 }
 
-// ApplyKnownEvents reads the events of the configuration, before the feed is watched: it calls apply for those that hold a list, and
-// returns the highest number. It ends at the first that is not valid.
+// ApplyKnownEvents parses the events of the configuration, before the feed is watched. It calls apply for each event with a list and
+// returns the highest number. It stops at the first invalid event and returns an error.
 func (c *Client) ApplyKnownEvents(events []json.RawMessage, apply func(WatchEvent)) (last int64, err error) {
 	for _, raw := range events {
-		event, hasList, err := c.parseReceived(raw)
+		event, hasList, err := c.parseReceivedEvent(raw)
 		if err != nil {
 			return last, fmt.Errorf("known.events: %w", err)
 		}
@@ -77,12 +77,12 @@
 			apply(event)
 		}
 	}
-	c.syncedAt = time.Now() // what is not among them happens after the start
+	c.syncedAt = time.Now() // any other event is published after the router's start
 	return last, nil
 }
 
-// parseReceived reads an event that is received now.
-func (c *Client) parseReceived(raw []byte) (event WatchEvent, hasList bool, err error) {
+// parseReceivedEvent parses an event that was received just now, and sets the start times of its endpoints.
+func (c *Client) parseReceivedEvent(raw []byte) (event WatchEvent, hasList bool, err error) {
 	event, hasList, err = ParseEvent(raw)
 	if err == nil {
 		c.startTimes.resolve(&event, c.syncedAt, time.Now())
@@ -90,23 +90,23 @@
 	return event, hasList, err
 }
 
-// SetAddress makes the client go on at another address, from the event last handled, at once. Events that the caller knows of are
-// handled first, as far as they are new. Of several calls the last counts.
+// SetAddress makes the client immediately continue at another address, from the last handled event. Those of knownEvents that are new are
+// handled first. If SetAddress is called several times, the last call takes effect.
 func (c *Client) SetAddress(address string, knownEvents []json.RawMessage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.relocation = &relocation{address: address, knownEvents: knownEvents}
+	c.addressChange = &addressChange{address: address, knownEvents: knownEvents}
 	if c.cancelConnection != nil {
 		c.cancelConnection()
 	}
 }
 
-// applyRelocation goes to another address, if one was set. The context that it returns ends when the next one is set.
-func (c *Client) applyRelocation(ctx context.Context) (connCtx context.Context, cancel context.CancelFunc, relocated bool) {
+// applyAddressChange switches to a new address, if one was set. The returned context is cancelled when the next address is set.
+func (c *Client) applyAddressChange(ctx context.Context) (connCtx context.Context, cancel context.CancelFunc, changed bool) {
 	connCtx, cancel = context.WithCancel(ctx)
 	c.mu.Lock()
-	next := c.relocation
-	c.relocation = nil
+	next := c.addressChange
+	c.addressChange = nil
 	c.cancelConnection = cancel
 	c.mu.Unlock()
 	if next == nil {
@@ -119,10 +119,10 @@
 	return connCtx, cancel, true
 }
 
-// applyNewerEvents handles the new events of a list, up to the first gap. The feed itself sends those behind the gap.
+// applyNewerEvents handles the new events of a list, up to the first gap. The feed itself sends the events after the gap.
 func (c *Client) applyNewerEvents(events []json.RawMessage) {
 	for _, raw := range events {
-		event, hasList, err := c.parseReceived(raw)
+		event, hasList, err := c.parseReceivedEvent(raw)
 		if err != nil || event.Number > c.LastEventID+1 && !event.Complete {
 			return
 		}
@@ -136,14 +136,14 @@
 	}
 }
 
-// Watch follows the feed until ctx ends. A connection that ends or falls silent is replaced at once, and with increasing backoff while
-// nothing is received. Its error is always nil.
+// Watch follows the feed until ctx is done. It replaces a connection that ends or falls silent immediately, and with increasing backoff
+// while nothing is received. The returned error is always nil.
 func (c *Client) Watch(ctx context.Context) error {
 	defer c.closeSpare()
 	var retry backoff
 	for ctx.Err() == nil {
-		connCtx, cancel, relocated := c.applyRelocation(ctx)
-		if relocated {
+		connCtx, cancel, addressChanged := c.applyAddressChange(ctx)
+		if addressChanged {
 			c.closeSpare() // it is connected to the old address
 			c.emptyConnections = 0
 			retry.reset()
@@ -156,7 +156,7 @@
 			retry.reset()
 		}
 		if !replaced {
-			c.waitBackoff(connCtx, err, retry.pause)
+			c.waitBackoff(connCtx, err, retry.delay)
 			retry.increase()
 		}
 		cancel()
@@ -164,22 +164,22 @@
 	return nil
 }
 
-// waitBackoff waits after a connection was lost, until ctx ends at the latest.
-func (c *Client) waitBackoff(ctx context.Context, lost error, pause time.Duration) {
+// waitBackoff logs why a connection was lost, and waits for the delay or until ctx is done.
+func (c *Client) waitBackoff(ctx context.Context, cause error, delay time.Duration) {
 	if ctx.Err() == nil {
 		c.log.Warn(logevent.ControlFeedLost,
-			zap.Error(lost), zap.Int64("last_event_id", c.LastEventID), logevent.Milliseconds("backoff_ms", pause))
+			zap.Error(cause), zap.Int64("last_event_id", c.LastEventID), logevent.Milliseconds("backoff_ms", delay))
 	}
 	select {
-	case <-time.After(pause):
+	case <-time.After(delay):
 	case <-ctx.Done():
 	}
 }
 
-// handleEvent handles one event. Repeats are skipped. The events missing before it are requested again once, an event that cannot be
-// read is requested maxEventErrors times in all. An error ends the connection, so that the next one requests again.
+// handleEvent handles one event. Duplicates are skipped. Events that are missing before it are requested again once; an event that cannot
+// be parsed is requested maxEventErrors times in total. An error ends the connection, so that the next connection repeats the request.
 func (c *Client) handleEvent(id, data string) error {
-	event, hasList, err := c.parseReceived([]byte(data))
+	event, hasList, err := c.parseReceivedEvent([]byte(data))
 	if number, idErr := strconv.ParseInt(id, 10, 64); idErr == nil {
 		event.Number = number
 	}
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// handleInvalidEvent returns an error to have the event requested again, or skips it if that was done often enough.
+// handleInvalidEvent returns an error so that the event is requested again, or skips the event after maxEventErrors failures.
 func (c *Client) handleInvalidEvent(id string, number int64, cause error) error {
 	c.eventErrors++
 	if c.eventErrors < maxEventErrors {
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -16,16 +16,18 @@
 const (
 	connectTimeout = 500 * time.Millisecond
 	maxEventBytes  = 1 << 20 // an event may list thousands of engines
-	statusOK       = 200     // of HTTP
+	statusOK       = 200     // HTTP status
 )
 
-// statusError is a response of the control feed with another status than 200.
+// statusError reports a response of the control feed with a status other than 200.
 type statusError struct{ status int }
 
-func (e *statusError) Error() string { return fmt.Sprintf("control feed answered %d", e.status) }
+func (e *statusError) Error() string {
+	return fmt.Sprintf("control feed responded with HTTP status %d, not 200", e.status)
+}
 
-// watchOnce follows the feed on one connection: the spare one or a new one. It returns why the connection ended, errReplaced if
-// the spare connection replaces it.
+// watchOnce follows the feed on one connection: the spare connection or a new one. It returns why the connection ended; errReplaced means
+// that the spare connection replaces it.
 func (c *Client) watchOnce(ctx context.Context) error {
 	conn, err := c.takeConnection(ctx)
 	if err != nil {
@@ -37,7 +39,7 @@
 	tcp, _ := conn.(*net.TCPConn)
 	c.conn.Store(tcp)
 	defer c.conn.Store(nil)
-	c.stream = &liveConn{
+	c.stream = &monitoredConn{
 		Conn:               conn,
 		lastProgress:       time.Now(),
 		progressTimeout:    c.firstLineTimeout(),
@@ -45,11 +47,11 @@
 		reading:            &c.reading,
 		connectReplacement: func() bool { return c.connectSpare(ctx) },
 	}
-	defer c.countEmptyConnection(c.stream)
+	defer c.updateEmptyConnections(c.stream)
 	return c.readResponse(c.stream)
 }
 
-// takeConnection returns the spare connection, or a new one.
+// takeConnection returns the spare connection, or dials a new one if there is none.
 func (c *Client) takeConnection(ctx context.Context) (net.Conn, error) {
 	spare := c.spare
 	c.spare = nil
@@ -59,7 +61,7 @@
 	return c.connect(ctx)
 }
 
-// connectSpare opens a connection that may replace the present one.
+// connectSpare opens a spare connection, which may replace the current one, and reports whether it succeeded.
 func (c *Client) connectSpare(ctx context.Context) bool {
 	var err error
 	c.spare, err = c.connect(ctx)
@@ -73,7 +75,7 @@
 	}
 }
 
-// connect makes a connection and requests what follows the last event that was handled.
+// connect opens a connection and requests the events after the last handled one.
 func (c *Client) connect(ctx context.Context) (net.Conn, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
@@ -93,8 +95,8 @@
 	return conn, nil
 }
 
-// firstLineTimeout returns the time limit for a new connection's first line. It starts short, so that several connections can fail one
-// after another within maxNotificationDelay, and increases, so that a feed that is slow to begin is read in the end.
+// firstLineTimeout returns the timeout for the first line on a new connection. It is short at first, so that several connections can fail
+// one after another within maxNotificationDelay, and increases, so that a feed that is slow to respond is eventually read.
 func (c *Client) firstLineTimeout() time.Duration {
 	timeout := initialLineTimeout
 	for range c.emptyConnections {
@@ -103,8 +105,8 @@
 	return timeout
 }
 
-// countEmptyConnection counts connections in a row that brought no line.
-func (c *Client) countEmptyConnection(stream *liveConn) {
+// updateEmptyConnections counts consecutive connections that delivered no line.
+func (c *Client) updateEmptyConnections(stream *monitoredConn) {
 	if stream.bodyStarted {
 		c.emptyConnections = 0
 		return
@@ -112,8 +114,8 @@
 	c.emptyConnections++
 }
 
-// readResponse reads the response's header and then its events.
-func (c *Client) readResponse(stream *liveConn) error {
+// readResponse reads the header and then the events of the response.
+func (c *Client) readResponse(stream *monitoredConn) error {
 	reader := http1.NewReader(stream)
 	header, err := reader.ReadHeader()
 	if err != nil {
@@ -126,8 +128,8 @@
 	return c.readEvents(reader.BodyReader(header))
 }
 
-// readEvents reads server-sent events until the stream ends or one requires a new connection. A comment means that the feed has no
-// other event by then.
+// readEvents reads server-sent events until the stream ends or an event requires a new connection. A comment means that the feed has sent
+// all events up to that time.
 func (c *Client) readEvents(body io.Reader) error {
 	return sse.Read(body, maxEventBytes, sse.Handler{
 		OnEvent: func(event sse.Event) error {
@@ -144,8 +146,8 @@
 	})
 }
 
-// HasUnreadEvents returns whether the control feed may have sent something that was not read, or not handled, yet. Without a connection,
-// or on one that this process has closed, that is not known: it is requested again on the next one. It is safe for concurrent use.
+// HasUnreadEvents reports whether the control feed may have sent events that were not read or not handled yet. Without an open connection
+// this is unknown and the result is true: the next connection requests the events. It is safe for concurrent use.
 func (c *Client) HasUnreadEvents() bool {
 	conn := c.conn.Load()
 	if conn == nil || !c.reading.Load() {
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -11,22 +11,22 @@
 	"bankledge/internal/settings"
 )
 
-// Endpoint is an engine in an event, with the address where it listens.
+// Endpoint is an engine in an event, with the address at which it listens.
 type Endpoint struct {
 	decision.Endpoint
 	Address           string // host and port
-	startedUnixMillis int64  // Unix time of a late start, or 0
+	startedUnixMillis int64  // Unix time of the start, or 0 if the feed sends none
 }
 
 // WatchEvent is one numbered change of the endpoint list.
 type WatchEvent struct {
-	Number    int64 // ascending, without gaps
-	Revision  int64 // of the list
-	Complete  bool  // Endpoints is the complete list, not only what has changed
+	Number    int64 // ascending and without gaps
+	Revision  int64 // revision of the endpoint list
+	Complete  bool  // Endpoints is the complete list, not only the changed endpoints
 	Endpoints []Endpoint
 }
 
-// engineStates maps the control feed's names of an engine's phase.
+// engineStates maps the phases in the control feed to engine states.
 var engineStates = map[string]decision.EngineState{
 	"active":  decision.Ready,
 	"leaving": decision.Draining,
@@ -35,8 +35,8 @@
 
 var errNoMemberID = errors.New("a member without an id")
 
-// The wire form of an event. These are aliases since errors of encoding/json name the type that they are about: operators read
-// those, and they stay as they are.
+// The wire format of an event. These are aliases of unnamed types, since the errors of encoding/json contain the names of types. Operators
+// read these errors, so their texts must not change.
 type (
 	eventJSON = struct {
 		N       int64        `json:"n"`
@@ -59,11 +59,12 @@
 	}
 )
 
-// publishedNames are the names of types in the texts of decoding errors, which go to standard error for the events of a configuration.
+// publishedNames maps Go type names to the names that appear in decoding errors. Such errors are written to standard error for the events
+// of a configuration.
 var publishedNames = strings.NewReplacer("decision.MachineType", "decision.Kind")
 
-// ParseEvent reads one event; hasList is false for an event of another kind than a change of the endpoint list. StartedAt of the
-// endpoints is not worked out yet. Where an event can be read but is not valid, its Number is returned with the error.
+// ParseEvent parses one event. hasList is false if the event is not a change of the endpoint list. ParseEvent does not set StartedAt of the
+// endpoints. If the event can be decoded but is invalid, its Number is returned with the error.
 func ParseEvent(raw []byte) (event WatchEvent, hasList bool, err error) {
 	var wire eventJSON
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -85,7 +86,7 @@
 	return event, true, nil
 }
 
-// parseMember validates one engine of an event. One that has been removed needs no address.
+// parseMember validates one engine of an event. A removed engine needs no address.
 func parseMember(member memberJSON) (Endpoint, error) {
 	state, err := settings.LookUpWord("phase", member.Phase, engineStates)
 	if err != nil {
--- a/internal/discovery/event_test.go
+++ b/internal/discovery/event_test.go
@@ -13,19 +13,19 @@
 func TestParseEvent(t *testing.T) {
 	for _, c := range []struct {
 		name              string
-		from, to          string // replaced in the member
+		from, to          string // from is replaced by to in the member
 		startedUnixMillis int64
 		state             decision.EngineState
 		err               string
 	}{
-		{"as it is", "", "", 0, decision.Ready, ""},
-		{"started late", `"size":4`, `"up_since_ms":1090000`, 1090000, decision.Ready, ""},
+		{"unchanged", "", "", 0, decision.Ready, ""},
+		{"with a start time", `"size":4`, `"up_since_ms":1090000`, 1090000, decision.Ready, ""},
 		{"draining", "active", "leaving", 0, decision.Draining, ""},
-		{"removed, address and all", `"127.0.0.1:9","locality":"z","flavor":"k","cell":2,"phase":"active"`, `"","phase":"left"`, 0, decision.Removed, ""},
+		{"removed, without address and other fields", `"127.0.0.1:9","locality":"z","flavor":"k","cell":2,"phase":"active"`, `"","phase":"left"`, 0, decision.Removed, ""},
 		{"an unknown state", "active", "asleep", 0, 0, "unknown word"},
 		{"no id", "e1", "", 0, 0, "without an id"},
 		{"no address", "127.0.0.1:9", "nowhere", 0, 0, "host_port"},
-		{"an ill-typed field", `"cell":2`, `"cell":"x"`, 0, 0, "cell"},
+		{"a field of the wrong type", `"cell":2`, `"cell":"x"`, 0, 0, "cell"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			raw := `{"n":3,"members":{"revision":9,"complete":true,"members":[` + strings.Replace(member, c.from, c.to, 1) + `]}}`
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// testTimeout bounds what must happen; nothing takes so long when all is well.
+	// testTimeout limits the wait for expected events. It is much longer than they take in a passing test.
 	testTimeout = 30 * time.Second
 
 	responseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
@@ -22,12 +22,12 @@
 	member = `{"id":"e1","host_port":"127.0.0.1:9","locality":"z","flavor":"k","cell":2,"phase":"active","size":4}`
 )
 
-// eventText is an event of the control feed with one engine.
+// eventText returns an event of the control feed with one engine.
 func eventText(id, number string) string {
 	return "id: " + id + "\ndata: {\"n\":" + number + ",\"members\":{\"members\":[" + member + "]}}\n\n"
 }
 
-// newTestClient returns a client that has handled events up to a number, and the numbers of those that it handles.
+// newTestClient returns a client that has handled the events up to lastEventID, and a channel of the numbers of events that it handles.
 func newTestClient(address string, lastEventID int64) (*Client, <-chan int64) {
 	handled := make(chan int64, 10)
 	return &Client{
@@ -38,7 +38,7 @@
 	}, handled
 }
 
-// watch has the client watch until the test ends.
+// watch runs the client's Watch until the test ends.
 func watch(t *testing.T, client *Client) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -50,14 +50,14 @@
 	})
 }
 
-// script is what a control feed does on one connection, behind its request, until the client closes it.
+// script is the behaviour of a control feed on one connection, after the request, until the client closes the connection.
 type script func(conn net.Conn, closed <-chan struct{})
 
-// sends writes a text and nothing more.
-func sends(text string) script { return repeats(text, "", testTimeout) }
+// sendOnce returns a script that writes a text and nothing more.
+func sendOnce(text string) script { return sendRepeatedly(text, "", testTimeout) }
 
-// repeats writes a text and then another one periodically.
-func repeats(text, periodic string, every time.Duration) script {
+// sendRepeatedly returns a script that writes a text and then periodically another one.
+func sendRepeatedly(text, periodic string, every time.Duration) script {
 	return func(conn net.Conn, closed <-chan struct{}) {
 		io.WriteString(conn, text)
 		for {
@@ -71,8 +71,8 @@
 	}
 }
 
-// serveScripts is a control feed of which each connection follows the next script, and the last one from then on. It returns its
-// address and the Last-Event-ID of each request.
+// serveScripts starts a control feed. Each connection follows the next script; further connections follow the last one. It returns the
+// feed's address and a channel of the Last-Event-ID of each request.
 func serveScripts(t *testing.T, scripts ...script) (address string, requested <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,7 +91,7 @@
 	return listener.Addr().String(), ids
 }
 
-func serveScript(conn net.Conn, play script, requested chan<- string) {
+func serveScript(conn net.Conn, run script, requested chan<- string) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -111,7 +111,7 @@
 		defer close(closed)
 		r.ReadByte()
 	}()
-	play(conn, closed)
+	run(conn, closed)
 }
 
 func await[T any](t *testing.T, events <-chan T) (event T) {
@@ -119,7 +119,7 @@
 	select {
 	case event = <-events:
 	case <-time.After(testTimeout):
-		t.Fatal("it did not happen")
+		t.Fatal("nothing was received before the test timeout")
 	}
 	return event
 }
--- a/internal/discovery/start_time_test.go
+++ b/internal/discovery/start_time_test.go
@@ -12,27 +12,27 @@
 	"bankledge/decision"
 )
 
-// An engine's start time is taken from the wall clock only where the events received so far do not contradict it. A wall clock that is
-// wrong shifts every start time by the same amount.
+// An engine's start time is computed from the wall clock only if the events received so far do not contradict it. A wrong wall clock shifts
+// all start times by the same amount.
 func TestStartTimes(t *testing.T) {
 	origin := time.Now()
 	now := origin.Add(time.Hour)
 	for _, c := range []struct {
 		name    string
-		started time.Duration // on the router's clock, as the wall clock has it
-		synced  time.Duration // when all events were known; 0: never
+		started time.Duration // on the router's clock, computed from the wall clock
+		synced  time.Duration // when the client knew all events; 0: never
 		want    time.Duration
 	}{
-		{"a while ago, as far as is known", 10 * time.Minute, 0, 10 * time.Minute},
-		{"before the clock", -time.Second, 0, 0},
+		{"a while ago, never synced", 10 * time.Minute, 0, 10 * time.Minute},
+		{"before the origin of the clock", -time.Second, 0, 0},
 		{"in the future: the wall clock was behind", 2 * time.Hour, 0, time.Hour},
 		{"in the future, published just now", 2 * time.Hour, time.Hour, time.Hour},
-		{"published as late as may be", time.Hour - maxNotificationDelay + 2*time.Millisecond, time.Hour, time.Hour - maxNotificationDelay + 2*time.Millisecond},
-		{"published later than may be: the wall clock was ahead", time.Hour - maxNotificationDelay - time.Millisecond, time.Hour, time.Hour},
+		{"published within the maximum notification delay", time.Hour - maxNotificationDelay + 2*time.Millisecond, time.Hour, time.Hour - maxNotificationDelay + 2*time.Millisecond},
+		{"published after the maximum notification delay: the wall clock was ahead", time.Hour - maxNotificationDelay - time.Millisecond, time.Hour, time.Hour},
 		{"an hour ago, published just now: the wall clock was ahead", 0, time.Hour, time.Hour},
-		{"before the clock, published just now", -time.Hour, time.Hour, time.Hour},
-		{"while the feed was away", 50 * time.Minute, 49 * time.Minute, 50 * time.Minute},
-		{"long before the feed was away", 20 * time.Minute, 49 * time.Minute, time.Hour},
+		{"before the origin of the clock, published just now", -time.Hour, time.Hour, time.Hour},
+		{"while the feed was unavailable", 50 * time.Minute, 49 * time.Minute, 50 * time.Minute},
+		{"long before the feed was unavailable", 20 * time.Minute, 49 * time.Minute, time.Hour},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := startTimes{origin: origin}
@@ -44,17 +44,17 @@
 			got := s.startedAt("e", millis, synced, now)
 			assert.InDelta(t, c.want.Seconds(), got.Seconds(), 0.001)
 			later := now.Add(time.Minute)
-			assert.Equal(t, got, s.startedAt("e", millis, later, later), "what was worked out for a start stays")
-			assert.Greater(t, s.startedAt("e", later.UnixMilli(), later, later), got, "another start is another")
+			assert.Equal(t, got, s.startedAt("e", millis, later, later), "the result for a start does not change")
+			assert.Greater(t, s.startedAt("e", later.UnixMilli(), later, later), got, "a later start has a later time")
 		})
 	}
 	s := startTimes{origin: origin}
-	assert.Zero(t, s.startedAt("e", 0, now, now), "no late start")
+	assert.Zero(t, s.startedAt("e", 0, now, now), "no start time in the event")
 	assert.Empty(t, s.byEngine)
 }
 
-// What is remembered of engines that were removed is bounded, and what is listed is remembered.
-func TestStartTimesAreForgotten(t *testing.T) {
+// The number of start times stored for removed engines is limited; those of listed engines are kept.
+func TestStartTimesOfRemovedEnginesAreDeleted(t *testing.T) {
 	s := startTimes{origin: time.Now()}
 	receive := func(id string, state decision.EngineState) {
 		event := WatchEvent{Endpoints: []Endpoint{{Endpoint: decision.Endpoint{Engine: decision.EngineID(id), State: state}, startedUnixMillis: 1}}}
@@ -72,11 +72,11 @@
 	assert.Contains(t, s.byEngine, decision.EngineID("back"))
 }
 
-// An engine that the feed lists as new, while it is watched, has just started, even if this host's wall clock contradicts that.
-func TestListedEngineHasJustStarted(t *testing.T) {
-	const ago = 30 * time.Minute // by a wall clock that is ahead
+// An engine that is first listed while the feed is being watched counts as just started, even if this host's wall clock contradicts that.
+func TestNewlyListedEngineCountsAsJustStarted(t *testing.T) {
+	const ago = 30 * time.Minute // according to a wall clock that is ahead
 	late := fmt.Sprintf(`{"n":2,"members":{"members":[{"id":"e2","host_port":"127.0.0.1:9","phase":"active","up_since_ms":%d}]}}`, time.Now().Add(-ago).UnixMilli())
-	address, _ := serveScripts(t, sends(responseHead+":\n\nid: 2\ndata: "+late+"\n\n"))
+	address, _ := serveScripts(t, sendOnce(responseHead+":\n\nid: 2\ndata: "+late+"\n\n"))
 	events := make(chan WatchEvent, 1)
 	client := New(address, time.Now().Add(-time.Hour), func(event WatchEvent) { events <- event }, zap.NewNop())
 	_, err := client.ApplyKnownEvents(nil, func(WatchEvent) {})
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	// silenceTimeout is the time without a complete line after which a stream is dead: the feed sends a comment each second.
+	// silenceTimeout is the time without a complete line after which a stream counts as dead. The feed sends a comment every second.
 	silenceTimeout = 2500 * time.Millisecond
-	// initialLineTimeout is how long a new connection is given for its first line; half as much more after each that brought none.
+	// initialLineTimeout is the timeout for the first line on a new connection. It increases by half after each connection without a line.
 	initialLineTimeout = 1250 * time.Millisecond
-	// progressBytes of one line count as progress, too: an event may be long.
+	// progressBytes is how many bytes of an incomplete line also count as progress, since an event may be long.
 	progressBytes = 4 << 10
-	// lateReadTimeout bounds a read, after its deadline, of bytes that have arrived.
+	// lateReadTimeout limits a read after the deadline of bytes that have already arrived.
 	lateReadTimeout = 20 * time.Millisecond
-	// eventTimeout is the time without an event, comments or not, after which another connection is opened, in case this one misses events.
+	// eventTimeout is the time without an event, even if comments arrive, after which another connection is opened, in case this one has
+	// lost events.
 	eventTimeout = 4 * time.Second
 )
 
-// errReplaced is returned when another connection has taken the place of the one that was read.
-var errReplaced = errors.New("another connection has taken its place")
+// errReplaced is returned by Read when the spare connection replaces the connection.
+var errReplaced = errors.New("connection was replaced by another one")
 
-// liveConn is a connection whose reads fail after a time without progress. Not every byte is progress: a line that arrives a byte at a
-// time yields no event, and neither does a response header without a body.
-type liveConn struct {
+// monitoredConn is a connection whose reads fail after a time without progress. Not every byte counts as progress: a line that arrives one
+// byte at a time yields no event, nor does a response header without a body.
+type monitoredConn struct {
 	net.Conn
 	lastProgress       time.Time
 	bytesSinceProgress int
 	progressTimeout    time.Duration
-	headerRead         bool      // of the response
+	headerRead         bool      // the response header was read
 	bodyStarted        bool      // lines of the response's body have arrived
-	lastEvent          time.Time // or the start
+	lastEvent          time.Time // when the last event was received, or the connection began to be read
 	reading            *atomic.Bool
 	connectReplacement func() bool // opens a connection that may replace this one
 }
 
-// Read reads from the connection. It fails with os.ErrDeadlineExceeded after a time without progress, and with errReplaced where there
-// is progress but no event, and another connection could be made.
-func (l *liveConn) Read(p []byte) (int, error) {
+// Read reads from the connection. It fails with os.ErrDeadlineExceeded after a time without progress, and with errReplaced if there is
+// progress but no event and a replacement connection could be opened.
+func (l *monitoredConn) Read(p []byte) (int, error) {
 	for {
 		n, err := l.readBefore(p, l.deadline())
 		now := time.Now()
@@ -55,12 +56,12 @@
 		if l.connectReplacement() { // the replacement requests all events that this connection did not deliver
 			return 0, errReplaced
 		}
-		l.lastEvent = now.Add(initialLineTimeout - eventTimeout) // tried again after initialLineTimeout; this connection is used until then
+		l.lastEvent = now.Add(initialLineTimeout - eventTimeout) // retried after initialLineTimeout; this connection stays in use until then
 	}
 }
 
-// readBefore reads once, before a deadline. What arrived in time while the router did not run is read after it.
-func (l *liveConn) readBefore(p []byte, deadline time.Time) (int, error) {
+// readBefore reads once, before a deadline. If the process was suspended, input that arrived before the deadline is read after it.
+func (l *monitoredConn) readBefore(p []byte, deadline time.Time) (int, error) {
 	l.reading.Store(true)
 	defer l.reading.Store(false)
 	l.SetReadDeadline(deadline)
@@ -75,8 +76,8 @@
 	return l.Conn.Read(p)
 }
 
-// deadline is when progress, or an event, is due.
-func (l *liveConn) deadline() time.Time {
+// deadline returns the time by which progress or an event must have been received.
+func (l *monitoredConn) deadline() time.Time {
 	progressDue := l.lastProgress.Add(l.progressTimeout)
 	eventDue := l.lastEvent.Add(eventTimeout)
 	if l.bodyStarted && eventDue.Before(progressDue) {
@@ -85,7 +86,7 @@
 	return progressDue
 }
 
-func (l *liveConn) recordProgress(received []byte, now time.Time) {
+func (l *monitoredConn) recordProgress(received []byte, now time.Time) {
 	l.bytesSinceProgress += len(received)
 	if bytes.IndexByte(received, '\n') < 0 && l.bytesSinceProgress < progressBytes {
 		return
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -11,25 +11,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// minDrainGrace is the shortest drain grace that an event may be followed by.
+// minDrainGrace is the shortest drain grace period that may follow an event.
 const minDrainGrace = 250 * time.Millisecond
 
-// However a stream stops bringing events, and if the first new connection brings none either, an event is handled before it counts as
-// notified and a drain grace behind it has passed.
+// A stream stops delivering events in various ways, and the first new connections may deliver none either. An event must still be handled
+// within maxNotificationDelay and the shortest drain grace period after it.
 func TestWatchReplacesSilentStream(t *testing.T) {
-	comments := repeats(responseHead, ":\n\n", time.Second)
-	next := repeats(responseHead+eventText("5", "5"), ":\n\n", time.Second)
-	silent := sends("")
+	comments := sendRepeatedly(responseHead, ":\n\n", time.Second)
+	next := sendRepeatedly(responseHead+eventText("5", "5"), ":\n\n", time.Second)
+	silent := sendOnce("")
 	partOfEvent := responseHead + ":\n\n" + eventText("5", "5")[:30]
 	for _, c := range []struct {
 		name    string
 		scripts []script
 	}{
 		{"silent from the first byte", []script{silent, silent, silent, next}},
-		{"silent after its header", []script{sends(responseHead), sends(responseHead), sends(responseHead[:20]), next}},
-		{"silent in an event, then from the first byte", []script{sends(partOfEvent), silent, silent, next}},
-		{"a byte at a time", []script{repeats(partOfEvent, "x", 200*time.Millisecond), silent, next}},
-		{"a header that trickles", []script{repeats("HTTP/1.1 200 OK\r\nX: ", "x", 200*time.Millisecond), next}},
+		{"silent after its header", []script{sendOnce(responseHead), sendOnce(responseHead), sendOnce(responseHead[:20]), next}},
+		{"silent in an event, then from the first byte", []script{sendOnce(partOfEvent), silent, silent, next}},
+		{"an event that arrives a byte at a time", []script{sendRepeatedly(partOfEvent, "x", 200*time.Millisecond), silent, next}},
+		{"a header that arrives a byte at a time", []script{sendRepeatedly("HTTP/1.1 200 OK\r\nX: ", "x", 200*time.Millisecond), next}},
 		{"comments and no events", []script{comments, next}},
 		{"comments and no events, then silent", []script{comments, silent, next}},
 	} {
@@ -39,19 +39,19 @@
 			client, handled := newTestClient(address, 4)
 			watch(t, client)
 			require.Equal(t, "4", await(t, requested))
-			began := time.Now() // the event that this connection will not bring is in the feed from here on
+			began := time.Now() // from now on the feed has the event that this connection does not deliver
 			select {
 			case number := <-handled:
 				assert.Equal(t, int64(5), number)
 				t.Log("handled after", time.Since(began))
 			case <-time.After(maxNotificationDelay + minDrainGrace):
-				t.Error("not handled when it counts as notified and the grace is over")
+				t.Error("the event was not handled within the notification delay and the drain grace period")
 			}
 		})
 	}
 }
 
-// The time limit for the first line increases for a feed that is slow to begin.
+// The timeout for the first line increases while the feed is slow to respond.
 func TestFirstLineTimeout(t *testing.T) {
 	client := &Client{}
 	for _, want := range []time.Duration{initialLineTimeout, initialLineTimeout * 3 / 2, silenceTimeout, silenceTimeout} {
@@ -60,12 +60,12 @@
 	}
 }
 
-// A stream with comments and without events stays in use while no other connection can be opened.
-func TestLiveConnKeepsStreamWithoutReplacement(t *testing.T) {
+// A stream with comments and without events stays in use while no replacement connection can be opened.
+func TestMonitoredConnKeepsStreamWithoutReplacement(t *testing.T) {
 	in, out := net.Pipe()
 	defer in.Close()
 	attempts := 0
-	conn := &liveConn{
+	conn := &monitoredConn{
 		Conn:            out,
 		lastProgress:    time.Now(),
 		progressTimeout: silenceTimeout,
@@ -83,9 +83,9 @@
 		_, err := conn.Read(make([]byte, 10))
 		read <- err
 	}()
-	go func() { io.WriteString(in, ":\n") }() // what arrives meanwhile is read
+	go func() { io.WriteString(in, ":\n") }() // input that arrives in the meantime is read
 	require.NoError(t, await(t, read))
-	_, err := conn.Read(make([]byte, 10)) // no other connection can be made at first, then one can
+	_, err := conn.Read(make([]byte, 10)) // the first attempt to open a replacement fails, the second succeeds
 	require.ErrorIs(t, err, errReplaced)
 	assert.Equal(t, 2, attempts)
 }
--- a/internal/discovery/suspension_test.go
+++ b/internal/discovery/suspension_test.go
@@ -24,8 +24,8 @@
 	return dialled.(*net.TCPConn), feed
 }
 
-// The time for a read is over when the router resumes after a suspension, and what the feed has sent meanwhile lies unread: it is read,
-// and the connection stays.
+// When the router resumes after a suspension, the deadline of a read has passed and data that the feed sent in the meantime is unread. The
+// data must be read and the connection kept.
 func TestReadAfterDeadlineReadsWhatHasArrived(t *testing.T) {
 	client, feed := connectPair(t)
 	_, err := feed.Write([]byte(eventText("5", "5")))
@@ -34,7 +34,7 @@
 	watcher.conn.Store(client)
 	watcher.reading.Store(true)
 	require.Eventually(t, watcher.HasUnreadEvents, testTimeout, time.Millisecond)
-	stream := &liveConn{
+	stream := &monitoredConn{
 		Conn:            client,
 		lastProgress:    time.Now().Add(-time.Minute),
 		progressTimeout: silenceTimeout,
@@ -50,17 +50,17 @@
 
 	stream.lastProgress = time.Now().Add(-time.Minute)
 	_, err = stream.Read(received)
-	assert.Error(t, err, "nothing has arrived: the feed is silent")
+	assert.Error(t, err, "no data has arrived: the feed is silent")
 }
 
-// Whether the feed has sent what the router has not handled. Without a connection that is not known, and what is not known counts as news:
-// who asks waits a bounded time for it.
+// HasUnreadEvents reports whether the feed has sent data that the router has not handled. Without a connection this is unknown and the
+// result is true; callers wait only for a limited time.
 func TestHasUnreadEvents(t *testing.T) {
 	client, feed := connectPair(t)
 	watcher := &Client{}
 	assert.True(t, watcher.HasUnreadEvents(), "no connection")
 	watcher.conn.Store(client)
-	assert.True(t, watcher.HasUnreadEvents(), "it handles what it has read")
+	assert.True(t, watcher.HasUnreadEvents(), "the client is handling what it has read")
 	watcher.reading.Store(true)
 	assert.False(t, watcher.HasUnreadEvents())
 	_, err := feed.Write([]byte(":\n"))
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -18,9 +18,9 @@
 	"go.uber.org/zap"
 )
 
-var update = flag.Bool("update", false, "rewrite what the router does in testdata")
+var update = flag.Bool("update", false, "rewrite the recorded results in testdata instead of comparing with them")
 
-// describeEvent writes an event as a line, without the start times that are worked out by the clock.
+// describeEvent formats an event as a line, without the start times, which depend on the clock.
 func describeEvent(event WatchEvent) string {
 	text := fmt.Sprintf("%d revision %d complete %t", event.Number, event.Revision, event.Complete)
 	for _, e := range event.Endpoints {
@@ -30,13 +30,13 @@
 	return text
 }
 
-// errorText is an error without the name of the Go type that encoding/json puts at its end.
+// errorText returns an error's text without the name of the Go type that encoding/json appends.
 func errorText(err error) string {
 	text, _, _ := strings.Cut(err.Error(), " of type ")
 	return text
 }
 
-// playLines plays a step for each line of a file; what a step returns, if not empty, is what the line has to be.
+// playLines calls step for each line of a file. If step returns a non-empty text, the line must equal that text.
 func playLines(t *testing.T, file string, step func(line string) string) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestEventTexts reads the events of testdata/events.txt. A line "event JSON" is followed by what it is read as: "change ...", "no list"
-// or "error ...".
+// TestEventTexts parses the events of testdata/events.txt. Each line "event JSON" is followed by the expected result: "change ...",
+// "no list" or "error ...".
 func TestEventTexts(t *testing.T) {
 	raw := ""
 	playLines(t, "testdata/events.txt", func(line string) string {
@@ -80,16 +80,17 @@
 	})
 }
 
-// TestWireTranscripts plays the exchanges of testdata/wire with a control feed, byte for byte. A line of a transcript is a step:
+// TestWireTranscripts replays the exchanges with a control feed in testdata/wire and compares them byte for byte. Each line of a transcript
+// is a step:
 //
-//	last N              before all else: the number of the last event that was taken
-//	known JSON          before all else: an event of the configuration
-//	known error TEXT    why the last of them cannot be taken
-//	request QUOTED      the next connection and its request; ADDRESS stands for the feed's host and port
+//	last N              before all other steps: the number of the last handled event
+//	known JSON          before all other steps: an event of the configuration
+//	known error TEXT    the error for the last known event
+//	request QUOTED      the next connection and its request; ADDRESS replaces the feed's host and port
 //	write QUOTED        the feed writes to the latest connection
-//	close               the feed closes it
-//	take ...            the change that is taken next
-//	move [JSON]         the feed goes on at a second address, with an event that is known
+//	close               the feed closes the latest connection
+//	take ...            the next change that the client handles
+//	move [JSON]         the feed moves to a second address, with a known event
 func TestWireTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/wire/*.txt")
 	require.NoError(t, err)
@@ -103,16 +104,16 @@
 	}
 }
 
-// wirePlayer plays one transcript.
+// wirePlayer replays one transcript.
 type wirePlayer struct {
 	t          *testing.T
 	client     *Client
 	handled    chan WatchEvent
-	listeners  [2]net.Listener // of the addresses that the client watches one after another
-	current    net.Listener    // where the next request is awaited
-	conn       net.Conn        // the latest
+	listeners  [2]net.Listener // listeners at the addresses that the client watches one after the other
+	current    net.Listener    // accepts the next request
+	conn       net.Conn        // the latest connection
 	watching   bool
-	knownError string // why the latest known event could not be taken
+	knownError string // the error for the latest known event
 }
 
 func newWirePlayer(t *testing.T) *wirePlayer {
@@ -131,7 +132,7 @@
 
 func (p *wirePlayer) handle(event WatchEvent) { p.handled <- event }
 
-// play plays a step. If it is one of what the router does, it returns what the step should have been.
+// play executes a step. If the step describes an action of the router, play returns the line for the actual action.
 func (p *wirePlayer) play(step string) string {
 	p.t.Helper()
 	name, rest, _ := strings.Cut(step, " ")
@@ -182,7 +183,7 @@
 	p.client.SetAddress(p.current.Addr().String(), events)
 }
 
-// request accepts the next connection and reads its request. The first time the client begins to watch.
+// request accepts the next connection and reads its request. The first call starts the client's Watch.
 func (p *wirePlayer) request() string {
 	p.t.Helper()
 	if !p.watching {
@@ -203,6 +204,6 @@
 		require.NoError(p.t, err)
 		text.WriteString(line)
 	}
-	require.Zero(p.t, r.Buffered(), "nothing comes behind a request")
+	require.Zero(p.t, r.Buffered(), "no data follows the request")
 	return strings.ReplaceAll(text.String(), p.current.Addr().String(), "ADDRESS")
 }
