--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	maxChunkLineBytes = 256 // of a chunk's size line or of a trailer
+	maxChunkLineBytes = 256 // limit for a chunk's size line and for a trailer
 	maxTrailers       = 64
 
-	lengthBits = 62 // of a length: it fits an int64
+	lengthBits = 62 // maximum bits of a length, so that it fits into an int64
 )
 
-// BodyReader returns a reader of the body that belongs to a header. It must be read to its end before the next response.
+// BodyReader returns a reader of the body that follows a header. The body must be read to its end before the next response is read.
 func (r *Reader) BodyReader(header Header) io.Reader {
 	if header.Status == statusNoContent || header.Status == statusNotModified {
 		return &fixedLengthBody{reader: r}
 	}
 	if coding := header.Field(fieldTransferEncoding); coding != "" {
 		if !strings.EqualFold(coding, "chunked") {
-			return failedBody{malformed("transfer coding")}
+			return errorBody{malformed("transfer coding")}
 		}
 		return &chunkedBody{reader: r}
 	}
@@ -32,17 +32,17 @@
 	}
 	remaining, err := strconv.ParseUint(length, 10, lengthBits)
 	if err != nil {
-		return failedBody{malformed("length")}
+		return errorBody{malformed("length")}
 	}
 	return &fixedLengthBody{reader: r, remaining: int64(remaining)}
 }
 
-// failedBody is the body of a response whose framing is invalid.
-type failedBody struct{ err error }
+// errorBody is the body of a response with invalid framing. Each read fails.
+type errorBody struct{ err error }
 
-func (b failedBody) Read([]byte) (int, error) { return 0, b.err }
+func (b errorBody) Read([]byte) (int, error) { return 0, b.err }
 
-// untilCloseBody is a body that ends with the connection.
+// untilCloseBody is a body that ends when the connection is closed.
 type untilCloseBody struct{ reader *Reader }
 
 func (b untilCloseBody) Read(p []byte) (int, error) {
@@ -71,8 +71,8 @@
 // chunkedBody is a body in the chunked transfer coding.
 type chunkedBody struct {
 	reader    *Reader
-	remaining int64 // of the current chunk
-	started   bool  // a chunk was read
+	remaining int64 // unread bytes of the current chunk
+	started   bool  // the first chunk has begun
 	finished  bool  // the last chunk and the trailers were read
 }
 
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	sizeText, _, _ := strings.Cut(line, ";") // what follows are extensions
+	sizeText, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
 	size, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, lengthBits)
 	if err != nil {
 		return malformed("chunk size")
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// endChunk reads the end of line behind a chunk's data.
+// endChunk reads the line ending after a chunk's data.
 func (b *chunkedBody) endChunk() error {
 	line, err := b.reader.readLine()
 	if err != nil || line != "" {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// skipTrailers reads up to and including the empty line behind the trailers.
+// skipTrailers reads the trailers and the empty line after them.
 func (b *chunkedBody) skipTrailers() error {
 	for trailers := 0; ; trailers++ {
 		line, err := b.reader.readLine()
@@ -137,7 +137,7 @@
 	}
 }
 
-// readLine reads one line of a chunked body, and returns it without its end.
+// readLine reads one line of a chunked body and returns it without its line ending.
 func (r *Reader) readLine() (string, error) {
 	for {
 		buffered := r.buffer.Bytes()
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	protocol    = "HTTP/1.1"
-	protocolOld = "HTTP/1.0" // without persistent connections
+	protocolHTTP11 = "HTTP/1.1"
+	protocolHTTP10 = "HTTP/1.0" // connections are not persistent
 
 	statusDigits = 3
 	minStatus    = 100
@@ -17,18 +17,18 @@
 	fieldTransferEncoding = "transfer-encoding"
 )
 
-// Header is a response's status and headers.
+// Header holds a response's status and headers.
 type Header struct {
 	Status int
-	Close  bool // the connection ends with this response
+	Close  bool // the connection must not be used after this response
 
-	fields map[string]string // by name in lower case; of several with one name, the last
+	fields map[string]string // values by lower-case name; the last value if a name occurs several times
 }
 
-// Field returns the value of a header, whose name may be in any case; "" if it is absent.
+// Field returns the value of a header, or "" if it is absent. The name is case-insensitive.
 func (h Header) Field(name string) string { return h.fields[strings.ToLower(name)] }
 
-// ParseHeader parses a status line and headers, without the empty line that ends them. Its errors wrap ErrMalformed.
+// ParseHeader parses a status line and headers, which do not include the final empty line. Its errors wrap ErrMalformed.
 func ParseHeader(raw []byte) (Header, error) {
 	lines := strings.Split(string(raw), lineEnd)
 	header, err := parseStatusLine(lines[0])
@@ -52,13 +52,14 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	validStatus := err == nil && len(code) == statusDigits && status >= minStatus
-	if !validStatus || (version != protocol && version != protocolOld) {
+	if !validStatus || (version != protocolHTTP11 && version != protocolHTTP10) {
 		return Header{}, malformed("status line")
 	}
-	return Header{Status: status, Close: version == protocolOld}, nil
+	return Header{Status: status, Close: version == protocolHTTP10}, nil
 }
 
-// addField parses a header line. Two different lengths make the response ambiguous.
+// addField parses a header line and adds it to the fields. Two different values of Content-Length are an error, since they
+// make the response ambiguous.
 func (h Header) addField(line string) error {
 	name, value, found := strings.Cut(line, ":")
 	if !found || name == "" || strings.ContainsAny(name, " \t\r\n") {
--- a/internal/http1/recorded_test.go
+++ b/internal/http1/recorded_test.go
@@ -20,7 +20,7 @@
 	bodyLimit   = 64 // bytes
 )
 
-// recordedInputs are accepted and refused answers, each as it is sent on a connection that then ends.
+// recordedInputs returns valid and invalid responses. Each is the complete input of a connection, which then ends.
 func recordedInputs() []string {
 	const start = "HTTP/1.1 200 OK\r\n"
 	const chunks = start + "Transfer-Encoding: chunked\r\n\r\n"
@@ -92,21 +92,21 @@
 	}
 }
 
-// describeAnswer reads a response and describes the result, with the complete text of an error.
-func describeAnswer(input string) string {
+// describeResponse reads a response and describes the result, including the complete text of an error.
+func describeResponse(input string) string {
 	reader := NewReader(iotest.OneByteReader(strings.NewReader(input)))
-	head, body, err := reader.ReadResponse(bodyLimit)
+	header, body, err := reader.ReadResponse(bodyLimit)
 	shown := input
 	if len(shown) > 400 {
 		shown = fmt.Sprintf("%s... (%d bytes)", shown[:100], len(shown))
 	}
-	return fmt.Sprintf("%q\n  status %d, close %t, body %q, error: %v, malformed: %t\n", shown, head.Status, head.Close, body, err, errors.Is(err, ErrMalformed))
+	return fmt.Sprintf("%q\n  status %d, close %t, body %q, error: %v, malformed: %t\n", shown, header.Status, header.Close, body, err, errors.Is(err, ErrMalformed))
 }
 
 func TestRecordedAnswers(t *testing.T) {
 	var described strings.Builder
 	for _, input := range recordedInputs() {
-		described.WriteString(describeAnswer(input))
+		described.WriteString(describeResponse(input))
 	}
 	if *recordAnswers {
 		require.NoError(t, os.MkdirAll("testdata", 0o755))
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -1,9 +1,9 @@
-// Package http1 reads HTTP/1.1 responses from a connection: split reads, Content-Length, chunked bodies, bodies that end
-// with the connection, and responses without a body. Every size has a limit. net/http is not used, since its client
-// hides whether unrequested bytes follow a response, and whether a request was written completely.
+// Package http1 reads HTTP/1.1 responses from a connection. It handles partial reads, Content-Length, chunked bodies, bodies
+// that end when the connection is closed, and responses without a body. All sizes are limited. The package does not use
+// net/http, whose client hides whether unrequested bytes follow a response and whether a request was written completely.
 //
-// A Reader returns errors that wrap [ErrMalformed] for what is not HTTP/1.1 or exceeds a limit, and those of the
-// connection otherwise; io.ErrUnexpectedEOF where it ends within a response.
+// A Reader returns errors that wrap [ErrMalformed] for input that is not HTTP/1.1 or exceeds a limit,
+// io.ErrUnexpectedEOF if the connection ends within a response, and otherwise the errors of the connection.
 package http1
 
 import (
@@ -16,22 +16,22 @@
 )
 
 const (
-	maxHeaderBytes      = 16 << 10 // of a status line with its headers
-	maxInterimResponses = 16       // before one response
+	maxHeaderBytes      = 16 << 10 // limit for a status line with its headers
+	maxInterimResponses = 16       // limit before one response
 	readBufferBytes     = 64 << 10
 
 	headerEnd = "\r\n\r\n"
 	lineEnd   = "\r\n"
 
-	statusOK          = 200 // the first status that is not an interim response's
+	statusOK          = 200 // lower statuses are interim responses
 	statusNoContent   = 204
 	statusNotModified = 304
 )
 
-// ErrMalformed is wrapped by the errors for responses that are not HTTP/1.1 or exceed a limit.
+// ErrMalformed is wrapped by the errors about responses that are not HTTP/1.1 or exceed a limit.
 var ErrMalformed = errors.New("malformed HTTP")
 
-// malformed returns an error that wraps ErrMalformed.
+// malformed returns a formatted error that wraps ErrMalformed.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, args...)...)
 }
@@ -42,17 +42,17 @@
 	buffer *readbuffer.Buffer
 }
 
-// NewReader returns a reader of the responses that arrive from source.
+// NewReader returns a reader of the responses that source delivers.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{source: source, buffer: readbuffer.New(readBufferBytes)}
 }
 
-// Buffered reports whether bytes were read from the connection that belong to no response returned so far.
+// Buffered reports whether bytes were read from the connection that do not belong to any response returned so far.
 func (r *Reader) Buffered() bool { return len(r.buffer.Bytes()) > 0 }
 
-// ReadResponse reads a complete response with a body of at most maxBody bytes. A body that announces more is not read.
-// A body that only the end of the connection ends is an error: it may be incomplete. With an error, the
-// header may be set and the body may hold the part that was read.
+// ReadResponse reads a complete response with a body of at most maxBody bytes. It does not read a body whose
+// Content-Length is larger. A body that ends only when the connection is closed is an error, since it may be incomplete.
+// When ReadResponse returns an error, the header may be set and the body may hold the part that was read.
 func (r *Reader) ReadResponse(maxBody int) (Header, []byte, error) {
 	header, err := r.ReadHeader()
 	if err != nil {
@@ -74,7 +74,7 @@
 	return header, body, err
 }
 
-// ReadHeader reads a status line and headers. Interim responses are skipped.
+// ReadHeader reads a status line and headers. It skips interim responses.
 func (r *Reader) ReadHeader() (Header, error) {
 	interim := 0
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-// fill reads from the connection once.
+// fill reads once from the connection into the buffer.
 func (r *Reader) fill() error {
 	_, err := r.buffer.Fill(r.source)
 	if errors.Is(err, io.EOF) {
@@ -110,7 +110,7 @@
 	return err
 }
 
-// readBuffered copies what is buffered into p, after reading from the connection if nothing is.
+// readBuffered copies buffered bytes into p. If the buffer is empty, it first reads from the connection.
 func (r *Reader) readBuffered(p []byte) (int, error) {
 	for len(r.buffer.Bytes()) == 0 {
 		if err := r.fill(); err != nil {
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse reads a stream of server-sent events (the text/event-stream of the HTML standard): lines that end with CR LF, LF or CR, a
-// byte order mark, comments, events whose data has several lines. The size of a line and of an event is limited.
+// Package sse reads a stream of server-sent events (text/event-stream of the HTML standard). It handles lines that end with CR LF, LF or
+// CR, a byte order mark, comments and events whose data has several lines. The sizes of lines and events are limited.
 package sse
 
 import (
@@ -12,23 +12,23 @@
 
 const (
 	byteOrderMark     = "\ufeff"
-	initialBufferSize = 4 << 10 // bytes; it grows up to the limit
+	initialBufferSize = 4 << 10 // bytes; the buffer grows up to the limit
 )
 
-// ErrTooLarge is returned for an event whose data is beyond the limit. A line beyond it is bufio.ErrTooLong.
-var ErrTooLarge = errors.New("event too large")
+// ErrTooLarge is returned for an event whose data exceeds the limit. For a line that exceeds it, bufio.ErrTooLong is returned.
+var ErrTooLarge = errors.New("event data exceeds the size limit")
 
-// Event is one event; a field that was not sent is empty.
+// Event is a server-sent event. A field that was not sent is empty.
 type Event struct{ ID, Name, Data string }
 
 // Handler receives the events and comments of a stream.
 type Handler struct {
-	OnEvent   func(Event) error // an error ends the reading
+	OnEvent   func(Event) error // an error makes Read stop and return it
 	OnComment func()            // nil: comments are ignored
 }
 
-// Read hands a stream to the handler until the stream ends (io.EOF) or fails, an event or a line has more than maxBytes, or OnEvent
-// returns an error. It never returns nil.
+// Read passes the events and comments of a stream to the handler until the stream ends (io.EOF) or fails, an event or a line exceeds
+// maxBytes, or OnEvent returns an error. It never returns nil.
 func Read(body io.Reader, maxBytes int, handler Handler) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, min(maxBytes, initialBufferSize)), maxBytes)
@@ -41,7 +41,7 @@
 			line = strings.TrimPrefix(line, byteOrderMark)
 			firstLine = false
 		}
-		if err := parser.takeLine(line); err != nil {
+		if err := parser.handleLine(line); err != nil {
 			return err
 		}
 	}
@@ -51,19 +51,19 @@
 	return io.EOF
 }
 
-// parser collects the lines of one event.
+// parser accumulates the lines of one event.
 type parser struct {
 	handler  Handler
 	maxBytes int
 	event    Event
 	data     []string
-	size     int // of data, in bytes
+	size     int // total size of data in bytes
 }
 
-// takeLine handles a line without its line ending; an empty one ends the event.
-func (p *parser) takeLine(line string) error {
+// handleLine handles a line, which does not include the line ending. An empty line ends the event.
+func (p *parser) handleLine(line string) error {
 	if line == "" {
-		return p.endEvent()
+		return p.dispatchEvent()
 	}
 	field, value, _ := strings.Cut(line, ":")
 	value = strings.TrimPrefix(value, " ")
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// endEvent passes the event to the handler, unless it has no data.
-func (p *parser) endEvent() error {
+// dispatchEvent passes the accumulated event to the handler, unless the event has no data, and resets the parser.
+func (p *parser) dispatchEvent() error {
 	event := p.event
 	data := p.data
 	p.event = Event{}
@@ -100,8 +100,8 @@
 	return p.handler.OnEvent(event)
 }
 
-// splitLine is a bufio.SplitFunc for lines that end with CR LF, LF or CR. A CR at the end of the buffered data is held back until the
-// next byte shows whether an LF follows.
+// splitLine is a bufio.SplitFunc for lines that end with CR LF, LF or CR. If the buffered data ends with a CR, the line is not returned
+// until the next byte shows whether an LF follows.
 func splitLine(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	end := bytes.IndexAny(data, "\r\n")
 	switch {
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-var errHandler = errors.New("the handler ends the reading")
+var errHandler = errors.New("handler error")
 
 func TestRead(t *testing.T) {
 	const maxBytes = 40
@@ -27,19 +27,19 @@
 		{name: "CR LF", stream: "data: a\r\n\r\ndata: b\r\n\r\n", events: []Event{{Data: "a"}, {Data: "b"}}, err: io.EOF},
 		{name: "CR", stream: "data: a\r\rdata: b\r\r", events: []Event{{Data: "a"}, {Data: "b"}}, err: io.EOF},
 		{name: "byte order mark", stream: "\ufeffdata: a\n\n", events: []Event{{Data: "a"}}, err: io.EOF},
-		{name: "byte order mark later", stream: "\n\ufeffdata: a\n\n", err: io.EOF},
+		{name: "byte order mark that is not at the start", stream: "\n\ufeffdata: a\n\n", err: io.EOF},
 		{name: "all fields", stream: "id: 7\nevent: list\ndata: a\nretry: 10\nunknown\n\n", events: []Event{{ID: "7", Name: "list", Data: "a"}}, err: io.EOF},
 		{name: "several data lines", stream: "data: a\ndata:b\ndata:  c\ndata\n\n", events: []Event{{Data: "a\nb\n c\n"}}, err: io.EOF},
 		{name: "no data", stream: "id: 7\n\ndata: a\n\n", events: []Event{{Data: "a"}}, err: io.EOF},
 		{name: "comments", stream: ":\n\n: text\ndata: a\n\n", events: []Event{{Data: "a"}}, comments: 2, err: io.EOF},
-		{name: "an event without its end", stream: "data: a\n", err: io.EOF},
+		{name: "an incomplete event", stream: "data: a\n", err: io.EOF},
 		{name: "at the limit", stream: "data:" + half + "\ndata:" + half + "\n\n", events: []Event{{Data: half + "\n" + half}}, err: io.EOF},
 		{name: "event too large", stream: "data:" + half + "\ndata:" + half + "x\n\n", err: ErrTooLarge},
 		{name: "line too long", stream: "data: " + half + half + "\n\n", err: bufio.ErrTooLong},
 		{name: "the handler fails", stream: "data: fail\n\ndata: a\n\n", events: []Event{{Data: "fail"}}, err: errHandler},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for how, body := range map[string]io.Reader{"at once": strings.NewReader(c.stream), "byte by byte": iotest.OneByteReader(strings.NewReader(c.stream))} {
+			for mode, body := range map[string]io.Reader{"at once": strings.NewReader(c.stream), "byte by byte": iotest.OneByteReader(strings.NewReader(c.stream))} {
 				var events []Event
 				comments := 0
 				err := Read(body, maxBytes, Handler{
@@ -52,9 +52,9 @@
 					},
 					OnComment: func() { comments++ },
 				})
-				assert.ErrorIs(t, err, c.err, how)
-				assert.Equal(t, c.events, events, how)
-				assert.Equal(t, c.comments, comments, how)
+				assert.ErrorIs(t, err, c.err, mode)
+				assert.Equal(t, c.events, events, mode)
+				assert.Equal(t, c.comments, comments, mode)
 			}
 		})
 	}
@@ -64,6 +64,6 @@
 func TestReadBrokenStream(t *testing.T) {
 	broken := errors.New("connection reset")
 	body := io.MultiReader(strings.NewReader("data: a\n"), iotest.ErrReader(broken))
-	err := Read(body, 100, Handler{OnEvent: func(Event) error { t.Error("an event"); return nil }})
+	err := Read(body, 100, Handler{OnEvent: func(Event) error { t.Error("an incomplete event was delivered"); return nil }})
 	assert.ErrorIs(t, err, broken)
 }
--- a/internal/tcpsocket/tcpsocket.go
+++ b/internal/tcpsocket/tcpsocket.go
@@ -1,7 +1,7 @@
-// Package tcpsocket asks the kernel about a TCP connection without reading from it.
+// Package tcpsocket queries the kernel about a TCP connection without reading from it.
 //
-// A descriptor that this process has closed cannot be asked. Every function says so with net.ErrClosed: "nothing is known" must not be
-// taken for "nothing has come".
+// A descriptor that this process has closed cannot be queried. All functions return net.ErrClosed for it, so that an unknown state is not
+// mistaken for an empty queue.
 package tcpsocket
 
 import (
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNoDescriptor is returned for a connection that has no descriptor, such as one of net.Pipe.
-var ErrNoDescriptor = errors.New("the connection has no descriptor")
+// ErrNoDescriptor is returned for a connection without a file descriptor, such as one from net.Pipe.
+var ErrNoDescriptor = errors.New("connection has no file descriptor")
 
-// Control calls do with the descriptor of a connection or listener, which stays valid for the call. Where it does not call do it returns
-// an error: net.ErrClosed where this process has closed it, ErrNoDescriptor where there is none.
-func Control(socket any, do func(fd int)) error {
+// Control calls f with the file descriptor of a connection or listener, which stays valid during the call. If Control cannot call f, it
+// returns an error: net.ErrClosed if this process has closed the socket, ErrNoDescriptor if it has no descriptor.
+func Control(socket any, f func(fd int)) error {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
 		return ErrNoDescriptor
@@ -26,13 +26,13 @@
 	if err != nil {
 		return err
 	}
-	return raw.Control(func(fd uintptr) { do(int(fd)) })
+	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// UnreadBytes returns how many received bytes were not read yet. The errors are those of Control and of ioctl(2).
+// UnreadBytes returns the number of received bytes that were not read yet. The errors are those of Control and of ioctl(2).
 func UnreadBytes(conn net.Conn) (int, error) { return queryInt(conn, unix.TIOCINQ) }
 
-// UnsentBytes returns how many written bytes the peer has not acknowledged. The errors are those of Control and of ioctl(2).
+// UnsentBytes returns the number of written bytes that the peer has not acknowledged. The errors are those of Control and of ioctl(2).
 func UnsentBytes(conn net.Conn) (int, error) { return queryInt(conn, unix.TIOCOUTQ) }
 
 func queryInt(conn net.Conn, request uint) (value int, err error) {
