--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -21,13 +21,13 @@
 
 // Guards of the decision module that are named in several edits or hold several lines.
 const (
-	deadlineTimer = "m.timers.Schedule(s.answerBy, func() { m.endUnanswered(s, decision.ReasonDeadline) })"
-	lostAttempt   = "	case m.now < s.answerBy && m.mayRepeat(s):\n		s.avoid = a.engine\n		m.enqueue(s)\n	default:\n		m.endUnanswered(s, decision.ReasonNotRetryable)"
+	deadlineTimer = "m.timers.Schedule(s.answerBy, func() { m.rejectOrAbort(s, decision.ReasonDeadline) })"
+	lostAttempt   = "	case m.now < s.answerBy && m.mayRepeat(s):\n		s.avoid = a.engine\n		m.enqueue(s)\n	default:\n		m.rejectOrAbort(s, decision.ReasonNotRetryable)"
 	repeatGuard   = "s.firstRun == nil || s.idempotency == decision.Idempotent {\n		return true\n	}\n	return s.idempotency == decision.Deduplicated && m.now"
 )
 
 // unlimitedCapacity has engines never full: at this scale the capacity that routers keep free guards cold engines as well as their budget.
-var unlimitedCapacity = edit{"policy/capacity.go", "	others := m.othersOn(e)\n	if !m.priorities.isLight(s, m.now)", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.priorities.isLight(s, m.now)"}
+var unlimitedCapacity = edit{"policy/capacity.go", "	others := m.peerStatementsOn(e)\n	if !m.priorities.isLight(s, m.now)", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.priorities.isLight(s, m.now)"}
 
 // noDeadlineWatchdog has the router leave open what the decision module has forgotten.
 var noDeadlineWatchdog = edit{"internal/proxy/event_loop.go", "if !req.finished && now.After(req.deadline) {", "if false {"}
@@ -75,7 +75,7 @@
 			{
 				file: "policy/admission.go",
 				old:  deadlineTimer,
-				new:  "m.timers.Schedule(s.deadline+time.Second, func() { m.endUnanswered(s, decision.ReasonDeadline) })",
+				new:  "m.timers.Schedule(s.deadline+time.Second, func() { m.rejectOrAbort(s, decision.ReasonDeadline) })",
 			},
 			noDeadlineWatchdog,
 		},
--- a/policy/affinity.go
+++ b/policy/affinity.go
@@ -9,62 +9,63 @@
 )
 
 const (
-	// recentTableGroups is how many table groups sent last an engine is taken to have in its caches.
+	// recentTableGroups is the number of table groups, those sent last, that an engine is assumed to have in its
+	// caches.
 	recentTableGroups = 4
-	// trafficDecay is what an arrival leaves of each earlier one in the counts by table group.
+	// trafficDecay is the factor by which each arrival reduces the earlier counts by table group.
 	trafficDecay = 0.999
-	// maxTableGroups limits the table groups that are remembered, whatever clients name.
+	// maxTableGroups limits the number of table groups tracked, since clients may name any number of them.
 	maxTableGroups = 4096
 )
 
-// tableTraffic counts statements by table group; every count decays at each statement of any group.
+// tableTraffic counts statements by table group. Each statement of any group decays all earlier counts.
 type tableTraffic struct {
 	decay     float64
-	maxGroups int // about; 0: any number
+	maxGroups int // approximate limit; 0: none
 	total     float64
-	sequence  int // statements counted
+	sequence  int // number of statements counted
 	groups    map[decision.TableGroup]decayingCount
 }
 
-// decayingCount is a count as it was when so many statements had been counted.
+// decayingCount is a count, and the sequence number of the statement up to which it has been decayed.
 type decayingCount struct {
 	value    float64
 	sequence int
 }
 
-// count adds a statement.
+// count counts a statement of the table group.
 func (t *tableTraffic) count(tables decision.TableGroup) {
 	if t.groups == nil {
 		t.groups = map[decision.TableGroup]decayingCount{}
 	}
 	t.sequence++
 	t.total = t.total*t.decay + 1
-	t.groups[tables] = decayingCount{value: t.of(tables) + 1, sequence: t.sequence}
+	t.groups[tables] = decayingCount{value: t.decayedCount(tables) + 1, sequence: t.sequence}
 	if t.maxGroups > 0 && len(t.groups) > t.maxGroups {
-		t.forgetRare(tables)
+		t.evictRare(tables)
 	}
 }
 
-// forgetRare drops the groups up to the mean count, which say least, but for one.
-func (t *tableTraffic) forgetRare(keep decision.TableGroup) {
+// evictRare removes the groups whose count is at most the mean, except keep: they account for the least traffic.
+func (t *tableTraffic) evictRare(keep decision.TableGroup) {
 	mean := t.total / float64(len(t.groups))
 	maps.DeleteFunc(t.groups, func(tables decision.TableGroup, _ decayingCount) bool {
-		return tables != keep && t.of(tables) <= mean
+		return tables != keep && t.decayedCount(tables) <= mean
 	})
 }
 
-// of is the decayed count of a table group's statements.
-func (t *tableTraffic) of(tables decision.TableGroup) float64 {
+// decayedCount returns the table group's current count.
+func (t *tableTraffic) decayedCount(tables decision.TableGroup) float64 {
 	c := t.groups[tables]
 	return c.value * math.Pow(t.decay, float64(t.sequence-c.sequence))
 }
 
-// servedRecently reports whether the table group is among those sent to the engine last.
+// servedRecently reports whether the table group is one of the last few sent to the engine.
 func (e *engine) servedRecently(tables decision.TableGroup) bool {
 	return slices.Contains(e.recentTables, tables)
 }
 
-// touch makes the table group the last one sent to the engine, and keeps the last few.
+// touch records the table group as the last one sent to the engine, and keeps the last few.
 func (e *engine) touch(tables decision.TableGroup, keep int) {
 	e.recentTables = slices.DeleteFunc(e.recentTables, func(t decision.TableGroup) bool { return t == tables })
 	e.recentTables = append(e.recentTables, tables)
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -7,17 +7,17 @@
 	"bankledge/decision"
 )
 
-// attempt is one run of a statement at an engine.
+// attempt is one execution of a statement on an engine.
 type attempt struct {
 	statement *statement
 	engine    *engine
 	number    decision.AttemptID
 	sentAt    time.Duration
-	memoryMB  float64 // that it is taken to need
+	memoryMB  float64 // expected need
 	ended     bool
-	neverRan  bool // it ended and is known not to have run
+	neverRan  bool // it ended, and is known not to have run
 	cancelled bool
-	spilled   bool // for want of memory
+	spilled   bool // it ran out of memory and spilled to disk
 	errored   bool
 }
 
@@ -30,26 +30,26 @@
 		e.slowStartWork.Add(m.now, s.work)
 	}
 	action := decision.StartAttempt{Statement: s.id, Engine: e.Engine}
-	if s.firstRun != nil && s.idempotency == decision.Deduplicated { // the host may be slow to send it
+	if s.firstRun != nil && s.idempotency == decision.Deduplicated { // the host may send it late
 		action.StartBefore = s.firstRun.sentAt + s.workload.DedupWindow
 	}
 	m.attemptsInFlight++
 	e.start(s, m.now, m.memoryNeed(s))
 	e.touch(s.tables, recentTableGroups)
 	m.setResources(s)
-	m.act(action)
+	m.emit(action)
 }
 
-// cancelAttempt stops an attempt, where the host can.
+// cancelAttempt cancels an attempt if the host supports cancellation.
 func (m *Module) cancelAttempt(a *attempt, reason decision.Reason) {
 	if a.ended || a.cancelled || !m.limits.Cancellation {
 		return
 	}
 	a.cancelled = true
-	m.act(decision.CancelAttempt{Statement: a.statement.id, Attempt: a.number, Reason: reason})
+	m.emit(decision.CancelAttempt{Statement: a.statement.id, Attempt: a.number, Reason: reason})
 }
 
-// attemptEnded takes the one outcome of an attempt, learns from it and decides how its statement goes on.
+// attemptEnded handles the outcome of an attempt: it updates the estimates, and retries or finishes the statement.
 func (m *Module) attemptEnded(ev decision.AttemptEnded) {
 	a := m.endpoints.finishAttempt(ev)
 	if a == nil {
@@ -59,16 +59,16 @@
 	if a.statement.key != "" {
 		m.releaseKey(a.statement, ev.Outcome)
 	}
-	m.learnFromOutcome(a, ev.Outcome)
+	m.recordOutcome(a, ev.Outcome)
 	m.receiveReport(a.engine, ev.Report)
-	m.continueAfter(a, ev.Finished)
+	m.retryOrFinish(a, ev.Finished)
 }
 
-// learnFromOutcome updates what is known of the attempt's engine and workload.
-func (m *Module) learnFromOutcome(a *attempt, outcome decision.Outcome) {
+// recordOutcome updates the state of the attempt's engine and workload.
+func (m *Module) recordOutcome(a *attempt, outcome decision.Outcome) {
 	e := a.engine
 	switch outcome {
-	case decision.Errored: // something answers there, which proves neither that it works nor its pace
+	case decision.Errored: // a response shows neither that the engine works nor how fast it is
 		a.errored = true
 		if e.ejected {
 			m.eject(e, false)
@@ -76,32 +76,32 @@
 	case decision.Completed:
 		m.attemptCompleted(a)
 	case decision.Overloaded:
-		m.attemptRefused(a)
+		m.attemptOverloaded(a)
 	case decision.ConnectFailed:
 		m.eject(e, m.failsTrial(e))
-	case decision.ConnectionReset: // a crash breaks all that is in flight; a flaky link breaks only some
+	case decision.ConnectionReset: // a crash resets all connections, a flaky link only some of them
 		if len(e.attempts) == 0 {
 			m.eject(e, false)
 		}
 	}
 }
 
-// attemptCompleted learns from an attempt that completed.
+// attemptCompleted updates the state of the engine and the workload after a completed attempt.
 func (m *Module) attemptCompleted(a *attempt) {
 	s, e := a.statement, a.engine
-	taken := m.now - a.sentAt
-	m.learnErrors(s, e)
+	runTime := m.now - a.sentAt
+	m.updateErrorShares(s, e)
 	m.readmit(e)
-	e.passedOverUntil = 0
-	e.window(s.classifiedAs).recordCompletion(taken > s.workload.objective(s.expectedRun)/2)
-	e.learnPace(taken, s)
-	s.classifiedAs.learnPace(taken, s.expectedRun)
+	e.skippedUntilArrival = 0
+	e.window(s.classifiedAs).recordCompletion(runTime > s.workload.objective(s.expectedRun)/2)
+	e.updateSlowdown(runTime, s)
+	s.classifiedAs.updateRunTimeFactor(runTime, s.expectedRun)
 	if !a.spilled {
 		s.classifiedAs.shrinkMemoryFactor()
 	}
 }
 
-// start adds a statement's next attempt to the engine.
+// start registers a statement's next attempt on the engine.
 func (e *engine) start(s *statement, now time.Duration, memoryMB float64) {
 	if len(e.attempts) == 0 {
 		e.lastEventAt = now
@@ -119,7 +119,7 @@
 	e.window(w).inFlight++
 }
 
-// finish takes an attempt off the engine; nil where the engine has no such attempt.
+// finish removes an attempt from the engine and returns it, or nil if the engine has no such attempt.
 func (e *engine) finish(id decision.StatementID, number decision.AttemptID, neverRan bool) *attempt {
 	i := slices.IndexFunc(e.attempts, func(a *attempt) bool { return a.statement.id == id && a.number == number })
 	if i < 0 {
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -9,17 +9,17 @@
 	"bankledge/decision"
 )
 
-// An engine full of other routers' statements, or of what time-outs left, gets nothing.
-func TestEngineFullOfOthersStatements(t *testing.T) {
+// An engine that is full of other routers' statements, or of statements that still run after a time-out, gets no more.
+func TestEngineFullOfPeerStatements(t *testing.T) {
 	h := newHarness(t).at(0, ready("a"))
 	full := inFlightReport(8 * maxStatementsPerCore)
 	h.at(ms, decision.HealthCheckEnded{Engine: "a", Outcome: decision.Completed, Report: full})
 	assert.Empty(t, h.at(2*ms, read("s")).sentTo())
-	assert.Empty(t, h.at(900*ms, read("s2")).sentTo(), "silence is no sign of capacity")
+	assert.Empty(t, h.at(900*ms, read("s2")).sentTo(), "no reports do not mean free capacity")
 	assert.NotEmpty(t, h.at(3*time.Second, read("s3")).sentTo(), "an old report no longer counts")
 }
 
-// Heavy work leaves capacity to the light work of any router.
+// Heavy statements leave capacity for the light statements of any router.
 func TestCapacityForLightWork(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -27,9 +27,9 @@
 		want     bool
 		ev       decision.StatementArrived
 	}{
-		{"light work takes what is free", 8, true, read("s")},
-		{"heavy work leaves capacity to light work of any router", 8, false, heavyWrite("s")},
-		{"heavy work takes an engine that is nearly idle", 2, true, heavyWrite("s")},
+		{"light statement takes free capacity", 8, true, read("s")},
+		{"heavy statement leaves capacity for light ones of any router", 8, false, heavyWrite("s")},
+		{"heavy statement takes an engine that is nearly idle", 2, true, heavyWrite("s")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
--- a/policy/congestion_window.go
+++ b/policy/congestion_window.go
@@ -3,34 +3,35 @@
 import "time"
 
 const (
-	// windowThreadsPerCore is the ceiling of a window, in threads a core.
+	// windowThreadsPerCore is the upper bound of a window, in threads per core.
 	windowThreadsPerCore = 2.0
-	// minWindow is the floor of a window, in attempts.
+	// minWindow is the lower bound of a window, in attempts.
 	minWindow = 1.0
 	// windowDecreaseFactor divides a window on congestion.
 	windowDecreaseFactor = 2
-	// overloadedUtilization is the reported share of the cores above which windows are halved.
+	// overloadedUtilization is the reported share of cores in use above which windows are halved.
 	overloadedUtilization = 0.90
-	// missedReports is the number of report periods without a report after which own latencies are used instead.
+	// missedReports is the number of report periods without a load report after which windows follow the latencies that
+	// this router measures.
 	missedReports = 3
 )
 
-// congestionWindow limits the attempts of one workload in flight at one engine, by additive increase and
-// multiplicative decrease with a slow start.
+// congestionWindow limits the attempts of one workload in flight on one engine. It uses additive increase and
+// multiplicative decrease (AIMD) with a slow start.
 type congestionWindow struct {
 	size      float64
-	threshold float64 // of the slow start: below it the window doubles, above it grows by one
+	threshold float64 // of the slow start: the window doubles below it and grows by one above it
 	halvedAt  time.Duration
-	excluded  bool // the engine refused an attempt lately
+	excluded  bool // the engine recently rejected an attempt
 	inFlight  int
 
-	// Counts since the last step.
-	refusals    int
-	late        int // completed after more than half of the latency objective
+	// Counts since the last adjustment.
+	rejections  int
+	late        int // completions that took more than half of the latency objective
 	completions int
 }
 
-// grow is one step up.
+// grow increases the window by one step.
 func (w *congestionWindow) grow(ceiling float64) {
 	if w.size < w.threshold {
 		w.size = min(w.size*2, ceiling)
@@ -39,7 +40,7 @@
 	w.size = min(w.size+1, ceiling)
 }
 
-// halve is one step down, at most one in a report period.
+// halve decreases the window, at most once in a report period.
 func (w *congestionWindow) halve(now time.Duration) {
 	if w.halvedAt != 0 && now < w.halvedAt+reportPeriod {
 		return
@@ -57,33 +58,33 @@
 	}
 }
 
-// mostlyLate reports whether over half of the completions since the last step were late.
+// mostlyLate reports whether more than half of the completions since the last adjustment were late.
 func (w *congestionWindow) mostlyLate() bool { return w.late*2 > w.completions }
 
-// startPeriod resets the counts after a step. An exclusion lasts until a period passes without a refusal.
+// startPeriod resets the counts after an adjustment. An exclusion ends when a period passes without a rejection.
 func (w *congestionWindow) startPeriod() {
-	w.excluded = w.excluded && w.refusals > 0
-	w.refusals = 0
+	w.excluded = w.excluded && w.rejections > 0
+	w.rejections = 0
 	w.late = 0
 	w.completions = 0
 }
 
-// window is the engine's window for a workload.
+// window returns the engine's window for a workload.
 func (e *engine) window(w *workload) *congestionWindow { return &e.windows[w.id] }
 
-// windowCeiling is the largest window of a workload at the engine.
+// windowCeiling returns the upper bound of a workload's window on the engine.
 func (e *engine) windowCeiling(w *workload) float64 {
 	return max(minWindow, e.cores*windowThreadsPerCore/float64(w.Threads))
 }
 
-// stepWindows moves the engine's windows: down on memory waits, on utilization or, for want of that, on own latencies;
-// else up.
-func (m *Module) stepWindows(e *engine, utilizationKnown bool) {
-	e.windowsSteppedAt = m.now
+// adjustWindows adjusts the engine's windows. They shrink if statements wait for memory, if utilization is high or,
+// where utilization is not reported, if most completions are late. Otherwise they grow.
+func (m *Module) adjustWindows(e *engine, utilizationKnown bool) {
+	e.windowsAdjustedAt = m.now
 	for i := range e.windows {
 		w := &e.windows[i]
 		switch {
-		case w.refusals > 0: // halved at the refusal
+		case w.rejections > 0: // already halved at the rejection
 		case e.isCongested(w, utilizationKnown):
 			w.halve(m.now)
 		default:
@@ -93,7 +94,7 @@
 	}
 }
 
-// isCongested reports whether a step of the window goes down.
+// isCongested reports whether the window has to shrink.
 func (e *engine) isCongested(w *congestionWindow, utilizationKnown bool) bool {
 	if e.queueDepth >= 1 {
 		return true
@@ -104,18 +105,19 @@
 	return w.mostlyLate()
 }
 
-// attemptRefused takes an engine's refusal: the window is halved, and the engine is excluded for the workload until a
-// period has passed.
-func (m *Module) attemptRefused(a *attempt) {
+// attemptOverloaded handles an engine's rejection: it halves the window and excludes the engine for the workload until
+// a period has passed.
+func (m *Module) attemptOverloaded(a *attempt) {
 	w := a.engine.window(a.statement.classifiedAs)
 	w.halve(m.now)
-	w.refusals++
+	w.rejections++
 	w.excluded = true
 	m.timers.Schedule(m.now+reportPeriod, func() { w.excluded = false })
 }
 
-// firstWindows are the windows of an engine that has just started: the mean of its machine type, or the floor.
-func (l *endpointList) firstWindows(e *engine, workloads []*workload) []congestionWindow {
+// initialWindows returns the windows of an engine that has just started: the mean of its machine type, or minWindow if
+// no other engine has that type.
+func (l *endpointList) initialWindows(e *engine, workloads []*workload) []congestionWindow {
 	windows := make([]congestionWindow, len(workloads))
 	for i, w := range workloads {
 		windows[i] = congestionWindow{size: l.meanWindow(e, i, minWindow), threshold: e.windowCeiling(w)}
@@ -123,8 +125,9 @@
 	return windows
 }
 
-// meanWindow is the mean window of the other ready engines of an engine's machine type, or otherwise if there is none.
-func (l *endpointList) meanWindow(e *engine, workload int, otherwise float64) float64 {
+// meanWindow returns the mean window of the other ready engines with the engine's machine type, or fallback if there
+// are none.
+func (l *endpointList) meanWindow(e *engine, workload int, fallback float64) float64 {
 	sum, count := 0.0, 0.0
 	for _, other := range l.all {
 		if other != e && other.isReady() && other.MachineType == e.MachineType {
@@ -133,7 +136,7 @@
 		}
 	}
 	if count == 0 {
-		return otherwise
+		return fallback
 	}
 	return sum / count
 }
--- a/policy/congestion_window_test.go
+++ b/policy/congestion_window_test.go
@@ -21,13 +21,13 @@
 		{"doubles below the slow-start threshold", 2, 16, 4, utilization(0.5), 0, 0},
 		{"adds one above it", 8, 4, 9, utilization(0.5), 0, 0},
 		{"stops at cores x 2 / threads", 12, 16, 16, utilization(0.5), 0, 0},
-		{"halves on utilization past 90 percent", 8, 16, 4, utilization(0.95), 0, 0},
+		{"halves above 90 percent utilization", 8, 16, 4, utilization(0.95), 0, 0},
 		{"halves on memory waits", 8, 16, 4, queue(2), 0, 0},
 		{"never below one", 1, 16, 1, queue(2), 0, 0},
-		{"own latency replaces a missing field", 8, 16, 4, queue(0), 3, 4},
-		{"own latency does not count where utilization is reported", 8, 16, 16, utilization(0.5), 3, 4},
-		{"an empty report is no congestion", 8, 16, 16, &decision.LoadReport{}, 0, 0},
-		{"no report, no step", 8, 16, 8, nil, 0, 0},
+		{"measured latency replaces missing utilization", 8, 16, 4, queue(0), 3, 4},
+		{"measured latency is ignored if utilization is reported", 8, 16, 16, utilization(0.5), 3, 4},
+		{"a report without fields means no congestion", 8, 16, 16, &decision.LoadReport{}, 0, 0},
+		{"no adjustment without a report", 8, 16, 8, nil, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t).at(0, ready("a"))
@@ -41,7 +41,7 @@
 			assert.Equal(t, c.want, w.size)
 		})
 	}
-	t.Run("a refusal halves once a period and excludes for one", func(t *testing.T) {
+	t.Run("a rejection halves the window once per period and excludes the engine for one period", func(t *testing.T) {
 		h := newHarness(t).at(0, ready("a", "b"))
 		w := &h.engine("a").windows[0]
 		w.size = 8
--- a/policy/deadline_test.go
+++ b/policy/deadline_test.go
@@ -10,7 +10,7 @@
 	"bankledge/decision"
 )
 
-// Every statement is answered once, before its deadline.
+// Every statement gets exactly one answer, before its deadline.
 func TestAnswerBeforeDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -19,8 +19,8 @@
 		budget time.Duration
 	}{
 		{"idempotent is rejected in time", read("s"), false, 4 * time.Second},
-		{"non-idempotent that may run is aborted in time", write("s"), true, 20 * time.Second},
-		{"a budget shorter than the workload's", func() decision.StatementArrived {
+		{"non-idempotent that may have run is aborted in time", write("s"), true, 20 * time.Second},
+		{"time budget shorter than the statement timeout", func() decision.StatementArrived {
 			w := write("s")
 			w.TimeBudget = 3 * time.Second
 			return w
@@ -40,12 +40,12 @@
 			}
 			assert.Equal(t, 1, answers)
 			h.at(c.budget, end("s", 0, "a", decision.TimedOut), decision.ClientCancelled{Statement: "s"})
-			assert.Empty(t, pick[decision.Abort](h), "it is finished")
+			assert.Empty(t, pick[decision.Abort](h), "the statement is already finished")
 		})
 	}
 }
 
-// A router that shuts down answers by the end of its grace period whatever is open, in the order of the IDs.
+// A router that shuts down answers all open statements at the end of its grace period, in the order of their IDs.
 func TestShutdown(t *testing.T) {
 	h := newHarness(t).at(0, ready("a", "b"), read("2"), read("1"), write("3"))
 	h.at(10*ms, decision.ShutdownStarted{GracePeriod: time.Second})
@@ -61,8 +61,8 @@
 	assert.Equal(t, aborted, pick[decision.Abort](h), "it may have run")
 }
 
-// A client with little time gets nearly all of it: two grains of a coarse clock before its end would be before its
-// start.
+// A statement with a short time budget is not answered until most of the budget has passed. With a coarse clock, the
+// usual margin of two clock ticks would take up most of it.
 func TestShortStatementTimeout(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Identity.ClockGranularity = 25 * ms
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -9,25 +9,25 @@
 	"bankledge/internal/detrand"
 )
 
-// The delay until the endpoint list is fetched again after a failure; it is random, so that routers do not fetch at
-// once.
+// The bounds of the delay until the endpoint list is fetched again after a failure. The delay is random, so that
+// routers do not all fetch at the same time.
 const (
 	minEndpointRetryDelay    = 1.0 // seconds
 	endpointRetryDelayJitter = 1.0 // seconds
 )
 
-// endpointList is all engines ever listed, by ID, and their order by rendezvous hash.
+// endpointList holds the known engines by ID, and caches their rendezvous-hash order by table group.
 type endpointList struct {
 	all         []*engine // sorted by ID
-	maxRankings int       // table groups whose order is cached; 0: any number
+	maxRankings int       // limit of table groups whose order is cached; 0: none
 	byID        map[decision.EngineID]*engine
 	rankings    map[decision.TableGroup][]*engine
 }
 
-// find returns the engine of an ID, or nil.
+// find returns the engine with an ID, or nil.
 func (l *endpointList) find(id decision.EngineID) *engine { return l.byID[id] }
 
-// add adds an engine.
+// add adds an engine and clears the cached orders.
 func (l *endpointList) add(e *engine) {
 	if l.byID == nil {
 		l.byID = map[decision.EngineID]*engine{}
@@ -38,15 +38,16 @@
 	l.rankings = map[decision.TableGroup][]*engine{}
 }
 
-// unlistAll marks all engines as not listed, before a complete list.
+// unlistAll marks all engines as not listed, before a complete list is applied.
 func (l *endpointList) unlistAll() {
 	for _, e := range l.all {
 		e.listed = false
 	}
 }
 
-// forget drops engines that have been off the list for so long and have no attempt in flight: IDs may be new for ever.
-func (l *endpointList) forget(now, after time.Duration) {
+// removeUnlisted removes engines that have not been listed for the given time and have no attempt in flight. Without
+// it, memory would grow without bound where each engine that starts has a new ID.
+func (l *endpointList) removeUnlisted(now, after time.Duration) {
 	before := len(l.all)
 	l.all = slices.DeleteFunc(l.all, func(e *engine) bool {
 		if e.listed || len(e.attempts) > 0 {
@@ -64,7 +65,8 @@
 	}
 }
 
-// ranked is the list by rendezvous hash for a table group, the same at every router. Callers must not change it.
+// ranked returns all engines in rendezvous-hash order for a table group, which is the same at every router. Callers
+// must not modify the result.
 func (l *endpointList) ranked(tables decision.TableGroup) []*engine {
 	ranked, known := l.rankings[tables]
 	if known || len(l.all) == 0 {
@@ -84,7 +86,7 @@
 	return ranked
 }
 
-// finishAttempt ends an attempt; nil where its engine has no such attempt.
+// finishAttempt removes an ended attempt from its engine and returns it, or nil if the engine has no such attempt.
 func (l *endpointList) finishAttempt(ev decision.AttemptEnded) *attempt {
 	e := l.byID[ev.Engine]
 	if e == nil {
@@ -97,11 +99,11 @@
 // isReady reports whether the engine is listed and neither draining nor removed.
 func (e *engine) isReady() bool { return e.listed && e.State == decision.Ready }
 
-// updateEndpoints takes a change of the endpoint list, or all of it.
+// updateEndpoints applies a partial or complete endpoint list.
 func (m *Module) updateEndpoints(ev decision.EndpointList) {
 	if ev.Kind == decision.ListFailed && m.limits.PollEndpoints {
 		delay := minEndpointRetryDelay + endpointRetryDelayJitter*m.random.Float64()
-		m.timers.Schedule(m.now+duration(delay), m.watchEndpoints)
+		m.timers.Schedule(m.now+secondsToDuration(delay), m.watchEndpoints)
 	}
 	if ev.Kind == decision.ListComplete || ev.Kind == decision.ListPersisted {
 		m.endpoints.unlistAll()
@@ -112,20 +114,20 @@
 	m.maintain()
 }
 
-// updateEndpoint takes one engine's entry of the list.
+// updateEndpoint applies one engine's entry of the list.
 func (m *Module) updateEndpoint(endpoint decision.Endpoint) {
 	e := m.endpoints.find(endpoint.Engine)
 	switch {
 	case e == nil:
 		e = newEngine(endpoint, m.traits.Machines[endpoint.MachineType], m.now)
 		m.endpoints.add(e)
-		e.windows = m.endpoints.firstWindows(e, m.workloads)
-	case endpoint.StartedAt > e.StartedAt: // it restarted: its caches are empty
-		e.restarted(m.endpoints.firstWindows(e, m.workloads), m.now)
+		e.windows = m.endpoints.initialWindows(e, m.workloads)
+	case endpoint.StartedAt > e.StartedAt: // the engine restarted, and its caches are empty
+		e.resetAfterRestart(m.endpoints.initialWindows(e, m.workloads), m.now)
 	}
 	e.Endpoint = endpoint
 	e.listed = endpoint.State != decision.Removed
 }
 
 // watchEndpoints requests the endpoint list and its changes.
-func (m *Module) watchEndpoints() { m.act(decision.WatchEndpoints{Enabled: true}) }
+func (m *Module) watchEndpoints() { m.emit(decision.WatchEndpoints{Enabled: true}) }
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -9,7 +9,7 @@
 	"bankledge/decision"
 )
 
-// The endpoint list is fetched where it comes on request, and again after a failure.
+// If the endpoint list is only sent on request, the module requests it at its start and again after a failure.
 func TestEndpointListOnRequest(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Limits.PollEndpoints = true
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -7,7 +7,7 @@
 	"bankledge/internal/slidingwindow"
 )
 
-// engine is what this router knows of one engine.
+// engine is the state that this router keeps of one engine.
 type engine struct {
 	decision.Endpoint
 	cores    float64
@@ -15,65 +15,66 @@
 
 	// Endpoint list.
 	listed        bool
-	unlistedSince time.Duration // since when it is not listed and has no attempt
+	unlistedSince time.Duration // since when it is not listed and has no attempt in flight
 
-	// Attempts of this router there.
+	// Attempts of this router on the engine.
 	attempts       []*attempt
 	threads        int
 	memoryInFlight float64 // MB
 	recentTables   []decision.TableGroup
-	loadsUntil     map[decision.TableGroup]time.Duration // until when a bulk load of another router locks the group
+	bulkLoadsUntil map[decision.TableGroup]time.Duration // until when a bulk load of another router locks the table group
 
-	// Load, as reported, and what follows from it.
-	windows          []congestionWindow // by workload
-	windowsSteppedAt time.Duration
-	reportedAt       time.Duration // last report
-	utilization      float64
-	utilizationKnown bool
-	queueDepth       float64
-	othersInFlight   float64       // statements beyond this router's own
-	othersReportedAt time.Duration // when othersInFlight was reported
+	// Reported load, and the values derived from it.
+	windows           []congestionWindow // by workload
+	windowsAdjustedAt time.Duration
+	reportedAt        time.Duration // last load report
+	utilization       float64
+	utilizationKnown  bool
+	queueDepth        float64
+	peerStatements    float64       // statements of other routers, as last reported
+	peerReportedAt    time.Duration // when peerStatements was reported
 
 	// Health.
-	ejected         bool
-	unreachable     bool // connections failed while it was ejected: it may have restarted
-	ejectedUntil    time.Duration
-	backoff         time.Duration
-	lastEventAt     time.Duration // last sign of life
-	pace            float64       // time taken over what its workload usually takes
-	errorShare      float64       // learned: of its attempts that errored there while the statement completed elsewhere
-	passedOverUntil int           // count of arrivals before which nothing is sent there
-	checking        bool          // a health check is in flight
-	checkedAt       time.Duration // last health check
+	ejected             bool
+	unreachable         bool // connections failed while it was ejected, so it may have restarted
+	ejectedUntil        time.Duration
+	backoff             time.Duration
+	lastEventAt         time.Duration // last activity of the engine
+	slowdown            float64       // moving average of an attempt's run time over the usual one of its workload
+	errorShare          float64       // moving average of errors here on statements that completed elsewhere
+	skippedUntilArrival int           // value of Module.arrivals until which no statement is sent here
+	checking            bool          // a health check is in flight
+	checkedAt           time.Duration // start of the last health check
 
 	// Slow start.
-	slowStartWork        slidingwindow.Sum // sent during its slow start
-	slowStartProbability float64           // that a statement may go there
+	slowStartWork        slidingwindow.Sum // work sent during its slow start
+	slowStartProbability float64           // that a statement may be sent here
 }
 
-// newEngine is an engine that joins the endpoint list now.
+// newEngine returns the state of an engine that joins the endpoint list now.
 func newEngine(endpoint decision.Endpoint, machine decision.MachineSpec, now time.Duration) *engine {
 	return &engine{
-		Endpoint:         endpoint,
-		cores:            max(1, machine.Cores),
-		memoryMB:         machine.MemoryMB,
-		windowsSteppedAt: now,
-		lastEventAt:      now,
-		reportedAt:       now - reportPeriod,
-		othersReportedAt: now,
-		pace:             1,
-		loadsUntil:       map[decision.TableGroup]time.Duration{},
+		Endpoint:          endpoint,
+		cores:             max(1, machine.Cores),
+		memoryMB:          machine.MemoryMB,
+		windowsAdjustedAt: now,
+		lastEventAt:       now,
+		reportedAt:        now - reportPeriod,
+		peerReportedAt:    now,
+		slowdown:          1,
+		bulkLoadsUntil:    map[decision.TableGroup]time.Duration{},
 	}
 }
 
-// restarted resets what was known of an engine before it restarted, but not the attempts that are still to end.
-func (e *engine) restarted(windows []congestionWindow, now time.Duration) {
+// resetAfterRestart resets what was learned of an engine before it restarted, but keeps the attempts that have not
+// ended.
+func (e *engine) resetAfterRestart(windows []congestionWindow, now time.Duration) {
 	e.recentTables = nil
 	e.ejected = false
 	e.unreachable = false
 	e.backoff = 0
-	e.othersInFlight = 0
-	e.othersReportedAt = now
+	e.peerStatements = 0
+	e.peerReportedAt = now
 	e.errorShare = 0
 	e.windows = windows
 	for _, a := range e.attempts {
@@ -81,5 +82,5 @@
 	}
 }
 
-// statementsInFlight is the number of statements there, as last reported, with what this router has sent since.
-func (e *engine) statementsInFlight() float64 { return e.othersInFlight + float64(len(e.attempts)) }
+// statementsInFlight returns the statements of other routers, as last reported, plus the attempts of this router.
+func (e *engine) statementsInFlight() float64 { return e.peerStatements + float64(len(e.attempts)) }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,19 +9,19 @@
 	"bankledge/decision"
 )
 
-// Engines that start while the others are busy go through slow start under all routers together, none of which knows
-// what the others send: never more than they bear, but enough that the others are relieved.
+// Engines that start while the others are busy are warmed up by all routers together, although no router knows what the
+// others send. They never get more than the slow-start rules allow, but enough to relieve the other engines.
 func TestManyRoutersWarmUpEngines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		routers  int
 		engines  int
-		started  int // later
+		started  int // engines that join later
 		rate     float64
 		minUsage float64
 	}{
-		{"each router asks for little", 200, 6, 4, 1, 0.06},
-		{"each router asks for much", 100, 16, 12, 5, 0.2},
+		{"low rate per router", 200, 6, 4, 1, 0.06},
+		{"high rate per router", 100, 16, 12, 5, 0.2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -50,7 +50,8 @@
 	}
 }
 
-// What a router knows of the fleet, or what it gets of its traffic, may be wrong: it still serves.
+// The fleet keeps serving in time if the settings or the endpoint list are wrong, the traffic is uneven, or routers or
+// engines fail.
 func TestRoutersUnlikeTheSettings(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -58,18 +59,18 @@
 	}{
 		{"as the settings say", func(*simulatedFleet) {}},
 		{"the settings say one router", func(f *simulatedFleet) { f.setRouterCount(1) }},
-		{"one has eight times the traffic", func(f *simulatedFleet) { f.routers[0].trafficRate = 8 }},
-		{"one has a tenth of the traffic", func(f *simulatedFleet) { f.routers[0].trafficRate = 0.1 }},
-		{"the list names engines that are gone", func(f *simulatedFleet) {
+		{"one router has eight times the traffic", func(f *simulatedFleet) { f.routers[0].trafficRate = 8 }},
+		{"one router has a tenth of the traffic", func(f *simulatedFleet) { f.routers[0].trafficRate = 0.1 }},
+		{"the endpoint list contains engines that no longer exist", func(f *simulatedFleet) {
 			for _, id := range f.engineIDs()[:2] {
-				f.engines[id].refusesToOpen = true
+				f.engines[id].refusesConnections = true
 			}
 		}},
-		{"seven in ten start at the same moment", func(f *simulatedFleet) {
+		{"seven in ten routers restart at the same time", func(f *simulatedFleet) {
 			f.run(3 * time.Second)
 			f.restart(7)
 		}},
-		{"an engine hangs, then goes on", func(f *simulatedFleet) {
+		{"an engine hangs, then recovers", func(f *simulatedFleet) {
 			f.run(3 * time.Second)
 			engine := f.engines[f.engineIDs()[0]]
 			engine.hangs = true
@@ -95,7 +96,7 @@
 	}
 }
 
-// What fleets fall over from, in fleets of many modules: it is served meanwhile, and as before soon after.
+// A simulated fleet of many modules keeps serving during common faults, and recovers within 5 seconds of their end.
 func TestFleetUnderFaults(t *testing.T) {
 	setSlowness := func(f *simulatedFleet, slowness float64) {
 		for _, e := range f.engines {
@@ -106,26 +107,26 @@
 	for _, c := range []struct {
 		name         string
 		begin, end   func(*simulatedFleet)
-		minMeanwhile float64 // in time, of what is sent first
-		minAfter     float64 // in the last 5 s, of what it was before
+		minMeanwhile float64 // share of first sends that complete in time
+		minAfter     float64 // the same share from 5 s after the fault, relative to before it
 	}{
-		{"twice the demand, clients that try again twice",
+		{"twice the demand, with two retries per client",
 			func(f *simulatedFleet) { f.rate *= 2 }, func(f *simulatedFleet) { f.rate /= 2 }, 0.6, 0.9},
-		{"all engines half as fast, none of them faulty",
+		{"all engines at half speed",
 			func(f *simulatedFleet) { setSlowness(f, 2) }, func(f *simulatedFleet) { setSlowness(f, 1) }, 0.45, 0.9},
-		{"one of eight errs at once",
-			func(f *simulatedFleet) { f.engines["e00"].errs = true },
-			func(f *simulatedFleet) { f.engines["e00"].errs = false }, 0.7, 0.9},
-		{"one of eight errs for one workload only",
-			func(f *simulatedFleet) { f.engines["e00"].errsOn = &reads },
-			func(f *simulatedFleet) { f.engines["e00"].errsOn = nil }, 0.7, 0.9},
-		{"one of eight is ten times as slow",
+		{"one of eight engines fails all statements at once",
+			func(f *simulatedFleet) { f.engines["e00"].failsAtOnce = true },
+			func(f *simulatedFleet) { f.engines["e00"].failsAtOnce = false }, 0.7, 0.9},
+		{"one of eight engines fails one workload at once",
+			func(f *simulatedFleet) { f.engines["e00"].failingWorkload = &reads },
+			func(f *simulatedFleet) { f.engines["e00"].failingWorkload = nil }, 0.7, 0.9},
+		{"one of eight engines is ten times as slow",
 			func(f *simulatedFleet) { f.engines["e00"].slowness = 10 },
 			func(f *simulatedFleet) { f.engines["e00"].slowness = 1 }, 0.6, 0.9},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			fleet := newSimulatedFleet(fleetHarness(t), 60, 2.8, simulatedEngines(8)...) // 0.6 of the cores
+			fleet := newSimulatedFleet(fleetHarness(t), 60, 2.8, simulatedEngines(8)...) // demand is 0.6 of the cores
 			fleet.clientRetries = 2
 			fleet.run(5 * time.Second)
 			before := fleet.inTimeShare(5 * time.Second)
--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -8,6 +8,7 @@
 	"bankledge/decision"
 )
 
+// startAttempt runs an attempt on its engine and schedules its progress messages and its outcome.
 func (s *generatedSite) startAttempt(a decision.StartAttempt) {
 	statement, engine := s.open[a.Statement], s.engines[a.Engine]
 	key := attemptKey{a.Statement, decision.AttemptID(statement.attempts)}
@@ -39,7 +40,7 @@
 	s.schedule(after, func() []decision.Event { return s.end(key, outcome) })
 }
 
-// outcome draws how an attempt ends, and when.
+// outcome draws the outcome of an attempt and the time until it ends.
 func (s *generatedSite) outcome(engine *generatedEngine, run time.Duration) (decision.Outcome, time.Duration) {
 	kind := engine.fault
 	if s.chance(0.01) {
@@ -50,7 +51,7 @@
 		return decision.Completed, run * time.Duration(5+s.random.IntN(30))
 	case silent:
 		return decision.TimedOut, s.between(8*time.Second, 20*time.Second)
-	case erring:
+	case failing:
 		return decision.Errored, s.between(ms, 5*ms)
 	case refusing:
 		return decision.ConnectFailed, s.between(ms, 250*ms)
@@ -66,7 +67,7 @@
 	return decision.Completed, run
 }
 
-// scheduleProgress has the engine report the progress of a running attempt, where engines do.
+// scheduleProgress schedules the progress messages of a running attempt, if engines send any.
 func (s *generatedSite) scheduleProgress(key attemptKey, statement *generatedStatement, run time.Duration) {
 	every := s.opening.Engines.ProgressInterval
 	if every == 0 || s.attempts[key].engine.fault == silent {
@@ -82,7 +83,7 @@
 				Engine: attempt.engine.entry.Engine, Kind: kind, Value: value}}
 		})
 	}
-	done := s.factor(0.7, 1) // it seldom progresses evenly
+	done := s.factor(0.7, 1) // progress is seldom linear
 	if s.chance(0.05) {
 		done = 0.05
 	}
@@ -97,7 +98,7 @@
 	}
 }
 
-// end is an attempt's outcome, once.
+// end ends an attempt with an outcome, unless it has already ended.
 func (s *generatedSite) end(key attemptKey, outcome decision.Outcome) []decision.Event {
 	attempt := s.attempts[key]
 	if attempt == nil {
@@ -135,7 +136,7 @@
 	})
 }
 
-// report has the settings' fields; now and then one is missing.
+// report returns a load report with the fields of the settings, of which some are missing at random.
 func (s *generatedSite) report(engine *generatedEngine) *decision.LoadReport {
 	report := &decision.LoadReport{}
 	for _, field := range s.opening.LoadReports.Fields {
--- a/policy/generated_changes_test.go
+++ b/policy/generated_changes_test.go
@@ -37,7 +37,7 @@
 	return list
 }
 
-// changeList has an engine drain and go, start over, or come, sometimes as a complete list.
+// changeList drains and removes, restarts or adds an engine, and sometimes sends a complete list.
 func (s *generatedSite) changeList() []decision.Event {
 	s.always(s.exponential(4*time.Second), s.changeList)
 	engine := s.anyEngine()
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// changeRate moves between quiet times and overload.
+// changeRate varies the arrival rate between low load and overload.
 func (s *generatedSite) changeRate() []decision.Event {
 	s.always(s.exponential(6*time.Second), s.changeRate)
 	s.rate = s.factor(0.2, 3)
@@ -114,7 +114,7 @@
 	return []decision.Event{event}
 }
 
-// stop ends this incarnation: mostly with notice, sometimes as a process that is killed.
+// stop ends the current instance of the module, mostly by a graceful shutdown, sometimes as if the process were killed.
 func (s *generatedSite) stop() []decision.Event {
 	s.always(s.between(20*time.Second, 50*time.Second), s.stop)
 	if s.chance(0.3) {
@@ -128,7 +128,7 @@
 	return []decision.Event{decision.ShutdownStarted{GracePeriod: stopTime * 3 / 4}}
 }
 
-// restart begins with a new module that knows the endpoint list as last seen.
+// restart starts a new instance of the module, which gets the last known endpoint list.
 func (s *generatedSite) restart() {
 	s.incarnation++
 	s.open = map[decision.StatementID]*generatedStatement{}
--- a/policy/generated_site_test.go
+++ b/policy/generated_site_test.go
@@ -16,14 +16,14 @@
 const (
 	ms = time.Millisecond
 
-	clockStart      = time.Hour // of the module's clock: engines without a start time have run for long
+	clockStart      = time.Hour // start of the module's clock; engines without a start time are older
 	meanArrivalRate = 45.0      // statements a second
 	tableGroups     = 24
-	stopTime        = 2 * time.Second // from the notice of a stop until the router starts again
+	stopTime        = 2 * time.Second // from the start of a shutdown until the router starts again
 )
 
-// generatedSite drives one module: it draws what happens from a seed, carries out the actions as engines that may
-// fail would, and hands their consequences back as events. Equal actions give an equal stream.
+// generatedSite drives one module. It draws events from a seed, carries out the module's actions on simulated engines
+// that may fail, and feeds the results back as events. Equal actions give an equal stream of events.
 type generatedSite struct {
 	opening *settings.ModuleSettings
 	random  *rand.Rand
@@ -32,17 +32,17 @@
 	now     time.Duration
 	queue   scheduledEvents
 	seq     int
-	events  int // handed to the module
+	events  int // number handed to the module
 
-	incarnation int // starts of the module; what was scheduled for an earlier one is void
-	timer       int // the timer set last; earlier ones are replaced
+	incarnation int // number of module starts; events scheduled for earlier instances are dropped
+	timer       int // number of the last timer set, which replaces earlier ones
 	statements  int
 	open        map[decision.StatementID]*generatedStatement
 	attempts    map[attemptKey]*generatedAttempt // without an outcome
 	engines     map[decision.EngineID]*generatedEngine
 	engineCount int
 	listVersion int64
-	rate        float64 // of the mean arrival rate
+	rate        float64 // relative to the mean arrival rate
 }
 
 type generatedStatement struct {
@@ -60,14 +60,14 @@
 	threads float64
 }
 
-// fault is what is wrong with an engine.
+// fault is the way in which an engine fails.
 type fault int
 
 const (
 	healthy fault = iota
 	slow
 	silent
-	erring
+	failing
 	refusing
 	full
 	resetting
@@ -79,15 +79,15 @@
 	entry   decision.Endpoint
 	cores   float64
 	running int
-	others  float64 // statements of other routers there
+	others  float64 // statements of other routers on the engine
 	fault   fault
 }
 
-// scheduled is something that happens at a time; do returns the events for the module.
+// scheduled is a future occurrence; do returns the events that it causes for the module.
 type scheduled struct {
 	at          time.Duration
 	seq         int
-	incarnation int // -1: of any
+	incarnation int // -1: any
 	do          func() []decision.Event
 }
 
@@ -122,19 +122,19 @@
 	return s
 }
 
-// schedule has something happen to this incarnation of the module.
+// schedule schedules an occurrence that is dropped if the module restarts before it.
 func (s *generatedSite) schedule(after time.Duration, do func() []decision.Event) {
 	s.seq++
 	heap.Push(&s.queue, scheduled{s.now + after, s.seq, s.incarnation, do})
 }
 
-// always has something happen for the first time after so long; it schedules itself again.
+// always schedules an occurrence that survives restarts of the module. Recurring ones schedule themselves again.
 func (s *generatedSite) always(after time.Duration, do func() []decision.Event) {
 	s.seq++
 	heap.Push(&s.queue, scheduled{s.now + after, s.seq, -1, do})
 }
 
-// run lets time pass. What comes within a millisecond is handled in one call.
+// run advances the clock. Events within half a millisecond are handled in one call.
 func (s *generatedSite) run(duration time.Duration) {
 	for end := s.now + duration; s.queue[0].at < end; {
 		s.now = max(s.now, s.queue[0].at)
@@ -146,7 +146,7 @@
 			}
 			incarnation := s.incarnation
 			happened := next.do()
-			if s.incarnation != incarnation { // what had come in this call is lost with the old module
+			if s.incarnation != incarnation { // events collected for the previous instance are lost
 				events = nil
 			}
 			events = append(events, happened...)
@@ -208,7 +208,7 @@
 	return time.Duration(s.random.ExpFloat64() * float64(mean))
 }
 
-// anyEngine draws an engine, by the order of their ids.
+// anyEngine draws an engine. It sorts the IDs first, so that equal seeds draw the same engine.
 func (s *generatedSite) anyEngine() *generatedEngine {
 	ids := slices.Sorted(maps.Keys(s.engines))
 	return s.engines[ids[s.random.IntN(len(ids))]]
--- a/policy/generated_statements_test.go
+++ b/policy/generated_statements_test.go
@@ -8,6 +8,7 @@
 	"bankledge/decision"
 )
 
+// arrive draws a new statement and schedules the next arrival.
 func (s *generatedSite) arrive() []decision.Event {
 	s.always(time.Duration(s.random.ExpFloat64()/(s.rate*meanArrivalRate)*float64(time.Second)), s.arrive)
 	workload := 0
@@ -42,7 +43,7 @@
 	return []decision.Event{event}
 }
 
-// factor draws from a range so that small values come more often.
+// factor draws from a range with a log-uniform distribution, which favors small values.
 func (s *generatedSite) factor(least, most float64) float64 {
 	return least * math.Pow(most/least, s.random.Float64())
 }
@@ -62,7 +63,7 @@
 	return classification
 }
 
-// clientEvent has a client leave, stop taking answers in, or take them in again.
+// clientEvent has the client of an open statement cancel, disconnect, or stop reading for a while.
 func (s *generatedSite) clientEvent() []decision.Event {
 	s.always(s.exponential(400*ms), s.clientEvent)
 	statement := s.anyOpen()
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// healthCheckWidth is how many of a statement's candidates are checked; maxHealthCheckWidth applies to the wider
-	// choice when all of these are congested.
+	// healthCheckWidth is the number of a statement's candidates that are checked. If all candidates are congested, all
+	// available engines are considered, and maxHealthCheckWidth of them are checked.
 	healthCheckWidth    = 2
 	maxHealthCheckWidth = 4
-	// maxSavedHealthChecks limits the checks that are saved up.
-	maxSavedHealthChecks = maxHealthCheckWidth * maxHealthCheckWidth
+	// maxUnusedHealthChecks limits the unused health checks that accumulate.
+	maxUnusedHealthChecks = maxHealthCheckWidth * maxHealthCheckWidth
 )
 
-// healthCheckBudget holds the health checks that may still be sent: they follow the statements, not a clock.
+// healthCheckBudget holds the health checks that may still be sent. Each arriving statement adds to it, rather than
+// elapsed time.
 type healthCheckBudget struct {
-	enabled   bool // load reports come by health check only
+	enabled   bool // load reports come only by health check
 	available float64
 }
 
@@ -25,13 +26,13 @@
 	return healthCheckBudget{enabled: reports.Source == decision.LoadReportsByHealthCheck && limits.HealthChecks}
 }
 
-// earn adds the checks of one arrival; perStatement is what the rules name, 0 if they name nothing.
-func (b *healthCheckBudget) earn(perStatement float64) {
-	b.available = min(b.available+cmp.Or(perStatement, healthCheckWidth), maxSavedHealthChecks)
+// deposit adds the checks of one arrival: perStatement, or the default if the rules set none (0).
+func (b *healthCheckBudget) deposit(perStatement float64) {
+	b.available = min(b.available+cmp.Or(perStatement, healthCheckWidth), maxUnusedHealthChecks)
 }
 
-// spend takes a check; false: there is none.
-func (b *healthCheckBudget) spend() bool {
+// tryWithdraw takes a check from the budget, and reports whether there was one.
+func (b *healthCheckBudget) tryWithdraw() bool {
 	if b.available < 1 {
 		return false
 	}
@@ -39,9 +40,10 @@
 	return true
 }
 
-// freshlyReported returns the engines with a fresh load report. If none of these is free of congestion it checks the
-// statement's first few; none is returned while one of those checks is in flight: the statement waits for it.
-func (m *Module) freshlyReported(s *statement, engines []*engine, width int) []*engine {
+// enginesWithFreshReport returns the engines with a fresh load report. Unless one of these is free of congestion, it
+// sends health checks to up to width engines. While one of those checks is in flight it returns none, so that the
+// statement waits for the result.
+func (m *Module) enginesWithFreshReport(s *statement, engines []*engine, width int) []*engine {
 	var fresh []*engine
 	for _, e := range engines {
 		if !m.hasFreshReport(e) {
@@ -52,7 +54,7 @@
 			width = 0
 		}
 	}
-	first := m.rotation(s, len(engines)) + int(m.now/reportPeriod)*width // a period later, the next few
+	first := m.rotation(s, len(engines)) + int(m.now/reportPeriod)*width // each period begins at the next few engines
 	for i := range min(width, len(engines)) {
 		if m.awaitReport(engines[(i+first)%len(engines)]) {
 			fresh = nil
@@ -61,25 +63,25 @@
 	return fresh
 }
 
-// awaitReport checks an engine whose report is not fresh, if the budget allows it, and reports whether a check is in
-// flight.
+// awaitReport sends a health check to an engine without a fresh report, if the budget allows it, and reports whether a
+// check is in flight.
 func (m *Module) awaitReport(e *engine) bool {
 	if e.checking && m.now < e.checkedAt+reportPeriod {
 		return true
 	}
-	if m.hasFreshReport(e) || !m.healthChecks.spend() {
+	if m.hasFreshReport(e) || !m.healthChecks.tryWithdraw() {
 		return false
 	}
 	e.checking = true
 	e.checkedAt = m.now
-	m.act(decision.HealthCheck{Engine: e.Engine})
+	m.emit(decision.HealthCheck{Engine: e.Engine})
 	return true
 }
 
-// hasFreshReport reports whether an engine's last load report is fresh.
+// hasFreshReport reports whether the engine's last load report is fresh.
 func (m *Module) hasFreshReport(e *engine) bool { return m.now < e.reportedAt+reportPeriod }
 
-// healthCheckEnded takes the outcome of a health check. It does not readmit an engine: only attempts do.
+// healthCheckEnded handles the result of a health check. It does not readmit an ejected engine: only attempts do.
 func (m *Module) healthCheckEnded(ev decision.HealthCheckEnded) {
 	e := m.endpoints.find(ev.Engine)
 	if e == nil {
@@ -90,9 +92,9 @@
 	switch ev.Outcome {
 	case decision.ConnectFailed:
 		m.eject(e, m.failsTrial(e))
-	case decision.TimedOut: // a check is served like a statement: as good as full
+	case decision.TimedOut: // engines serve checks like statements, so this one is considered full
 		e.reportedAt = m.now
-		e.othersInFlight = maxStatementsPerCore * e.cores
-		e.othersReportedAt = m.now
+		e.peerStatements = maxStatementsPerCore * e.cores
+		e.peerReportedAt = m.now
 	}
 }
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// slowAttemptFactor is the multiple of its expected run time from which an attempt may be cancelled, and of the
-	// usual pace from which an engine counts as congested.
+	// slowAttemptFactor is the multiple of its expected run time above which an attempt may be cancelled, and the
+	// engine slowdown above which an engine counts as congested.
 	slowAttemptFactor = 4.0
-	// minExpectedRun is the least expected run time that slowAttemptFactor applies to, in seconds.
+	// minExpectedRun is the lower bound of the expected run time that slowAttemptFactor applies to, in seconds.
 	minExpectedRun = 0.5
-	// minRemainingRuns is how many expected run times must remain for an attempt to be cancelled.
+	// minRemainingRuns is the number of expected run times that must remain for an attempt to be cancelled.
 	minRemainingRuns = 2
-	// minShareDone stands in for a reported progress of nearly nothing.
+	// minShareDone replaces a reported progress near zero.
 	minShareDone = 0.002
-	// nearlyDoneShare is the reported progress from which an attempt gets the highest priority.
+	// nearlyDoneShare is the reported progress above which an attempt gets the highest priority.
 	nearlyDoneShare = 0.5
 )
 
@@ -33,22 +33,22 @@
 		m.attemptSpilled(a)
 	case decision.ProgressWaiting:
 		if ev.Value == decision.WaitingForBulkLoad {
-			m.attemptWaitsForLoad(a)
+			m.attemptWaitsForBulkLoad(a)
 		}
 	case decision.ProgressShareDone:
 		m.checkProgress(a, ev.Value)
 	}
 }
 
-// checkProgress moves an attempt whose progress shows a bad plan elsewhere, and has one that is nearly done finish
-// first, since that frees its memory and threads soonest.
+// checkProgress cancels or hedges an attempt whose progress indicates a bad plan. It raises the priority of an attempt
+// that is nearly done, since completing it is the fastest way to free memory and threads.
 func (m *Module) checkProgress(a *attempt, shareDone float64) {
 	s := a.statement
 	elapsed := (m.now - a.sentAt).Seconds()
 	remaining := elapsed * (1 - shareDone) / max(shareDone, minShareDone)
 	expected := s.expectedRun.Seconds()
 	if elapsed+remaining > slowAttemptFactor*max(expected, minExpectedRun) && remaining > minRemainingRuns*expected {
-		m.moveElsewhere(a, decision.ReasonSlow)
+		m.cancelOrHedge(a, decision.ReasonSlow)
 		return
 	}
 	if shareDone > nearlyDoneShare {
@@ -56,15 +56,15 @@
 	}
 }
 
-// moveElsewhere cancels an attempt that is stuck or slow, so that its statement is sent again. Where the host cannot
-// cancel, the statement is hedged: it gets one more attempt while the first still runs.
-func (m *Module) moveElsewhere(a *attempt, reason decision.Reason) {
+// cancelOrHedge cancels an attempt that is stuck or slow, so that its statement is retried. If the host cannot cancel,
+// the statement is hedged: it gets one more attempt while the first one still runs.
+func (m *Module) cancelOrHedge(a *attempt, reason decision.Reason) {
 	s := a.statement
 	if s.finished || s.streaming || s.idempotency != decision.Idempotent || !m.mayRepeat(s) {
 		return
 	}
-	// Not again before each engine might have had its turn.
-	a.engine.passedOverUntil = m.arrivals + len(m.endpoints.all)
+	// Skip this engine until one statement per known engine has arrived.
+	a.engine.skippedUntilArrival = m.arrivals + len(m.endpoints.all)
 	m.cancelAttempt(a, reason)
 	if a.cancelled || !m.limits.Hedging || s.openAttempts != 1 || s.queued {
 		return
--- a/policy/hedge_test.go
+++ b/policy/hedge_test.go
@@ -10,8 +10,8 @@
 	"bankledge/decision"
 )
 
-// An attempt whose progress shows a bad plan is cancelled, and its statement sent elsewhere.
-func TestSlowAttemptMovesElsewhere(t *testing.T) {
+// An attempt whose progress indicates a bad plan is cancelled, and its statement is retried on another engine.
+func TestSlowAttemptIsRetriedElsewhere(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Engines.ProgressInterval = 500 * ms
 	h.settings.Workloads[0].LatencyObjective = 3 * time.Second
@@ -24,7 +24,7 @@
 	assert.NotEqual(t, e, other)
 }
 
-// Where the host cannot cancel, what is stuck is hedged, if that is allowed.
+// If the host cannot cancel attempts, a stuck statement is hedged, provided that hedging is allowed.
 func TestHedgeWithoutCancellation(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		h := newHarness(t)
@@ -35,12 +35,13 @@
 		other := h.at(1900 * ms).sentTo()
 		assert.Equal(t, allowed, other != "")
 		assert.NotEqual(t, e, other)
-		assert.Empty(t, h.at(2200*ms).sentTo(), "one hedge, no more")
+		assert.Empty(t, h.at(2200*ms).sentTo(), "only one hedge")
 	}
 }
 
-// A slow attempt that cannot be cancelled has its statement queued for a hedge. Before there is an engine for it, the attempt errs, and the
-// statement is queued for a retry. It stood in the queue twice then: once engines had joined, one pass sent it to two of them.
+// A statement that waits for a hedge is not queued again for a retry. The hedge of a slow attempt is queued while no
+// other engine is available; then the attempt fails, and a retry is due. The statement used to be queued twice, and one
+// dispatch pass sent it to two engines that had joined.
 func TestHedgeAndRetryQueueOnce(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Limits.Cancellation = false
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// harness is an instance under test, with settings that a case may change before it opens.
+// harness holds a module under test. A test may change the settings before the first call.
 type harness struct {
 	t        *testing.T
 	settings decision.Settings
@@ -57,7 +57,7 @@
 	}
 }
 
-// ready is a complete endpoint list of engines of eight cores in the harness's zone.
+// ready returns a complete endpoint list of engines with eight cores in the module's zone.
 func ready(ids ...decision.EngineID) decision.EndpointList {
 	list := decision.EndpointList{Kind: decision.ListComplete}
 	for _, id := range ids {
@@ -66,7 +66,7 @@
 	return list
 }
 
-// at has the module handle events, and records the actions.
+// at passes events to the module at a time, and stores the returned actions.
 func (h *harness) at(now time.Duration, events ...decision.Event) *harness {
 	if h.module == nil {
 		h.module = New(h.settings)
@@ -75,22 +75,22 @@
 	return h
 }
 
-// read is a statement of the first workload: idempotent, of 100 ms.
+// read returns a statement of the first workload: idempotent, 100 ms of work.
 func read(id decision.StatementID) decision.StatementArrived {
 	return decision.StatementArrived{Statement: id, TimeBudget: 4 * time.Second, EstimatedWork: 100 * ms}
 }
 
-// write is a statement of the second workload: a bulk load that is not idempotent, of 1 s on one thread.
+// write returns a statement of the second workload: a non-idempotent bulk load, 1 s of work.
 func write(id decision.StatementID) decision.StatementArrived {
 	return decision.StatementArrived{Statement: id, Workload: 1, TimeBudget: 20 * time.Second, EstimatedWork: time.Second}
 }
 
-// end is the outcome of an attempt; one that completes finishes its statement.
+// end returns the outcome of an attempt. A completed attempt also finishes its statement.
 func end(id decision.StatementID, n decision.AttemptID, e decision.EngineID, o decision.Outcome) decision.AttemptEnded {
 	return decision.AttemptEnded{Statement: id, Attempt: n, Engine: e, Outcome: o, Finished: o == decision.Completed}
 }
 
-// progress is a progress message of a statement's first attempt.
+// progress returns a progress message of a statement's first attempt.
 func progress(
 	id decision.StatementID, engine decision.EngineID, kind decision.ProgressKind, value float64,
 ) decision.AttemptProgress {
@@ -107,7 +107,7 @@
 	return list
 }
 
-// sentTo returns where the last call sent its one attempt, or "" if it sent none.
+// sentTo returns the engine of the only attempt that the last call started, or "" if it started none.
 func (h *harness) sentTo() decision.EngineID {
 	h.t.Helper()
 	sent := pick[decision.StartAttempt](h)
@@ -118,35 +118,35 @@
 	return sent[0].Engine
 }
 
-// heavyWrite is a write that is heavy for what its answer counts.
+// heavyWrite returns a write whose work is large relative to its priority weight.
 func heavyWrite(id decision.StatementID) decision.StatementArrived {
 	arrival := write(id)
 	arrival.EstimatedWork = 4 * time.Second
 	return arrival
 }
 
-// inFlightReport is a load report of so many statements in flight.
+// inFlightReport returns a load report with this number of statements in flight.
 func inFlightReport(statements float64) *decision.LoadReport {
 	return reportOf(decision.FieldInFlight, statements)
 }
 
-// reportOf is a load report of one field.
+// reportOf returns a load report with one field.
 func reportOf(field decision.LoadReportField, value float64) *decision.LoadReport {
 	report := &decision.LoadReport{}
 	report.Set(field, value)
 	return report
 }
 
-// engine is what the module knows of an engine.
+// engine returns the module's state of an engine.
 func (h *harness) engine(id decision.EngineID) *engine { return h.module.endpoints.find(id) }
 
-// unsent is a statement of a workload that the module does not know.
+// unsent returns a statement of a workload that has not been passed to the module.
 func (h *harness) unsent(workload int, tables decision.TableGroup) *statement {
 	w := h.module.workloads[workload]
 	return &statement{workload: w, classifiedAs: w, tables: tables}
 }
 
-// value is what a statement's answer counts now, a second of its work.
+// value returns the current weight of a statement's answer per second of its work.
 func (h *harness) value(id decision.StatementID) float64 {
 	return h.module.priorities.value(h.module.statements[id], h.module.now)
 }
--- a/policy/key_queue_test.go
+++ b/policy/key_queue_test.go
@@ -10,15 +10,15 @@
 	"bankledge/decision"
 )
 
-// Statements with one key run in the order of their arrival.
+// Statements with the same key run one at a time, in the order of arrival.
 func TestOrderByKey(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome decision.Outcome
-		wait    time.Duration // until the second may go
+		wait    time.Duration // until the second statement may be sent
 	}{
-		{"at once after a completed first", decision.Completed, 0},
-		{"after the rest when the first may still run", decision.TimedOut, 500 * ms},
+		{"at once after the first completed", decision.Completed, 0},
+		{"after the quiet period if the first may still run", decision.TimedOut, 500 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t)
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// reportPeriod is the time between steps of a window; a load report is fresh for as long.
+	// reportPeriod is the minimum time between two adjustments of a window, and the time for which a load report is
+	// fresh.
 	reportPeriod = time.Second
-	// peerLoadLearningRate is the weight of one report in the mean of what other routers have in flight on an engine.
+	// peerLoadLearningRate is the weight of one report in the mean number of other routers' statements on an engine.
 	peerLoadLearningRate = 0.1
 )
 
-// receiveReport handles a load report; nil: the engine sent none.
+// receiveReport handles a load report. It does nothing if the engine sent none.
 func (m *Module) receiveReport(e *engine, report *decision.LoadReport) {
 	if report == nil {
 		return
@@ -21,18 +22,18 @@
 	e.reportedAt = m.now
 	e.applyReport(report, m.now)
 	if _, known := report.Get(decision.FieldInFlight); known {
-		m.peerLoad.Observe(m.now, e.othersInFlight)
+		m.peerLoad.Observe(m.now, e.peerStatements)
 		if m.isOverloaded(e) {
 			m.eject(e, false)
 		}
 	}
-	if m.now >= e.windowsSteppedAt+reportPeriod {
+	if m.now >= e.windowsAdjustedAt+reportPeriod {
 		_, utilizationKnown := report.Get(decision.FieldUtilization)
-		m.stepWindows(e, utilizationKnown)
+		m.adjustWindows(e, utilizationKnown)
 	}
 }
 
-// applyReport takes the fields of a load report that are known.
+// applyReport stores the fields that the load report contains.
 func (e *engine) applyReport(report *decision.LoadReport, now time.Duration) {
 	if utilization, known := report.Get(decision.FieldUtilization); known {
 		e.utilization = utilization
@@ -42,22 +43,23 @@
 		e.queueDepth = queueDepth
 	}
 	if inFlight, known := report.Get(decision.FieldInFlight); known {
-		e.othersInFlight = max(0, inFlight-float64(len(e.attempts)))
-		e.othersReportedAt = now
+		e.peerStatements = max(0, inFlight-float64(len(e.attempts)))
+		e.peerReportedAt = now
 	}
 }
 
-// replaceMissingReports steps the windows by own latencies while an engine sends no reports.
+// replaceMissingReports adjusts the windows by the latencies that this router measures while an engine sends no
+// reports.
 func (m *Module) replaceMissingReports(e *engine) {
-	if m.now < e.windowsSteppedAt+missedReports*reportPeriod {
+	if m.now < e.windowsAdjustedAt+missedReports*reportPeriod {
 		return
 	}
 	e.utilizationKnown = false
 	e.queueDepth = 0
-	m.stepWindows(e, false)
+	m.adjustWindows(e, false)
 }
 
-// othersOn estimates how many statements of other routers are on an engine.
-func (m *Module) othersOn(e *engine) float64 {
-	return m.peerLoad.Estimate(m.now, e.othersInFlight, e.othersReportedAt)
+// peerStatementsOn estimates the number of other routers' statements on an engine.
+func (m *Module) peerStatementsOn(e *engine) float64 {
+	return m.peerLoad.Estimate(m.now, e.peerStatements, e.peerReportedAt)
 }
--- a/policy/memory_grant.go
+++ b/policy/memory_grant.go
@@ -6,27 +6,28 @@
 	"bankledge/decision"
 )
 
-// The learned factor of memory needed over memory estimated, by workload.
+// The bounds and steps of a workload's learned ratio of needed memory to estimated memory.
 const (
-	firstMemoryFactor = 1.25
-	minMemoryFactor   = 1.0
-	maxMemoryFactor   = 3.0
-	// memoryFactorIncrease is the relative step at a spill, memoryFactorDecrease that at a completion without one: about
-	// one attempt in ten spills.
+	initialMemoryFactor = 1.25
+	minMemoryFactor     = 1.0
+	maxMemoryFactor     = 3.0
+	// memoryFactorIncrease is the relative step after a spill, and memoryFactorDecrease the one after a completion
+	// without a spill. They balance when about one attempt in ten spills.
 	memoryFactorIncrease = 0.04
 	memoryFactorDecrease = 0.004
 )
 
-// memoryNeed is the memory that a statement is taken to need, in MB: its estimate, corrected by what spilled.
+// memoryNeed returns the memory in MB that a statement is expected to need: its estimate times the workload's learned
+// factor.
 func (m *Module) memoryNeed(s *statement) float64 {
 	if m.traits.OnOvercommit == decision.OvercommitPage {
-		return s.memoryMB // what is granted beyond the need is not in use
+		return s.memoryMB // memory that is granted but not needed is not in use
 	}
 	return s.memoryMB * s.classifiedAs.memoryFactor
 }
 
-// setResources names the memory grant and the priority of a statement's next attempt, where engines heed them and they
-// differ from what was named before.
+// setResources sets the memory grant and the priority of a statement's next attempt, if engines use them and they have
+// changed since they were last set.
 func (m *Module) setResources(s *statement) {
 	resources := decision.SetResources{Statement: s.id, Priority: normalPriority}
 	if m.traits.MemoryGrants {
@@ -39,11 +40,11 @@
 		return
 	}
 	s.resources = resources
-	m.act(resources)
+	m.emit(resources)
 }
 
-// attemptSpilled handles the message that an attempt spills for want of memory. Where this router's share of the memory
-// there was not used up, the estimates are too low.
+// attemptSpilled handles the message that an attempt spills because it lacks memory. If this router was within its
+// share of the engine's memory, the estimates are too low.
 func (m *Module) attemptSpilled(a *attempt) {
 	if !a.spilled && a.engine.memoryInFlight <= a.engine.memoryMB/m.fleetQuota.routers {
 		a.statement.classifiedAs.growMemoryFactor()
@@ -51,10 +52,12 @@
 	a.spilled = true
 }
 
+// growMemoryFactor increases the factor after a spill.
 func (w *workload) growMemoryFactor() {
 	w.memoryFactor = min(maxMemoryFactor, w.memoryFactor*(1+memoryFactorIncrease))
 }
 
+// shrinkMemoryFactor decreases the factor after a completion without a spill.
 func (w *workload) shrinkMemoryFactor() {
 	w.memoryFactor = max(minMemoryFactor, w.memoryFactor*(1-memoryFactorDecrease))
 }
--- a/policy/memory_grant_test.go
+++ b/policy/memory_grant_test.go
@@ -9,7 +9,7 @@
 	"bankledge/decision"
 )
 
-// Estimates of memory that run low: grants follow the spills.
+// Memory grants grow if attempts spill because memory estimates are too low.
 func TestMemoryGrantFollowsSpills(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Engines.MemoryGrants = true
--- a/policy/module.go
+++ b/policy/module.go
@@ -1,17 +1,17 @@
-// Package policy decides, for one router, which statements run, where, when and with how much memory.
+// Package policy decides for one router which statements run, where, when and with how much memory.
 //
-// A host calls New once and then Handle with what happened, in order; Handle returns what to do, in order. The types of
-// events and actions are in package decision. The module keeps no goroutine and reads no clock: equal calls give equal
-// actions. A Module is not safe for concurrent use.
+// A host calls New once and then Handle with the events that have occurred, in order; Handle returns the actions to
+// take, in order. The types of events and actions are in package decision. The module starts no goroutine and reads no
+// clock: equal calls give equal actions. A Module is not safe for concurrent use.
 //
-// Module wires the concerns, each of which has a file of its own with its constants and its state:
+// Module connects the components, each of which has its own file with its constants and its state:
 //
-//   - the way of a statement: admission, queue, routing, attempt, retry, hedge, deadline;
-//   - what limits a send: rules, capacity, fleet_quota, key_queue, slow_start, retry_budget, bulk_load;
-//   - what is known of engines: endpoint_list, engine, load_report, congestion_window, outlier, health_check, affinity;
-//   - what statements get: priority, memory_grant, tenant_quota.
+//   - the life cycle of a statement: admission, queue, routing, attempt, retry, hedge, deadline;
+//   - limits on sending: rules, capacity, fleet_quota, key_queue, slow_start, retry_budget, bulk_load;
+//   - state of the engines: endpoint_list, engine, load_report, congestion_window, outlier, health_check, affinity;
+//   - resources of a statement: priority, memory_grant, tenant_quota.
 //
-// The reasons for the design and the measurements behind the constants are in docs/design.md.
+// The reasons for the design and the measurements that the constants are based on are in docs/design.md.
 package policy
 
 import (
@@ -23,26 +23,26 @@
 	"bankledge/internal/timerqueue"
 )
 
-// timerToken names the one timer that a module sets; setting it again replaces it.
+// timerToken identifies the only timer that a module sets. Setting it again replaces it.
 const timerToken = "due"
 
-// Module is one instance of the decision module. Instances share nothing.
+// Module is one instance of the decision module. Instances share no state.
 type Module struct {
 	identity decision.Identity
 	traits   decision.EngineTraits
 	limits   decision.Limits
 	rules    decision.Rules
 
-	now     time.Duration // of the current call
+	now     time.Duration // time of the current call
 	actions []decision.Action
 	timers  timerqueue.Queue
-	timerAt time.Duration // when the host's timer fires; 0: it is not set
+	timerAt time.Duration // when the host's timer fires; 0: not set
 	random  detrand.Source
 
 	workloads        []*workload // by workload ID
 	endpoints        endpointList
 	statements       map[decision.StatementID]*statement // that are not finished
-	arrivals         int                                 // statements that ever arrived
+	arrivals         int                                 // number of statements received so far
 	attemptsInFlight int
 
 	queue         statementQueue
@@ -55,10 +55,10 @@
 	retryBudget   retryBudget
 	healthChecks  healthCheckBudget
 	peerLoad      estimate.PeerLoad // statements of other routers on engines
-	maintenanceAt time.Duration     // last maintenance
+	maintenanceAt time.Duration     // time of the last maintenance
 }
 
-// New opens an instance.
+// New returns a module with the given settings.
 func New(settings decision.Settings) *Module {
 	routers := float64(max(1, settings.Identity.Routers))
 	m := &Module{
@@ -87,11 +87,11 @@
 	return m
 }
 
-// Handle takes what happened by now, in order, and returns what to do, in order.
+// Handle processes the events that have occurred by now, in order, and returns the actions to take, in order.
 func (m *Module) Handle(now time.Duration, events []decision.Event) []decision.Action {
 	m.now = now
 	m.actions = nil
-	m.slowStart.start(now)
+	m.slowStart.recordFirstCall(now)
 	for _, event := range events {
 		m.handleEvent(event)
 	}
@@ -104,8 +104,8 @@
 	return m.actions
 }
 
-// handleEvent takes one event. All but arrivals and timers may give queued statements a place that they did not find
-// before.
+// handleEvent handles one event. After any event other than an arrival or a timer, queued statements that could not be
+// sent before may be sent.
 func (m *Module) handleEvent(event decision.Event) {
 	switch ev := event.(type) {
 	case decision.StatementArrived:
@@ -138,8 +138,8 @@
 	m.queue.dirty = true
 }
 
-// changeRules applies rules that take effect now, for statements that arrive from now on. What was learned and spent
-// stays: the windows of the budgets go on.
+// changeRules applies rules that take effect now, for statements that arrive from now on. Learned values are kept, and
+// the windows of the budgets continue.
 func (m *Module) changeRules(ev *decision.RulesChanged) {
 	m.rules = ev.Rules
 	m.fleetQuota.routers = ev.EffectiveRouters
@@ -154,15 +154,15 @@
 	m.tenantQuotas.change(ev.Quotas, ev.EffectiveRouters)
 }
 
-// act appends an action to what this call returns.
-func (m *Module) act(action decision.Action) { m.actions = append(m.actions, action) }
+// emit appends an action to the result of the current call.
+func (m *Module) emit(action decision.Action) { m.actions = append(m.actions, action) }
 
-// setTimer asks for a call at the next due time, unless the host's timer fires by then.
+// setTimer requests a call at the next due time, unless the host's timer already fires by then.
 func (m *Module) setTimer() {
 	at := m.timers.Next(m.maintenanceAt + maintenanceInterval)
 	if m.timerAt != 0 && at >= m.timerAt {
 		return
 	}
 	m.timerAt = at
-	m.act(decision.SetTimer{Token: timerToken, At: at})
+	m.emit(decision.SetTimer{Token: timerToken, At: at})
 }
--- a/policy/module_test.go
+++ b/policy/module_test.go
@@ -12,7 +12,7 @@
 	"bankledge/decision"
 )
 
-// Events of statements and engines that are finished or unknown are ignored.
+// Events of unknown or finished statements and engines are ignored.
 func TestUnknownStatementsAreIgnored(t *testing.T) {
 	h := newHarness(t).at(0, ready("a"))
 	h.at(1, end("x", 0, "a", decision.Completed), end("x", 0, "zz", decision.Overloaded), progress("x", "a", 1, 0.5),
@@ -33,7 +33,8 @@
 	assert.Equal(t, run(), run())
 }
 
-// IDs, keys and table groups may be new for ever: what is cached of them is bounded.
+// The state kept by engine ID, key and table group is bounded, although clients and engines may bring new ones without
+// limit.
 func TestMemoryIsBounded(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Workloads[0].OrderedByKey = true
@@ -45,7 +46,7 @@
 		arrival.Key = decision.Key(id)
 		arrival.TableGroup = decision.TableGroup(i)
 		h.at(now, ready(e), arrival)
-		require.Equal(t, e, h.sentTo(), "those that are gone get nothing")
+		require.Equal(t, e, h.sentTo(), "unlisted engines get no statements")
 		h.at(now+1, progress(s, e, decision.ProgressWaiting, decision.WaitingForBulkLoad), end(s, 0, e, decision.Cancelled))
 		h.at(now+2, decision.ClientCancelled{Statement: s})
 	}
@@ -54,10 +55,10 @@
 	require.Empty(t, h.module.statements)
 	require.LessOrEqual(t, len(h.module.affinity.groups), maxTableGroups)
 	one := newHarness(t).at(0, ready("a"))
-	for i := range 2 * maxTableGroups { // one engine all the while
+	for i := range 2 * maxTableGroups { // a single engine that stays listed
 		one.module.endpoints.ranked(decision.TableGroup(i))
-		one.engine("a").recordLoad(decision.TableGroup(i), time.Duration(i)*ms, time.Duration(i+10)*ms)
+		one.engine("a").recordBulkLoad(decision.TableGroup(i), time.Duration(i)*ms, time.Duration(i+10)*ms)
 	}
 	require.LessOrEqual(t, len(one.module.endpoints.rankings), maxTableGroups)
-	require.Less(t, len(one.engine("a").loadsUntil), 20)
+	require.Less(t, len(one.engine("a").bulkLoadsUntil), 20)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,37 +7,41 @@
 )
 
 const (
-	// An ejected engine gets a trial after minEjection, which doubles up to maxEjection at each trial that fails.
+	// An ejected engine gets a trial statement after minEjection. The delay grows up to maxEjection with each failed
+	// trial.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 8 * time.Second
-	// ejectionBackoffFactor multiplies the time until the next trial.
+	// ejectionBackoffFactor multiplies the delay until the next trial.
 	ejectionBackoffFactor = 2
-	// maxErrorShare is the share of errors from which an engine is ejected; it is readmitted at half of it.
+	// maxErrorShare is the share of errors above which an engine is ejected. It may be readmitted at
+	// readmissionErrorShare.
 	maxErrorShare         = 0.5
 	readmissionErrorShare = maxErrorShare / 2
-	// engineLearningRate is the weight of one outcome in an engine's pace and its share of errors.
+	// engineLearningRate is the weight of one outcome in the moving averages of an engine's slowdown and error share.
 	engineLearningRate = 0.2
-	// paceRecovery is what one maintenance takes off an engine's pace, of its distance to the usual one: it fades in
-	// half a minute.
-	paceRecovery = 0.002
-	// openAttemptPaceDivisor: an attempt without an outcome says something of its engine's pace only after so many
-	// usual times.
-	openAttemptPaceDivisor = 2.0
-	// Where engines send no progress messages, an attempt is silent after this share of its objective and so many usual
-	// run times: a router that rarely gets a message about an engine learns nothing from a pause.
+	// slowdownDecay is the share by which each maintenance moves an engine's slowdown towards 1: a deviation decays
+	// within half a minute.
+	slowdownDecay = 0.002
+	// openAttemptSlowdownDivisor is the number of usual run times after which an attempt without an outcome raises the
+	// slowdown of its engine.
+	openAttemptSlowdownDivisor = 2.0
+	// Where engines send no progress messages, an attempt counts as silent after silentObjectiveShare of its latency
+	// objective and silentRunTimes usual run times have both passed. A router that rarely receives a message about an
+	// engine cannot conclude anything from a pause.
 	silentObjectiveShare = 0.6
-	silentPaces          = 10.0
-	// silentProgressIntervals is the number of missed progress messages, each with the time of a maintenance, after which
-	// an attempt is silent.
+	silentRunTimes       = 10.0
+	// silentProgressIntervals is the number of missed progress messages after which an attempt counts as silent. Each
+	// missed message allows for one maintenance interval in addition.
 	silentProgressIntervals = 2
-	// overloadFactor times the statements that an engine takes at most is a load under which little ends there.
+	// overloadFactor is the multiple of the statements that an engine takes at most above which it completes few of
+	// them.
 	overloadFactor = 1.5
 )
 
-// isHealthy reports whether an engine may get a statement. One that is ejected gets a single trial after a while,
-// idempotent if there is one in time.
+// isHealthy reports whether an engine may get a statement. An ejected engine gets a single trial statement once its
+// ejection time is over. Only idempotent statements are used until another maxEjection has passed.
 func (m *Module) isHealthy(e *engine, s *statement) bool {
-	if m.arrivals < e.passedOverUntil {
+	if m.arrivals < e.skippedUntilArrival {
 		return false
 	}
 	if !e.ejected {
@@ -49,7 +53,8 @@
 	return s.idempotency == decision.Idempotent || m.now >= e.ejectedUntil+maxEjection
 }
 
-// eject stops sending to an engine for a time that grows. It is unreachable if its connections failed.
+// eject stops sending to an engine for a time that grows with each ejection. The engine counts as unreachable if its
+// connections failed.
 func (m *Module) eject(e *engine, unreachable bool) {
 	e.unreachable = e.unreachable || unreachable
 	if e.ejected && m.now < e.ejectedUntil {
@@ -60,12 +65,13 @@
 	e.ejectedUntil = m.now + e.backoff
 }
 
-// failsTrial reports whether a failure now is that of a trial. One connection that does not come up may only be late;
-// an engine that fails again counts as unreachable, and as just started when it is back.
+// failsTrial reports whether a failure at this time is that of a trial. The first failed connection may only have been
+// slow to open. An engine that fails again counts as unreachable, and as just started when it is back.
 func (m *Module) failsTrial(e *engine) bool { return e.ejected && m.now >= e.ejectedUntil }
 
-// readmit handles a sign of life: an ejected engine gets statements again, unless it erred too often or is overloaded;
-// then more has to complete there first. One that was unreachable may have restarted before the list says so.
+// readmit handles activity of an engine. An ejected engine gets statements again, unless its error share is too high or
+// it is overloaded; then more attempts have to complete there first. An unreachable engine counts as just started,
+// since it may have restarted before the endpoint list says so.
 func (m *Module) readmit(e *engine) {
 	e.lastEventAt = m.now
 	if e.ejected && (e.errorShare > readmissionErrorShare || m.isOverloaded(e)) {
@@ -80,15 +86,16 @@
 	e.backoff = 0
 }
 
-// isOverloaded reports whether all routers together have so much in flight on an engine that little of it ends. If each
-// sent to it again as soon as its last report had faded, that alone would keep it overloaded: it is ejected.
+// isOverloaded reports whether all routers together have so many statements in flight on an engine that few of them
+// complete. Such an engine has to be ejected: if each router sent to it again as soon as its last report was no longer
+// fresh, that alone would keep it overloaded.
 func (m *Module) isOverloaded(e *engine) bool {
 	return e.statementsInFlight() > overloadFactor*maxStatementsPerCore*e.cores*m.slowStart.capacityShare(e, m.now)
 }
 
-// learnErrors takes a statement that completed on an engine: where it erred before, that speaks against the engine
-// there, since it is not the statement.
-func (m *Module) learnErrors(s *statement, completed *engine) {
+// updateErrorShares updates error shares after a statement completed on an engine. An earlier error of the same
+// statement counts as a failure of the engine that returned it, since the statement itself is not the cause.
+func (m *Module) updateErrorShares(s *statement, completed *engine) {
 	completed.errorShare *= 1 - engineLearningRate
 	for _, a := range s.attempts {
 		if !a.errored || a.engine == completed {
@@ -101,28 +108,28 @@
 	}
 }
 
-// learnPace takes the time of a statement that completed on the engine.
-func (e *engine) learnPace(taken time.Duration, s *statement) {
-	usual := max(1, s.classifiedAs.pace*float64(s.expectedRun))
-	e.pace += engineLearningRate * (float64(taken)/usual - e.pace)
+// updateSlowdown updates the engine's slowdown from the run time of a completed statement.
+func (e *engine) updateSlowdown(runTime time.Duration, s *statement) {
+	usual := max(1, s.classifiedAs.runTimeFactor*float64(s.expectedRun))
+	e.slowdown += engineLearningRate * (float64(runTime)/usual - e.slowdown)
 }
 
-// recoverPace has an engine's pace fade towards the usual one.
-func (e *engine) recoverPace() { e.pace += paceRecovery * (1 - e.pace) }
+// decaySlowdown moves the engine's slowdown towards 1.
+func (e *engine) decaySlowdown() { e.slowdown += slowdownDecay * (1 - e.slowdown) }
 
-// detectSilence ejects an engine that has attempts in flight and sends nothing about them, and moves these elsewhere.
-func (m *Module) detectSilence(e *engine) {
+// detectSilentAttempts ejects an engine that sends nothing about its attempts in flight, and cancels or hedges these.
+func (m *Module) detectSilentAttempts(e *engine) {
 	for _, a := range e.attempts {
-		usual := a.statement.classifiedAs.pace * float64(a.statement.expectedRun)
-		e.pace = max(e.pace, float64(m.now-a.sentAt)/max(1, openAttemptPaceDivisor*usual))
+		usual := a.statement.classifiedAs.runTimeFactor * float64(a.statement.expectedRun)
+		e.slowdown = max(e.slowdown, float64(m.now-a.sentAt)/max(1, openAttemptSlowdownDivisor*usual))
 		if m.now > max(e.lastEventAt, a.sentAt)+m.silenceTimeout(a) {
 			m.eject(e, false)
-			m.moveElsewhere(a, decision.ReasonNoProgress)
+			m.cancelOrHedge(a, decision.ReasonNoProgress)
 		}
 	}
 }
 
-// silenceTimeout is the time without a sign of life after which an attempt counts as silent.
+// silenceTimeout returns the time without activity after which an attempt counts as silent.
 func (m *Module) silenceTimeout(a *attempt) time.Duration {
 	if m.traits.ProgressInterval > 0 {
 		return silentProgressIntervals * (m.traits.ProgressInterval + maintenanceInterval)
@@ -130,6 +137,6 @@
 	w := a.statement.classifiedAs
 	expectedRun := a.statement.expectedRun
 	byObjective := silentObjectiveShare * float64(w.objective(expectedRun))
-	byPace := silentPaces * w.pace * float64(expectedRun)
-	return time.Duration(max(byObjective, byPace))
+	byRunTime := silentRunTimes * w.runTimeFactor * float64(expectedRun)
+	return time.Duration(max(byObjective, byRunTime))
 }
--- a/policy/priority.go
+++ b/policy/priority.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// lightShareLearningRate is the weight of one arrival in the share of statements that are light.
+	// lightShareLearningRate is the weight of one arrival in the moving average of the share of light statements.
 	lightShareLearningRate = 0.05
-	// lightDivisor: a statement is light if its value is above that of the lightest workload divided by this.
+	// lightDivisor defines a light statement: its value exceeds that of the lightest workload divided by lightDivisor.
 	lightDivisor = 2
-	// minWork stands in for an expected work of nearly nothing, in seconds.
+	// minWork is the lower bound of the expected work, in seconds.
 	minWork = 0.001
 
-	// normalPriority and highPriority go to engines that heed them. Nothing gets 0: what starves keeps its memory.
+	// normalPriority and highPriority are sent to engines that use priorities. No statement gets 0, since a starved
+	// statement keeps its memory.
 	normalPriority = 1
 	highPriority   = 3
 )
 
-// priorities ranks statements by what their answers count for the work that they take.
+// priorities ranks statements by the weight of their answers relative to the work that they take.
 type priorities struct {
-	overQuotaFactor float64 // of the priority weight, beyond a tenant's quota
-	lightestValue   float64 // the highest value of a workload's mean statement
-	lightShare      float64 // of recent arrivals
+	overQuotaFactor float64 // applied to the priority weight beyond a tenant's quota
+	lightestValue   float64 // highest value of any workload's mean statement
+	lightShare      float64 // share of light statements in recent arrivals
 }
 
-// update finds the lightest workload.
+// update recomputes the value of the lightest workload.
 func (p *priorities) update(workloads []*workload) {
 	p.lightestValue = 0
 	for _, w := range workloads {
@@ -30,7 +31,7 @@
 	}
 }
 
-// observeArrival counts a statement in the share of light ones.
+// observeArrival updates the share of light statements.
 func (p *priorities) observeArrival(s *statement, now time.Duration) {
 	p.lightShare *= 1 - lightShareLearningRate
 	if p.isLight(s, now) {
@@ -38,13 +39,13 @@
 	}
 }
 
-// isLight reports whether a statement takes little work for what it counts.
+// isLight reports whether a statement takes little work relative to its weight.
 func (p *priorities) isLight(s *statement, now time.Duration) bool {
 	return p.value(s, now) > p.lightestValue/lightDivisor
 }
 
-// value is what a statement's answer still counts, a second of its work: less when it will be late or is beyond its
-// tenant's quota.
+// value returns the weight of a statement's answer per second of its work. It is lower if the answer will be late or
+// the statement is beyond its tenant's quota.
 func (p *priorities) value(s *statement, now time.Duration) float64 {
 	value := s.priorityWeight / max(minWork, s.expectedRun.Seconds()*float64(s.classifiedAs.Threads))
 	if now > s.latestStart() {
@@ -56,12 +57,12 @@
 	return value
 }
 
-// raisePriority has a running attempt finish before others, where engines heed priorities.
+// raisePriority gives a running attempt the highest priority, if engines use priorities.
 func (m *Module) raisePriority(s *statement) {
 	if !m.traits.Priorities || s.resources.Priority == highPriority {
 		return
 	}
 	s.resources.Statement = s.id
 	s.resources.Priority = highPriority
-	m.act(s.resources)
+	m.emit(s.resources)
 }
--- a/policy/priority_test.go
+++ b/policy/priority_test.go
@@ -10,7 +10,7 @@
 	"bankledge/decision"
 )
 
-// Late work is never starved at the lowest priority.
+// Late statements do not get the lowest priority, at which they would starve.
 func TestLateWorkIsNotStarved(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Engines.Priorities = true
@@ -18,12 +18,12 @@
 	h.at(0, read("s"))
 	h.at(1500*ms, ready("a"))
 	require.NotEmpty(t, h.sentTo())
-	for _, terms := range pick[decision.SetResources](h) {
-		assert.Positive(t, terms.Priority)
+	for _, resources := range pick[decision.SetResources](h) {
+		assert.Positive(t, resources.Priority)
 	}
 }
 
-// What is half done gets the highest priority, where priorities are heeded.
+// An attempt that is more than half done gets the highest priority, if engines use priorities.
 func TestNearlyDoneAttemptGetsHighPriority(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Engines.Priorities = true
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -9,18 +9,19 @@
 	"bankledge/decision"
 )
 
-// maxWithoutEngine is how many statements of a workload may find no engine before a pass skips the workload.
+// maxWithoutEngine is the number of statements of a workload that may find no engine before a dispatch pass skips the
+// workload.
 const maxWithoutEngine = 4
 
-// statementQueue is the statements that are queued for an attempt.
+// statementQueue holds the statements that wait for an attempt.
 type statementQueue struct {
 	waiting  []*statement
-	examined int  // the first so many found no place since the queue was last dirty
-	dirty    bool // statements may find a place that they did not find before
+	examined int  // number of statements at the front that could not be sent since the queue was last dirty
+	dirty    bool // statements that could not be sent before may be sent now
 }
 
-// enqueue has a statement wait for its next attempt. One that waits already, for a hedge, keeps its place: it waits for
-// one attempt, whatever that will be.
+// enqueue queues a statement for its next attempt. A statement that already waits for a hedge keeps its position, and
+// gets one attempt only.
 func (m *Module) enqueue(s *statement) {
 	s.parked = false
 	if s.queued {
@@ -30,8 +31,8 @@
 	m.queue.waiting = append(m.queue.waiting, s)
 }
 
-// dispatch starts attempts of the statements that wait, by what their answers count for their work, and sheds those
-// whose answers no longer count. Unless the queue is dirty, only what has just arrived is examined.
+// dispatch starts attempts of the waiting statements in the order of their value, and sheds those whose answers no
+// longer have any. Unless the queue is dirty, it examines only new arrivals.
 func (m *Module) dispatch() {
 	q := &m.queue
 	if q.dirty {
@@ -43,18 +44,18 @@
 	}
 	withoutEngine := make([]int, len(m.workloads))
 	remaining := slices.DeleteFunc(q.waiting[q.examined:], func(s *statement) bool {
-		s.queued = !m.leavesQueue(s, withoutEngine)
+		s.queued = !m.tryDispatch(s, withoutEngine)
 		return !s.queued
 	})
 	q.examined += len(remaining)
 	q.waiting = q.waiting[:q.examined]
 }
 
-// leavesQueue starts a statement's next attempt or sheds it, and reports whether it no longer waits. The slice counts,
-// by workload, the statements that found no engine in this pass.
-func (m *Module) leavesQueue(s *statement, withoutEngine []int) bool {
-	if m.isTooLate(s) {
-		m.endUnanswered(s, decision.ReasonTooLate)
+// tryDispatch starts a statement's next attempt or sheds it, and reports whether the statement has left the queue.
+// withoutEngine counts, by workload, the statements that found no engine in this pass.
+func (m *Module) tryDispatch(s *statement, withoutEngine []int) bool {
+	if m.shouldShed(s) {
+		m.rejectOrAbort(s, decision.ReasonTooLate)
 	}
 	s.parked = s.clientBlocked && !s.finished
 	if s.parked || s.finished {
@@ -76,21 +77,22 @@
 	return true
 }
 
-// isTooLate reports whether a statement that has no attempt in flight is to be shed: it cannot be answered in time, or
-// its answer would no longer count for anything.
-func (m *Module) isTooLate(s *statement) bool {
+// shouldShed reports whether a statement without an attempt in flight has to be shed: it cannot be answered before its
+// deadline, or its answer would no longer have any value.
+func (m *Module) shouldShed(s *statement) bool {
 	if s.openAttempts > 0 || s.workload.Protected {
 		return false
 	}
-	lastStart := s.deadline - time.Duration(s.classifiedAs.pace*float64(s.expectedRun))
+	lastStart := s.deadline - time.Duration(s.classifiedAs.runTimeFactor*float64(s.expectedRun))
 	if m.now > lastStart {
 		return true
 	}
 	return s.workload.LateFactor == 0 && m.now > (s.objectiveAt+s.latestStart())/2
 }
 
-// clientReadStateChanged parks the statements of a client that does not read, since their answers might have to be
-// dropped, and queues them again. Their time runs on. What is answered and no longer waited for is finished.
+// clientReadStateChanged parks the statements of a client that stops reading, since their responses might have to be
+// dropped, and queues them again once it reads. Their deadlines still apply. The statements of a disconnected client
+// are finished.
 func (m *Module) clientReadStateChanged(ev decision.ClientReadStateChanged) {
 	for _, id := range ev.Statements {
 		s := m.statements[id]
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -10,8 +10,8 @@
 	"bankledge/decision"
 )
 
-// What cannot end before its deadline is rejected at once.
-func TestShedsWhatCannotEndInTime(t *testing.T) {
+// A statement that cannot complete before its deadline is rejected at once.
+func TestShedsStatementThatCannotCompleteInTime(t *testing.T) {
 	h := newHarness(t).at(0, ready("a"))
 	endless := read("s")
 	endless.EstimatedWork = 5 * time.Second
@@ -20,7 +20,7 @@
 	assert.Len(t, pick[decision.Reject](h), 1)
 }
 
-// The host may allow few attempts at once: what is beyond them is queued, and sent as others end.
+// Statements beyond the host's limit of concurrent attempts are queued, and sent as other attempts end.
 func TestMaxInFlightAttempts(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Limits.MaxInFlightAttempts = 1
@@ -33,7 +33,7 @@
 	assert.Empty(t, h.sentTo())
 }
 
-// Statements whose client does not read are parked; their time runs on, and an answer that nobody waits for ends them.
+// Statements whose client does not read are parked. Their deadlines still apply, and a disconnect finishes them.
 func TestClientThatDoesNotRead(t *testing.T) {
 	reading := func(reads, gone bool) decision.ClientReadStateChanged {
 		return decision.ClientReadStateChanged{
@@ -47,8 +47,8 @@
 	assert.Empty(t, h.module.queue.waiting, "parked")
 	assert.Equal(t, decision.EngineID("a"), h.at(1500*ms, reading(true, false)).sentTo())
 	h.at(1501*ms, reading(false, true))
-	assert.Len(t, pick[decision.CancelAttempt](h), 1, "nobody waits any more")
+	assert.Len(t, pick[decision.CancelAttempt](h), 1, "the client has disconnected")
 	assert.Empty(t, h.module.statements)
 	h = newHarness(t).at(0).at(time.Second, read("s")).at(time.Second+ms, reading(false, false), ready("a"))
-	assert.Len(t, pick[decision.Reject](h.at(6*time.Second)), 1, "its time is up, and it never ran")
+	assert.Len(t, pick[decision.Reject](h.at(6*time.Second)), 1, "the deadline is reached, and the statement never ran")
 }
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -20,11 +20,12 @@
 	"bankledge/internal/simwire"
 )
 
-// With -actions DIR each recorded stream's actions are also written to a file there, to find the first that differs.
+// With -actions DIR, the actions of each recorded stream are also written to a file in DIR, to find the first
+// difference.
 var actionsDir = flag.String("actions", "", "directory for the text of the recorded actions")
 
-// The decisions are recorded: a generated stream of events, which reacts to the actions, gives exactly these actions.
-// A hash that differs means that some decision has changed: it is a fault to be traced, unless the change is meant. The
+// The module's decisions are recorded: a generated stream of events, which depends on the actions, must give exactly
+// these actions. A different hash means that a decision has changed; unless the change is intended, it is a fault. The
 // hashes hold where floating-point operations are not fused, as on amd64.
 func TestRecordedDecisions(t *testing.T) {
 	for _, c := range []struct {
@@ -58,7 +59,7 @@
 	}
 }
 
-// actionRecord hashes actions in a form without the name of a Go type, field or constant.
+// actionRecord hashes actions in a form that does not depend on names of Go types, fields or constants.
 type actionRecord struct {
 	t      *testing.T
 	hash   hash.Hash
@@ -78,7 +79,7 @@
 	return r
 }
 
-// add records what one call returned: the adapter's line, and what that leaves out.
+// add records the actions of one call: the adapter's encoding, and the values that it omits.
 func (r *actionRecord) add(now time.Duration, actions []decision.Action) {
 	line, err := simwire.EncodeReply([]simwire.InstanceActions{{Actions: actions}})
 	require.NoError(r.t, err)
@@ -100,7 +101,7 @@
 	}
 }
 
-// reasonNumber keeps the texts of the reasons, which are for logs, out of the hash.
+// reasonNumber returns a number for a reason, so that the hash does not depend on the texts of reasons.
 func reasonNumber(t *testing.T, reason decision.Reason) int {
 	for i, known := range []decision.Reason{decision.ReasonDeadline, decision.ReasonTooLate, decision.ReasonShutdown,
 		decision.ReasonTooManyOpenStatements, decision.ReasonNotRetryable, decision.ReasonFinished, decision.ReasonNoProgress,
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,9 +2,9 @@
 
 import "bankledge/decision"
 
-// continueAfter decides how a statement goes on when one of its attempts has ended: with a retry elsewhere, or with a
-// final answer where none is due from another attempt.
-func (m *Module) continueAfter(a *attempt, answered bool) {
+// retryOrFinish handles a statement one of whose attempts has ended: it retries the statement on another engine or
+// gives a final answer, unless another attempt is still open.
+func (m *Module) retryOrFinish(a *attempt, answered bool) {
 	s := a.statement
 	switch {
 	case s.finished:
@@ -15,6 +15,6 @@
 		s.avoid = a.engine
 		m.enqueue(s)
 	default:
-		m.endUnanswered(s, decision.ReasonNotRetryable)
+		m.rejectOrAbort(s, decision.ReasonNotRetryable)
 	}
 }
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -13,7 +13,7 @@
 	retries  slidingwindow.Sum
 }
 
-// recordArrival counts a statement, and forgets what is older than the window.
+// recordArrival counts a statement, and discards arrivals that are older than the window.
 func (b *retryBudget) recordArrival(now, window time.Duration) {
 	b.arrivals.Add(now, 1)
 	b.arrivals.Since(now - window)
@@ -22,9 +22,9 @@
 // recordRetry counts an attempt beyond a statement's first.
 func (b *retryBudget) recordRetry(now time.Duration) { b.retries.Add(now, 1) }
 
-// isWithinRetryBudget reports whether the budget allows a statement's next attempt. A statement that arrived just a
-// window ago no longer counts, an attempt sent then still does. The host may send late: attempts count for longer by
-// that delay, statements for less.
+// isWithinRetryBudget reports whether the budget allows a statement's next attempt. A statement that arrived exactly
+// one window ago no longer counts; a retry sent at that time still does. Since the host may send late by up to
+// MaxSendDelay, retries count for that much longer and arrivals for that much less.
 func (m *Module) isWithinRetryBudget(s *statement) bool {
 	if m.rules.RetryBudgetWindow == 0 || len(s.attempts) == 0 {
 		return true
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -38,15 +38,15 @@
 	for arrivals = 1; arrivals <= 8; arrivals++ {
 		id := decision.StatementID(fmt.Sprint(arrivals))
 		handle(read(id))
-		for _, e := range h.module.endpoints.all { // every first attempt errs, wherever it went
+		for _, e := range h.module.endpoints.all { // every first attempt fails, on whichever engine it runs
 			handle(end(id, 0, e.Engine, decision.Errored))
 		}
 	}
 	assert.Equal(t, 3, retries())
 }
 
-// A host that is late sends within its delay, in whatever order: the budget holds in every window as the engines see
-// it.
+// A host may send attempts late, up to its maximum delay and in any order. The budget still holds in every window as
+// seen by the engines.
 func TestRetryBudgetWithSendDelay(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newHarness(t)
@@ -56,7 +56,7 @@
 		h.settings.Limits.MaxSendDelay = 300 * ms
 		h.at(0, ready("a", "b", "c"))
 		random := rand.New(rand.NewPCG(seed, 1))
-		var arrivals, retries []time.Duration // retries: when an engine sees them
+		var arrivals, retries []time.Duration // retries: as seen by the engines
 		sent := map[decision.StatementID]bool{}
 		var ended []decision.AttemptEnded
 		for i := range 3000 {
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -8,47 +8,53 @@
 	"bankledge/internal/detrand"
 )
 
-// Factors of an engine's score; the lowest score takes the statement.
+// Factors of an engine's score. The engine with the lowest score gets the statement.
 const (
 	localZoneWeight  = 8.0
 	remoteZoneWeight = 11.0
-	// cachedTablesCost and uncachedTablesCost: whether the engine is likely to have the table group in its caches.
+	// cachedTablesCost and uncachedTablesCost depend on whether the engine is likely to have the table group in its
+	// caches.
 	cachedTablesCost   = 1.0
 	uncachedTablesCost = 2.0
-	// slowStartCost: few statements may go to an engine that warms up, so those that may are sent there.
+	// slowStartCost is low because only few statements may go to an engine that is warming up: those that may are sent
+	// there.
 	slowStartCost = 0.25
-	// excludedCost puts an engine that refused lately, or where the statement went wrong last, behind all others.
+	// excludedCost ranks an engine that recently rejected an attempt, or where the statement's last attempt failed,
+	// after all others.
 	excludedCost = 1e6
-	// minFreeShare is the least share of a window that is left, whatever other routers have in flight there.
+	// minFreeShare is the least share of a window that remains, however many statements other routers have in flight
+	// there.
 	minFreeShare = 0.05
 )
 
 const (
-	// busyUtilization is the share of the cores, or the statements a core, from which an engine counts as congested.
+	// busyUtilization is the utilization, and the number of statements per core, from which an engine counts as
+	// congested.
 	busyUtilization = 0.65
-	// maxCandidates limits the engines of a table group.
+	// maxCandidates limits the number of candidate engines of a table group.
 	maxCandidates = 32
-	// fanOutSlack: candidates over a table group's fair share of the engines.
+	// fanOutSlack is the ratio of candidates to a table group's fair share of the engines.
 	fanOutSlack = 4.0
-	// fanOutDoubt is in statements an engine: it spreads groups wider while few statements were seen.
-	fanOutDoubt = 0.3
+	// fanOutSmoothing is added to the statements per engine, and keeps the fan-out low while few statements have been
+	// seen.
+	fanOutSmoothing = 0.3
 )
 
-// selectEngine picks the engine for a statement's next attempt; nil: it has to wait.
+// selectEngine returns the engine for a statement's next attempt, or nil if the statement has to wait.
 func (m *Module) selectEngine(s *statement) *engine {
 	available := m.availableEngines(s)
 	if len(available) == 0 {
 		return nil
 	}
-	considered := m.considered(s, available)
-	if len(considered) == 0 {
+	engines := m.enginesToScore(s, available)
+	if len(engines) == 0 {
 		return nil
 	}
-	return m.lowestScore(s, considered)
+	return m.lowestScore(s, engines)
 }
 
-// availableEngines are those that the rules allow and health checks do not exclude, by rendezvous hash. No other engine
-// is scored.
+// availableEngines returns the healthy engines that the rules allow, in rendezvous-hash order. No other engine is
+// scored.
 func (m *Module) availableEngines(s *statement) []*engine {
 	available := make([]*engine, 0, len(m.endpoints.all))
 	for _, e := range m.endpoints.ranked(s.tables) {
@@ -59,27 +65,27 @@
 	return available
 }
 
-// considered are the engines that are scored: the statement's candidates, and all available ones when these are
-// congested. Where load reports come by health check only, those whose report is fresh are considered.
-func (m *Module) considered(s *statement, available []*engine) []*engine {
+// enginesToScore returns the statement's candidates or, if all of these are congested, all available engines. Where
+// load reports come only by health check, it returns those whose report is fresh.
+func (m *Module) enginesToScore(s *statement, available []*engine) []*engine {
 	engines := m.candidates(s, available)
 	width := healthCheckWidth
 	isFree := func(e *engine) bool { return !m.isCongested(e, s.classifiedAs) }
 	if !slices.ContainsFunc(engines, isFree) {
 		width = maxHealthCheckWidth
 		engines = available
-		if s.classifiedAs.BulkLoad { // one engine, now the last, stays for the reads of its table group
+		if s.classifiedAs.BulkLoad { // in reversed order the last engine stays free for reads of the group
 			engines = available[:max(1, len(available)-1)]
 		}
 	}
 	if m.healthChecks.enabled {
-		return m.freshlyReported(s, engines, width)
+		return m.enginesWithFreshReport(s, engines, width)
 	}
 	return engines
 }
 
-// lowestScore is the engine with the lowest score that has capacity, or nil. Each router begins elsewhere, so that
-// routers share what is equal.
+// lowestScore returns the engine with the lowest score that has capacity, or nil. Each router begins at a different
+// engine, so that routers spread over engines with equal scores.
 func (m *Module) lowestScore(s *statement, engines []*engine) *engine {
 	var best *engine
 	lowest := math.Inf(1)
@@ -95,8 +101,9 @@
 	return best
 }
 
-// score is zone weight × (own in flight + 1) ÷ window × cache cost × pace. In flight counts the threads of all
-// workloads in units of this one's, since they share the cores; what other routers have in flight narrows the window.
+// score returns zone weight × (own in flight + 1) ÷ window × cache cost × slowdown. In flight counts the threads of all
+// workloads, divided by the threads of this workload's statements, since workloads share the cores. Statements of other
+// routers reduce the window.
 func (m *Module) score(e *engine, s *statement) float64 {
 	zone := remoteZoneWeight
 	if e.Zone == m.identity.Zone {
@@ -108,11 +115,11 @@
 		cost *= excludedCost
 	}
 	inFlight := float64(e.threads) / float64(s.classifiedAs.Threads)
-	free := max(minFreeShare, 1-m.othersOn(e)/m.maxStatementsOn(e))
-	return zone * (inFlight + 1) / (window.size * free) * cost * max(1, e.pace)
+	free := max(minFreeShare, 1-m.peerStatementsOn(e)/m.maxStatementsOn(e))
+	return zone * (inFlight + 1) / (window.size * free) * cost * max(1, e.slowdown)
 }
 
-// cacheCost is the factor for what the engine has in its caches.
+// cacheCost returns the factor for the contents of the engine's caches.
 func (m *Module) cacheCost(e *engine, s *statement) float64 {
 	if m.slowStart.isWarmingUp(e, m.now) {
 		return slowStartCost
@@ -123,10 +130,10 @@
 	return uncachedTablesCost
 }
 
-// candidates are the engines that a statement's table group is spread over: engines with the group in their caches
-// first, then those of the own zone, each by rendezvous hash. A bulk load would lock its table group where that is
-// read, and wait behind other loads: it takes the half of the hash where the group is read least, and has available
-// reversed.
+// candidates returns the engines that a statement's table group is spread over: engines with the group in their caches
+// first, then those of the local zone, each in rendezvous-hash order. A bulk load would block the reads of its table
+// group, and wait for other loads of it. It therefore gets the last half of the hash order, where the group is read
+// least, and available is reversed in place.
 func (m *Module) candidates(s *statement, available []*engine) []*engine {
 	if s.classifiedAs.BulkLoad {
 		slices.Reverse(available)
@@ -150,27 +157,27 @@
 	return append(local, remote...)[:min(count, maxCandidates, len(available))]
 }
 
-// fanOut is the number of engines that a table group's share of the traffic asks for.
+// fanOut returns the number of candidates for a table group's share of the traffic.
 func (m *Module) fanOut(tables decision.TableGroup, engines int) int {
-	step := (m.affinity.total/float64(engines) + fanOutDoubt) / fanOutSlack
-	return int(m.affinity.of(tables)/step) + 1
+	step := (m.affinity.total/float64(engines) + fanOutSmoothing) / fanOutSlack
+	return int(m.affinity.decayedCount(tables)/step) + 1
 }
 
-// rotation is where this router begins in a row of equal engines, so that routers share them.
+// rotation returns the index at which this router begins in a list of equal engines, so that routers spread over them.
 func (m *Module) rotation(s *statement, engines int) int {
 	return int(detrand.Hash("", uint64(s.tables), uint64(m.identity.Router)) % uint64(engines))
 }
 
-// isCongested reports whether the engine is full for this router, or reported busy.
+// isCongested reports whether the engine is full for this router, or is reported as busy.
 func (m *Module) isCongested(e *engine, w *workload) bool {
 	window := e.window(w)
 	switch {
-	case float64(window.inFlight) >= window.size, window.excluded, e.pace > slowAttemptFactor:
+	case float64(window.inFlight) >= window.size, window.excluded, e.slowdown > slowAttemptFactor:
 		return true
 	case m.healthChecks.enabled && e.queueDepth >= 1:
 		return true
 	case e.utilizationKnown && e.utilization > busyUtilization:
 		return true
 	}
-	return m.othersOn(e)+float64(len(e.attempts)) >= busyUtilization*e.cores*m.slowStart.capacityShare(e, m.now)
+	return m.peerStatementsOn(e)+float64(len(e.attempts)) >= busyUtilization*e.cores*m.slowStart.capacityShare(e, m.now)
 }
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -27,7 +27,7 @@
 		{"local, cached, idle", "z1", true, 0, 4, 8.0 / 4},
 		{"remote", "z2", true, 0, 4, 11.0 / 4},
 		{"without the table group in its caches", "z1", false, 0, 4, 8.0 / 4 * 2},
-		{"in flight, of any workload", "z1", true, 3, 4, 8.0},
+		{"threads in flight, of any workload", "z1", true, 3, 4, 8.0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e.Zone = c.zone
@@ -58,9 +58,9 @@
 		load := h.unsent(1, 7)
 		h.module.affinity = tableTraffic{}
 		assert.NotEqual(t, first, h.module.candidates(load, h.module.endpoints.all),
-			"a load stays off where its tables are read")
+			"a bulk load avoids the engines where its table group is read")
 	})
-	t.Run("an excluded engine gets it only when all are excluded", func(t *testing.T) {
+	t.Run("an excluded engine gets a statement only if all are excluded", func(t *testing.T) {
 		h := newHarness(t).at(0, ready("a", "b"))
 		h.engine("a").windows[0].excluded = true
 		assert.EqualValues(t, "b", h.at(1, read("s1")).sentTo())
@@ -69,14 +69,14 @@
 	})
 }
 
-// Equal scores do not fall to the same engine at every router.
+// Different routers choose different engines among those with equal scores.
 func TestEqualScoresSpreadOverRouters(t *testing.T) {
 	chosen := map[decision.EngineID]bool{}
-	for me := range 40 {
+	for router := range 40 {
 		h := newHarness(t)
-		h.settings.Identity.Router = decision.RouterID(me)
+		h.settings.Identity.Router = decision.RouterID(router)
 		h.settings.Identity.Routers = 40
-		for i := range 3 { // the group's share of the traffic makes it several candidates
+		for i := range 3 { // its share of the traffic gives the table group several candidates
 			h.at(time.Duration(i)*100*ms, ready("a", "b", "c", "d"), read(decision.StatementID(fmt.Sprint(i))))
 			h.engine("a").recentTables = nil
 			h.engine("b").recentTables = nil
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -8,7 +8,8 @@
 	"bankledge/decision"
 )
 
-// mayStart reports whether the rules let a statement go to an engine now. Every attempt passes it.
+// mayStart reports whether the rules allow a statement to be sent to an engine now. Every attempt has to pass this
+// check.
 func (m *Module) mayStart(s *statement, e *engine) bool {
 	return m.mayRun(s) &&
 		isPlacementAllowed(s.workload, e) &&
@@ -20,7 +21,7 @@
 		!slices.Contains(m.rules.PlacementExclusions[s.tables], e.Engine)
 }
 
-// mayRun reports whether a statement may have one more attempt, wherever that is.
+// mayRun reports whether a statement may have another attempt, on any engine.
 func (m *Module) mayRun(s *statement) bool {
 	if s.finished || s.streaming || m.now >= s.deadline {
 		return false
@@ -28,15 +29,15 @@
 	return s.openAttempts == 0 || m.limits.Hedging
 }
 
-// isPlacementAllowed reports whether statements of a workload may go to the engine. Nothing goes to an engine that
-// drains, which is stricter than its grace period.
+// isPlacementAllowed reports whether statements of a workload may run on the engine. A draining engine gets no
+// statements, even during its grace period.
 func isPlacementAllowed(w *workload, e *engine) bool {
 	return e.isReady() &&
 		(len(w.AllowedZones) == 0 || slices.Contains(w.AllowedZones, e.Zone)) &&
 		(len(w.AllowedMachineTypes) == 0 || slices.Contains(w.AllowedMachineTypes, e.MachineType))
 }
 
-// isInDedupScope reports whether the engine drops a repeat of what may have run before.
+// isInDedupScope reports whether the engine drops a repeat of a statement that may have run before.
 func isInDedupScope(s *statement, e *engine) bool {
 	if s.idempotency != decision.Deduplicated || s.firstRun == nil {
 		return true
@@ -53,8 +54,8 @@
 	return false
 }
 
-// mayRepeat reports whether one more attempt does no effect twice: what may have run goes again only where that is
-// harmless.
+// mayRepeat reports whether another attempt is allowed and cannot apply an effect twice: a statement that may have run
+// is only repeated where that is harmless.
 func (m *Module) mayRepeat(s *statement) bool {
 	if len(s.attempts) >= cmp.Or(m.limits.MaxAttempts, math.MaxInt) {
 		return false
@@ -65,7 +66,7 @@
 	return s.idempotency == decision.Deduplicated && m.now < s.firstRun.sentAt+s.workload.DedupWindow
 }
 
-// mayReject reports whether the statement may be rejected, which promises the client that a retry is harmless.
+// mayReject reports whether the statement may be rejected, which tells the client that a retry is harmless.
 func mayReject(s *statement) bool {
 	if s.firstRun == nil || s.idempotency == decision.Idempotent {
 		return true
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -10,7 +10,8 @@
 	"bankledge/decision"
 )
 
-// A statement with one attempt that ended on one of two engines: what may follow.
+// The module retries, rejects or aborts a statement after its first attempt, depending on its idempotency and the
+// outcome.
 func TestRetryRules(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -20,21 +21,21 @@
 		after       time.Duration
 		want        string // "sent", "reject" or "abort"
 	}{
-		{"idempotent goes again after an error",
+		{"idempotent is retried after an error",
 			decision.Idempotent, 0, decision.Errored, 10 * ms, "sent"},
 		{"non-idempotent that may have run is aborted",
 			decision.NonIdempotent, 0, decision.ConnectionReset, 10 * ms, "abort"},
 		{"non-idempotent after a time-out is aborted",
 			decision.NonIdempotent, 0, decision.TimedOut, 10 * ms, "abort"},
-		{"non-idempotent that never ran goes again",
+		{"non-idempotent that never ran is retried",
 			decision.NonIdempotent, 0, decision.Overloaded, 10 * ms, "sent"},
-		{"deduplicated goes again in time",
+		{"deduplicated is retried within its window",
 			decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 10 * ms, "sent"},
-		{"deduplicated after its window is not sent",
+		{"deduplicated is rejected after its window",
 			decision.Deduplicated, decision.ScopeAll, decision.ConnectionReset, 2 * time.Second, "reject"},
-		{"deduplicated stays in its cell",
+		{"deduplicated in a cell is not sent to another cell",
 			decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 10 * ms, ""},
-		{"deduplicated in a cell is not rejected after",
+		{"deduplicated in a cell is aborted after its window",
 			decision.Deduplicated, decision.ScopeCell, decision.ConnectionReset, 2 * time.Second, "abort"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,8 +65,8 @@
 	}
 }
 
-// What may have run is deduplicated for a window from when it was sent: a host that is slow to send a retry must not
-// send it later.
+// Repeats of a deduplicated statement are dropped only within a window after its first send, so a host that is slow
+// must not send a retry after the window.
 func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -84,7 +85,7 @@
 			h.settings.Workloads[0].LatencyObjective = 3 * time.Second
 			first := pick[decision.StartAttempt](h.at(500*ms, ready("a", "b"), read("s")))
 			require.Len(t, first, 1)
-			assert.Zero(t, first[0].StartBefore, "it repeats nothing")
+			assert.Zero(t, first[0].StartBefore, "a first attempt has no limit")
 			again := pick[decision.StartAttempt](h.at(600*ms, end("s", 0, first[0].Engine, c.first)))
 			require.Len(t, again, 1)
 			assert.Equal(t, c.want, again[0].StartBefore)
@@ -119,7 +120,7 @@
 		h := newHarness(t).at(0, read("s"))
 		assert.Empty(t, h.sentTo())
 		h.at(2 * time.Second)
-		assert.Len(t, pick[decision.Reject](h), 1, "rejected once no answer can count")
+		assert.Len(t, pick[decision.Reject](h), 1, "rejected once its answer has no value")
 	})
 	t.Run("missing from a complete list", func(t *testing.T) {
 		h := newHarness(t).at(0, ready("a", "b")).at(1, ready("b"))
--- a/policy/simulated_engine_test.go
+++ b/policy/simulated_engine_test.go
@@ -7,17 +7,17 @@
 	"bankledge/decision"
 )
 
-// simulatedEngine shares its cores among the attempts that run there.
+// simulatedEngine is an engine that shares its cores among its running attempts.
 type simulatedEngine struct {
-	endpoint      decision.Endpoint
-	cores         float64
-	slowness      float64              // times as long
-	hangs         bool                 // nothing ends there
-	errs          bool                 // at once
-	errsOn        *decision.WorkloadID // workload that errs at once; nil: none
-	refusesToOpen bool                 // takes no connection
-	running       []*simulatedAttempt
-	sent          []sentWork
+	endpoint           decision.Endpoint
+	cores              float64
+	slowness           float64              // factor on run times
+	hangs              bool                 // no attempt ends
+	failsAtOnce        bool                 // every attempt fails at once
+	failingWorkload    *decision.WorkloadID // workload whose attempts fail at once; nil: none
+	refusesConnections bool                 // accepts no connections
+	running            []*simulatedAttempt
+	sent               []sentWork
 }
 
 // sentWork is the work of one attempt, in seconds on one thread.
@@ -31,10 +31,10 @@
 	statement decision.StatementArrived
 	number    decision.AttemptID
 	threads   float64
-	remaining float64 // seconds on one core
+	remaining float64 // work, in core seconds
 }
 
-// simulatedEngines are of eight cores each.
+// simulatedEngines returns engines with eight cores each.
 func simulatedEngines(count int) []*simulatedEngine {
 	engines := make([]*simulatedEngine, 0, count)
 	for i := range count {
@@ -48,18 +48,18 @@
 	return engines
 }
 
-// failure is how an attempt of a workload fails at once, if it does.
+// failure returns the outcome of an attempt of a workload that fails at once; fails is false if it does not.
 func (e *simulatedEngine) failure(workload decision.WorkloadID) (outcome decision.Outcome, fails bool) {
 	switch {
-	case e.refusesToOpen:
+	case e.refusesConnections:
 		return decision.ConnectFailed, true
-	case e.errs, e.errsOn != nil && workload == *e.errsOn:
+	case e.failsAtOnce, e.failingWorkload != nil && workload == *e.failingWorkload:
 		return decision.Errored, true
 	}
 	return 0, false
 }
 
-// threads is the number of threads that run.
+// threads returns the number of running threads.
 func (e *simulatedEngine) threads() float64 {
 	threads := 0.0
 	for _, a := range e.running {
@@ -68,7 +68,8 @@
 	return threads
 }
 
-// speed is that of each thread: the cores are shared, and as much again is lost beyond twice as many threads.
+// speed returns the speed of each thread. Threads share the cores, and above two threads per core contention slows them
+// further.
 func (e *simulatedEngine) speed(threads float64, now time.Duration) float64 {
 	speed := min(1, e.cores/threads) * min(1, 2*e.cores/threads)
 	age := now - e.endpoint.StartedAt
@@ -78,7 +79,8 @@
 	return speed
 }
 
-// worstWindow is the most work that the engine was sent in any window so long, as a share of its capacity then.
+// worstWindow returns the highest work sent to the engine in any window, relative to its capacity at the start of that
+// window.
 func (e *simulatedEngine) worstWindow(window time.Duration, multiple float64) float64 {
 	worst := 0.0
 	for i, first := range e.sent {
@@ -95,7 +97,7 @@
 	return worst
 }
 
-// totalWork is all work that the engine was sent.
+// totalWork returns all work sent to the engine.
 func (e *simulatedEngine) totalWork() float64 {
 	total := 0.0
 	for _, s := range e.sent {
@@ -104,5 +106,5 @@
 	return total
 }
 
-// warmUpShare is the share of its capacity that an engine of this age has.
+// warmUpShare returns the share of its capacity that an engine has at an age.
 func warmUpShare(age time.Duration) float64 { return min(1, 0.3+0.7*age.Seconds()/15) }
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -13,23 +13,23 @@
 
 const (
 	simulationStep  = 10 * ms
-	clientRetryWait = 150 * ms // of a client whose statement was rejected
-	reportShare     = 0.15     // of statements, of the second workload
+	clientRetryWait = 150 * ms // delay before a client retries a rejected statement
+	reportShare     = 0.15     // share of statements in the second workload
 	meanReadWork    = 0.06     // seconds on one thread
 	meanReportWork  = 1.2
 )
 
-// simulatedFleet is a fleet of routers, each an instance of the module, before engines that share their cores among
-// what they run. Statements arrive by chance from a seed. It shows what is harmless in one router and harmful in all.
+// simulatedFleet is a fleet of routers, each with its own module, that send to shared engines. Statements arrive at
+// random from a seed. It shows effects that are harmless in a single router but harmful in all of them together.
 type simulatedFleet struct {
 	now           time.Duration
 	random        *rand.Rand
 	routers       []*simulatedRouter
 	engines       map[decision.EngineID]*simulatedEngine
-	rate          float64 // statements a second and router
+	rate          float64 // statements per second and router
 	clientRetries int     // of a client whose statement was rejected
 
-	firstSends int // statements without the retries of clients
+	firstSends int // statements, without client retries
 	completed  int
 	inTime     int // completed within the objective
 	rejected   int // or aborted
@@ -41,15 +41,15 @@
 	*harness
 	inbox       []decision.Event
 	timerAt     time.Duration
-	trafficRate float64 // of the mean
+	trafficRate float64 // relative to the mean
 	arrivals    int
 	inTime      int
 	open        map[decision.StatementID]*simulatedStatement
 	attempts    map[decision.StatementID]decision.AttemptID // next number
-	retries     []*simulatedStatement                       // of clients, to come
+	retries     []*simulatedStatement                       // client retries to come
 }
 
-// simulatedStatement is a statement, and what its client does when it is rejected.
+// simulatedStatement is a statement with the remaining retries of its client.
 type simulatedStatement struct {
 	event       decision.StatementArrived
 	firstSentAt time.Duration // by its client
@@ -57,7 +57,7 @@
 	retryAt     time.Duration
 }
 
-// newSimulatedFleet is a fleet whose routers know the engines. Settings that name no number of routers get the true
+// newSimulatedFleet returns a fleet whose routers know the engines. Settings without a number of routers get the actual
 // one.
 func newSimulatedFleet(
 	newHarness func() *harness, routers int, rate float64, engines ...*simulatedEngine,
@@ -91,17 +91,17 @@
 	return f
 }
 
-// engineIDs is sorted.
+// engineIDs returns the sorted IDs of the engines.
 func (f *simulatedFleet) engineIDs() []decision.EngineID { return slices.Sorted(maps.Keys(f.engines)) }
 
-// setRouterCount has the settings of all routers name so many routers.
+// setRouterCount sets the number of routers in the settings of all routers.
 func (f *simulatedFleet) setRouterCount(routers int) {
 	for _, r := range f.routers {
 		r.settings.Identity.Routers = routers
 	}
 }
 
-// restart has so many routers of ten start over: what they had queued and in flight is dropped.
+// restart restarts this many out of every ten routers. Their queued statements and attempts are dropped.
 func (f *simulatedFleet) restart(ofTen int) {
 	list := decision.EndpointList{Kind: decision.ListPersisted}
 	for _, id := range f.engineIDs() {
@@ -121,7 +121,7 @@
 	}
 }
 
-// arrivals is how many statements arrived.
+// arrivals returns the number of statements that have arrived.
 func (f *simulatedFleet) arrivals() int {
 	total := 0
 	for _, r := range f.routers {
@@ -130,14 +130,14 @@
 	return total
 }
 
-// notify hands an event to all routers.
+// notify sends an event to all routers.
 func (f *simulatedFleet) notify(event decision.Event) {
 	for _, r := range f.routers {
 		r.inbox = append(r.inbox, event)
 	}
 }
 
-// run lets time pass.
+// run advances the clock by d.
 func (f *simulatedFleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += simulationStep {
 		for _, id := range f.engineIDs() {
@@ -152,14 +152,15 @@
 	}
 }
 
-// inTimeShare lets time pass, and is the share of the statements first sent meanwhile that complete in time.
+// inTimeShare advances the clock by d, and returns the share of the statements first sent in that time that complete in
+// time.
 func (f *simulatedFleet) inTimeShare(d time.Duration) float64 {
 	sends, inTime := f.firstSends, f.inTime
 	f.run(d)
 	return float64(f.inTime-inTime) / float64(f.firstSends-sends)
 }
 
-// receive draws the statements that arrive at a router in a step, and has clients retry.
+// receive adds the statements and client retries that arrive at a router in one step.
 func (f *simulatedFleet) receive(i int, r *simulatedRouter) {
 	gap := func() float64 { return f.random.ExpFloat64() / (f.rate * r.trafficRate) }
 	for next := gap(); next < simulationStep.Seconds(); next += gap() {
@@ -200,7 +201,7 @@
 	r.inbox = append(r.inbox, s.event)
 }
 
-// handle has a router's module handle what it was notified of, and carries out the actions.
+// handle passes a router's pending events to its module, and carries out the actions.
 func (f *simulatedFleet) handle(i int, r *simulatedRouter) {
 	events := r.inbox
 	r.inbox = nil
@@ -226,7 +227,7 @@
 	}
 }
 
-// reject has the client retry, if it still does.
+// reject schedules a retry by the client, if it has any left.
 func (f *simulatedFleet) reject(r *simulatedRouter, id decision.StatementID) {
 	f.rejected++
 	s := r.open[id]
@@ -271,7 +272,7 @@
 	})
 }
 
-// runEngine has an engine work for a step, and notifies routers of what completes.
+// runEngine advances an engine by one step, and notifies the routers of completed attempts.
 func (f *simulatedFleet) runEngine(e *simulatedEngine) {
 	if e.hangs {
 		return
@@ -307,7 +308,7 @@
 	delete(r.open, a.statement.Statement)
 }
 
-// fleetHarness has the settings of a large deployment.
+// fleetHarness returns a constructor of harnesses with the settings of a large deployment.
 func fleetHarness(t *testing.T) func() *harness {
 	t.Helper()
 	return func() *harness {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -11,21 +11,21 @@
 const (
 	// slowStartSafety is the share of an engine's budget that all routers together plan to use.
 	slowStartSafety = 0.6
-	// slowStartUsableShare is the share of its cores that an engine in slow start is taken to have for statements.
+	// slowStartUsableShare is the share of its cores that an engine in slow start is assumed to have for statements.
 	slowStartUsableShare = 0.85
-	// slowStartMargin widens the rules' times, since the host's clock and the engines' differ.
+	// slowStartMargin extends the times of the rules, since the host's clock and the engines' clocks differ.
 	slowStartMargin = 500 * time.Millisecond
-	// slowStartMinDemand is the share of all cores that the demand on all routers is taken to be at least, so that
-	// settings that name too few routers do no harm.
+	// slowStartMinDemand is the lower bound of the demand on all routers, as a share of all cores, so that settings
+	// with too few routers do no harm.
 	slowStartMinDemand = 1
 )
 
-// slowStart limits what goes to engines that have just started, in sum over all routers, none of which knows what the
-// others send: each statement draws whether it may go there.
+// slowStart limits the work that all routers together send to engines that have just started. Since no router knows
+// what the others send, each statement draws at random whether it may be sent there.
 type slowStart struct {
 	budget    estimate.SlowStartBudget
 	seed      uint64
-	startedAt time.Duration // first call to this router's module; below 0: there was none
+	startedAt time.Duration // time of the first call to the module; negative: none yet
 }
 
 func newSlowStart(rules decision.Rules, routers float64, seed uint64) slowStart {
@@ -39,20 +39,20 @@
 	}}
 }
 
-// start records the time of the first call.
-func (s *slowStart) start(now time.Duration) {
+// recordFirstCall records the time of the first call to the module.
+func (s *slowStart) recordFirstCall(now time.Duration) {
 	if s.startedAt < 0 {
 		s.startedAt = now
 	}
 }
 
-// changeRules takes other rules; what was learned of the arrivals stays.
+// changeRules applies changed rules, and keeps what was learned of the arrivals.
 func (s *slowStart) changeRules(rules decision.Rules, routers float64) {
 	s.budget.Rules = rules
 	s.budget.Routers = routers
 }
 
-// observeArrival counts a statement.
+// observeArrival counts a statement in the estimate of arrivals.
 func (s *slowStart) observeArrival(st *statement) {
 	s.budget.ObserveStatement(st.work, st.classifiedAs.meanWork, st.clientRetry)
 }
@@ -62,12 +62,12 @@
 	return e.StartedAt > 0 && now < e.StartedAt+s.warmUpTime() && s.budget.Rules.SlowStartWindow > 0
 }
 
-// warmUpTime is the time from an engine's start for which it counts as warming up.
+// warmUpTime returns the time after its start for which an engine counts as warming up.
 func (s *slowStart) warmUpTime() time.Duration {
 	return s.budget.Rules.SlowStartDuration + slowStartMargin
 }
 
-// capacityShare is the share of its capacity that an engine is taken to have.
+// capacityShare returns the share of its capacity that an engine is assumed to have now.
 func (s *slowStart) capacityShare(e *engine, now time.Duration) float64 {
 	if !s.isWarmingUp(e, now) {
 		return 1
@@ -77,8 +77,8 @@
 	return min(1, rules.SlowStartShare+(1-rules.SlowStartShare)*age)
 }
 
-// mayStart reports whether a statement may go to an engine, if that is warming up. A router that has just started does
-// not know what it sent before, and waits.
+// mayStart reports whether a statement may be sent to an engine that may be warming up. A router that has just started
+// does not know what it sent before, and waits for one window.
 func (s *slowStart) mayStart(st *statement, e *engine, now time.Duration) bool {
 	if !s.isWarmingUp(e, now) {
 		return true
@@ -87,30 +87,31 @@
 		return false
 	}
 	budget, certain := s.budget.RouterBudget(e.cores, now-e.StartedAt)
-	if !certain && !s.isDrawn(st, e, now) {
+	if !certain && !s.isSampled(st, e, now) {
 		return false
 	}
 	from := now - s.budget.Rules.SlowStartWindow - slowStartMargin
 	return e.slowStartWork.Since(from)+st.work <= budget
 }
 
-// isDrawn reports whether a statement is one of those that may go to the engine, the same at each call. A client's
-// retry and what has waited for long would come on top of what arrives.
-func (s *slowStart) isDrawn(st *statement, e *engine, now time.Duration) bool {
+// isSampled reports whether a statement is one of those that may be sent to the engine; the result is the same at each
+// call. Client retries and statements that have waited for long are not, since they come in addition to the arrivals
+// that the probability is based on.
+func (s *slowStart) isSampled(st *statement, e *engine, now time.Duration) bool {
 	if st.clientRetry || now >= st.arrivedAt+slowStartMargin {
 		return false
 	}
 	return detrand.Fraction(string(e.Engine+" ")+string(st.id), s.seed) < e.slowStartProbability
 }
 
-// updateProbability finds the share of all statements that may go to an engine that is warming up.
+// updateProbability recomputes the share of all statements that may be sent to an engine that is warming up.
 func (s *slowStart) updateProbability(e *engine, now time.Duration) {
 	if s.isWarmingUp(e, now) {
 		e.slowStartProbability = s.budget.SendProbability(e.cores, now-e.StartedAt)
 	}
 }
 
-// advance records that time has passed, and the cores of all engines as if none were in slow start.
+// advance records the elapsed time and the cores of all engines, where those in slow start count in full.
 func (s *slowStart) advance(now, since time.Duration, cores float64) {
 	s.budget.Advance(now-max(since, s.startedAt), cores)
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -12,16 +12,16 @@
 )
 
 func TestSlowStartBudget(t *testing.T) {
-	// The same traffic at any number of routers: 210 statements a second of 0.1 core seconds, before ten engines of which
-	// one starts meanwhile.
+	// The total traffic is the same for any number of routers: 210 statements per second of 0.1 core seconds each. One
+	// of ten engines starts during the test.
 	for _, routers := range []int{1, 3, 300} {
 		t.Run(fmt.Sprintf("%d routers together stay within the budget and use it", routers), func(t *testing.T) {
 			sent, budget := 0, 0.0
-			for me := range routers {
+			for router := range routers {
 				h, list := newHarness(t), ready("b", "c", "d", "e", "f", "g", "h", "i", "j")
-				h.settings.Identity.Router = decision.RouterID(me)
+				h.settings.Identity.Router = decision.RouterID(router)
 				h.settings.Identity.Routers = routers
-				h.settings.Identity.Seed = uint64(me)
+				h.settings.Identity.Seed = uint64(router)
 				rules := h.settings.Rules
 				budget = rules.SlowStartMultiple * rules.SlowStartShare * 8 * rules.SlowStartWindow.Seconds()
 				h.at(0, list)
@@ -29,11 +29,11 @@
 				started.Kind = decision.ListPartial
 				started.Endpoints[0].StartedAt = 4 * time.Second
 				gap := time.Duration(routers) * 5 * ms
-				for i, now := 0, gap*time.Duration(me)/time.Duration(routers); now < 5500*ms; i, now = i+1, now+gap {
+				for i, now := 0, gap*time.Duration(router)/time.Duration(routers); now < 5500*ms; i, now = i+1, now+gap {
 					if now >= 4*time.Second && h.engine("a") == nil {
 						h.at(now, started)
 					}
-					h.at(now, read(decision.StatementID(fmt.Sprint(me, " ", i))))
+					h.at(now, read(decision.StatementID(fmt.Sprint(router, " ", i))))
 					for _, x := range pick[decision.StartAttempt](h) {
 						if x.Engine == "a" {
 							sent++
@@ -54,16 +54,16 @@
 	})
 	for _, c := range []struct {
 		name          string
-		first, second decision.Outcome // the second: of a trial
+		first, second decision.Outcome // second: of the trial
 		warmingUp     bool
 	}{
-		{"a connection that does not come up may be late", decision.ConnectFailed, decision.Completed, false},
-		{"nor does a trial's", decision.ConnectFailed, decision.ConnectFailed, true},
-		{"what breaks connections is up", decision.ConnectionReset, decision.ConnectionReset, false},
+		{"the first failed connection may only be slow", decision.ConnectFailed, decision.Completed, false},
+		{"the connection of the trial fails too", decision.ConnectFailed, decision.ConnectFailed, true},
+		{"an engine that resets connections is running", decision.ConnectionReset, decision.ConnectionReset, false},
 	} {
 		t.Run("only failed connections put an engine in slow start before the list does: "+c.name, func(t *testing.T) {
 			h := newHarness(t).at(0, ready("a"), read("s"), read("beside"))
-			h.at(ms, end("s", 0, "a", c.first), end("beside", 0, "a", c.first)) // at once: that is one observation
+			h.at(ms, end("s", 0, "a", c.first), end("beside", 0, "a", c.first)) // at once: one observation
 			h.at(ms, decision.ClientCancelled{Statement: "s"}, decision.ClientCancelled{Statement: "beside"})
 			for i, outcome := range []decision.Outcome{c.second, decision.Completed} {
 				now, id := time.Duration(2+8*i)*time.Second, decision.StatementID(fmt.Sprint("trial ", i))
@@ -75,7 +75,7 @@
 	}
 }
 
-// All engines of the list are in slow start, and then all drain.
+// All listed engines first are in slow start, and then drain.
 func TestAllEnginesWarmingUpOrDraining(t *testing.T) {
 	started, draining := ready("a", "b"), ready("a", "b")
 	for i := range started.Endpoints {
@@ -83,7 +83,7 @@
 		draining.Endpoints[i].State = decision.Draining
 	}
 	h := newHarness(t).at(0).at(5*time.Second, started, read("s"))
-	assert.NotEmpty(t, h.sentTo(), "one router has the complete budget")
+	assert.NotEmpty(t, h.sentTo(), "a single router has the complete budget")
 	assert.Empty(t, h.at(6*time.Second, draining, read("s2")).sentTo())
-	assert.Len(t, pick[decision.Reject](h.at(10*time.Second)), 2, "the second never went")
+	assert.Len(t, pick[decision.Reject](h.at(10*time.Second)), 2, "the second statement was never sent")
 }
--- a/policy/statement.go
+++ b/policy/statement.go
@@ -11,49 +11,49 @@
 // statement is one statement that this router admitted.
 type statement struct {
 	id             decision.StatementID
-	workload       *workload            // as declared: its rules and its latency objective
-	classifiedAs   *workload            // what it is taken to be: the resources it takes and what its answer counts for
+	workload       *workload            // declared by the client: determines the rules and the latency objective
+	classifiedAs   *workload            // determines the expected resource use and the windows
 	idempotency    decision.Idempotency // as declared, or stricter
-	key            decision.Key         // empty where its workload is not ordered by key
+	key            decision.Key         // empty if its workload is not ordered by key
 	tables         decision.TableGroup
-	otherTables    []decision.TableGroup // that it names beside tables
+	otherTables    []decision.TableGroup // used in addition to tables
 	arrivedAt      time.Duration
 	objectiveAt    time.Duration // end of its latency objective
-	answerBy       time.Duration // latest time for an answer that is to arrive before the deadline
-	deadline       time.Duration // when its client stops waiting
+	answerBy       time.Duration // latest time for an answer that has to arrive before the deadline
+	deadline       time.Duration // when the client stops waiting
 	expectedRun    time.Duration // on an idle engine
 	memoryMB       float64       // estimated need
-	work           float64       // seconds on one thread: estimated, or its workload's mean where that is more
-	priorityWeight float64       // at its arrival: rules that change later do not change it
+	work           float64       // seconds on one thread: the estimate, or the mean of its workload if that is higher
+	priorityWeight float64       // at its arrival; later changes of the rules do not affect it
 	overQuota      bool          // beyond its tenant's quota
-	clientRetry    bool          // its client sent it before
+	clientRetry    bool          // the client has sent it before
 
-	clientBlocked bool // its client does not read answers at the moment
-	queued        bool // in the queue, where it stands once
-	parked        bool // out of the queue until its client reads again
+	clientBlocked bool // the client currently does not read responses
+	queued        bool // in the queue, at most once
+	parked        bool // out of the queue until the client reads again
 	finished      bool
-	streaming     bool // its response has begun
+	streaming     bool // its response has started
 
-	deadlineTimer *timerqueue.Timer // ends it at answerBy
+	deadlineTimer *timerqueue.Timer // ends the statement at answerBy
 
 	attempts     []*attempt // by number
-	openAttempts int        // without an outcome
-	firstRun     *attempt   // the first that may have run; nil: none
-	avoid        *engine    // where its last attempt went wrong
+	openAttempts int        // attempts without an outcome
+	firstRun     *attempt   // the first attempt that may have run, or nil
+	avoid        *engine    // engine of the last attempt that failed or was slow
 	resources    decision.SetResources
 }
 
-// latestStart is the latest start of an attempt that still meets the latency objective, at its workload's pace.
+// latestStart returns the latest time to start an attempt that meets the latency objective at the usual run time.
 func (s *statement) latestStart() time.Duration {
-	return s.objectiveAt - time.Duration(s.classifiedAs.pace*float64(s.expectedRun))
+	return s.objectiveAt - time.Duration(s.classifiedAs.runTimeFactor*float64(s.expectedRun))
 }
 
-// names reports whether the statement reads or writes a table group.
-func (s *statement) names(tables decision.TableGroup) bool {
+// uses reports whether the statement reads or writes a table group.
+func (s *statement) uses(tables decision.TableGroup) bool {
 	return s.tables == tables || slices.Contains(s.otherTables, tables)
 }
 
-// updateFirstRun finds the first attempt that may have run.
+// updateFirstRun recomputes the first attempt that may have run.
 func (s *statement) updateFirstRun() {
 	s.firstRun = nil
 	i := slices.IndexFunc(s.attempts, func(a *attempt) bool { return !a.neverRan })
--- a/policy/tenant_quota.go
+++ b/policy/tenant_quota.go
@@ -7,8 +7,8 @@
 	"bankledge/decision"
 )
 
-// quotaBurstFactor is, of the root of a tenant's rate in statements a second, the size of its bucket beyond one second:
-// few statements a second vary much.
+// quotaBurstFactor times the square root of a tenant's rate, in statements per second, is the capacity of its bucket
+// beyond one second of statements. At low rates the number of arrivals varies strongly.
 const quotaBurstFactor = 3.0
 
 // tenantQuotas holds this router's share of each tenant's quota.
@@ -22,7 +22,7 @@
 	return t
 }
 
-// change gives tenants that are known other rates; the tokens of a bucket stay in proportion.
+// change sets other rates for known tenants, and scales the tokens of each bucket with its capacity.
 func (t tenantQuotas) change(quotas []decision.Quota, routers float64) {
 	for _, q := range quotas {
 		if bucket := t[q.Tenant]; bucket != nil {
@@ -31,13 +31,13 @@
 	}
 }
 
-// take counts a statement of a tenant, and reports whether it is within the quota. A tenant without a quota always is.
+// take counts a statement of a tenant, and reports whether it is within the quota. It always is if the tenant has none.
 func (t tenantQuotas) take(tenant decision.Tenant, now time.Duration) bool {
 	bucket := t[tenant]
 	return bucket == nil || bucket.perSecond <= 0 || bucket.take(now)
 }
 
-// tokenBucket is filled at a rate.
+// tokenBucket is a token bucket that refills at a constant rate.
 type tokenBucket struct {
 	perSecond float64
 	capacity  float64
@@ -45,13 +45,13 @@
 	filledAt  time.Duration
 }
 
-// newTokenBucket is a full bucket. It holds one second of statements, one more, and a margin for random variation.
+// newTokenBucket returns a full bucket. It holds one second of statements, one more, and a margin for random variation.
 func newTokenBucket(perSecond float64) *tokenBucket {
 	capacity := perSecond + quotaBurstFactor*math.Sqrt(perSecond) + 1
 	return &tokenBucket{perSecond: perSecond, capacity: capacity, tokens: capacity}
 }
 
-// changeRate gives the bucket another rate, with its tokens in proportion.
+// changeRate sets another rate, and scales the tokens with the capacity.
 func (b *tokenBucket) changeRate(perSecond float64) {
 	fresh := newTokenBucket(perSecond)
 	fresh.tokens = fresh.capacity * b.tokens / max(1e-9, b.capacity)
@@ -59,7 +59,7 @@
 	*b = *fresh
 }
 
-// take takes a token; false: there is none.
+// take takes a token, and reports whether there was one.
 func (b *tokenBucket) take(now time.Duration) bool {
 	b.tokens = min(b.capacity, b.tokens+b.perSecond*(now-b.filledAt).Seconds())
 	b.filledAt = now
--- a/policy/tenant_quota_test.go
+++ b/policy/tenant_quota_test.go
@@ -10,11 +10,11 @@
 	"bankledge/decision"
 )
 
-// What is beyond a tenant's quota waits behind what is within one.
+// A statement beyond its tenant's quota is sent after those within their quota.
 func TestBeyondQuotaWaits(t *testing.T) {
 	h := newHarness(t)
 	h.settings.Quotas = decision.Quotas{Tenants: []decision.Quota{{Tenant: "g", RatePerSecond: 1}}}
-	for i, id := range []decision.StatementID{"1", "2", "3", "4", "5", "out"} { // five are within the burst
+	for i, id := range []decision.StatementID{"1", "2", "3", "4", "5", "out"} { // five fit into the burst
 		ev := read(id)
 		ev.Tenant = "g"
 		h.at(time.Duration(i), ev)
--- a/policy/timer_memory_test.go
+++ b/policy/timer_memory_test.go
@@ -11,11 +11,11 @@
 	"bankledge/decision"
 )
 
-// Clients that send and cancel at once, with the longest timeout: each statement left its deadline's timer, and with the timer itself, until
-// the deadline. A client chooses how many there are.
+// A cancelled statement must be released at once. Its deadline timer used to keep it in memory until the deadline, so
+// clients that send and cancel at once, with the longest timeout, could use any amount of memory.
 func TestCancelledStatementsAreReleased(t *testing.T) {
 	const statements = 100_000
-	const maxBytesEach = 40 // far below a statement's own size
+	const maxBytesEach = 40 // far below the size of a statement
 	h := newHarness(t)
 	h.at(0, ready("a"))
 	used := func() int64 {
