--- a/decision/actions.go
+++ b/decision/actions.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Action is something that the module asks its host to do.
+// Action is a request of the module to its host.
 type Action interface{ action() }
 
-// StartAttempt starts the next attempt of a statement. Its AttemptID is the number of attempts before it.
+// StartAttempt starts the next attempt of a statement. Its AttemptID is the number of earlier attempts of the
+// statement.
 type StartAttempt struct {
 	Statement StatementID
 	Engine    EngineID
-	Timeout   time.Duration // of the attempt; 0: the statement's deadline alone
-	// StartBefore is the time by which the attempt has to be sent, on the module's clock; 0: at any time. A host that is
-	// later must not send it, and reports it as NotSent.
+	Timeout   time.Duration // of the attempt; 0: only the statement's deadline applies
+	// StartBefore is the time by which the attempt has to be sent, on the module's clock; 0: no limit. A host that
+	// cannot send the attempt by then must not send it, and reports it as NotSent.
 	StartBefore time.Duration
 }
 
@@ -25,49 +26,49 @@
 // Reject ends a statement and tells the client that a retry is harmless.
 type Reject struct {
 	Statement  StatementID
-	RetryAfter time.Duration // 0: none is named
+	RetryAfter time.Duration // 0: not set
 	Reason     Reason
 }
 
-// Abort ends a statement and promises nothing: it may have run.
+// Abort ends a statement that may have run: unlike Reject, it does not tell the client that a retry is harmless.
 type Abort struct {
 	Statement StatementID
 	Reason    Reason
 }
 
-// SetResources names the memory grant and the priority of a statement's next attempts.
+// SetResources sets the memory grant and the priority of a statement's next attempts.
 type SetResources struct {
 	Statement     StatementID
 	MemoryGrantMB int64 // 0: the engine chooses
-	Priority      int   // from 0 to 3, the highest; applies to attempts in flight, too
+	Priority      int   // from 0 to 3 (highest); also applies to attempts in flight
 }
 
-// HealthCheck asks an engine for a sign of life, and for its load report.
+// HealthCheck requests a health check of an engine, and its load report.
 type HealthCheck struct{ Engine EngineID }
 
 // CloseIdleConnections closes the idle connections to an engine.
 type CloseIdleConnections struct{ Engine EngineID }
 
-// SetTimer asks for a TimerFired.
+// SetTimer requests a TimerFired event.
 type SetTimer struct {
 	Token string
 	At    time.Duration
 }
 
-// WatchEndpoints asks for changes to the endpoint list from now on, or for no more of them.
+// WatchEndpoints starts or stops the delivery of changes to the endpoint list.
 type WatchEndpoints struct{ Enabled bool }
 
-// FetchEndpoints asks once for the complete endpoint list.
+// FetchEndpoints requests the complete endpoint list once.
 type FetchEndpoints struct{}
 
-// SendToPeers sends a few bytes to one router, or to all others.
+// SendToPeers sends a short message to one router, or to all others.
 type SendToPeers struct {
 	All  bool
 	To   RouterID
 	Data []byte
 }
 
-// Log records a line for the operators.
+// Log writes a line to the operators' log.
 type Log struct{ Text string }
 
 // Crash reports that the module failed.
--- a/decision/endpoint.go
+++ b/decision/endpoint.go
@@ -8,8 +8,8 @@
 // The states of an engine.
 const (
 	Ready    EngineState = iota
-	Draining             // finishes what it runs, and should be sent nothing more
-	Removed              // no longer there
+	Draining             // finishes its running statements, and should get no more
+	Removed              // no longer exists
 )
 
 // Endpoint is one engine in an endpoint list.
@@ -20,16 +20,16 @@
 	Cell        Cell
 	State       EngineState
 	Weight      float64
-	StartedAt   time.Duration // 0: before the module's clock began, so that no slow start applies
+	StartedAt   time.Duration // 0: before the module's clock started, so no slow start applies
 }
 
-// ListKind says how an endpoint list relates to what the instance knows already.
+// ListKind says how an endpoint list relates to the endpoints that the module already knows.
 type ListKind int
 
-// The kinds of list.
+// The kinds of endpoint list.
 const (
-	ListPartial   ListKind = iota // changes to what is known
-	ListComplete                  // replaces what is known
-	ListPersisted                 // replaces what is known, as last seen before a restart; it may be stale
-	ListFailed                    // the source of the list cannot be reached; there are no entries
+	ListPartial   ListKind = iota // changes to the known endpoints
+	ListComplete                  // replaces the known endpoints
+	ListPersisted                 // replaces the known endpoints with those saved before a restart; may be stale
+	ListFailed                    // the source of the list is unreachable; there are no entries
 )
--- a/decision/names.go
+++ b/decision/names.go
@@ -1,6 +1,6 @@
 package decision
 
-// Names of enumerated values in logs and test output. They are not those of any wire.
+// Names of enumerated values in logs and test output. No wire format uses them.
 var (
 	idempotencyNames = [...]string{
 		Idempotent:    "idempotent",
@@ -62,7 +62,7 @@
 	}
 )
 
-// nameOf returns a value's name, also for a value that has none.
+// nameOf returns the name of a value, or "unknown" if it has none.
 func nameOf[T ~int](value T, names []string) string {
 	if value < 0 || int(value) >= len(names) {
 		return "unknown"
@@ -70,29 +70,29 @@
 	return names[value]
 }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (i Idempotency) String() string { return nameOf(i, idempotencyNames[:]) }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (s DedupScope) String() string { return nameOf(s, dedupScopeNames[:]) }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (p OvercommitPolicy) String() string { return nameOf(p, overcommitNames[:]) }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (f LoadReportField) String() string { return nameOf(f, loadReportFieldNames[:]) }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (s LoadReportSource) String() string { return nameOf(s, loadReportSourceNames[:]) }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (s EngineState) String() string { return nameOf(s, engineStateNames[:]) }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (k ListKind) String() string { return nameOf(k, listKindNames[:]) }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (o Outcome) String() string { return nameOf(o, outcomeNames[:]) }
 
-// String returns the name in logs.
+// String returns the name used in logs.
 func (k ProgressKind) String() string { return nameOf(k, progressKindNames[:]) }
--- a/decision/outcome.go
+++ b/decision/outcome.go
@@ -1,9 +1,9 @@
 package decision
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the result of an attempt or a health check.
 type Outcome int
 
-// The outcomes. What each says of whether the statement ran decides whether it may be retried.
+// The outcomes. Whether the statement may have run decides whether it may be retried.
 const (
 	Completed       Outcome = iota
 	Errored                 // answered with an error; it may have run
@@ -12,11 +12,11 @@
 	ConnectFailed           // it never ran
 	ConnectionReset         // it may have run
 	Cancelled               // it may have run
-	NotSent                 // the statement was finished, or had no attempt left
+	NotSent                 // the statement was already finished, or had no attempts left
 )
 
-// Reason says why a statement was ended without a response, or an attempt cancelled. It is for logs: nothing is
-// decided by it.
+// Reason says why a statement was ended without a response, or an attempt was cancelled. It is only for logs: no
+// decision depends on it.
 type Reason string
 
 // The reasons.
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings is all that an instance of the module is given at its start.
+// Settings is the complete configuration that an instance of the module gets at its start.
 type Settings struct {
 	Identity    Identity
 	Workloads   []Workload // by workload ID
@@ -13,7 +13,7 @@
 	LoadReports LoadReportSettings
 }
 
-// MachineSpec is what is known of a type of machine.
+// MachineSpec is the size of a type of machine.
 type MachineSpec struct {
 	Cores    float64
 	MemoryMB float64
@@ -22,7 +22,7 @@
 // OvercommitPolicy says what an engine does with a statement when the memory grants exceed its memory.
 type OvercommitPolicy int
 
-// The policies: not known, the statement waits, it gets a smaller grant, the engine pages to disk.
+// The policies: unknown, the statement waits, the statement gets a smaller grant, the engine pages to disk.
 const (
 	OvercommitUnknown OvercommitPolicy = iota
 	OvercommitWait
@@ -30,58 +30,58 @@
 	OvercommitPage
 )
 
-// EngineTraits is what all engines have in common.
+// EngineTraits are the properties that all engines share.
 type EngineTraits struct {
 	Machines      map[MachineType]MachineSpec
-	MemoryGrants  bool    // engines heed the memory grant that the router names
-	Priorities    bool    // engines heed the priority that the router names
-	MaxGrantShare float64 // of an engine's memory that one statement gets at most
+	MemoryGrants  bool    // engines apply the memory grant that the router sets
+	Priorities    bool    // engines apply the priority that the router sets
+	MaxGrantShare float64 // maximum share of an engine's memory that one statement gets
 	OnOvercommit  OvercommitPolicy
-	// ProgressInterval is the time between the progress messages of a running attempt; 0: there are none.
+	// ProgressInterval is the time between the progress messages of a running attempt; 0: none are sent.
 	ProgressInterval time.Duration
 }
 
-// Limits is what the deployment allows.
+// Limits are the capabilities and bounds that the deployment imposes on the router.
 type Limits struct {
 	Cancellation  bool          // attempts may be cancelled
 	HealthChecks  bool          // engines may be sent health checks
 	Hedging       bool          // a statement may have two attempts in flight
-	MaxRetryAfter time.Duration // that clients heed in a rejection; 0: none may be named
+	MaxRetryAfter time.Duration // maximum RetryAfter that clients respect; 0: rejections must not set one
 
-	MaxAttempts         int // for each statement, 0: any number
-	MaxOpenStatements   int // at once, 0: any number
-	MaxInFlightAttempts int // that the host can have open at once, 0: any number
-	// MaxSendDelay bounds the time between the decision to start an attempt and its sending.
+	MaxAttempts         int // for each statement; 0: no limit
+	MaxOpenStatements   int // at any time; 0: no limit
+	MaxInFlightAttempts int // that the host can have open at any time; 0: no limit
+	// MaxSendDelay is the maximum time between the decision to start an attempt and its sending.
 	MaxSendDelay time.Duration
 
-	PollEndpoints        bool // changes of the endpoint list come only when fetched
+	PollEndpoints        bool // changes to the endpoint list have to be fetched
 	EndpointPollInterval time.Duration
 }
 
 // Rules are the limits on the routers' behaviour that may change while they run.
 type Rules struct {
-	DrainGrace time.Duration // in which a draining engine may still be sent statements
+	DrainGrace time.Duration // time for which a draining engine may still be sent statements
 
-	// An engine that has just started has SlowStartShare of its capacity, which grows evenly to all of it over
-	// SlowStartDuration. Meanwhile all routers together send it at most SlowStartMultiple of its present capacity in any
-	// SlowStartWindow; a zero window asks for no slow start.
+	// An engine that has just started has SlowStartShare of its capacity, which grows linearly to its full capacity
+	// over SlowStartDuration. During that time all routers together may send it at most SlowStartMultiple of its
+	// current capacity in any SlowStartWindow; a zero window disables slow start.
 	SlowStartShare    float64
 	SlowStartDuration time.Duration
 	SlowStartMultiple float64
 	SlowStartWindow   time.Duration
 
-	// KeyQuietPeriod is how long a key stays unused after an attempt that may still run.
+	// KeyQuietPeriod is the time for which no statement of a key is sent after an attempt that may still run.
 	KeyQuietPeriod time.Duration
 
-	// Additional attempts in any RetryBudgetWindow are at most RetryBudgetFree, and RetryBudgetShare of the statements
-	// admitted in it; a zero window asks for no budget.
+	// Additional attempts in any RetryBudgetWindow are limited to RetryBudgetFree, plus RetryBudgetShare of the
+	// statements admitted in that window; a zero window disables the limit.
 	RetryBudgetWindow time.Duration
 	RetryBudgetFree   float64
 	RetryBudgetShare  float64
 
-	// HealthChecksPerStatement bounds the rate of health checks; 0: the module's own figure.
+	// HealthChecksPerStatement limits the rate of health checks; 0: the module's default.
 	HealthChecksPerStatement float64
 
-	// PlacementExclusions names the engines that the statements of a table group must not be sent to.
+	// PlacementExclusions lists the engines that the statements of a table group must not be sent to.
 	PlacementExclusions map[TableGroup][]EngineID
 }
