--- a/internal/detrand/detrand_test.go
+++ b/internal/detrand/detrand_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Routers of different versions have to agree on these numbers: the order of engines for a table group follows from them.
+// The numbers must not change: the order of engines for a table group is derived from them, and routers of different
+// versions have to agree on it.
 func TestNumbersStayTheSame(t *testing.T) {
 	s := Source{Seed: 42}
 	assert.Equal(t, []float64{0.5685276028935324, 0.3478296597159207, 0.7097838437940551}, []float64{s.Float64(), s.Float64(), s.Float64()})
--- a/internal/estimate/arrivalrate.go
+++ b/internal/estimate/arrivalrate.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// windowDecay is the factor by which past arrivals count less with each window.
+// windowDecay is the factor by which each window reduces the weight of past arrivals.
 const windowDecay = 0.95
 
-// ArrivalRate estimates how much arrives at a router in a window of time. Past arrivals decay, and one window with as
-// much as may be expected at the most stands for what was not observed. Its zero value has observed nothing.
+// ArrivalRate estimates the amount that arrives at a router per window of time. Past arrivals decay. One window with
+// the largest amount to be expected, the prior, is included for what was not observed. The zero value has observed
+// nothing.
 type ArrivalRate struct {
 	amount  float64 // decayed sum of what arrived
 	windows float64 // decayed number of windows observed
 }
 
-// Advance records that a number of windows, or a fraction of one, has passed.
+// Advance records that a number of windows, possibly fractional, has passed.
 func (r *ArrivalRate) Advance(windows float64) {
 	decay := math.Pow(windowDecay, windows)
 	r.amount *= decay
@@ -24,7 +25,7 @@
 	r.amount += amount
 }
 
-// Expected returns the amount that arrives in a window; prior is what to expect where nothing was observed.
+// Expected returns the expected amount per window; prior is the amount expected without observations.
 func (r *ArrivalRate) Expected(prior float64) float64 {
 	return (r.amount + prior) / (r.windows + 1)
 }
--- a/internal/estimate/arrivalrate_test.go
+++ b/internal/estimate/arrivalrate_test.go
@@ -9,7 +9,7 @@
 func TestArrivalRate(t *testing.T) {
 	const windows = 60
 	var r ArrivalRate
-	assert.Equal(t, 3.0, r.Expected(3), "nothing is known yet")
+	assert.Equal(t, 3.0, r.Expected(3), "no observations yet")
 	for range windows {
 		r.Advance(1)
 	}
--- a/internal/estimate/peerload_test.go
+++ b/internal/estimate/peerload_test.go
@@ -15,10 +15,10 @@
 	}
 	now := 20 * time.Second
 	p.Observe(now, 10)
-	assert.InDelta(t, 40, p.Estimate(now, 40, now), 1e-9, "a fresh report is what counts")
+	assert.InDelta(t, 40, p.Estimate(now, 40, now), 1e-9, "a fresh report has full weight")
 	assert.InDelta(t, 40, p.Estimate(now, 40, now-3*time.Second), 1e-9)
 	assert.InDelta(t, 10+30/math.E, p.Estimate(now, 40, now-6*time.Second), 0.1)
-	assert.InDelta(t, 10, p.Estimate(now, 0, now-time.Minute), 0.1, "an engine without reports is not empty")
-	assert.InDelta(t, 0, p.Estimate(now+time.Minute, 40, now), 0.1, "no engine reports: send again")
+	assert.InDelta(t, 10, p.Estimate(now, 0, now-time.Minute), 0.1, "an engine without reports is not idle")
+	assert.InDelta(t, 0, p.Estimate(now+time.Minute, 40, now), 0.1, "no engine reports: the estimate decays to zero")
 	assert.Less(t, p.Estimate(now+7*time.Second, 40, now), 13.0)
 }
--- a/internal/estimate/slowstart_test.go
+++ b/internal/estimate/slowstart_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// afterArrivals is one of 300 routers, after a minute in which so many light and heavy statements arrived a second.
+// afterArrivals returns the budget of one of 300 routers after a minute with the given numbers of light and heavy
+// statements per second.
 func afterArrivals(light, heavy int) *SlowStartBudget {
 	b := newSlowStartBudget(300)
 	for range 60 {
@@ -57,20 +58,20 @@
 	young := b.SendProbability(16, 0)
 	old := b.SendProbability(16, 12*time.Second)
 	assert.Greater(t, young, 0.0)
-	assert.Less(t, young, old, "more as it warms up")
-	assert.LessOrEqual(t, old, 1.0/80, "a fair share at the most")
+	assert.Less(t, young, old, "grows as the engine warms up")
+	assert.LessOrEqual(t, old, 1.0/80, "at most a fair share")
 	assert.InDelta(t, 2*young, b.SendProbability(32, 0), young/1.5,
-		"about twice as much where there are twice as many cores")
-	assert.Less(t, afterArrivals(40, 10).SendProbability(16, 0), young/2, "less where more arrives")
-	assert.Less(t, afterArrivals(0, 1).SendProbability(16, 0), young, "less where statements are heavy")
+		"about twice as much with twice the cores")
+	assert.Less(t, afterArrivals(40, 10).SendProbability(16, 0), young/2, "less with more arrivals")
+	assert.Less(t, afterArrivals(0, 1).SendProbability(16, 0), young, "less with heavier statements")
 	assert.NotPanics(t, func() {
 		(&SlowStartBudget{}).SendProbability(1, 0)
 		(&SlowStartBudget{}).RouterBudget(1, 0)
 	})
 }
 
-// The sum over all routers, each of which knows only its own arrivals: what an engine in slow start is sent in any
-// window, over what it can take then. SEEDS=1000 in the environment plays more fleets.
+// The routers of a fleet, each of which knows only its own arrivals, together stay within the capacity of an engine in
+// slow start in every window, with rare exceptions. SEEDS=1000 in the environment simulates more fleets.
 func TestRoutersTogetherStayWithinSlowStartCapacity(t *testing.T) {
 	seeds := 12
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
@@ -78,41 +79,41 @@
 	}
 	for name, c := range map[string]struct {
 		fleetOptions
-		leastUsed float64 // share of a fair share that has to be used, on average
+		minUsed float64 // minimum use on average, relative to a fair share
 	}{
-		"as the settings say":         {fleetOptions{statedRouters: 1, load: 0.6, busiest: 1}, 0.4},
-		"little demand":               {fleetOptions{statedRouters: 1, load: 0.1, busiest: 1}, 0.4},
-		"all engines are full":        {fleetOptions{statedRouters: 1, load: 1, busiest: 1}, 0.2},
-		"twice the capacity":          {fleetOptions{statedRouters: 1, load: 2, busiest: 1}, 0.1},
-		"one has eight times as much": {fleetOptions{statedRouters: 1, load: 0.6, busiest: 8}, 0.4},
-		"a tenth of the routers":      {fleetOptions{statedRouters: 0.1, load: 0.6, busiest: 1}, 0.4},
-		"ten times the routers":       {fleetOptions{statedRouters: 10, load: 0.6, busiest: 1}, 0.02},
-		"seven in ten restart":        {fleetOptions{statedRouters: 1, load: 0.6, busiest: 1, restart: true}, 0.3},
+		"as the settings say":                    {fleetOptions{statedRouters: 1, load: 0.6, busiest: 1}, 0.4},
+		"little demand":                          {fleetOptions{statedRouters: 1, load: 0.1, busiest: 1}, 0.4},
+		"demand equals capacity":                 {fleetOptions{statedRouters: 1, load: 1, busiest: 1}, 0.2},
+		"twice the capacity":                     {fleetOptions{statedRouters: 1, load: 2, busiest: 1}, 0.1},
+		"one router has eight times the traffic": {fleetOptions{statedRouters: 1, load: 0.6, busiest: 8}, 0.4},
+		"settings have a tenth of the routers":   {fleetOptions{statedRouters: 0.1, load: 0.6, busiest: 1}, 0.4},
+		"settings have ten times the routers":    {fleetOptions{statedRouters: 10, load: 0.6, busiest: 1}, 0.02},
+		"seven in ten routers restart":           {fleetOptions{statedRouters: 1, load: 0.6, busiest: 1, restart: true}, 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var all fleetResult
 			for seed := range seeds {
-				all.add(playFleet(uint64(seed), c.fleetOptions))
+				all.add(simulateFleet(uint64(seed), c.fleetOptions))
 			}
 			t.Logf("%d of %d windows over, worst %.2f of the capacity, %.2f of a fair share used",
 				all.over, all.windows, all.worst, all.sent/all.fairShare)
 			assert.LessOrEqual(t, float64(all.over), 1e-3*float64(all.windows))
-			assert.Greater(t, all.sent/all.fairShare, c.leastUsed)
+			assert.Greater(t, all.sent/all.fairShare, c.minUsed)
 		})
 	}
 }
 
 type fleetOptions struct {
-	statedRouters float64 // number of routers in the settings, over the actual one
-	load          float64 // work that arrives, over all cores
-	busiest       float64 // times the mean traffic that the busiest router has
-	restart       bool    // seven in ten routers restart just before the engine does
+	statedRouters float64 // number of routers in the settings, relative to the actual number
+	load          float64 // arriving work, relative to all cores
+	busiest       float64 // traffic of the busiest router, relative to the mean
+	restart       bool    // seven in ten routers restart just before the engine starts
 }
 
 type fleetResult struct {
-	over, windows   int     // windows with more than the capacity, and all
-	worst           float64 // highest share of the capacity
+	over, windows   int     // windows above the capacity, and all windows
+	worst           float64 // highest share of the capacity in a window
 	sent, fairShare float64 // work
 }
 
@@ -124,7 +125,7 @@
 	r.fairShare += other.fairShare
 }
 
-// The fleet that playFleet plays: one of its engines starts after startTime.
+// The parameters of the simulated fleet. One of its engines starts after startTime.
 const (
 	fleetRouters   = 300
 	fleetEngines   = 80
@@ -133,7 +134,7 @@
 	startTime      = 20 * time.Second
 	slowStartTime  = 15 * time.Second
 	windowSteps    = 15
-	meanOfWorkload = 0.38 // core seconds of a statement, over the three workloads below
+	meanOfWorkload = 0.38 // mean work of a statement in core seconds, over the three workloads below
 )
 
 // workloadMeans and workloadShares give, by workload, the mean work of a statement and its share of all statements.
@@ -142,7 +143,7 @@
 	workloadShares = []float64{0.80, 0.15, 0.05}
 )
 
-// simulatedFleet is a fleet whose routers divide the capacity of the engine in slow start.
+// simulatedFleet is a fleet whose routers divide the capacity of an engine in slow start.
 type simulatedFleet struct {
 	fleetOptions
 	random  *rand.Rand
@@ -151,8 +152,8 @@
 	result  fleetResult
 }
 
-// playFleet returns what a fleet sent to an engine until the end of its slow start.
-func playFleet(seed uint64, options fleetOptions) fleetResult {
+// simulateFleet returns the result for an engine until the end of its slow start.
+func simulateFleet(seed uint64, options fleetOptions) fleetResult {
 	f := &simulatedFleet{fleetOptions: options, random: rand.New(rand.NewPCG(seed, 9))}
 	for range fleetRouters {
 		f.routers = append(f.routers, f.newRouter())
@@ -174,7 +175,7 @@
 	return newSlowStartBudget(f.statedRouters * fleetRouters)
 }
 
-// stepRouter plays the arrivals of one step at a router, and returns the sum of sent and what it sends to the engine.
+// stepRouter simulates one step of a router, and returns sent plus the work that the router sends to the engine.
 func (f *simulatedFleet) stepRouter(i int, age time.Duration, sent float64) float64 {
 	router := f.routers[i]
 	router.Advance(fleetStep, fleetEngines*engineCores)
@@ -212,7 +213,7 @@
 	return workload
 }
 
-// recordStep compares what was sent in the window that ends now with the engine's capacity at its begin.
+// recordStep compares the work sent in the window that ends now with the engine's capacity at its start.
 func (f *simulatedFleet) recordStep(age time.Duration, sent float64) {
 	f.result.sent += sent
 	f.window = append(f.window, sent)
