--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -105,10 +105,10 @@
 	}
 	reads := decision.WorkloadID(0)
 	for _, c := range []struct {
-		name         string
-		begin, end   func(*simulatedFleet)
-		minMeanwhile float64 // share of first sends that complete in time
-		minAfter     float64 // the same share from 5 s after the fault, relative to before it
+		name           string
+		begin, end     func(*simulatedFleet)
+		minDuringFault float64 // share of first sends that complete in time
+		minAfter       float64 // the same share from 5 s after the fault, relative to before it
 	}{
 		{"twice the demand, with two retries per client",
 			func(f *simulatedFleet) { f.rate *= 2 }, func(f *simulatedFleet) { f.rate /= 2 }, 0.6, 0.9},
@@ -131,14 +131,14 @@
 			fleet.run(5 * time.Second)
 			before := fleet.inTimeShare(5 * time.Second)
 			c.begin(fleet)
-			meanwhile := fleet.inTimeShare(10 * time.Second)
+			duringFault := fleet.inTimeShare(10 * time.Second)
 			c.end(fleet)
 			fleet.run(5 * time.Second)
 			after := fleet.inTimeShare(5 * time.Second)
-			t.Logf("in time %.3f before, %.3f meanwhile, %.3f from 5 s after; %d rejected, %d cancelled",
-				before, meanwhile, after, fleet.rejected, fleet.cancelled)
+			t.Logf("in time %.3f before, %.3f during the fault, %.3f from 5 s after it; %d rejected, %d cancelled",
+				before, duringFault, after, fleet.rejected, fleet.cancelled)
 			assert.Greater(t, before, 0.9)
-			assert.Greater(t, meanwhile, c.minMeanwhile)
+			assert.Greater(t, duringFault, c.minDuringFault)
 			assert.Greater(t, after, c.minAfter*before)
 		})
 	}
--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -13,12 +13,12 @@
 	statement, engine := s.open[a.Statement], s.engines[a.Engine]
 	key := attemptKey{a.Statement, decision.AttemptID(statement.attempts)}
 	statement.attempts++
-	workload := s.opening.Workloads[statement.event.Workload]
+	workload := s.moduleSettings.Workloads[statement.event.Workload]
 	threads := float64(max(1, workload.Threads))
 	s.attempts[key] = &generatedAttempt{engine: engine, threads: threads}
 	engine.running++
 	work := cmp.Or(statement.event.EstimatedWork, workload.LatencyObjective/4)
-	run := time.Duration(s.factor(0.5, 2) * float64(work) / threads * (1 + float64(engine.running)*threads/engine.cores/2))
+	run := time.Duration(s.logUniform(0.5, 2) * float64(work) / threads * (1 + float64(engine.running)*threads/engine.cores/2))
 	outcome, after := s.outcome(engine, run)
 	if a.StartBefore > 0 && s.now+after > a.StartBefore && s.chance(0.3) {
 		outcome = decision.NotSent
@@ -69,7 +69,7 @@
 
 // scheduleProgress schedules the progress messages of a running attempt, if engines send any.
 func (s *generatedSite) scheduleProgress(key attemptKey, statement *generatedStatement, run time.Duration) {
-	every := s.opening.Engines.ProgressInterval
+	every := s.moduleSettings.Engines.ProgressInterval
 	if every == 0 || s.attempts[key].engine.fault == silent {
 		return
 	}
@@ -83,7 +83,7 @@
 				Engine: attempt.engine.entry.Engine, Kind: kind, Value: value}}
 		})
 	}
-	done := s.factor(0.7, 1) // progress is seldom linear
+	done := s.logUniform(0.7, 1) // progress is seldom linear
 	if s.chance(0.05) {
 		done = 0.05
 	}
@@ -91,7 +91,7 @@
 		schedule(at, decision.ProgressShareDone, done*float64(at)/float64(run))
 	}
 	if s.chance(0.15) {
-		schedule(s.between(0, run), decision.ProgressSpilling, s.factor(10, 500))
+		schedule(s.between(0, run), decision.ProgressSpilling, s.logUniform(10, 500))
 	}
 	if s.chance(0.05) {
 		schedule(s.between(0, run), decision.ProgressWaiting, float64(1+s.random.IntN(2)))
@@ -114,7 +114,7 @@
 		delete(s.open, key.statement)
 	}
 	answered := outcome == decision.Completed || outcome == decision.Errored
-	if answered && s.opening.LoadReports.Source == decision.LoadReportsInResponses && s.chance(0.8) {
+	if answered && s.moduleSettings.LoadReports.Source == decision.LoadReportsInResponses && s.chance(0.8) {
 		event.Report = s.report(engine)
 	}
 	return []decision.Event{event}
@@ -139,7 +139,7 @@
 // report returns a load report with the fields of the settings, of which some are missing at random.
 func (s *generatedSite) report(engine *generatedEngine) *decision.LoadReport {
 	report := &decision.LoadReport{}
-	for _, field := range s.opening.LoadReports.Fields {
+	for _, field := range s.moduleSettings.LoadReports.Fields {
 		if s.chance(0.03) {
 			continue
 		}
@@ -147,11 +147,11 @@
 		value := 0.0
 		switch field {
 		case decision.FieldInFlight:
-			value = math.Floor(inFlight * s.factor(0.9, 1.1))
+			value = math.Floor(inFlight * s.logUniform(0.9, 1.1))
 		case decision.FieldQueueDepth:
 			value = math.Floor(max(0, inFlight-engine.cores) / 2)
 		case decision.FieldUtilization:
-			value = min(1, inFlight/engine.cores*s.factor(0.8, 1.2))
+			value = min(1, inFlight/engine.cores*s.logUniform(0.8, 1.2))
 		}
 		report.Set(field, value)
 	}
--- a/policy/generated_changes_test.go
+++ b/policy/generated_changes_test.go
@@ -12,13 +12,13 @@
 
 func (s *generatedSite) addEngine() *generatedEngine {
 	s.engineCount++
-	kinds := slices.Sorted(maps.Keys(s.opening.Engines.Machines))
+	kinds := slices.Sorted(maps.Keys(s.moduleSettings.Engines.Machines))
 	kind := kinds[s.random.IntN(len(kinds))]
-	zone := s.opening.Identity.Zone
+	zone := s.moduleSettings.Identity.Zone
 	if s.chance(0.3) {
 		zone = "yard"
 	}
-	engine := &generatedEngine{cores: s.opening.Engines.Machines[kind].Cores, others: 2, entry: decision.Endpoint{
+	engine := &generatedEngine{cores: s.moduleSettings.Engines.Machines[kind].Cores, others: 2, entry: decision.Endpoint{
 		Engine: decision.EngineID(fmt.Sprintf("10.0.0.%d:5000", s.engineCount)), Zone: zone, MachineType: kind,
 		Cell: decision.Cell(s.engineCount % 2), Weight: 1}}
 	if s.now > clockStart {
@@ -39,12 +39,12 @@
 
 // changeList drains and removes, restarts or adds an engine, and sometimes sends a complete list.
 func (s *generatedSite) changeList() []decision.Event {
-	s.always(s.exponential(4*time.Second), s.changeList)
+	s.scheduleAcrossRestarts(s.exponential(4*time.Second), s.changeList)
 	engine := s.anyEngine()
 	switch choice := s.random.IntN(10); {
 	case choice < 3 && len(s.engines) > 5:
 		engine.entry.State = decision.Draining
-		s.always(s.between(time.Second, 4*time.Second), func() []decision.Event {
+		s.scheduleAcrossRestarts(s.between(time.Second, 4*time.Second), func() []decision.Event {
 			engine.entry.State = decision.Removed
 			delete(s.engines, engine.entry.Engine)
 			return s.changed(engine)
@@ -71,9 +71,9 @@
 }
 
 func (s *generatedSite) changeFault() []decision.Event {
-	s.always(s.exponential(1500*ms), s.changeFault)
+	s.scheduleAcrossRestarts(s.exponential(1500*ms), s.changeFault)
 	engine := s.anyEngine()
-	engine.others = s.factor(0.1, 2.5) * engine.cores
+	engine.others = s.logUniform(0.1, 2.5) * engine.cores
 	engine.fault = healthy
 	if s.chance(0.4) {
 		engine.fault = fault(s.random.IntN(int(numFaults)))
@@ -83,27 +83,27 @@
 
 // changeRate varies the arrival rate between low load and overload.
 func (s *generatedSite) changeRate() []decision.Event {
-	s.always(s.exponential(6*time.Second), s.changeRate)
-	s.rate = s.factor(0.2, 3)
+	s.scheduleAcrossRestarts(s.exponential(6*time.Second), s.changeRate)
+	s.rate = s.logUniform(0.2, 3)
 	return nil
 }
 
 func (s *generatedSite) changeRules() []decision.Event {
-	s.always(s.exponential(9*time.Second), s.changeRules)
-	event := decision.RulesChanged{EffectiveRouters: float64(1 + s.random.IntN(3)), Rules: s.opening.Rules,
-		Quotas: slices.Clone(s.opening.Quotas.Tenants), OverQuotaFactor: s.factor(0.05, 1)}
+	s.scheduleAcrossRestarts(s.exponential(9*time.Second), s.changeRules)
+	event := decision.RulesChanged{EffectiveRouters: float64(1 + s.random.IntN(3)), Rules: s.moduleSettings.Rules,
+		Quotas: slices.Clone(s.moduleSettings.Quotas.Tenants), OverQuotaFactor: s.logUniform(0.05, 1)}
 	for i := range event.Quotas {
-		event.Quotas[i].RatePerSecond *= s.factor(0.5, 2)
+		event.Quotas[i].RatePerSecond *= s.logUniform(0.5, 2)
 	}
-	for _, workload := range s.opening.Workloads {
+	for _, workload := range s.moduleSettings.Workloads {
 		event.Workloads = append(event.Workloads, decision.WorkloadRules{
-			PriorityWeight:      workload.PriorityWeight * s.factor(0.5, 2),
+			PriorityWeight:      workload.PriorityWeight * s.logUniform(0.5, 2),
 			AllowedMachineTypes: workload.AllowedMachineTypes,
 			Protected:           s.chance(0.1),
 		})
 	}
 	event.Rules.HealthChecksPerStatement = float64(s.random.IntN(3))
-	event.Rules.SlowStartMultiple *= s.factor(0.5, 2)
+	event.Rules.SlowStartMultiple *= s.logUniform(0.5, 2)
 	if s.chance(0.3) {
 		event.Rules.RetryBudgetWindow = 5 * time.Second
 		event.Rules.RetryBudgetFree = 5
@@ -116,7 +116,7 @@
 
 // stop ends the current instance of the module, mostly by a graceful shutdown, sometimes as if the process were killed.
 func (s *generatedSite) stop() []decision.Event {
-	s.always(s.between(20*time.Second, 50*time.Second), s.stop)
+	s.scheduleAcrossRestarts(s.between(20*time.Second, 50*time.Second), s.stop)
 	if s.chance(0.3) {
 		s.restart()
 		return nil
@@ -136,6 +136,6 @@
 	for _, engine := range s.engines {
 		engine.running = 0
 	}
-	s.module = policy.New(s.opening.Settings)
+	s.module = policy.New(s.moduleSettings.Settings)
 	s.schedule(0, func() []decision.Event { return []decision.Event{s.list(decision.ListPersisted)} })
 }
--- a/policy/generated_site_test.go
+++ b/policy/generated_site_test.go
@@ -25,14 +25,14 @@
 // generatedSite drives one module. It draws events from a seed, carries out the module's actions on simulated engines
 // that may fail, and feeds the results back as events. Equal actions give an equal stream of events.
 type generatedSite struct {
-	opening *settings.ModuleSettings
-	random  *rand.Rand
-	record  *actionRecord
-	module  *policy.Module
-	now     time.Duration
-	queue   scheduledEvents
-	seq     int
-	events  int // number handed to the module
+	moduleSettings *settings.ModuleSettings
+	random         *rand.Rand
+	record         *actionRecord
+	module         *policy.Module
+	now            time.Duration
+	queue          scheduledEvents
+	seq            int
+	events         int // number handed to the module
 
 	incarnation int // number of module starts; events scheduled for earlier instances are dropped
 	timer       int // number of the last timer set, which replaces earlier ones
@@ -105,20 +105,20 @@
 	return last
 }
 
-func newGeneratedSite(opening *settings.ModuleSettings, seed uint64, record *actionRecord) *generatedSite {
-	s := &generatedSite{opening: opening, random: rand.New(rand.NewPCG(seed, 17)), record: record, now: clockStart,
-		engines: map[decision.EngineID]*generatedEngine{}, rate: 0.5}
+func newGeneratedSite(moduleSettings *settings.ModuleSettings, seed uint64, record *actionRecord) *generatedSite {
+	s := &generatedSite{moduleSettings: moduleSettings, random: rand.New(rand.NewPCG(seed, 17)), record: record,
+		now: clockStart, engines: map[decision.EngineID]*generatedEngine{}, rate: 0.5}
 	for range 7 {
 		s.addEngine()
 	}
 	s.restart()
-	s.always(0, s.arrive)
-	s.always(5*time.Second, s.changeRate)
-	s.always(time.Second, s.changeFault)
-	s.always(3*time.Second, s.changeList)
-	s.always(8*time.Second, s.changeRules)
-	s.always(700*ms, s.clientEvent)
-	s.always(37*time.Second, s.stop)
+	s.scheduleAcrossRestarts(0, s.arrive)
+	s.scheduleAcrossRestarts(5*time.Second, s.changeRate)
+	s.scheduleAcrossRestarts(time.Second, s.changeFault)
+	s.scheduleAcrossRestarts(3*time.Second, s.changeList)
+	s.scheduleAcrossRestarts(8*time.Second, s.changeRules)
+	s.scheduleAcrossRestarts(700*ms, s.clientEvent)
+	s.scheduleAcrossRestarts(37*time.Second, s.stop)
 	return s
 }
 
@@ -128,8 +128,9 @@
 	heap.Push(&s.queue, scheduled{s.now + after, s.seq, s.incarnation, do})
 }
 
-// always schedules an occurrence that survives restarts of the module. Recurring ones schedule themselves again.
-func (s *generatedSite) always(after time.Duration, do func() []decision.Event) {
+// scheduleAcrossRestarts schedules an occurrence that survives restarts of the module. Recurring occurrences schedule
+// themselves again.
+func (s *generatedSite) scheduleAcrossRestarts(after time.Duration, do func() []decision.Event) {
 	s.seq++
 	heap.Push(&s.queue, scheduled{s.now + after, s.seq, -1, do})
 }
@@ -182,7 +183,7 @@
 	case decision.SetTimer:
 		s.timer++
 		timer := s.timer
-		s.schedule(max(0, a.At-s.now)+s.between(0, s.opening.Identity.ClockGranularity), func() []decision.Event {
+		s.schedule(max(0, a.At-s.now)+s.between(0, s.moduleSettings.Identity.ClockGranularity), func() []decision.Event {
 			if timer != s.timer {
 				return nil
 			}
