--- a/internal/invariant/recorder.go
+++ b/internal/invariant/recorder.go
@@ -8,13 +8,13 @@
 	"bankledge/internal/logevent"
 )
 
-// Recorder counts violations by rule, and logs each. Goroutines share it.
+// Recorder counts violations by rule and logs each of them. It is safe for concurrent use.
 type Recorder struct {
 	log    *zap.Logger
 	counts [numRules]atomic.Int64
 }
 
-// NewRecorder returns a recorder that has recorded nothing.
+// NewRecorder returns a Recorder without any recorded violations.
 func NewRecorder(log *zap.Logger) *Recorder { return &Recorder{log: log} }
 
 // Record counts a violation and logs it with the caller's stack.
@@ -24,10 +24,10 @@
 		zap.String("detail", violation.Detail), logevent.Stack())
 }
 
-// Recorded returns how often a rule would have been broken.
+// Recorded returns the number of violations of a rule.
 func (r *Recorder) Recorded(rule Rule) int64 { return r.counts[rule].Load() }
 
-// Total returns how often any rule would have been broken.
+// Total returns the number of violations of all rules.
 func (r *Recorder) Total() (total int64) {
 	for rule := range r.counts {
 		total += r.counts[rule].Load()
--- a/internal/invariant/recorder_test.go
+++ b/internal/invariant/recorder_test.go
@@ -11,7 +11,7 @@
 	"bankledge/internal/logevent"
 )
 
-// Each violation is counted under its rule, and logged with its name.
+// Each violation is counted under its rule and logged with the rule's name.
 func TestRecorder(t *testing.T) {
 	core, lines := observer.New(zap.ErrorLevel)
 	recorder := NewRecorder(zap.New(core))
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -6,20 +6,20 @@
 	"bankledge/decision"
 )
 
-// Rule is a rule that a step of a request may break.
+// Rule identifies a rule that a step of a request may violate.
 type Rule int
 
 // The rules.
 const (
-	OneAttemptAtATime    Rule = iota // no attempt begins while another of the request is in flight, where hedged requests are not allowed
-	NoDuplicateEffect                // what may have run is attempted again only as its workload allows
-	WithinAttemptLimit               // no more attempts of a request than the settings allow
+	OneAttemptAtATime    Rule = iota // no attempt begins while another attempt of the request is in flight, unless hedging is allowed
+	NoDuplicateEffect                // a request that may have run is attempted again only as its workload allows
+	WithinAttemptLimit               // a request has no more attempts than the settings allow
 	NoAttemptAfterFinish             // no attempt begins once the request is finished
 	Placement                        // a request runs only in the zones and on the machine types that its workload allows
 	OneAnswer                        // a request has one final answer
-	SafeRejection                    // a request is rejected only if nothing ran, or if a retry is harmless
-	ProvenAttemptEnd                 // the end of a started attempt is reported only with a proof that its engine does not run it
-	NoLostRequest                    // a client connection is not closed while a request on it has no answer
+	SafeRejection                    // a request is rejected only if no attempt may have run, or if a retry is safe
+	ProvenAttemptEnd                 // the end of a started attempt is reported only with a confirmation that its engine no longer runs it
+	NoLostRequest                    // a client connection is not closed while a request on it has no answer yet
 	numRules
 )
 
@@ -35,7 +35,7 @@
 	NoLostRequest:        "no lost request",
 }
 
-// String is the rule's name in logs.
+// String returns the rule's name as used in logs.
 func (r Rule) String() string {
 	if r < 0 || r >= numRules {
 		return fmt.Sprintf("rule %d", int(r))
@@ -43,14 +43,14 @@
 	return ruleNames[r]
 }
 
-// Violation is a step that would have broken a rule, as the error that Recorder records.
+// Violation is the error that describes a step that would have violated a rule. A Recorder records it.
 type Violation struct {
 	Rule      Rule
-	Statement decision.StatementID // empty: the step concerns a connection
+	Statement decision.StatementID // empty if the step concerns a connection
 	Detail    string
 }
 
-// Error names the rule, the request and what was about to be done.
+// Error states the rule, the request and the omitted step.
 func (v *Violation) Error() string {
 	return fmt.Sprintf("%s: request %q: %s", v.Rule, v.Statement, v.Detail)
 }
--- a/internal/proxy/active_rules.go
+++ b/internal/proxy/active_rules.go
@@ -11,67 +11,67 @@
 	"bankledge/internal/settings"
 )
 
-// localHealthChecks is how many health checks the module makes for a request, as a version would have it.
+// localHealthChecks is the number of health checks per statement in the router's own rules.
 const localHealthChecks = 2
 
 const (
-	// leastPositive replaces 0 where the module would take 0 for its default, or divide by it.
-	leastPositive = 1e-9
+	// minPositive replaces 0 where the module would treat 0 as its default or divide by it.
+	minPositive = 1e-9
 
-	// noMachineType is a type that no machine has.
+	// noMachineType is a machine type that no machine has.
 	noMachineType = decision.MachineType("\x00none")
 )
 
-// RulesFromSettings returns the rules of a router's own settings in the form of a configuration version. What the settings do not
-// bound, such as health checks, has the module's default.
+// RulesFromSettings returns the rules of a router's own settings in the form of a configuration version. Fields that the settings
+// do not define, such as the number of health checks, have the module's default.
 func RulesFromSettings(moduleSettings *settings.ModuleSettings) *rules.Rules {
-	local := moduleSettings.Rules
-	own := &rules.Rules{
+	settingsRules := moduleSettings.Rules
+	localRules := &rules.Rules{
 		Routers:                  moduleSettings.Identity.Routers,
 		PriorityWeights:          map[string]float64{},
 		TenantQuotas:             map[string]float64{},
 		OverQuotaFactor:          moduleSettings.Quotas.OverQuotaFactor,
-		RetryBudgetShare:         local.RetryBudgetShare,
-		RetryBudgetFree:          local.RetryBudgetFree,
-		RetryBudgetWindowMillis:  local.RetryBudgetWindow.Milliseconds(),
+		RetryBudgetShare:         settingsRules.RetryBudgetShare,
+		RetryBudgetFree:          settingsRules.RetryBudgetFree,
+		RetryBudgetWindowMillis:  settingsRules.RetryBudgetWindow.Milliseconds(),
 		HealthChecksPerStatement: localHealthChecks,
-		SlowStartShare:           local.SlowStartShare,
-		SlowStartMultiple:        local.SlowStartMultiple,
-		WarmAfterMillis:          local.SlowStartDuration.Milliseconds(),
-		DrainGraceMillis:         local.DrainGrace.Milliseconds(),
-		KeyQuietPeriodMillis:     local.KeyQuietPeriod.Milliseconds(),
+		SlowStartShare:           settingsRules.SlowStartShare,
+		SlowStartMultiple:        settingsRules.SlowStartMultiple,
+		WarmAfterMillis:          settingsRules.SlowStartDuration.Milliseconds(),
+		DrainGraceMillis:         settingsRules.DrainGrace.Milliseconds(),
+		KeyQuietPeriodMillis:     settingsRules.KeyQuietPeriod.Milliseconds(),
 		AllowedMachineTypes:      map[string][]string{},
 	}
 	for _, workload := range moduleSettings.Workloads {
-		own.PriorityWeights[workload.Name] = workload.PriorityWeight
-		own.SheddableWorkloads = append(own.SheddableWorkloads, workload.Name)
+		localRules.PriorityWeights[workload.Name] = workload.PriorityWeight
+		localRules.SheddableWorkloads = append(localRules.SheddableWorkloads, workload.Name)
 		for _, machineType := range workload.AllowedMachineTypes {
-			own.AllowedMachineTypes[workload.Name] = append(own.AllowedMachineTypes[workload.Name], string(machineType))
+			localRules.AllowedMachineTypes[workload.Name] = append(localRules.AllowedMachineTypes[workload.Name], string(machineType))
 		}
 	}
 	for _, quota := range moduleSettings.Quotas.Tenants {
-		own.TenantQuotas[string(quota.Tenant)] = quota.RatePerSecond
+		localRules.TenantQuotas[string(quota.Tenant)] = quota.RatePerSecond
 	}
-	if own.Validate() != nil { // settings that are not valid as a version
-		return mostCautiousRules(moduleSettings.Identity.Routers)
+	if localRules.Validate() != nil { // the settings are not valid as a version
+		return mostRestrictiveRules(moduleSettings.Identity.Routers)
 	}
-	return own
+	return localRules
 }
 
-// mostCautiousRules returns valid rules that permit nothing but what every version permits, for one of so many routers.
-func mostCautiousRules(routers int) *rules.Rules {
-	cautious := &rules.Rules{Routers: min(max(1, routers), rules.MaxRouters)}
-	if err := cautious.Validate(); err != nil { // its one field is within its bounds, so this is a programming error
+// mostRestrictiveRules returns valid rules that permit only what every version permits, for this number of routers.
+func mostRestrictiveRules(routers int) *rules.Rules {
+	restrictive := &rules.Rules{Routers: min(max(1, routers), rules.MaxRouters)}
+	if err := restrictive.Validate(); err != nil { // the only field set is within its bounds, so this is a programming error
 		panic(err)
 	}
-	return cautious
+	return restrictive
 }
 
-// rulesChanged is the event that hands the active rules to the module. The settings apply where the version sets nothing.
+// rulesChanged returns the event that passes the active rules to the module. The settings apply where the version sets no value.
 func (c *configurationLease) rulesChanged() decision.RulesChanged {
 	active := c.activeRules
 	changed := decision.RulesChanged{
-		EffectiveRouters: 1 / max(leastPositive, active.FleetQuota(c.routerName)),
+		EffectiveRouters: 1 / max(minPositive, active.FleetQuota(c.routerName)),
 		Rules:            c.moduleRules(),
 		OverQuotaFactor:  active.OverQuotaFactor,
 	}
@@ -95,7 +95,7 @@
 	return changed
 }
 
-// moduleRules returns the settings' rules, overridden by those of the active version.
+// moduleRules returns the rules of the settings, overridden by those of the active version.
 func (c *configurationLease) moduleRules() decision.Rules {
 	active := c.activeRules
 	merged := c.moduleSettings.Rules
@@ -107,7 +107,7 @@
 	merged.RetryBudgetWindow = milliseconds(active.RetryBudgetWindowMillis)
 	merged.RetryBudgetFree = active.RetryBudgetFree
 	merged.RetryBudgetShare = active.RetryBudgetShare
-	merged.HealthChecksPerStatement = max(active.HealthChecksPerStatement, leastPositive)
+	merged.HealthChecksPerStatement = max(active.HealthChecksPerStatement, minPositive)
 	if len(active.PlacementExclusions) > 0 {
 		merged.PlacementExclusions = excludedEngines(active)
 	}
@@ -116,7 +116,7 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// excludedEngines returns the engines that each table group may not use. Names that are no table groups are ignored.
+// excludedEngines returns the engines that each table group may not use. It ignores names that are not numbers of table groups.
 func excludedEngines(active *rules.Rules) map[decision.TableGroup][]decision.EngineID {
 	excluded := map[decision.TableGroup][]decision.EngineID{}
 	for _, name := range slices.Sorted(maps.Keys(active.PlacementExclusions)) {
--- a/internal/proxy/active_rules_test.go
+++ b/internal/proxy/active_rules_test.go
@@ -9,18 +9,18 @@
 	"bankledge/internal/settings"
 )
 
-// Settings that no version could hold give the most cautious rules, which are valid: the lease client compares them with versions. With more
-// routers than a version may count they were not, and the error was dropped.
+// Settings that are not valid as a version give the most restrictive rules. These have to be valid, since the lease client compares them
+// with versions. Before, they were invalid where the settings state more routers than a version allows, and the error was ignored.
 func TestRulesFromSettingsAreValid(t *testing.T) {
 	for name, moduleSettings := range map[string]*settings.ModuleSettings{
-		"too many routers": {Settings: decision.Settings{Identity: decision.Identity{Routers: 2_000_000}}},
-		"no routers":       {},
-		"a bad weight":     {Settings: decision.Settings{Identity: decision.Identity{Routers: 3}, Workloads: []decision.Workload{{Name: "w", PriorityWeight: -1}}}},
+		"too many routers":  {Settings: decision.Settings{Identity: decision.Identity{Routers: 2_000_000}}},
+		"no routers":        {},
+		"an invalid weight": {Settings: decision.Settings{Identity: decision.Identity{Routers: 3}, Workloads: []decision.Workload{{Name: "w", PriorityWeight: -1}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			own := RulesFromSettings(moduleSettings)
-			assert.NoError(t, own.Validate())
-			assert.GreaterOrEqual(t, own.Routers, 1)
+			localRules := RulesFromSettings(moduleSettings)
+			assert.NoError(t, localRules.Validate())
+			assert.GreaterOrEqual(t, localRules.Routers, 1)
 		})
 	}
 }
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -14,7 +14,7 @@
 	"bankledge/internal/sqltext"
 )
 
-// The fields of a request, by the protocol's names.
+// Names of a request's fields in the protocol.
 const (
 	fieldID         = "i"
 	fieldWorkload   = "c"
@@ -32,28 +32,28 @@
 	maxEstimatedMS = 24 * 3600e3
 )
 
-// Why a request is not valid. The texts are the bodies of the rejections, so clients read them.
+// Errors of invalid requests. Clients receive the texts as the bodies of rejections.
 var (
-	errID       = errors.New("field i: not 16 hex digits")
-	errWorkload = errors.New("field c: unknown workload")
-	errTimeLeft = errors.New("field d: not a time in milliseconds")
-	errTenant   = errors.New("field t: unknown member group")
-	errWork     = errors.New("field h: not a time in milliseconds")
-	errMemory   = errors.New("field heap_mb: not an amount that an engine has")
-	errResent   = errors.New("field r: neither absent nor 1")
-	errNotAText = errors.New("the statement is not a text")
-	errNoMemory = errors.New("no memory left for the statement")
+	errID          = errors.New("field i: not 16 hex digits")
+	errWorkload    = errors.New("field c: unknown workload")
+	errTimeLeft    = errors.New("field d: not a time in milliseconds")
+	errTenant      = errors.New("field t: unknown member group")
+	errWork        = errors.New("field h: not a time in milliseconds")
+	errMemory      = errors.New("field heap_mb: not an amount that an engine has")
+	errResent      = errors.New("field r: neither absent nor 1")
+	errInvalidText = errors.New("the statement is not a text")
+	errNoMemory    = errors.New("no memory left for the statement")
 )
 
-// admit reads the fields of a request, once, into its record and the module's event. A request that is not valid never ran, so its
-// error is a truthful rejection.
+// admit parses the fields and the text of a request, once, into its record and the module's event. An invalid request never ran, so the
+// error can safely be sent as a rejection.
 func (r *Router) admit(c client, fields downstream.Fields, text []byte, receivedAt time.Time) (*request, decision.StatementArrived, error) {
 	arrived, timeLeft, err := r.parseFields(fields)
 	if err != nil {
 		return nil, arrived, err
 	}
-	if !isText(text) {
-		return nil, arrived, errNotAText
+	if !isValidText(text) {
+		return nil, arrived, errInvalidText
 	}
 	if !c.ReserveText(len(text)) {
 		return nil, arrived, errNoMemory
@@ -75,7 +75,7 @@
 	return req, arrived, nil
 }
 
-// parseFields checks the fields in the order in which their errors are reported to clients.
+// parseFields parses and checks the fields in a fixed order: the client receives the error of the first invalid field.
 func (r *Router) parseFields(fields downstream.Fields) (arrived decision.StatementArrived, timeLeft time.Duration, err error) {
 	id := fields[fieldID]
 	if len(id) != idDigits || strings.Trim(id, hexDigits) != "" {
@@ -85,8 +85,8 @@
 	if !known {
 		return arrived, 0, errWorkload
 	}
-	leftMS, err := strconv.ParseFloat(fields[fieldTimeLeftMS], 64)
-	if err != nil || !(leftMS > 0) || leftMS > float64(maxTimeLeft.Milliseconds()) {
+	timeLeftMS, err := strconv.ParseFloat(fields[fieldTimeLeftMS], 64)
+	if err != nil || !(timeLeftMS > 0) || timeLeftMS > float64(maxTimeLeft.Milliseconds()) {
 		return arrived, 0, errTimeLeft
 	}
 	tenant := decision.Tenant(fields[fieldTenant])
@@ -105,7 +105,7 @@
 	if resent != "" && resent != "1" {
 		return arrived, 0, errResent
 	}
-	timeLeft = time.Duration(leftMS * float64(time.Millisecond))
+	timeLeft = time.Duration(timeLeftMS * float64(time.Millisecond))
 	return decision.StatementArrived{
 		Statement:         decision.StatementID(id),
 		Workload:          workload,
@@ -117,7 +117,7 @@
 	}, timeLeft, nil
 }
 
-// parseEstimate reads an estimate, which must be above 0 and at most highest; 0: the field is absent.
+// parseEstimate parses an estimate, which must be above 0 and at most highest. The value of an absent field is 0.
 func parseEstimate(fields downstream.Fields, name string, highest float64) (value float64, valid bool) {
 	text, present := fields[name]
 	if !present {
@@ -127,11 +127,12 @@
 	return value, err == nil && value > 0 && value <= highest
 }
 
-func isText(text []byte) bool {
+// isValidText reports whether a statement's text is valid UTF-8, not blank and free of NUL bytes.
+func isValidText(text []byte) bool {
 	return utf8.Valid(text) && bytes.IndexByte(text, 0) < 0 && len(bytes.TrimSpace(text)) > 0
 }
 
-// analyse analyses a text with an analyser of the pool, so that its buffers are reused. One that panics is not returned to the pool.
+// analyse analyses a text with a pooled analyser, to reuse its buffers. An analyser that panics is not returned to the pool.
 func (r *Router) analyse(text []byte) *sqltext.Statement {
 	analyser := r.analysers.Get().(*sqltext.Analyser)
 	analysis := analyser.Analyse(text)
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -17,18 +17,18 @@
 	"bankledge/internal/faultlab"
 )
 
-// waitingRequests are requests that wait at some place in the router when their clients leave.
+// waitingRequests are requests that wait in one state of the router when their clients leave.
 type waitingRequests struct {
 	router      *runningRouter
-	awaitQueued func()               // until all clients' requests are at that place
-	openEngine  func() *fakes.Engine // makes an engine usable, and returns it
+	awaitQueued func()               // waits until all clients' requests are in that state
+	openEngine  func() *fakes.Engine // makes an engine usable and returns it
 }
 
-// waitingPlaces prepare requests of so many clients at each place where they may wait.
-var waitingPlaces = map[string]func(t *testing.T, clients int) waitingRequests{
-	"queued, since no engine is ready":           queueWithoutEngine,
-	"its connection is coming up":                queueForConnection,
-	"queued again, after an attempt that failed": queueAfterFailure,
+// waitingStates prepare the requests of a number of clients, for each state in which requests may wait.
+var waitingStates = map[string]func(t *testing.T, clients int) waitingRequests{
+	"queued without a ready engine":       queueWithoutEngine,
+	"waiting for a connection":            queueForConnection,
+	"queued again after a failed attempt": queueAfterFailure,
 }
 
 func newEngineAndFeed(t *testing.T) (*fakes.Engine, *fakes.ControlFeed) {
@@ -44,7 +44,8 @@
 
 func feedAddress(feed *fakes.ControlFeed) string { return feed.Server.Listener.Addr().String() }
 
-// publish sends a watch event and waits until the router has received it: it requests the next one when its connection ends.
+// publish sends a watch event and ends the connection. It waits until the router has received the event, which the last event id of the
+// router's next connection confirms.
 func publish(t *testing.T, feed *fakes.ControlFeed, n int, members ...string) {
 	t.Helper()
 	<-feed.LastEventIDs
@@ -59,7 +60,7 @@
 	return waitingRequests{
 		router: r,
 		awaitQueued: func() {
-			r.await(t, "all are queued", func() bool { return r.metrics.open.Load() == int64(clients) })
+			r.await(t, "all requests are open", func() bool { return r.metrics.open.Load() == int64(clients) })
 		},
 		openEngine: func() *fakes.Engine {
 			feed.Events <- watchEvent(2, member(engine, "active"))
@@ -78,18 +79,18 @@
 	return waitingRequests{
 		router: r,
 		awaitQueued: func() {
-			r.await(t, "all are on their way", func() bool { return r.metrics.attempts.Load() >= min(int64(clients), 8) })
+			r.await(t, "attempts are started", func() bool { return r.metrics.attempts.Load() >= min(int64(clients), 8) })
 		},
 		openEngine: func() *fakes.Engine {
 			accept()
-			go rejectBytes(t, listener, "something was sent where it waited")
+			go rejectBytes(t, listener, "a byte was sent on the connection that the request waited for")
 			publish(t, feed, 2, fakes.Member("slow", listener.Addr().String(), "leaving"), member(engine, "active"))
 			return engine
 		},
 	}
 }
 
-// rejectBytes accepts connections, on which no byte may arrive, until the listener is closed.
+// rejectBytes accepts connections until the listener is closed, and fails the test if a byte arrives on one of them.
 func rejectBytes(t *testing.T, listener net.Listener, message string) {
 	for {
 		conn, err := listener.Accept()
@@ -117,11 +118,11 @@
 	return waitingRequests{
 		router: r,
 		awaitQueued: func() {
-			some := min(clients, 4)
-			r.await(t, "some are in flight", func() bool { return failing.CallCount("POST") >= some })
+			expected := min(clients, 4)
+			r.await(t, "attempts are in flight", func() bool { return failing.CallCount("POST") >= expected })
 			publish(t, feed, 2, member(failing, "leaving"))
 			close(fail)
-			r.await(t, "they failed", func() bool { return r.metrics.outcomes.count(decision.Errored) >= int64(some) })
+			r.await(t, "the attempts failed", func() bool { return r.metrics.outcomes.count(decision.Errored) >= int64(expected) })
 		},
 		openEngine: func() *fakes.Engine {
 			feed.Events <- watchEvent(3, member(engine, "active"))
@@ -130,24 +131,24 @@
 	}
 }
 
-// departures are the ways in which a client leaves.
+// departures are the ways in which a client cancels its request or disconnects.
 var departures = map[string]func(net.Conn){
-	"a frame":  func(c net.Conn) { c.Write(fakes.Frame(9, 1, "")) },
-	"its end":  func(c net.Conn) { c.Close() },
-	"half end": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
-	"a reset": func(c net.Conn) {
+	"cancel frame": func(c net.Conn) { c.Write(fakes.Frame(9, 1, "")) },
+	"close":        func(c net.Conn) { c.Close() },
+	"half-close":   func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
+	"reset": func(c net.Conn) {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	},
 }
 
-// A request whose client leaves while it waits is not forwarded, wherever it waits, alone or with others that leave at once; the
-// next request is. Its queue slot, its text and its account are released.
+// A request whose client leaves while the request waits is not forwarded, in whichever state it waits, alone or with others whose clients
+// leave at the same time; the next request is forwarded. Its queue slot, its text and its memory reservations are released.
 func TestCancelledRequestIsNotForwarded(t *testing.T) {
-	for place, prepare := range waitingPlaces {
-		for how, cancel := range departures {
+	for state, prepare := range waitingStates {
+		for departure, cancel := range departures {
 			for _, clients := range []int{1, 20} {
-				t.Run(fmt.Sprintf("%s, %s, %d", place, how, clients), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %s, %d", state, departure, clients), func(t *testing.T) {
 					t.Parallel()
 					waiting := prepare(t, clients)
 					testCancelWhileWaiting(t, waiting, clients, cancel)
@@ -168,27 +169,27 @@
 	for _, conn := range conns {
 		cancel(conn)
 	}
-	r.await(t, "all are cancelled", func() bool { return r.metrics.cancelled.Load() == int64(clients) })
+	r.await(t, "all requests are cancelled", func() bool { return r.metrics.cancelled.Load() == int64(clients) })
 	engine := waiting.openEngine()
 	conn := r.send(t, "lookup", "999")
 	_, err := io.ReadFull(conn, make([]byte, 9))
 	require.NoError(t, err)
 	select {
-	case heard := <-engine.Calls():
-		require.Contains(t, heard, "id = 999")
+	case call := <-engine.Calls():
+		require.Contains(t, call, "id = 999")
 	case <-time.After(testTimeout):
-		t.Fatal("nothing is sent")
+		t.Fatal("the next request is not forwarded")
 	}
-	assert.Equal(t, 1, engine.CallCount("POST"), "nothing else was sent")
+	assert.Equal(t, 1, engine.CallCount("POST"), "no other request is forwarded")
 	conn.Close()
-	r.await(t, "all is released", func() bool {
+	r.await(t, "all memory is released", func() bool {
 		_, answerBytes, textBytes := r.downstream.FlowControlStats()
 		return r.metrics.open.Load() == 0 && answerBytes == 0 && textBytes == 0
 	})
 }
 
-// A deduplicated request that may have run goes to another engine only while its first attempt is remembered: where the connection
-// there is established later than that, nothing is sent, and its client is rejected when the time is over.
+// A deduplicated request that may have run is retried on another engine only within the deduplication window of its first attempt. If the
+// connection to that engine is established only after the window, nothing is sent, and the request is rejected when the window ends.
 func TestRetryIsNotSentAfterDeduplicationWindow(t *testing.T) {
 	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
@@ -208,25 +209,25 @@
 	require.Contains(t, deduplicated, "700000")
 	r := startRouter(t, fakes.Config(feedAddress(feed), deduplicated, 64, 256, member(first, "active")))
 	conn := r.send(t, "lookup", "1")
-	r.await(t, "it is in flight", func() bool { return first.CallCount("POST") == 1 })
+	r.await(t, "the first attempt is in flight", func() bool { return first.CallCount("POST") == 1 })
 	publish(t, feed, 2, member(first, "leaving"), fakes.Member("slow", listener.Addr().String(), "active"))
 	close(fail)
-	r.await(t, "it is attempted again", func() bool { return r.metrics.attempts.Load() == 2 })
+	r.await(t, "the second attempt is started", func() bool { return r.metrics.attempts.Load() == 2 })
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(testTimeout/3))) // well before its client's deadline
 	frame, err := fakes.ReadFrame(bufio.NewReader(conn))
 	require.NoError(t, err)
-	assert.Equal(t, []byte{8, 50}, []byte{frame.Kind, frame.Code}, "the engines drop repeats, so a retry is harmless")
+	assert.Equal(t, []byte{8, 50}, []byte{frame.Kind, frame.Code}, "rejected: the engines drop repeats, so a retry is safe")
 	accept()
-	go rejectBytes(t, listener, "it was sent after its window")
-	r.await(t, "all has ended", func() bool {
+	go rejectBytes(t, listener, "a byte was sent after the deduplication window")
+	r.await(t, "the second attempt has ended and no request is open", func() bool {
 		return r.metrics.outcomes.count(decision.NotSent) == 1 && r.metrics.open.Load() == 0
 	})
 }
 
-// A start is held up on its way to its engine when its client leaves, in whatever way: it does not come there 0.3 s later.
+// The network delays a start while its client leaves. The engine does not receive that start when the network delivers again 0.3 s later.
 func TestStartHeldUpIsNotDeliveredAfterDeparture(t *testing.T) {
-	for how, leave := range departures {
-		t.Run(how, func(t *testing.T) {
+	for departure, leave := range departures {
+		t.Run(departure, func(t *testing.T) {
 			t.Parallel()
 			engine, feed := newEngineAndFeed(t)
 			link, err := faultlab.NewLink(engine.Server.Listener.Addr().String())
@@ -235,12 +236,12 @@
 			link.Impair(faultlab.Impairment{Blocked: true}, faultlab.Impairment{})
 			r := startRouter(t, fakes.Config(feedAddress(feed), fakes.Settings, 64, 256, fakes.Member("e", link.Address(), "active")))
 			conn := r.send(t, "lookup", "1")
-			r.await(t, "the start is on its way", func() bool { return link.InFlight() > 0 })
+			r.await(t, "the start is in flight", func() bool { return link.InFlight() > 0 })
 			leave(conn)
-			r.await(t, "it is cancelled", func() bool { return r.metrics.cancelled.Load() == 1 })
+			r.await(t, "the request is cancelled", func() bool { return r.metrics.cancelled.Load() == 1 })
 			time.Sleep(300 * time.Millisecond)
 			link.Restore()
-			r.await(t, "the way is free", func() bool { return link.InFlight() == 0 })
+			r.await(t, "the link has delivered its data", func() bool { return link.InFlight() == 0 })
 			assert.Never(t, func() bool { return engine.CallCount("POST") > 0 }, 100*time.Millisecond, 10*time.Millisecond)
 		})
 	}
--- a/internal/proxy/classification.go
+++ b/internal/proxy/classification.go
@@ -16,41 +16,41 @@
 // classificationCountsInterval is the time between two updates of the classifier's counts in the metrics.
 const classificationCountsInterval = metricsInterval / 5
 
-// classify adds to an arrival how the request is classified, beyond what its client declares. The text was read on the client's
-// goroutine; what earlier runs of the same fingerprint have shown is the event loop's.
+// classify adds the router's classification of a request to its arrival, where it differs from what the client declares. The text was
+// analysed on the goroutine that reads the client's connection; the event loop owns the history of fingerprints.
 func (l *eventLoop) classify(req *request, arrived *decision.StatementArrived, now time.Duration) {
 	analysis := req.analysis
 	req.analysis = nil
 	if analysis == nil || l.router.config.ClassificationDisabled {
 		return
 	}
-	if analysis.Fingerprint != 0 { // tenants do not share what is learnt about a fingerprint
+	if analysis.Fingerprint != 0 { // tenants do not share the history of a fingerprint
 		analysis.Fingerprint ^= xxhash.Sum64String(string(arrived.Tenant))
 	}
-	verdict := l.classifier.Classify(now, arrived.Workload, arrived.EstimatedWork, arrived.EstimatedMemoryMB, analysis, &req.observation)
-	if differsFromDeclared(verdict, arrived.Workload) {
+	result := l.classifier.Classify(now, arrived.Workload, arrived.EstimatedWork, arrived.EstimatedMemoryMB, analysis, &req.observation)
+	if differsFromDeclared(result, arrived.Workload) {
 		arrived.Classification = &decision.Classification{
-			Workload:          verdict.Workload,
-			EstimatedWork:     verdict.Work,
-			EstimatedMemoryMB: verdict.MemoryMB,
-			Writes:            verdict.Writes,
-			OtherTableGroups:  verdict.OtherTables,
+			Workload:          result.Workload,
+			EstimatedWork:     result.Work,
+			EstimatedMemoryMB: result.MemoryMB,
+			Writes:            result.Writes,
+			OtherTableGroups:  result.OtherTables,
 		}
 	}
-	if verdict.Workload != arrived.Workload {
+	if result.Workload != arrived.Workload {
 		l.router.log.Debug(logevent.RequestReclassified, logevent.RequestID(req.id), logevent.Workload(req.workload),
-			zap.String("treated_as", l.router.config.Module.Workloads[verdict.Workload].Name), logevent.Reason(verdict.Reason.String()),
-			zap.Float64("confidence", verdict.Confidence), logevent.Milliseconds("work_ms", verdict.Work))
+			zap.String("treated_as", l.router.config.Module.Workloads[result.Workload].Name), logevent.Reason(result.Reason.String()),
+			zap.Float64("confidence", result.Confidence), logevent.Milliseconds("work_ms", result.Work))
 	}
 }
 
-func differsFromDeclared(verdict classify.Classification, declared decision.WorkloadID) bool {
-	return verdict.Workload != declared || verdict.Work > 0 || verdict.MemoryMB > 0 || verdict.Writes || len(verdict.OtherTables) > 0
+func differsFromDeclared(result classify.Classification, declared decision.WorkloadID) bool {
+	return result.Workload != declared || result.Work > 0 || result.MemoryMB > 0 || result.Writes || len(result.OtherTables) > 0
 }
 
-// learn records how long an attempt ran in the history of its request's fingerprint. An attempt that never ran, failed or
-// lost its connection is not recorded, since its duration is not that of a run.
-func (l *eventLoop) learn(req *request, ended decision.AttemptEnded) {
+// recordRunTime records the run time of an attempt in the history of its request's fingerprint. It skips an attempt that never ran, failed or
+// lost its connection, since the duration of such an attempt is not a run time.
+func (l *eventLoop) recordRunTime(req *request, ended decision.AttemptEnded) {
 	switch ended.Outcome {
 	case decision.Completed:
 		l.classifier.RecordEnd(l.router.now(), &req.observation, ended.Elapsed, true, req.missingMemoryMB)
--- a/internal/proxy/classification_test.go
+++ b/internal/proxy/classification_test.go
@@ -22,21 +22,21 @@
 	"bankledge/internal/settings"
 )
 
-// comparedRouter is a router with engines of its own, whose run times follow the true workload.
+// comparedRouter is a router with its own engines, whose run times depend on the actual workload of a request.
 type comparedRouter struct {
 	router  *Router
 	clients []*fakes.Client
 
-	mu      sync.Mutex
-	took    [3][]time.Duration // by true workload, of what completed
-	answers map[downstream.Code]int
-	lost    int
+	mu        sync.Mutex
+	durations [3][]time.Duration // durations of completed requests, by actual workload
+	answers   map[downstream.Code]int
+	lost      int
 }
 
-const speedUp = 10 // times, against the mix's work
+const speedUp = 10 // the engines' work is the mix's work divided by this
 
-// trueCost is the work that a text of the comparison names.
-func trueCost(_, text string) (work time.Duration, threads int) {
+// actualCost returns the work and the threads that a comment in a request's text states.
+func actualCost(_, text string) (work time.Duration, threads int) {
 	var microseconds int64
 	threads = 1
 	if i := strings.Index(text, "/*w"); i >= 0 {
@@ -45,12 +45,12 @@
 	return time.Duration(microseconds) * time.Microsecond, threads
 }
 
-func startComparedRouter(t *testing.T, asDeclared bool) *comparedRouter {
+func startComparedRouter(t *testing.T, classificationDisabled bool) *comparedRouter {
 	t.Helper()
 	r := &comparedRouter{answers: map[downstream.Code]int{}}
 	var members []string
 	for i := range 2 {
-		engine := fakes.NewSimulatedEngine(8, trueCost)
+		engine := fakes.NewSimulatedEngine(8, actualCost)
 		t.Cleanup(engine.Close)
 		members = append(members, fakes.Member(fmt.Sprint("e", i), engine.Server.Listener.Addr().String(), "active"))
 	}
@@ -58,7 +58,7 @@
 	t.Cleanup(feed.Close)
 	cfg, err := settings.ParseConfig(fakes.Config(feedAddress(feed), fakes.Settings, 192, 1024, members...))
 	require.NoError(t, err)
-	cfg.ClassificationDisabled = asDeclared
+	cfg.ClassificationDisabled = classificationDisabled
 	cfg.Limits.Cores = 8
 	r.router = New(cfg, zap.NewNop())
 	stop, cancel := context.WithCancel(context.Background())
@@ -69,7 +69,7 @@
 		assert.NoError(t, <-ended)
 	})
 	address := (<-r.router.Serving()).String()
-	for range 16 { // 32 requests each
+	for range 16 { // 32 requests for each
 		c, err := fakes.Dial(address)
 		require.NoError(t, err)
 		t.Cleanup(c.Close)
@@ -79,7 +79,7 @@
 	return r
 }
 
-// send sends one item of the mix; wait is done when it is answered.
+// send sends one item of the mix; wait is done when the item is answered.
 func (r *comparedRouter) send(n int, item fakes.Item, wait *sync.WaitGroup) {
 	declared := fakes.Workloads()[item.Declared]
 	text := fmt.Sprintf("%s /*w %d %d*/", item.Text, (item.Work / speedUp).Microseconds(), fakes.Workloads()[item.Actual].Threads)
@@ -98,19 +98,19 @@
 	}
 	r.answers[got.Code]++
 	if got.Code == downstream.CodeCompleted {
-		r.took[item.Actual] = append(r.took[item.Actual], got.Took)
+		r.durations[item.Actual] = append(r.durations[item.Actual], got.Took)
 	}
 }
 
 func (r *comparedRouter) quantile(workload decision.WorkloadID, q float64) time.Duration {
-	took := r.took[workload]
-	return took[int(q*float64(len(took)-1))].Round(10 * time.Microsecond)
+	durations := r.durations[workload]
+	return durations[int(q*float64(len(durations)-1))].Round(10 * time.Microsecond)
 }
 
-// A tenth and more of the reports is labelled lookup, with estimates to match: the same requests at the same times,
-// open loop, past routers with classification off and on, and past both without a wrong label. BANKLEDGE_LONG=RATE runs it for
-// a minute at so many requests a second; in CI it shows that every request has one answer and that wrong
-// labels are found.
+// At least a tenth of the reports are declared as lookups, with matching estimates. Four routers receive the same requests at the same
+// times, open loop: with classification off and on, each with these wrong labels and with correct ones. BANKLEDGE_LONG=RATE runs the test
+// for a minute at that many requests per second. In CI it checks that every request has one answer and that counts of the
+// classification are published.
 func TestMislabelledReports(t *testing.T) {
 	length := 4 * time.Second
 	rate := 110.0
@@ -120,8 +120,8 @@
 	}
 	off := startComparedRouter(t, true)
 	on := startComparedRouter(t, false)
-	offHonest := startComparedRouter(t, true)
-	onHonest := startComparedRouter(t, false)
+	offCorrect := startComparedRouter(t, true)
+	onCorrect := startComparedRouter(t, false)
 	mix := fakes.NewMix(3, fakes.MixOptions{Shapes: 40, EstimateOff: 1, Lies: true})
 	random := rand.New(rand.NewPCG(1, 1))
 	var wait sync.WaitGroup
@@ -130,31 +130,31 @@
 	ticks := time.NewTicker(time.Millisecond)
 	defer ticks.Stop()
 	began := time.Now()
-	for range ticks.C { // what is due is sent, however late the answers of others are
-		past := time.Since(began)
-		for at < past && at < length {
+	for range ticks.C { // sends what is due without waiting for earlier answers
+		elapsed := time.Since(began)
+		for at < elapsed && at < length {
 			item := mix.Next()
 			n++
 			off.send(n, item, &wait)
 			on.send(n, item, &wait)
 			item.Declared = item.Actual
 			item.Estimate = item.Work
-			offHonest.send(n, item, &wait)
-			onHonest.send(n, item, &wait)
+			offCorrect.send(n, item, &wait)
+			onCorrect.send(n, item, &wait)
 			at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 		}
-		if past >= length {
+		if elapsed >= length {
 			break
 		}
 	}
 	wait.Wait()
-	for name, r := range map[string]*comparedRouter{"off": off, "on": on, "off, all honest": offHonest, "on, all honest": onHonest} {
-		for _, took := range r.took {
-			slices.Sort(took)
+	for name, r := range map[string]*comparedRouter{"off": off, "on": on, "off, correct labels": offCorrect, "on, correct labels": onCorrect} {
+		for _, durations := range r.durations {
+			slices.Sort(durations)
 		}
 		t.Logf("%-20s lookups p50 %v p99 %v (%d), reports p50 %v p99 %v (%d), answers %v", name,
-			r.quantile(fakes.Lookup, 0.5), r.quantile(fakes.Lookup, 0.99), len(r.took[fakes.Lookup]),
-			r.quantile(fakes.Report, 0.5), r.quantile(fakes.Report, 0.99), len(r.took[fakes.Report]), r.answers)
+			r.quantile(fakes.Lookup, 0.5), r.quantile(fakes.Lookup, 0.99), len(r.durations[fakes.Lookup]),
+			r.quantile(fakes.Report, 0.5), r.quantile(fakes.Report, 0.99), len(r.durations[fakes.Report]), r.answers)
 		assert.Zero(t, r.lost, name)
 		answered := 0
 		for _, count := range r.answers {
--- a/internal/proxy/deployments_test.go
+++ b/internal/proxy/deployments_test.go
@@ -16,59 +16,59 @@
 	"bankledge/internal/sqltext"
 )
 
-// deployment is a router's settings as a customer has them.
+// deployment is one customer's settings of a router.
 type deployment struct {
-	workloads []declaredWorkload
-	groups    []string
-	kind      string
-	zone      string
-	memory    int
-	sockets   int
-	rest      string // of the settings
+	workloads   []declaredWorkload
+	tenants     []string
+	machineType string
+	zone        string
+	memory      int
+	sockets     int
+	otherKeys   string // remaining keys of the settings
 }
 
 type declaredWorkload struct {
-	name      string
-	effect    string
-	sloMS     int
-	timeoutMS int
-	weight    int
+	name        string
+	idempotency string
+	sloMS       int
+	timeoutMS   int
+	weight      int
 }
 
 func (d deployment) settings() string {
-	var classes, groups []string
+	var classes, tenants []string
 	for _, w := range d.workloads {
-		classes = append(classes, fmt.Sprintf(`{"name":%q,"idempotency":%q,"objective":%d,"deadline":%d,"gain":%d}`, w.name, w.effect, 1000*w.sloMS, 1000*w.timeoutMS, w.weight))
+		classes = append(classes, fmt.Sprintf(`{"name":%q,"idempotency":%q,"objective":%d,"deadline":%d,"gain":%d}`, w.name, w.idempotency, 1000*w.sloMS, 1000*w.timeoutMS, w.weight))
 	}
-	for i, g := range d.groups {
-		groups = append(groups, fmt.Sprintf(`{"name":%q,"quotaPerS":%d}`, g, 50*(i+1)))
+	for i, tenant := range d.tenants {
+		tenants = append(tenants, fmt.Sprintf(`{"name":%q,"quotaPerS":%d}`, tenant, 50*(i+1)))
 	}
 	return fmt.Sprintf(`{"classes":[%s],"orgs":[%s],"machineTypes":[%q],"zone":%q,"discovery":"pushed",%s}`,
-		strings.Join(classes, ","), strings.Join(groups, ","), d.kind, d.zone, d.rest)
+		strings.Join(classes, ","), strings.Join(tenants, ","), d.machineType, d.zone, d.otherKeys)
 }
 
-// Two that differ in every name, count, order, share, effect, time, limit and zone.
+// deployments are two deployments that differ in every name, count, order, share, idempotency, time, limit and zone.
 var deployments = []deployment{
 	{workloads: []declaredWorkload{{"lookup", "idempotent", 800, 4000, 1}, {"price-load", "at_most_once", 3000, 25000, 10}},
-		groups: []string{"central"}, kind: "std", zone: "dc", memory: 96, sockets: 320,
-		rest: `"bounds":{"mayCancel":true,"mayProbe":true,"maxAttempts":5,"maxOpen":20000,"connectTimeout":250000,"idleClose":15000000},
+		tenants: []string{"central"}, machineType: "std", zone: "dc", memory: 96, sockets: 320,
+		otherKeys: `"bounds":{"mayCancel":true,"mayProbe":true,"maxAttempts":5,"maxOpen":20000,"connectTimeout":250000,"idleClose":15000000},
 			"extra":{"cpuOfKind":[8],"ramOfKindMb":[32000],"threadsByClass":[1,2]},"feedback":{"fields":["concurrent","load_share"],"via":"inline"},
 			"guarantees":{"drainGrace":1000000},"tick":5000`},
 	{workloads: []declaredWorkload{{"post", "at_most_once", 700, 3500, 4}, {"glance", "idempotent", 90, 180, 2}, {"month-end", "idempotent", 2500, 12000, 7}},
-		groups: []string{"tejo", "minho", "sado"}, kind: "tall", zone: "hall", memory: 48, sockets: 256,
-		rest: `"bounds":{"mayCancel":true,"mayProbe":false,"maxAttempts":3,"maxOpen":500,"connectTimeout":900000,"idleClose":4000000},
+		tenants: []string{"tejo", "minho", "sado"}, machineType: "tall", zone: "hall", memory: 48, sockets: 256,
+		otherKeys: `"bounds":{"mayCancel":true,"mayProbe":false,"maxAttempts":3,"maxOpen":500,"connectTimeout":900000,"idleClose":4000000},
 			"extra":{"cpuOfKind":[14],"ramOfKindMb":[90000],"threadsByClass":[1,1,3]},"feedback":{"fields":["load_share"],"via":"inline"},
 			"guarantees":{"drainGrace":300000},"tick":2000`},
 }
 
-// scenarioRun is one deployment's router, engine and client, which play the same scenario.
+// scenarioRun is the router, engine and client of one deployment that runs the scenario.
 type scenarioRun struct {
 	deployment deployment
 	engine     *fakes.Engine
 	conn       net.Conn
 	reader     *bufio.Reader
 	stream     uint32
-	log        []string // of each request, what it was answered and how often it was forwarded
+	log        []string // for each request its answer and how often it was forwarded
 }
 
 func startScenario(t *testing.T, d deployment) *scenarioRun {
@@ -79,7 +79,7 @@
 		feed.Close()
 		engine.Close()
 	})
-	member := fmt.Sprintf(`{"id":"e","host_port":%q,"locality":%q,"flavor":%q,"phase":"active","size":8}`, engine.Server.Listener.Addr(), d.zone, d.kind)
+	member := fmt.Sprintf(`{"id":"e","host_port":%q,"locality":%q,"flavor":%q,"phase":"active","size":8}`, engine.Server.Listener.Addr(), d.zone, d.machineType)
 	router := startRouter(t, fakes.Config(feedAddress(feed), d.settings(), d.memory, d.sockets, member))
 	conn, err := net.Dial("tcp", router.address)
 	require.NoError(t, err)
@@ -88,8 +88,8 @@
 	return &scenarioRun{deployment: d, engine: engine, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// ask sends one request and records its answer and how often it was forwarded.
-func (r *scenarioRun) ask(t *testing.T, workload, tenant string, script ...fakes.Step) {
+// request sends one request and records its answer and how often it was forwarded.
+func (r *scenarioRun) request(t *testing.T, workload, tenant string, script ...fakes.Step) {
 	t.Helper()
 	r.stream++
 	r.engine.Script(map[string][]fakes.Step{"POST": script})
@@ -106,26 +106,27 @@
 
 const scenarioSteps = 9
 
-// step is the same for all: one workload of one tenant completes, and meets an error; then names that are others' are rejected.
+// step sends the same kinds of requests for every deployment: one that completes, one whose first attempt fails, and two with a workload
+// and a tenant of the other deployment, which are rejected.
 func (r *scenarioRun) step(t *testing.T, n int, other deployment) {
 	t.Helper()
 	workload := r.deployment.workloads[n%len(r.deployment.workloads)]
-	tenant := r.deployment.groups[n%len(r.deployment.groups)]
-	r.ask(t, workload.name, tenant, fakes.RespondResult(fmt.Sprint("row ", n, "\n")))
-	r.ask(t, workload.name, tenant, fakes.Respond(500, ""), fakes.RespondResult("again\n"))
+	tenant := r.deployment.tenants[n%len(r.deployment.tenants)]
+	r.request(t, workload.name, tenant, fakes.RespondResult(fmt.Sprint("row ", n, "\n")))
+	r.request(t, workload.name, tenant, fakes.Respond(500, ""), fakes.RespondResult("again\n"))
 	want := `20 "again\n" on %d, forwarded 2 times`
-	if workload.effect != "idempotent" {
+	if workload.idempotency != "idempotent" {
 		want = `51 "" on %d, forwarded 1 times`
 	}
 	assert.Contains(t, r.last(), fmt.Sprintf(want, r.stream))
-	r.ask(t, other.workloads[n%len(other.workloads)].name, tenant)
+	r.request(t, other.workloads[n%len(other.workloads)].name, tenant)
 	assert.Contains(t, r.last(), `50 "field c: unknown workload"`)
-	r.ask(t, workload.name, other.groups[n%len(other.groups)])
+	r.request(t, workload.name, other.tenants[n%len(other.tenants)])
 	assert.Contains(t, r.last(), `50 "field t: unknown member group"`)
 }
 
-// The same scenario under two settings that differ in all, each alone and both beside each other in one process with the same ids
-// on the same streams: what each customer is answered is the same, so nothing of one reaches the other.
+// Two deployments with different settings run the same scenario: first each alone, then both concurrently in one process, with the same
+// ids on the same streams. Each gets the same answers both times, so no state is shared between the routers.
 func TestTwoSettingsInOneProcess(t *testing.T) {
 	var alone []*scenarioRun
 	for i, d := range deployments {
@@ -147,12 +148,12 @@
 	assert.NotEqual(t, alone[0].log, alone[1].log)
 }
 
-// One tenant's requests teach nothing about another tenant's.
-func TestFingerprintsAreATenantsOwn(t *testing.T) {
-	g := newIdleRouter(decision.Workload{Name: "w", LatencyObjective: time.Second})
+// Two tenants' requests with the same text have different fingerprints, so tenants share no history.
+func TestFingerprintsAreNotSharedBetweenTenants(t *testing.T) {
+	router := newIdleRouter(decision.Workload{Name: "w", LatencyObjective: time.Second})
 	fingerprint := func(tenant decision.Tenant) uint64 {
 		analysis := new(sqltext.Analyser).Analyse([]byte("select a from sales_1.b where id = 1"))
-		g.loop.classify(&request{analysis: &analysis}, &decision.StatementArrived{Tenant: tenant}, 0)
+		router.loop.classify(&request{analysis: &analysis}, &decision.StatementArrived{Tenant: tenant}, 0)
 		return analysis.Fingerprint
 	}
 	assert.Equal(t, fingerprint("one"), fingerprint("one"))
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -11,7 +11,7 @@
 	"bankledge/internal/upstream"
 )
 
-// perform carries out an action of the module. It never waits.
+// perform executes an action of the module. It never blocks.
 func (l *eventLoop) perform(action decision.Action) {
 	log := l.router.log
 	switch a := action.(type) {
@@ -39,21 +39,21 @@
 	case decision.Crash:
 		log.Error(logevent.DecisionModuleFailed, logevent.Message(a.Text))
 	case decision.WatchEndpoints, decision.FetchEndpoints, decision.SetResources, decision.SendToPeers:
-		// The control feed is always followed; the protocol has no frames for resources and for other routers.
+		// Nothing to do: the router always follows the control feed, and the protocol has no frames for resources or for other routers.
 	default:
 		log.Error(logevent.ActionUnsupported, zap.Any("action", action))
 	}
 }
 
-// startAttempt passes an attempt to package upstream. One that must not begin is passed with an expired deadline, so that it ends as
-// not sent and the module receives that end like any other.
+// startAttempt passes an attempt to package upstream. An attempt that must not begin is passed with an expired deadline: it ends as not
+// sent, and the module receives that end like any other.
 func (l *eventLoop) startAttempt(start decision.StartAttempt) {
 	req := l.requests.find(start.Statement)
 	if req == nil || req.finished {
 		l.router.log.Error(logevent.UpstreamAttemptRefused, logevent.RequestID(start.Statement))
 		return
 	}
-	violation := req.invariants.BeginAttempt(l.locations.of(start.Engine), l.decidedAt) // at the time at which the module decided
+	violation := req.invariants.BeginAttempt(l.locations.lookUp(start.Engine), l.decidedAt) // checked for the time of the module's decision
 	attempt := l.newAttemptRequest(req, start)
 	if violation != nil {
 		attempt.Deadline = expiredDeadline()
@@ -64,7 +64,7 @@
 	req.attemptsInFlight++
 	l.router.metrics.attempts.Add(1)
 	req.attempts = append(req.attempts, l.router.upstream.StartAttempt(attempt))
-	if violation != nil { // no further decision of the module is trusted for this request
+	if violation != nil { // the module's further decisions about this request are not trusted
 		l.router.violations.Record(violation)
 		l.reply(req, downstream.CodeAborted, nil, reasonInvariant)
 		l.followUps = append(l.followUps, decision.ClientCancelled{Statement: req.id})
@@ -87,7 +87,7 @@
 			attempt.Deadline = timeout
 		}
 	}
-	if l.lease != nil && l.lease.hasExpired(now) { // the router did not run since the decision: the module has to decide again
+	if l.lease != nil && l.lease.hasExpired(now) { // the router was suspended after the decision, so the module has to decide again
 		attempt.Deadline = expiredDeadline()
 	}
 	if start.StartBefore > 0 {
@@ -96,7 +96,7 @@
 	return attempt
 }
 
-// expiredDeadline is a deadline that has passed.
+// expiredDeadline returns a deadline that has already passed.
 func expiredDeadline() time.Time { return time.Now().Add(-time.Second) }
 
 func (l *eventLoop) cancelAttempt(cancel decision.CancelAttempt) {
--- a/internal/proxy/effective_endpoints.go
+++ b/internal/proxy/effective_endpoints.go
@@ -9,16 +9,16 @@
 	"bankledge/internal/rules"
 )
 
-// endpointView is an engine as the control feed last listed it, and as it was last published to the module.
+// endpointView holds an engine's entry as the control feed last listed it, and as it was last published to the module.
 type endpointView struct {
 	listed       decision.Endpoint
 	address      string
 	published    decision.Endpoint
-	warmingSince time.Duration // since when a version lists it as warming up; 0: none does
+	warmingSince time.Duration // since when the active version lists the engine as warming up; 0: it does not
 }
 
-// mergeEndpoints records a list of the control feed and returns it combined with the active version: of the two states of an engine,
-// the more cautious one counts.
+// mergeEndpoints records a list of the control feed and returns it combined with the active version: each engine gets the more
+// restrictive of its two states.
 func (c *configurationLease) mergeEndpoints(now time.Duration, list decision.EndpointList, addresses []string) decision.EndpointList {
 	if list.Kind != decision.ListPartial {
 		clear(c.endpoints)
@@ -35,18 +35,18 @@
 		}
 		view.listed = entry
 		view.address = addresses[i]
-		view.published = c.effective(now, view)
+		view.published = c.effectiveEndpoint(now, view)
 		list.Endpoints[i] = view.published
 	}
 	return list
 }
 
-// changedEndpoints returns the engines whose entry has changed with the rules.
+// changedEndpoints returns the entries that differ from those last published because the active rules have changed.
 func (c *configurationLease) changedEndpoints(now time.Duration) decision.EndpointList {
 	list := decision.EndpointList{Kind: decision.ListPartial}
 	for _, engine := range slices.Sorted(maps.Keys(c.endpoints)) {
 		view := c.endpoints[engine]
-		entry := c.effective(now, view)
+		entry := c.effectiveEndpoint(now, view)
 		if entry == view.published {
 			continue
 		}
@@ -56,9 +56,9 @@
 	return list
 }
 
-// effective combines an engine's entry in the control feed with the active version: no attempt starts where either excludes the engine.
-// An engine that only the version has removed is drained, since the attempts there have not ended yet.
-func (c *configurationLease) effective(now time.Duration, view *endpointView) decision.Endpoint {
+// effectiveEndpoint combines an engine's entry in the control feed with the active version: no attempt starts on an engine that either of them
+// excludes. An engine that only the version has removed is drained, since its attempts have not ended yet.
+func (c *configurationLease) effectiveEndpoint(now time.Duration, view *endpointView) decision.Endpoint {
 	entry := view.listed
 	if c.activeRules.Engines == nil {
 		view.warmingSince = 0
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -11,13 +11,13 @@
 	"bankledge/internal/logevent"
 )
 
-// reachabilityRetryInterval is the time between two attempts to find an engine that accepts a connection.
+// reachabilityRetryInterval is the time between two rounds of connection attempts while the router is not ready.
 const reachabilityRetryInterval = 100 * time.Millisecond
 
 // endpointListReceived is a change of the endpoint list, for the event loop.
 type endpointListReceived struct {
 	list      decision.EndpointList
-	addresses []string // of the entries, in their order
+	addresses []string // of the entries, in the same order
 }
 
 func (m endpointListReceived) apply(l *eventLoop, now time.Duration) decision.Event {
@@ -28,7 +28,7 @@
 	return m.list
 }
 
-// applyKnownEvents hands the events of the configuration to the module and returns how many endpoints they name.
+// applyKnownEvents passes the known events of the configuration to the module and returns how many endpoints they list.
 func (r *Router) applyKnownEvents() (endpoints int, err error) {
 	last, err := r.discovery.ApplyKnownEvents(r.config.KnownEvents, func(change discovery.WatchEvent) {
 		r.applyWatchEvent(change, decision.ListPersisted)
@@ -38,15 +38,15 @@
 	return endpoints, err
 }
 
-// receiveWatchEvent receives an event of the control feed.
+// receiveWatchEvent handles an event of the control feed.
 func (r *Router) receiveWatchEvent(change discovery.WatchEvent) {
 	r.log.Info(logevent.EndpointListChanged, zap.Int64("number", change.Number), zap.Any("endpoints", change.Endpoints))
 	r.applyWatchEvent(change, decision.ListComplete)
 }
 
-// applyWatchEvent publishes a change to package upstream and to the module. Engines that may be used are added upstream before the
-// module receives them, since it may start attempts at once. Those that may not be used are removed upstream after it, so that the
-// module knows the reason when an attempt ends as not sent.
+// applyWatchEvent publishes a change to package upstream and to the module. It adds usable engines to package upstream before the module
+// receives them, since the module may start attempts at once. It removes or drains unusable engines after the module has received the
+// change, so that the module knows the reason when an attempt ends as not sent.
 func (r *Router) applyWatchEvent(change discovery.WatchEvent, completeKind decision.ListKind) {
 	list := decision.EndpointList{Kind: decision.ListPartial, Version: change.Revision}
 	if change.Complete {
@@ -78,11 +78,11 @@
 	}
 }
 
-// awaitReachableEngine makes the router ready once one engine has accepted a connection. One is enough: if every starting router
-// connected to every engine, engines would have to accept many connections that are not needed yet.
+// awaitReachableEngine marks the router ready once one engine has accepted a connection. It does not connect to all engines, since
+// engines would then have to accept many connections that are not needed yet from every starting router.
 func (r *Router) awaitReachableEngine(ctx context.Context) error {
 	for !r.reachable.Load() && ctx.Err() == nil {
-		if r.reachAnyEngine(ctx) {
+		if r.connectAnyEngine(ctx) {
 			r.reachable.Store(true)
 		}
 		select {
@@ -93,8 +93,9 @@
 	return nil
 }
 
-// reachAnyEngine tries the engines listed now, each once. Routers that start together begin at different ones, by their seed.
-func (r *Router) reachAnyEngine(ctx context.Context) bool {
+// connectAnyEngine tries to connect to each engine listed now, once, until one accepts. The first engine depends on the seed, so that
+// routers that start together begin with different engines.
+func (r *Router) connectAnyEngine(ctx context.Context) bool {
 	engines := r.upstream.Engines()
 	for i := range engines {
 		first := int(r.config.Seed % uint64(len(engines)))
--- a/internal/proxy/engine_locations.go
+++ b/internal/proxy/engine_locations.go
@@ -5,11 +5,11 @@
 	"bankledge/internal/invariant"
 )
 
-// engineLocations maps the listed engines to the locations where they run, for the invariants.
+// engineLocations maps the listed engines to the locations where they run, for the invariant checks.
 type engineLocations map[decision.EngineID]invariant.Location
 
-// of returns where an engine runs, as last listed.
-func (e engineLocations) of(engine decision.EngineID) invariant.Location {
+// lookUp returns the location of an engine as last listed. For an engine that is not listed only the id is set.
+func (e engineLocations) lookUp(engine decision.EngineID) invariant.Location {
 	if location, listed := e[engine]; listed {
 		return location
 	}
@@ -25,11 +25,11 @@
 			delete(e, entry.Engine)
 			continue
 		}
-		e[entry.Engine] = invariant.Location{Engine: entry.Engine, Zone: entry.Zone, Kind: entry.MachineType, Cell: entry.Cell}
+		e[entry.Engine] = invariant.Location{Engine: entry.Engine, Zone: entry.Zone, MachineType: entry.MachineType, Cell: entry.Cell}
 	}
 }
 
-// enforceMachineTypes has the invariants check the machine types that take effect now.
+// enforceMachineTypes makes the invariant checks use the machine types of the changed rules.
 func (l *eventLoop) enforceMachineTypes(changed decision.RulesChanged) {
 	for workload, rules := range changed.Workloads {
 		l.router.enforcedWorkloads[workload].AllowedMachineTypes = rules.AllowedMachineTypes
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -15,40 +15,40 @@
 
 const (
 	inboxSize        = 4096
-	watchdogInterval = 20 * time.Millisecond // shorter than the time for which clients wait beyond their deadline
+	watchdogInterval = 20 * time.Millisecond // clients wait longer than this after their deadline
 )
 
-// message is an input that the event loop handles before it becomes an event for the module, if it does.
+// message is an input that the event loop itself processes. It may yield an event for the module.
 type message interface {
-	// apply updates the loop's own state and returns the event for the module, or nil.
+	// apply updates the loop's state and returns the event for the module, or nil.
 	apply(l *eventLoop, now time.Duration) decision.Event
 }
 
-// input is one thing that happened: either an event that goes to the module as it is, or a message.
+// input is either an event that is passed to the module unchanged, or a message.
 type input struct {
 	event    decision.Event
 	message  message
-	postedAt time.Time // zero: created by the loop itself
+	postedAt time.Time // zero if the loop itself created the input
 }
 
-// eventLoop is the one goroutine that owns the decision module and the records of requests. It hands the module batches of events in
-// the order in which they happened, carries out its actions, and never waits for a socket.
+// eventLoop runs on the single goroutine that owns the decision module and the records of requests. It passes batches of events to the
+// module in the order in which they happened, executes the module's actions, and never waits for a socket.
 type eventLoop struct {
 	router     *Router
 	module     *policy.Module
 	inbox      chan input
-	done       chan struct{} // closed when the loop has ended and the inbox is not read any more
+	done       chan struct{} // closed when the loop has ended and no longer reads the inbox
 	requests   requestTable
 	locations  engineLocations
 	classifier *classify.Classifier
-	lease      *configurationLease // nil: no control group
+	lease      *configurationLease // nil without a control group
 
-	rejectFrom        time.Duration // during a shutdown, from when on what arrives is rejected; 0: there is none
+	rejectFrom        time.Duration // from this time on a shutdown rejects new requests; 0: no shutdown
 	timers            []decision.SetTimer
-	followUps         []decision.Event // events caused by replies, for the module's next call
-	decidedAt         time.Duration    // when the module was last called
+	followUps         []decision.Event // events caused by replies, for the next call of the module
+	decidedAt         time.Duration    // time of the last call of the module
 	watchdogRanAt     time.Time
-	countsPublishedAt time.Time // of the classifier
+	countsPublishedAt time.Time // when the classifier's counts were last copied to the metrics
 }
 
 func newEventLoop(r *Router) *eventLoop {
@@ -64,7 +64,7 @@
 	}
 }
 
-// post hands an input to the loop. Once the loop has ended it is dropped.
+// post queues an input for the loop, or drops it if the loop has ended.
 func (l *eventLoop) post(in input) {
 	in.postedAt = time.Now()
 	select {
@@ -73,7 +73,7 @@
 	}
 }
 
-// run calls the module with batches of inputs until ctx ends. It does not sleep between calls: on a core shared with other
+// run calls the module with batches of inputs until ctx ends. It does not sleep between calls, since on a core shared with other
 // processes each sleep would delay answers by a time slice of the kernel's scheduler.
 func (l *eventLoop) run(ctx context.Context) error {
 	defer close(l.done)
@@ -88,11 +88,11 @@
 			batch = append(batch, in)
 		case <-timer.C:
 		}
-		if l.router.pauses.beat(l.router.now()) {
+		if l.router.pauses.heartbeat(l.router.now()) {
 			l.router.awaitDiscovery()
 		}
 		l.router.checkWallClock()
-		runtime.Gosched() // runnable goroutines post their inputs first, so that these make one batch
+		runtime.Gosched() // lets runnable goroutines post their inputs, so that the batch includes them
 		for n := len(l.inbox); n > 0; n-- {
 			batch = append(batch, <-l.inbox)
 		}
@@ -114,7 +114,7 @@
 	return max(0, wait)
 }
 
-// handle hands a batch to the module and carries out its actions.
+// handle passes a batch to the module and executes the module's actions.
 func (l *eventLoop) handle(batch []input) {
 	now := l.router.now()
 	events := l.collectEvents(batch, now)
@@ -137,8 +137,8 @@
 	}
 }
 
-// collectEvents applies the inputs in their order and returns the events for the module: of the control group first, so that a
-// router that was stopped acts on nothing old, then of the inputs, the timers that are due, and what earlier replies led to.
+// collectEvents applies the inputs in order and returns the events for the module: first those of the control group, so that a router
+// that was suspended does not act on an outdated configuration, then those of the inputs, of due timers and of earlier replies.
 func (l *eventLoop) collectEvents(batch []input, now time.Duration) []decision.Event {
 	events := make([]decision.Event, 0, len(batch)+1)
 	if l.lease != nil {
@@ -163,8 +163,8 @@
 	if in.message != nil {
 		return in.message.apply(l, now)
 	}
-	if note, ok := in.event.(decision.AttemptProgress); ok {
-		l.recordProgress(note)
+	if progress, ok := in.event.(decision.AttemptProgress); ok {
+		l.recordProgress(progress)
 	}
 	return in.event
 }
@@ -182,8 +182,8 @@
 	return events
 }
 
-// decide calls the module. A panic there loses only this batch's actions: the router goes on with the module in its present
-// state, and the watchdog aborts the requests that it does not answer.
+// decide calls the module. A panic in the module loses only the actions of this batch: the router continues with the module in its
+// current state, and the watchdog aborts the requests that the module does not answer.
 func (l *eventLoop) decide(now time.Duration, events []decision.Event) (actions []decision.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -194,8 +194,8 @@
 	return l.module.Handle(now, events)
 }
 
-// runWatchdog aborts requests that the module has not answered by their deadline, which only a defect of the
-// module can do. An abort promises nothing, so it is always truthful.
+// runWatchdog aborts requests that the module has not answered by their deadline, which only a defect of the module causes. An abort
+// does not state whether the request ran, so it is always correct. runWatchdog also publishes the classifier's counts.
 func (l *eventLoop) runWatchdog() {
 	now := time.Now()
 	if now.Sub(l.watchdogRanAt) < watchdogInterval {
--- a/internal/proxy/fixture_test.go
+++ b/internal/proxy/fixture_test.go
@@ -18,9 +18,9 @@
 	"bankledge/internal/settings"
 )
 
-const testTimeout = 15 * time.Second // for what must happen
+const testTimeout = 15 * time.Second // limit for each awaited event
 
-// runningRouter is a router in this process; its metrics can be waited for.
+// runningRouter is a router that runs in the test process.
 type runningRouter struct {
 	*Router
 	address string
@@ -47,7 +47,7 @@
 	require.Eventually(t, happened, testTimeout, time.Millisecond, what)
 }
 
-// send writes a request on a connection of its own.
+// send writes a request on a new connection.
 func (r *runningRouter) send(t *testing.T, workload, id string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.address)
@@ -60,7 +60,7 @@
 	return conn
 }
 
-// newIdleRouter is a router that does not run, with these workloads.
+// newIdleRouter returns a router with these workloads that does not run.
 func newIdleRouter(workloads ...decision.Workload) *Router {
 	return New(&settings.Config{
 		ListenAddress:    "127.0.0.1:0",
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("id: %d\ndata: {\"n\":%d,\"members\":{\"members\":[%s]}}\n\n", n, n, strings.Join(members, ","))
 }
 
-// fakeClient is a client that keeps the codes of its answers.
+// fakeClient is a client that records the codes of its answers.
 type fakeClient struct {
 	codes    []downstream.Code
 	onAnswer func()
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -17,11 +17,11 @@
 // metricsInterval is the time between two log lines with metrics.
 const metricsInterval = 5 * time.Second
 
-// metrics are counts since the start. They are safe for concurrent use.
+// metrics holds counts since the start of the router, unless stated otherwise. It is safe for concurrent use.
 type metrics struct {
 	received     atomic.Int64
 	invalid      atomic.Int64 // requests rejected before they reached the module
-	open         atomic.Int64 // requests without an answer now
+	open         atomic.Int64 // requests that are open now
 	completed    atomic.Int64
 	rejected     atomic.Int64
 	aborted      atomic.Int64
@@ -30,7 +30,7 @@
 	outcomes     outcomeCounts // of attempts
 	healthChecks atomic.Int64
 
-	// From an input to the end of the actions that it led to, since the last line.
+	// Time from an input to the end of the resulting actions, since the last log line.
 	decisions        atomic.Int64
 	decisionDelaySum atomic.Int64 // ns
 	decisionDelayMax atomic.Int64 // ns
@@ -55,7 +55,7 @@
 	m.decisionDelayMax.Store(max(m.decisionDelayMax.Load(), int64(delay)))
 }
 
-// outcomeCounts count attempts by outcome.
+// outcomeCounts counts attempts by outcome.
 type outcomeCounts [decision.NotSent + 1]atomic.Int64
 
 func (c *outcomeCounts) add(outcome decision.Outcome) { c[outcome].Add(1) }
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// reportMetrics writes the figures to the log at an interval, and at the end.
+// reportMetrics logs the metrics at a fixed interval and when ctx ends.
 func (r *Router) reportMetrics(ctx context.Context) error {
 	ticker := time.NewTicker(metricsInterval)
 	defer ticker.Stop()
--- a/internal/proxy/receive.go
+++ b/internal/proxy/receive.go
@@ -11,20 +11,22 @@
 	"bankledge/internal/logevent"
 )
 
-// client is a client's connection, as far as the router uses it. No call blocks.
+// client is the part of a client connection that the router uses. No call blocks.
 type client interface {
-	// Answer queues the final answer of a stream. It reports whether reading from the client stops, since it does not read its answers.
+	// Answer queues the final answer of a stream. It reports whether reading from the client stops because the client does not read its
+	// answers.
 	Answer(stream uint32, code downstream.Code, body []byte) (stalled bool)
-	// CloseStream closes a stream without an answer after its client has cancelled it.
+	// CloseStream closes a stream without an answer after its client has cancelled the request.
 	CloseStream(stream uint32)
 	// ReserveText reserves memory for the text of a request. It reports whether enough was free.
-	ReserveText(n int) (fits bool)
-	// ReleaseText returns reserved memory.
+	ReserveText(n int) (reserved bool)
+	// ReleaseText releases reserved memory.
 	ReleaseText(n int)
 }
 
-// HandleStatement receives a complete request from the goroutine that reads its connection. A request that is not valid is answered at
-// once; else it goes to the event loop, in the order of receipt. It reports whether the request was valid.
+// HandleStatement handles a complete request on the goroutine that reads its connection. It rejects an invalid request at once and posts
+// a valid one to the event loop, in the order of receipt. It reports whether the request was valid, also where a valid request is
+// rejected because no memory is left for its text.
 func (r *Router) HandleStatement(c *downstream.Conn, stream uint32, fields downstream.Fields, text []byte) bool {
 	receivedAt := r.clockOrigin.Add(r.pauses.earliestArrival(r.now()))
 	r.metrics.received.Add(1)
@@ -44,35 +46,35 @@
 	return true
 }
 
-// HandleCancel receives that the client cancels what is open on these streams.
+// HandleCancel handles the client's cancellation of the requests that are open on these streams.
 func (r *Router) HandleCancel(c *downstream.Conn, streams []uint32) {
 	for _, stream := range streams {
 		r.loop.post(input{message: requestCancelled{client: c, stream: stream}})
 	}
 }
 
-// HandleBackpressure receives that a client no longer reads its answers fast enough, or that it has caught up.
+// HandleBackpressure is called when a client no longer reads its answers fast enough, and when it has caught up.
 func (r *Router) HandleBackpressure(c *downstream.Conn, stalled bool) {
 	r.loop.post(input{message: backpressureChanged{client: c, stalled: stalled}})
 }
 
-// AbortOpenStatements receives that a connection is about to be closed because its client is too slow: its open requests have to be
-// aborted.
+// AbortOpenStatements has the event loop abort the open requests of a connection that is about to be closed because its client reads its
+// answers too slowly.
 func (r *Router) AbortOpenStatements(c *downstream.Conn, reason string) {
 	r.loop.post(input{message: slowClientDisconnected{client: c, reason: reason}})
 }
 
-// Ready reports whether the router may be sent requests.
+// Ready reports whether clients may send requests to the router.
 func (r *Router) Ready() bool { return r.reachable.Load() && !r.draining.Load() }
 
-// requestArrived is a request that was admitted.
+// requestArrived is an admitted request.
 type requestArrived struct {
 	event   decision.StatementArrived
 	request *request
 }
 
 func (m *requestArrived) apply(l *eventLoop, now time.Duration) decision.Event {
-	if l.requests.isIDInUse(m.request.id) { // an engine may know the id as another request's; this one never ran
+	if l.requests.isIDInUse(m.request.id) { // an engine may hold another request of this id; this one never ran
 		l.reply(m.request, downstream.CodeRejected, []byte("id is in use"), reasonIDInUse)
 		return nil
 	}
@@ -82,11 +84,11 @@
 	}
 	l.requests.add(m.request)
 	l.classify(m.request, &m.event, now)
-	m.event.TimeBudget = m.request.deadline.Sub(l.router.clockOrigin) - now // without the time since it was received
+	m.event.TimeBudget = m.request.deadline.Sub(l.router.clockOrigin) - now // less the time since the request was received
 	return m.event
 }
 
-// requestCancelled is a client that cancels what is open on a stream.
+// requestCancelled is a client's cancellation of the request that is open on a stream.
 type requestCancelled struct {
 	client client
 	stream uint32
@@ -101,26 +103,26 @@
 	return decision.ClientCancelled{Statement: req.id}
 }
 
-// backpressureChanged is a client that stops or begins again to read its answers.
+// backpressureChanged is a client's change between reading its answers and not reading them.
 type backpressureChanged struct {
 	client  client
 	stalled bool
 }
 
 func (m backpressureChanged) apply(l *eventLoop, _ time.Duration) decision.Event {
-	return decision.ClientReadStateChanged{Statements: l.requests.openOf(m.client), Reading: !m.stalled}
+	return decision.ClientReadStateChanged{Statements: l.requests.openRequestIDs(m.client), Reading: !m.stalled}
 }
 
-// slowClientDisconnected is a client that reads its answers too slowly for its connection to go on.
+// slowClientDisconnected is the disconnection of a client that reads its answers too slowly.
 type slowClientDisconnected struct {
 	client client
 	reason string
 }
 
-// apply aborts all open requests of the client at once: they may have run, and their results cannot be delivered any more. The module
-// receives that the client was disconnected.
+// apply aborts all open requests of the client at once, since they may have run and their results can no longer be delivered. It returns
+// the event that reports the disconnection to the module.
 func (m slowClientDisconnected) apply(l *eventLoop, _ time.Duration) decision.Event {
-	ids := l.requests.openOf(m.client)
+	ids := l.requests.openRequestIDs(m.client)
 	for _, id := range ids {
 		l.reply(l.requests.find(id), downstream.CodeAborted, []byte(m.reason), reasonSlowClient)
 	}
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -9,8 +9,8 @@
 	"bankledge/internal/logevent"
 )
 
-// awaitReload reads the configuration again at each signal. Only the control feed's address and events that are not known yet are
-// applied: all else is fixed at the start. A configuration that is not valid changes nothing.
+// awaitReload reloads the configuration at each signal. It applies only the control feed's address and events that are not known yet;
+// all other fields are fixed until a restart. An invalid configuration changes nothing.
 func (r *Router) awaitReload(ctx context.Context, reload <-chan os.Signal, load ConfigLoader) error {
 	for {
 		select {
--- a/internal/proxy/request_record.go
+++ b/internal/proxy/request_record.go
@@ -13,28 +13,28 @@
 	"bankledge/internal/upstream"
 )
 
-// request is the record of one request. The event loop owns it once it is admitted.
+// request is the record of one request. The event loop owns it after admission.
 type request struct {
 	id         decision.StatementID
-	workload   string // as declared
+	workload   string // as declared by the client
 	text       []byte
 	client     client
 	stream     uint32
 	receivedAt time.Time
-	deadline   time.Time          // after it the client does not wait any more
-	invariants *invariant.Request // its history for the run-time checks
+	deadline   time.Time          // after this time the client no longer waits
+	invariants *invariant.Request // history for the run-time checks
 
-	finished         bool // answered, or cancelled by its client
+	finished         bool // answered, or cancelled by the client
 	attempts         []*upstream.Attempt
 	attemptsInFlight int
-	outcomes         []decision.Outcome // of the attempts that have ended, in the order in which they did
+	outcomes         []decision.Outcome // of the ended attempts, in the order of their ends
 
-	analysis        *sqltext.Statement   // of its text, until it was classified
-	observation     classify.Observation // the classification that the ends of its attempts are recorded for
-	missingMemoryMB float64              // the most that an engine reported to be missing
+	analysis        *sqltext.Statement   // of the text; nil once the request is classified
+	observation     classify.Observation // classification that the ends of attempts are recorded for
+	missingMemoryMB float64              // largest amount of missing memory that an engine reported
 }
 
-// finish marks a request as finished. Attempts that have not been sent yet will not be, before its client can know of the end.
+// finish marks a request as finished. It cancels attempts that have not been sent yet, before the client can receive the answer.
 func (l *eventLoop) finish(req *request) {
 	req.finished = true
 	l.requests.removeStream(req)
@@ -45,7 +45,7 @@
 	l.releaseIfDone(req)
 }
 
-// releaseIfDone drops the record of a request that is finished once none of its attempts is in flight.
+// releaseIfDone removes the record of a finished request once none of its attempts is in flight.
 func (l *eventLoop) releaseIfDone(req *request) {
 	if !req.finished || req.attemptsInFlight != 0 {
 		return
@@ -73,12 +73,12 @@
 	return m.event
 }
 
-// recordAttemptEnd records the end of an attempt.
+// recordAttemptEnd records the end of an attempt in the request's record, the invariant checks, the classifier and the metrics.
 func (l *eventLoop) recordAttemptEnd(req *request, ended decision.AttemptEnded) {
 	req.attemptsInFlight--
 	req.outcomes = append(req.outcomes, ended.Outcome)
 	req.invariants.EndAttempt(ended.Attempt, isKnownNotRun(ended.Outcome))
-	l.learn(req, ended)
+	l.recordRunTime(req, ended)
 	l.router.metrics.outcomes.add(ended.Outcome)
 	l.router.log.Debug(logevent.UpstreamAttemptRecorded, logevent.RequestID(req.id), logevent.Attempt(ended.Attempt),
 		logevent.Endpoint(ended.Engine), logevent.Workload(req.workload), logevent.Outcome(ended.Outcome),
@@ -86,7 +86,7 @@
 	l.releaseIfDone(req)
 }
 
-// isKnownNotRun reports whether an outcome proves that the attempt did not run.
+// isKnownNotRun reports whether an outcome confirms that the attempt did not run.
 func isKnownNotRun(outcome decision.Outcome) bool {
 	switch outcome {
 	case decision.Overloaded, decision.ConnectFailed, decision.NotSent:
@@ -96,23 +96,23 @@
 	}
 }
 
-// recordProgress records the missing memory that an attempt's progress report names.
-func (l *eventLoop) recordProgress(note decision.AttemptProgress) {
-	if note.Kind != decision.ProgressSpilling {
+// recordProgress records the missing memory that an attempt's progress report states.
+func (l *eventLoop) recordProgress(progress decision.AttemptProgress) {
+	if progress.Kind != decision.ProgressSpilling {
 		return
 	}
-	if req := l.requests.find(note.Statement); req != nil {
-		req.missingMemoryMB = max(req.missingMemoryMB, note.Value)
+	if req := l.requests.find(progress.Statement); req != nil {
+		req.missingMemoryMB = max(req.missingMemoryMB, progress.Value)
 	}
 }
 
-// AttemptProgressed receives a progress report of an attempt, from its goroutine.
+// AttemptProgressed handles a progress report of an attempt. The attempt's goroutine calls it.
 func (r *Router) AttemptProgressed(ev decision.AttemptProgress) { r.loop.post(input{event: ev}) }
 
-// AttemptEnded receives the end of an attempt, from its goroutine.
+// AttemptEnded handles the end of an attempt. The attempt's goroutine calls it.
 func (r *Router) AttemptEnded(ev decision.AttemptEnded, result []byte) {
 	r.loop.post(input{message: attemptEnded{event: ev, result: result}})
 }
 
-// HealthCheckEnded receives the end of a health check, from its goroutine.
+// HealthCheckEnded handles the end of a health check. The health check's goroutine calls it.
 func (r *Router) HealthCheckEnded(ev decision.HealthCheckEnded) { r.loop.post(input{event: ev}) }
--- a/internal/proxy/request_table.go
+++ b/internal/proxy/request_table.go
@@ -7,13 +7,13 @@
 	"bankledge/decision"
 )
 
-// openStreams are the requests of one client that are not finished, by stream.
+// openStreams holds the unfinished requests of one client by stream.
 type openStreams map[uint32]*request
 
-// requestTable finds the records of requests. The event loop owns it.
+// requestTable indexes the records of requests. The event loop owns it.
 type requestTable struct {
-	byID     map[decision.StatementID]*request // those whose record is not dropped yet
-	byClient map[client]openStreams            // of these the ones that are not finished
+	byID     map[decision.StatementID]*request // all requests whose record is kept
+	byClient map[client]openStreams            // the unfinished ones among them
 	answered recentIDs
 }
 
@@ -31,7 +31,7 @@
 // onStream returns the request that is open on a client's stream, or nil.
 func (t *requestTable) onStream(c client, stream uint32) *request { return t.byClient[c][stream] }
 
-// isIDInUse reports whether an engine may know the id as another request's.
+// isIDInUse reports whether an engine may hold another request with this id.
 func (t *requestTable) isIDInUse(id decision.StatementID) bool {
 	return t.byID[id] != nil || t.answered.has(id)
 }
@@ -46,14 +46,14 @@
 	streams[req.stream] = req
 }
 
-// recordAnswer remembers the id of a request that is answered.
+// recordAnswer remembers the id of an answered request.
 func (t *requestTable) recordAnswer(req *request) {
 	if t.byID[req.id] == req {
 		t.answered.add(req.id)
 	}
 }
 
-// removeStream drops a request that is finished from those that its client has open.
+// removeStream removes a finished request from the open streams of its client.
 func (t *requestTable) removeStream(req *request) {
 	streams := t.byClient[req.client]
 	if streams[req.stream] != req {
@@ -65,15 +65,15 @@
 	}
 }
 
-// remove drops the record of a request. Another request that was rejected for having the same id leaves the record alone.
+// remove removes the record of a request. It does nothing for a request that was rejected because another one has the same id.
 func (t *requestTable) remove(req *request) {
 	if t.byID[req.id] == req {
 		delete(t.byID, req.id)
 	}
 }
 
-// openOf returns what a client has open, in the order of its streams.
-func (t *requestTable) openOf(c client) (ids []decision.StatementID) {
+// openRequestIDs returns the ids of a client's open requests, ordered by stream.
+func (t *requestTable) openRequestIDs(c client) (ids []decision.StatementID) {
 	streams := t.byClient[c]
 	for _, stream := range slices.Sorted(maps.Keys(streams)) {
 		ids = append(ids, streams[stream].id)
@@ -81,8 +81,8 @@
 	return ids
 }
 
-// recentIDs remembers the latest ids of requests that were answered: an engine may still hold their results, and would return them
-// for another request of the same id. Of the two generations the older one is forgotten when the newer one is full.
+// recentIDs remembers the ids of the most recently answered requests: an engine may still hold their results and would return them for
+// another request with the same id. When the newer of the two generations is full, the older one is discarded.
 type recentIDs struct {
 	generationSize int
 	newer, older   map[decision.StatementID]struct{}
--- a/internal/proxy/resource_limits.go
+++ b/internal/proxy/resource_limits.go
@@ -8,32 +8,32 @@
 	"bankledge/internal/settings"
 )
 
-// How the machine's file descriptors and memory are divided.
+// Division of the machine's file descriptors and memory.
 const (
 	clientSocketsDivisor = 3    // 1/3 of the descriptors are for clients
-	reservedSockets      = 24   // descriptors for the listener, the control feed, the log and the runtime's own
-	attemptSocketShare   = 0.85 // of the engines' descriptors, for attempts; the rest is for cancels and health checks
+	reservedSockets      = 24   // descriptors for the listener, the control feed, the log and the Go runtime
+	attemptSocketShare   = 0.85 // share of the engines' descriptors for attempts; the rest is for cancels and health checks
 
-	partialFrameDivisor = 12  // 1/12 of the memory is for large frames that have not been received completely
+	partialFrameDivisor = 12  // 1/12 of the memory is for large frames that are not completely received
 	fingerprintDivisor  = 32  // 1/32 of the memory is for the history of query fingerprints
-	answeredIDsPerMB    = 64  // ids of answered requests that are remembered for each MB of memory
-	maxEstimateFactor   = 4   // times the memory of the largest machine that a request may declare
-	heapShare           = 0.6 // of the memory, towards which the runtime collects garbage ever harder
-	heapGrowthPercent   = 400 // between two collections, as long as the heap is far below that
+	answeredIDsPerMB    = 64  // remembered ids of answered requests per MB of memory
+	maxEstimateFactor   = 4   // a request may declare at most this multiple of the largest machine's memory
+	memoryLimitShare    = 0.6 // share of the memory that is the runtime's soft limit: near it, garbage collections become more frequent
+	gcPercent           = 400 // heap growth between two garbage collections while the heap is far below that limit
 )
 
-// resourceLimits are the bounds of each use of the machine's resources.
+// resourceLimits holds the limit for each use of the machine's resources.
 type resourceLimits struct {
 	clientSockets     int
 	engineSockets     int
 	attempts          int   // in flight at once
-	partialFrameBytes int64 // of large frames that have not been received completely, over all connections
+	partialFrameBytes int64 // of large frames that are not completely received, over all connections
 	fingerprintBytes  int64
 	answeredIDs       int // remembered
 	flowControl       flowcontrol.Limits
 
-	cores     float64
-	heapBytes int64
+	cores            float64
+	memoryLimitBytes int64
 }
 
 func divideResources(machine settings.ResourceLimits) resourceLimits {
@@ -49,13 +49,13 @@
 		answeredIDs:       answeredIDsPerMB * int(machine.MemoryMB),
 		flowControl:       flowcontrol.DeriveLimits(machine.MemoryMB, clientSockets),
 		cores:             machine.Cores,
-		heapBytes:         int64(heapShare * float64(memoryBytes)),
+		memoryLimitBytes:  int64(memoryLimitShare * float64(memoryBytes)),
 	}
 }
 
-// applyToRuntime sets the limits that the Go runtime keeps for the whole process.
+// applyToRuntime sets the process-wide limits of the Go runtime.
 func (l resourceLimits) applyToRuntime() {
 	runtime.GOMAXPROCS(max(1, int(l.cores+0.5)))
-	debug.SetGCPercent(heapGrowthPercent)
-	debug.SetMemoryLimit(l.heapBytes)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(l.memoryLimitBytes)
 }
--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -1,11 +1,11 @@
-// Package proxy is the router itself. It receives requests from clients (package downstream), admits them, has the decision module
-// (package policy) decide where and when each runs, dispatches attempts to engines (package upstream) and replies once to each client.
-// Beside that it follows the endpoint list (package discovery) and, where there is a control group, the configuration versions
-// (package controlclient).
+// Package proxy implements the router. It receives requests from clients (package downstream), admits them, has the decision module
+// (package policy) decide where and when each request runs, dispatches attempts to engines (package upstream) and sends one final reply
+// for each request. It also follows the endpoint list (package discovery) and, if a control group is configured, the configuration
+// versions (package controlclient).
 //
-// The path of a request through the files: receive.go and admission.go on the goroutine that reads the client's connection, then
-// event_loop.go, dispatch.go and reply.go on the one goroutine that owns the decision module. request_record.go and
-// request_table.go contain the records of the requests.
+// A request passes through receive.go and admission.go on the goroutine that reads the client's connection, then through event_loop.go,
+// dispatch.go and reply.go on the single goroutine that owns the decision module. request_record.go and request_table.go hold the
+// records of the requests.
 package proxy
 
 import (
@@ -36,36 +36,36 @@
 )
 
 const (
-	// schedulingDelay is how late a call of the decision module may be on a core that other processes use, too.
-	schedulingDelay = 25 * time.Millisecond
+	// maxSchedulingDelay is the longest delay assumed for a call of the decision module on a core shared with other processes.
+	maxSchedulingDelay = 25 * time.Millisecond
 
-	// clockHeadStart lies between the origin of the module's clock and the start of the router, so that an engine that started
-	// before the router has a start time above 0.
-	clockHeadStart = time.Hour
+	// clockOriginOffset is the time between the origin of the module's clock and the start of the router. It gives an engine that
+	// started before the router a start time above 0.
+	clockOriginOffset = time.Hour
 )
 
-// Router owns the clients' and engines' connections, the endpoint list and the event loop that decides. New prepares one, Run serves.
+// Router owns the connections of clients and engines, the endpoint list and the event loop. New prepares a router, Run serves requests.
 type Router struct {
 	config      *settings.Config
 	log         *zap.Logger
 	limits      resourceLimits
-	clockOrigin time.Time // of the module's clock; it holds a monotonic reading
+	clockOrigin time.Time // origin of the module's clock, with a monotonic reading
 	downstream  *downstream.Server
 	upstream    *upstream.Client
 	discovery   *discovery.Client
 	loop        *eventLoop
-	serving     chan net.Addr // the address, once clients can connect
+	serving     chan net.Addr // receives the listen address once clients can connect
 
 	workloadIDs   map[string]decision.WorkloadID
 	tenants       map[decision.Tenant]bool
-	maxEstimateMB float64   // that a request may declare
+	maxEstimateMB float64   // largest memory estimate that a request may declare
 	analysers     sync.Pool // of *sqltext.Analyser
 
-	// enforcedWorkloads are what the invariants hold requests to. The event loop changes their kinds of machine.
+	// enforcedWorkloads are the workloads that the invariant checks use. The event loop updates their allowed machine types.
 	enforcedWorkloads []decision.Workload
 	violations        *invariant.Recorder
 
-	reachable            atomic.Bool // an engine accepted a connection
+	reachable            atomic.Bool // an engine has accepted a connection
 	draining             atomic.Bool // a graceful shutdown has started
 	metrics              metrics
 	classificationCounts atomic.Pointer[classify.Counts]
@@ -73,21 +73,21 @@
 	wallClock            wallClockMonitor
 }
 
-// ConfigLoader reads the configuration again.
+// ConfigLoader reads the configuration for a reload.
 type ConfigLoader func() (*settings.Config, error)
 
-// New prepares a router; nothing runs yet.
+// New prepares a router. It starts no goroutine.
 func New(cfg *settings.Config, log *zap.Logger) *Router {
 	moduleSettings := cfg.Module
 	limits := divideResources(cfg.Limits)
-	moduleSettings.Identity.ClockGranularity = max(moduleSettings.Identity.ClockGranularity, schedulingDelay)
+	moduleSettings.Identity.ClockGranularity = max(moduleSettings.Identity.ClockGranularity, maxSchedulingDelay)
 	moduleSettings.Limits.MaxInFlightAttempts = limits.attempts
-	moduleSettings.Limits.MaxSendDelay = moduleSettings.Connections.ConnectTimeout + schedulingDelay
+	moduleSettings.Limits.MaxSendDelay = moduleSettings.Connections.ConnectTimeout + maxSchedulingDelay
 	r := &Router{
 		config:            cfg,
 		log:               log,
 		limits:            limits,
-		clockOrigin:       time.Now().Add(-clockHeadStart),
+		clockOrigin:       time.Now().Add(-clockOriginOffset),
 		serving:           make(chan net.Addr, 1),
 		workloadIDs:       workloadIDs(moduleSettings.Workloads),
 		tenants:           tenants(moduleSettings),
@@ -118,7 +118,8 @@
 	return known
 }
 
-// maxEstimateMB returns the largest memory estimate that is accepted, in MB: a multiple of the largest machine's memory.
+// maxEstimateMB returns the largest memory estimate that a request may declare, in MB: a multiple of the largest machine's memory, or
+// no limit if the settings state no machine's memory.
 func maxEstimateMB(moduleSettings *settings.ModuleSettings) float64 {
 	largest := 0.0
 	for _, machine := range moduleSettings.Engines.Machines {
@@ -127,8 +128,8 @@
 	return cmp.Or(maxEstimateFactor*largest, math.MaxFloat64)
 }
 
-// Run serves until stop ends, and then until what was admitted is answered. At each signal to reload it applies
-// the configuration that load reads.
+// Run serves requests until stop ends, then until the admitted requests are answered or the time of a graceful shutdown is up. At each
+// reload signal it applies the configuration that load reads.
 func (r *Router) Run(stop context.Context, reload <-chan os.Signal, load ConfigLoader) error {
 	r.limits.applyToRuntime()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -141,7 +142,7 @@
 	r.discovery = discovery.New(r.config.DiscoveryAddress, r.clockOrigin, r.receiveWatchEvent, r.log)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.loop.run(ctx) })
-	knownEndpoints, err := r.applyKnownEvents() // the module receives these before anything else
+	knownEndpoints, err := r.applyKnownEvents() // the module receives these first
 	if err != nil {
 		cancel()
 		listener.Close()
@@ -164,7 +165,7 @@
 	return err
 }
 
-// startServices starts what serves clients, engines and the control plane until ctx ends.
+// startServices starts the goroutines for clients, engines, the control feed, metrics and the control group. They run until ctx ends.
 func (r *Router) startServices(ctx context.Context, group *errgroup.Group, listener net.Listener) {
 	group.Go(func() error { return r.upstream.Run(ctx) })
 	group.Go(func() error { return r.downstream.Serve(ctx, listener) })
@@ -184,13 +185,13 @@
 	return client
 }
 
-// Serving receives the router's address once clients can connect.
+// Serving returns a channel that receives the router's address once clients can connect.
 func (r *Router) Serving() <-chan net.Addr { return r.serving }
 
 // now returns the time on the module's clock.
 func (r *Router) now() time.Duration { return time.Since(r.clockOrigin) }
 
-// ValidateConfig reports what is wrong with a configuration beyond its settings: the first known event that cannot be read.
+// ValidateConfig checks what package settings does not: that each known event can be parsed. It returns the first error.
 func ValidateConfig(cfg *settings.Config) error {
 	for i, raw := range cfg.KnownEvents {
 		if _, _, err := discovery.ParseEvent(raw); err != nil {
--- a/internal/proxy/router_test.go
+++ b/internal/proxy/router_test.go
@@ -17,14 +17,14 @@
 	"bankledge/internal/upstream"
 )
 
-// Every goroutine ends with the router, also with a client connected and a request open.
+// All goroutines end when the router ends, also if a client is connected and a request is open.
 func TestNoGoroutineIsLeaked(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	g := newIdleRouter(decision.Workload{Name: "w", LatencyObjective: time.Second, StatementTimeout: 100 * time.Millisecond})
+	router := newIdleRouter(decision.Workload{Name: "w", LatencyObjective: time.Second, StatementTimeout: 100 * time.Millisecond})
 	stop, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- g.Run(stop, nil, nil) }()
-	address := <-g.Serving()
+	go func() { ended <- router.Run(stop, nil, nil) }()
+	address := <-router.Serving()
 	c, err := net.Dial("tcp", address.String())
 	require.NoError(t, err)
 	defer c.Close()
@@ -38,39 +38,39 @@
 	return invariant.NewRequest(id, &decision.Workload{}, decision.Limits{})
 }
 
-// An attempt that still waits for a connection is cancelled before the client can know of the answer.
+// An attempt that still waits for a connection is cancelled before the answer is sent to the client.
 func TestNothingIsSentAfterTheAnswer(t *testing.T) {
-	g := newIdleRouter()
-	g.upstream = upstream.New(t.Context(), g, 0, time.Minute, time.Minute, g.log) // with no descriptor to be had
+	router := newIdleRouter()
+	router.upstream = upstream.New(t.Context(), router, 0, time.Minute, time.Minute, router.log) // without descriptors nothing is sent
 	req := &request{id: "x", invariants: newInvariants("x"), deadline: time.Now().Add(time.Minute)}
 	answered := false
 	req.client = &fakeClient{onAnswer: func() {
 		answered = true
-		require.False(t, req.attempts[0].CancelUnsent(), "it was cancelled before")
+		require.False(t, req.attempts[0].CancelUnsent(), "the attempt is already cancelled")
 	}}
-	g.loop.requests.byID[req.id] = req
-	g.loop.startAttempt(decision.StartAttempt{Statement: "x", Engine: "e"})
-	g.loop.reply(req, downstream.CodeRejected, nil, decision.ReasonFinished)
+	router.loop.requests.byID[req.id] = req
+	router.loop.startAttempt(decision.StartAttempt{Statement: "x", Engine: "e"})
+	router.loop.reply(req, downstream.CodeRejected, nil, decision.ReasonFinished)
 	require.True(t, answered)
-	ended := (<-g.loop.inbox).message.(attemptEnded)
+	ended := (<-router.loop.inbox).message.(attemptEnded)
 	require.Equal(t, decision.NotSent, ended.event.Outcome)
 }
 
-// A panic in the module loses a batch; a request that it does not answer is aborted at its deadline.
+// A panic in the module loses the actions of one batch. The watchdog aborts a request that the module does not answer by the deadline.
 func TestDecisionModulePanics(t *testing.T) {
-	g := newIdleRouter() // a module without workloads
+	router := newIdleRouter() // without workloads, so workload 7 makes the module panic
 	req := &request{id: "x", invariants: newInvariants("x"), client: &fakeClient{}, receivedAt: time.Now(), deadline: time.Now()}
-	g.metrics.open.Add(1)
+	router.metrics.open.Add(1)
 	arrived := decision.StatementArrived{Statement: "x", Workload: 7}
-	g.loop.handle([]input{{message: &requestArrived{event: arrived, request: req}}})
-	require.Contains(t, g.loop.requests.byID, req.id)
-	g.loop.runWatchdog()
+	router.loop.handle([]input{{message: &requestArrived{event: arrived, request: req}}})
+	require.Contains(t, router.loop.requests.byID, req.id)
+	router.loop.runWatchdog()
 	require.True(t, req.finished)
-	require.Empty(t, g.loop.requests.byID)
-	require.Equal(t, int64(1), g.metrics.aborted.Load())
+	require.Empty(t, router.loop.requests.byID)
+	require.Equal(t, int64(1), router.metrics.aborted.Load())
 }
 
-// The ids of answered requests that are remembered are bounded, and the latest are among them.
+// The number of remembered ids of answered requests is bounded, and the latest ids are remembered.
 func TestRecentIDs(t *testing.T) {
 	ids := recentIDs{generationSize: 10}
 	for i := range 1000 {
@@ -82,8 +82,8 @@
 	require.False(t, ids.has("900"))
 }
 
-// All engines of the configuration were removed: those that the control feed lists instead make the router ready.
-func TestReadyByEnginesThatCameLater(t *testing.T) {
+// The control feed removes all engines of the configuration and lists another one: that engine makes the router ready.
+func TestReadyWithEngineFromControlFeed(t *testing.T) {
 	engine := fakes.NewEngine("e", nil)
 	feed := fakes.NewControlFeed()
 	t.Cleanup(func() {
--- a/internal/proxy/transcript_peers_test.go
+++ b/internal/proxy/transcript_peers_test.go
@@ -26,26 +26,26 @@
 	"bankledge/internal/settings"
 )
 
-const exchangeTimeout = 20 * time.Second // for one step of an exchange
+const exchangeTimeout = 20 * time.Second // limit for one step of an exchange
 
-// The kinds of frame, by the protocol's numbers.
+// Frame kinds of the protocol.
 const (
-	frameReadyAsked = 1
+	frameReadyQuery = 1
 	frameStatement  = 7
 	frameCancel     = 9
 )
 
-// transcript is what one peer of the router saw, in its order. Repeats of a call that is polled periodically count once.
+// transcript records the bytes that one peer of the router sends and receives, in order. Repeated polls are recorded once.
 type transcript struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (p *transcript) add(direction string, raw []byte, repeats bool) {
+func (p *transcript) add(direction string, raw []byte, keepRepeats bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	line := fmt.Sprintf("%s %q", direction, raw)
-	if repeats || !slices.Contains(p.lines, line) {
+	if keepRepeats || !slices.Contains(p.lines, line) {
 		p.lines = append(p.lines, line)
 	}
 }
@@ -56,16 +56,16 @@
 	return strings.Join(p.lines, "\n") + "\n"
 }
 
-// timeLimit is the header with the remaining milliseconds of an attempt, which differ from run to run.
+// timeLimit matches the header with the remaining milliseconds of an attempt, which differ between runs.
 var timeLimit = regexp.MustCompile(`(X-Limit-Ms: )[1-9][0-9]*`)
 
-// httpPeer is an HTTP server that records the bytes of each request and writes the bytes that its script has for it.
+// httpPeer is an HTTP server that records the bytes of each request and responds with scripted bytes.
 type httpPeer struct {
 	transcript
 	listener net.Listener
-	answer   func(method, path string, to net.Conn) (goOn bool)
+	answer   func(method, path string, to net.Conn) (keepOpen bool)
 	conns    sync.WaitGroup
-	open     context.Context // ends with the peer
+	open     context.Context // ends when the peer is closed
 }
 
 func newHTTPPeer(t *testing.T, answer func(p *httpPeer, method, path string, to net.Conn) bool) *httpPeer {
@@ -115,7 +115,7 @@
 	}
 }
 
-// readRequest reads one request as its bytes are, headers and body.
+// readRequest reads the raw bytes of one request, headers and body.
 func readRequest(from *bufio.Reader) (raw []byte, method, path string, err error) {
 	size := 0
 	for {
@@ -143,7 +143,7 @@
 	return append(raw, body...), method, path, err
 }
 
-// reply is an HTTP answer.
+// reply returns the raw bytes of an HTTP response.
 func reply(status int, body string, fields ...string) string {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\n", status)
 	for _, field := range fields {
@@ -152,10 +152,11 @@
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// hang answers nothing.
+// hang as a scripted response leaves the request unanswered.
 const hang = ""
 
-// newEnginePeer answers each call by its method and what follows the id in its path, the last answer ever again.
+// newEnginePeer returns an engine that responds to each call as the script says for its method and the path after the id. The last
+// response of a list is repeated.
 func newEnginePeer(t *testing.T, script map[string][]string) *httpPeer {
 	t.Helper()
 	var mu sync.Mutex
@@ -179,7 +180,7 @@
 	})
 }
 
-// newFeedPeer is a control feed that sends the events that it is given.
+// newFeedPeer returns a control feed and the channel of the events that it sends.
 func newFeedPeer(t *testing.T) (*httpPeer, chan<- string) {
 	t.Helper()
 	events := make(chan string, 1)
@@ -201,7 +202,7 @@
 	return peer, events
 }
 
-// routerUnderTest is a router in this process.
+// routerUnderTest is a router that runs in the test process.
 type routerUnderTest struct {
 	address string
 	stop    context.CancelFunc
@@ -216,12 +217,12 @@
 	r := &routerUnderTest{ended: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	g := proxy.New(cfg, zap.NewNop())
+	router := proxy.New(cfg, zap.NewNop())
 	go func() {
 		defer close(r.ended)
-		r.err = g.Run(ctx, nil, nil)
+		r.err = router.Run(ctx, nil, nil)
 	}()
-	r.address = (<-g.Serving()).String()
+	r.address = (<-router.Serving()).String()
 	t.Cleanup(func() {
 		cancel()
 		<-r.ended
@@ -230,7 +231,7 @@
 	return r
 }
 
-// clientPeer is a client's connection that records the bytes of each frame.
+// clientPeer is a client connection that records the bytes of each frame.
 type clientPeer struct {
 	transcript
 	t    *testing.T
@@ -267,7 +268,7 @@
 	return raw[9:]
 }
 
-// receiveEnd expects the connection's end.
+// receiveEnd requires that the router closes the connection.
 func (c *clientPeer) receiveEnd() {
 	c.t.Helper()
 	_, err := c.from.ReadByte()
@@ -286,7 +287,7 @@
 	t.Helper()
 	for began := time.Now(); time.Since(began) < exchangeTimeout; time.Sleep(time.Millisecond) {
 		c := connect(t, r)
-		c.send(fakes.Frame(frameReadyAsked, 0, "\x00"))
+		c.send(fakes.Frame(frameReadyQuery, 0, "\x00"))
 		if payload := c.receive(); payload[0] == 20 {
 			return c
 		}
@@ -296,7 +297,7 @@
 	return nil
 }
 
-// await waits until a call of this method has arrived.
+// await waits until a request with this method has been recorded.
 func (p *httpPeer) await(t *testing.T, method string) {
 	t.Helper()
 	require.Eventually(t, func() bool { return strings.Contains(p.String(), `> "`+method) }, exchangeTimeout, time.Millisecond)
--- a/internal/proxy/transcript_test.go
+++ b/internal/proxy/transcript_test.go
@@ -16,12 +16,12 @@
 	"bankledge/internal/fakes"
 )
 
-var update = flag.Bool("update", false, "write the transcripts anew instead of comparing with them")
+var update = flag.Bool("update", false, "rewrite the transcripts in testdata")
 
-// field is a name and a value of a statement.
+// field is a name and a value in a statement frame.
 type field struct{ name, value string }
 
-// statement is a frame; changes replace the value of a field, add a field, or take one away (value "-").
+// statement returns a statement frame. Each change replaces the value of a field, adds a field, or removes one (value "-").
 func statement(stream uint32, workload string, changes ...field) []byte {
 	fields := []field{{"c", workload}, {"i", fmt.Sprintf("%016x", 0xabc0+stream)}, {"d", "9000"}, {"t", "acme"}, {"h", "5.5"}, {"heap_mb", "8"}}
 	for _, change := range changes {
@@ -51,7 +51,7 @@
 	oneRow    = "a\tb\n"
 	onePage   = "X-Batches: 1"
 	report    = "X-Gauges: inflight:1;util:0.1"
-	neverRan  = "X-Unrun: 1"
+	notRun    = "X-Unrun: 1"
 	halfDone  = "X-How: done"
 	halfValue = "X-Num: 0.5"
 )
@@ -61,7 +61,7 @@
 	complete = reply(200, oneRow, onePage, report)
 )
 
-// recordedSettings have one tenant, and the workloads lookup (idempotent) and load (at most once).
+// recordedSettings have one tenant and the workloads lookup (idempotent) and load (at most once).
 const recordedSettings = `{"bounds":{"mayCancel":true,"mayProbe":false,"maxAttempts":5,"maxOpen":1000,"connectTimeout":2000000,"idleClose":15000000},
 	"classes":[{"name":"lookup","idempotency":"idempotent","objective":2000000,"deadline":9000000,"gain":1,"lateShare":0.5},
 		{"name":"load","idempotency":"at_most_once","objective":2000000,"deadline":9000000,"gain":1,"lateShare":0.5}],
@@ -70,7 +70,7 @@
 	"feedback":{"fields":["concurrent","load_share"],"via":"inline"},"guarantees":{"drainGrace":1000000},
 	"machineTypes":["k"],"orgs":[{"name":"acme","quotaPerS":1000}],"tick":1000,"zone":"z"}`
 
-// invalidFrames are all that a client may send and have rejected, each with a stream of its own.
+// invalidFrames returns frames of every kind that the router rejects, each on its own stream except the last two.
 func invalidFrames() (frames [][]byte) {
 	stream := uint32(1)
 	add := func(frame func(stream uint32) []byte) {
@@ -94,10 +94,10 @@
 	for _, kind := range []byte{0, 2, 3, 8, 77} {
 		add(func(stream uint32) []byte { return fakes.Frame(kind, stream, "x") })
 	}
-	return append(frames, statement(0, "lookup"), statement(1, "lookup")) // streams that are not new
+	return append(frames, statement(0, "lookup"), statement(1, "lookup")) // invalid and reused streams
 }
 
-// exchanges are complete exchanges; each returns the peers whose transcripts are compared, in their order.
+// exchanges are complete exchanges. Each returns the peers whose transcripts are compared, in order.
 var exchanges = map[string]func(t *testing.T) []fmt.Stringer{
 	"served": func(t *testing.T) []fmt.Stringer {
 		engine := newEnginePeer(t, map[string][]string{"POST": {complete, reply(200, oneRow+oneRow, onePage), reply(200, "", onePage)}})
@@ -105,7 +105,7 @@
 		c.exchange(statement(1, "lookup"))
 		c.exchange(statement(2, "load", field{"h", "-"}, field{"heap_mb", "-"}))
 		c.exchange(statement(3, "lookup", field{"r", "1"}))
-		c.exchange(fakes.Frame(frameReadyAsked, 0, "\x00"))
+		c.exchange(fakes.Frame(frameReadyQuery, 0, "\x00"))
 		return []fmt.Stringer{c, engine}
 	},
 	"served in pages after a wait": func(t *testing.T) []fmt.Stringer {
@@ -116,7 +116,7 @@
 		return []fmt.Stringer{c, engine}
 	},
 	"attempted again": func(t *testing.T) []fmt.Stringer {
-		engine := newEnginePeer(t, map[string][]string{"POST": {reply(500, ""), complete, reply(503, "", neverRan), complete}})
+		engine := newEnginePeer(t, map[string][]string{"POST": {reply(500, ""), complete, reply(503, "", notRun), complete}})
 		c, _ := startWithEngine(t, engine)
 		c.exchange(statement(1, "lookup"))
 		c.exchange(statement(2, "load"))
@@ -138,9 +138,9 @@
 			c.exchange(frame)
 		}
 		c.exchange(statement(100, "lookup"))
-		c.exchange(statement(101, "lookup", field{"i", fmt.Sprintf("%016x", 0xabc0+100)})) // an id that was answered
-		c.exchange(statement(100, "lookup"))                                               // a stream used again
-		c.exchange(fakes.Frame(frameReadyAsked, 7, "\x00"))
+		c.exchange(statement(101, "lookup", field{"i", fmt.Sprintf("%016x", 0xabc0+100)})) // the id of an answered request
+		c.exchange(statement(100, "lookup"))                                               // a reused stream
+		c.exchange(fakes.Frame(frameReadyQuery, 7, "\x00"))
 		return []fmt.Stringer{c, engine}
 	},
 	"framing lost": func(t *testing.T) []fmt.Stringer {
@@ -174,8 +174,8 @@
 		engine := newEnginePeer(t, map[string][]string{"POST": {complete}})
 		feed, events := newFeedPeer(t)
 		c := connect(t, startRouter(t, feed.address(), recordedSettings))
-		c.exchange(fakes.Frame(frameReadyAsked, 0, "\x00"))
-		c.exchange(statement(1, "lookup", field{"d", "300"})) // nothing ran: rejected
+		c.exchange(fakes.Frame(frameReadyQuery, 0, "\x00"))
+		c.exchange(statement(1, "lookup", field{"d", "300"})) // rejected, since nothing ran
 		c.send(statement(2, "lookup"))
 		events <- fmt.Sprintf("id: 2\ndata: {\"n\":2,\"members\":{\"members\":[%s]}}\n\n", fakes.Member("e", engine.address(), "active"))
 		c.receive()
@@ -190,10 +190,10 @@
 		c.receive()
 		late := connect(t, r)
 		late.receive()
-		late.exchange(fakes.Frame(frameReadyAsked, 0, "\x00"))
+		late.exchange(fakes.Frame(frameReadyQuery, 0, "\x00"))
 		late.exchange(statement(1, "odd"))
 		late.exchange(statement(2, "lookup"))
-		c.receive() // its time is up
+		c.receive() // the shutdown's time is up
 		<-r.ended
 		c.receiveEnd()
 		late.receiveEnd()
@@ -209,7 +209,7 @@
 	return awaitReady(t, r), r
 }
 
-// What clients and engines see of the router on the wire, byte for byte but for addresses.
+// The bytes that clients and engines exchange with the router match the recorded transcripts, except for addresses and time limits.
 func TestTranscripts(t *testing.T) {
 	for name, exchange := range exchanges {
 		t.Run(name, func(t *testing.T) {
