--- a/internal/jsonerror/jsonerror.go
+++ b/internal/jsonerror/jsonerror.go
@@ -1,6 +1,6 @@
-// Package jsonerror keeps the texts of encoding/json's errors independent of the names of Go types. Such a text contains the name of
-// the type that a value does not fit, and it is read outside the program: on standard error and in answers over HTTP. A type may be
-// renamed without a change of those texts.
+// Package jsonerror keeps the texts of encoding/json errors independent of the names of Go types. Such a text contains the name of the
+// type that a value does not match, and users see it on standard error and in HTTP responses. With this package a type can be renamed
+// without a change of these texts.
 package jsonerror
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// typeError is an error about a value of the wrong type whose text has the published names.
+// typeError is an error about a value of the wrong type. Its text contains published names instead of Go names.
 type typeError struct {
 	cause error
 	text  string
@@ -19,8 +19,8 @@
 
 func (e *typeError) Unwrap() error { return e.cause }
 
-// WithPublishedNames returns err with the Go names in its text replaced by those that were published, if it is about a value of the
-// wrong type. All other errors are returned as they are.
+// WithPublishedNames replaces the Go names in the text of an error about a value of the wrong type by their published names. It returns
+// all other errors unchanged.
 func WithPublishedNames(err error, names *strings.Replacer) error {
 	var wrongType *json.UnmarshalTypeError
 	if !errors.As(err, &wrongType) {
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -13,45 +13,46 @@
 	"bankledge/internal/jsonerror"
 )
 
-// Config is a router's configuration, checked.
+// Config is a validated configuration of a router.
 type Config struct {
 	Name             string
 	ListenAddress    string
 	Seed             uint64
 	Limits           ResourceLimits
-	DiscoveryAddress string            // of the control feed
-	KnownEvents      []json.RawMessage // of the control feed, up to now
-	LastEventID      int64             // number of the last of them
+	DiscoveryAddress string            // address of the control feed
+	KnownEvents      []json.RawMessage // events of the control feed that are already known
+	LastEventID      int64             // number of the last known event
 	Module           *ModuleSettings
 
-	// ClassificationDisabled takes statements as what their clients declare. It comes from the command line.
+	// ClassificationDisabled makes the router treat statements as their clients declare them. It is set on the command line.
 	ClassificationDisabled bool
 
-	settings any // the settings object as it stands in the file
+	settings any // the decoded settings object of the file
 }
 
-// ResourceLimits is what the platform gives the router.
+// ResourceLimits holds the resources that the platform provides to the router.
 type ResourceLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // open at once
+	Sockets  int     `json:"sockets"` // maximum number of open sockets
 }
 
-// With less than this the router cannot serve at all.
+// Minimum resources: with less the router cannot serve requests.
 const (
 	minMemoryMB = 32
 	minSockets  = 64
 )
 
-// What is wrong with a field of a configuration.
+// Errors of invalid fields.
 var (
 	errMissing     = errors.New("missing")
-	errNone        = errors.New("none")
+	errEmpty       = errors.New("none")
 	errNotPositive = errors.New("not above 0")
 	errNegative    = errors.New("under 0")
 )
 
-// configFile is a configuration as it stands in its file. It is an alias so that errors of encoding/json name only the keys.
+// configFile is the JSON form of a configuration. It is an alias of an unnamed struct, so that errors of encoding/json contain only the
+// JSON keys.
 type configFile = struct {
 	Name   string         `json:"name"`
 	Listen string         `json:"listen"`
@@ -65,7 +66,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads a configuration file; an error names the field.
+// Load reads a configuration file. The error for an invalid field names the field.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return ParseConfig(raw)
 }
 
-// publishedNames are the names of types in the texts of decoding errors, which go to standard error.
+// publishedNames replaces the names of Go types in the texts of decoding errors, which are printed to standard error, by the published
+// names.
 var publishedNames = strings.NewReplacer(
 	"decision.MachineType", "decision.Kind",
 	"settings.Microseconds", "settings.micro",
@@ -82,7 +84,7 @@
 	"field ResourceLimits.", "field Machine.",
 )
 
-// ParseConfig reads a configuration; an error names the field.
+// ParseConfig parses a configuration. The error for an invalid field names the field.
 func ParseConfig(raw []byte) (*Config, error) {
 	var in configFile
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -104,7 +106,7 @@
 		return nil, &FieldError{Field: "settings", Err: err}
 	}
 	if len(module.Workloads) == 0 {
-		return nil, &FieldError{Field: "settings: classes", Err: errNone}
+		return nil, &FieldError{Field: "settings: classes", Err: errEmpty}
 	}
 	return &Config{
 		Name:             in.Name,
@@ -119,7 +121,7 @@
 	}, nil
 }
 
-// checkConfig tells what is wrong around the settings of the module.
+// checkConfig validates all fields except the seed and the module's settings.
 func checkConfig(in *configFile) error {
 	if err := ValidateAddress(in.Listen); err != nil {
 		return &FieldError{Field: "listen", Err: err}
@@ -128,7 +130,7 @@
 		return &FieldError{Field: "feed", Err: err}
 	}
 	switch {
-	case !(in.Limits.Cores > 0): // also if it is not a number
+	case !(in.Limits.Cores > 0): // also rejects NaN
 		return &FieldError{Field: "limits.cores", Err: errNotPositive}
 	case in.Limits.MemoryMB < minMemoryMB:
 		return &FieldError{Field: "limits.memory_mb", Err: fmt.Errorf("under %d", minMemoryMB)}
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// RestartRequired names the fields that differ from another configuration and are read only at the start.
+// RestartRequired returns the names of the fields that differ from another configuration and take effect only at a restart.
 func (c *Config) RestartRequired(other *Config) []string {
 	var fields []string
 	for _, field := range []struct {
@@ -161,7 +163,7 @@
 	return fields
 }
 
-// ValidateAddress returns an AddressError unless a text is an IP address and a port.
+// ValidateAddress returns an AddressError unless the text is an IP address with a port.
 func ValidateAddress(text string) error {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -15,20 +15,20 @@
 
 func TestParseConfig(t *testing.T) {
 	for _, c := range []struct{ name, from, to, err string }{
-		{"as it is", "", "", ""},
-		{"no JSON", `{"name"`, `"name"`, "configuration"},
-		{"a field of another type", `"n":3,"events"`, `"n":"x","events"`, "known.n"},
+		{"valid", "", "", ""},
+		{"invalid JSON", `{"name"`, `"name"`, "configuration"},
+		{"a field of the wrong type", `"n":3,"events"`, `"n":"x","events"`, "known.n"},
 		{"no seed", "8c1f30d27a5be964", "", "seed"},
-		{"a seed that is not hex", "8c1f30d27a5be964", "xyz", "seed"},
+		{"a seed that is not hexadecimal", "8c1f30d27a5be964", "xyz", "seed"},
 		{"no address to listen on", "127.0.0.1:4100", "", "listen"},
-		{"a name in place of an address", "127.0.0.1:4222", "feed:1", "feed"},
+		{"a host name instead of an IP address", "127.0.0.1:4222", "feed:1", "feed"},
 		{"a port too large", "127.0.0.1:4222", "127.0.0.1:99999", "feed"},
 		{"no core", `"cores":1.0`, `"cores":0`, "limits.cores"},
 		{"too little memory", `"memory_mb":192`, `"memory_mb":3`, "limits.memory_mb"},
 		{"too few descriptors", `"sockets":1024`, `"sockets":10`, "limits.sockets"},
-		{"a number below 0", `"known":{"n":3`, `"known":{"n":-3`, "known.n"},
+		{"a negative event number", `"known":{"n":3`, `"known":{"n":-3`, "known.n"},
 		{"no workloads", `{"name":"lookup","idempotency":"idempotent"}`, "", "classes"},
-		{"an unknown effect", `"idempotency":"idempotent"`, `"idempotency":"odd"`, "idempotency"},
+		{"an unknown idempotency", `"idempotency":"idempotent"`, `"idempotency":"odd"`, "idempotency"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := ParseConfig([]byte(strings.Replace(config, c.from, c.to, 1)))
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,6 +1,6 @@
-// Package settings reads what a router is told at its start: the settings of the decision module, which a router's
-// configuration and the bench's wire share, and the configuration around them. It decides nothing.
+// Package settings parses a router's configuration file: the settings of the decision module, which the simulator's protocol
+// uses too, and the fields around them, such as addresses and resource limits.
 //
-// The names of JSON keys, and the words that stand for values, are those of the deployment; package decision has the names
-// of the code. Errors name the key that is wrong.
+// JSON keys and enumerated values have the names of the deployment's files; package decision has the names used in the code.
+// Errors name the invalid key.
 package settings
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// FieldError says what is wrong with a field of a configuration.
+// FieldError is the error of an invalid field of a configuration.
 type FieldError struct {
-	Field string // its key, with those of the objects around it
+	Field string // JSON key, preceded by the keys of the enclosing objects
 	Err   error
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field's key and its error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the field's error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// UnknownWordError is a word that does not stand for any value of its field.
+// UnknownWordError is the error of a word that is not an allowed value of its field.
 type UnknownWordError struct{ Word string }
 
-// Error names the word.
+// Error returns a text that quotes the word.
 func (e UnknownWordError) Error() string { return fmt.Sprintf("unknown word %q", e.Word) }
 
-// AddressError is a text that is not an IP address with a port.
+// AddressError is the error of a text that is not an IP address with a port.
 type AddressError struct{ Text string }
 
-// Error names the text.
+// Error returns a text that quotes the invalid address.
 func (e AddressError) Error() string { return fmt.Sprintf("%q is not an address with a port", e.Text) }
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -9,19 +9,19 @@
 	"bankledge/internal/jsonerror"
 )
 
-// ModuleSettings is what a settings object holds: the settings of the decision module, and those of connections.
+// ModuleSettings holds the contents of a settings object: the settings of the decision module and those of connections.
 type ModuleSettings struct {
 	decision.Settings
 	Connections ConnectionSettings
 }
 
-// ConnectionSettings is what a router that connects to real engines needs besides.
+// ConnectionSettings holds the settings that only a router with real connections to engines needs.
 type ConnectionSettings struct {
-	ConnectTimeout time.Duration // after which a connection that is not established counts as refused
-	IdleTimeout    time.Duration // after which engines close idle connections
+	ConnectTimeout time.Duration // a connection that is not established after this time counts as refused
+	IdleTimeout    time.Duration // engines close a connection that is idle for this time
 }
 
-// ParseModuleSettings translates a settings object into the module's terms.
+// ParseModuleSettings parses a settings object and converts it to the types of package decision.
 func ParseModuleSettings(seed uint64, raw json.RawMessage) (*ModuleSettings, error) {
 	var in info
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -182,10 +182,10 @@
 	}
 }
 
-// entryOr returns an entry of a list, or a default where the list is shorter.
-func entryOr[T any](list []T, i int, otherwise T) T {
+// entryOr returns an entry of a list, or a default value if the list is too short.
+func entryOr[T any](list []T, i int, fallback T) T {
 	if i < len(list) {
 		return list[i]
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/settings/recorded_test.go
+++ b/internal/settings/recorded_test.go
@@ -25,11 +25,11 @@
 	"bankledge/internal/settings"
 )
 
-var update = flag.Bool("update", false, "write the recordings in testdata anew")
+var update = flag.Bool("update", false, "rewrite the recordings in testdata")
 
-// format is one kind of configuration file: how it is read, and what was read in a form that does not depend on Go's names.
+// format is one kind of configuration file. read returns the contents in a form that does not depend on Go names.
 type format struct {
-	name, deployed string // deployed is its file under deploy/, if it has one
+	name, deployed string // deployed is the format's file in deploy/, or empty
 	read           func(path string) (any, error)
 }
 
@@ -66,14 +66,14 @@
 	}},
 }
 
-// badValues stand in for each field of a file in turn, beside its removal.
+// badValues replace each field of a file in turn; the empty value removes the field.
 var badValues = []string{"", `"odd"`, `""`, "-1", "0", "1.5", "1e30", "true", "null", "[]", "{}", `["odd","odd"]`, `{"odd":-1}`}
 
-// goNames are the names of Go types that encoding/json writes into its errors; all else in a message is compared.
+// goNames matches the names of Go types in encoding/json errors. The rest of a message is compared.
 var goNames = regexp.MustCompile(`(Go struct field )\w*|( of type ).+`)
 
-// Each field of each configuration file takes the same values as it did when testdata was written, with the same result, and
-// refuses the same values with the same message.
+// Each field of each configuration file accepts the same values with the same result, and rejects the same values with the same
+// message, as recorded in testdata.
 func TestConfigurationFieldsAreReadAsRecorded(t *testing.T) {
 	for _, f := range formats {
 		t.Run(f.name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 			if f.deployed != "" {
 				text, err := os.ReadFile(filepath.Join(deployed, f.deployed))
 				require.NoError(t, err)
-				require.NoError(t, os.WriteFile(f.deployed, text, 0o600)) // read from here, the folder is no part of what is read
+				require.NoError(t, os.WriteFile(f.deployed, text, 0o600)) // a file in the working directory, so that the result contains no directory
 				got, err := f.read(f.deployed)
 				require.NoError(t, err)
 				lines = append(lines, f.deployed+"\t\t"+digest(t, got))
@@ -104,8 +104,8 @@
 	}
 }
 
-// The files that the bench reads are data to this repository: they stay byte for byte.
-func TestSiteFilesStay(t *testing.T) {
+// The site files, which the simulator reads, are unchanged byte for byte.
+func TestSiteFilesAreUnchanged(t *testing.T) {
 	sites, err := filepath.Glob("../../deploy/sites/*/*.toml")
 	require.NoError(t, err)
 	var lines []string
@@ -117,7 +117,7 @@
 	compare(t, "testdata/sites.recorded", lines)
 }
 
-// compare holds lines against a recording, or writes it anew.
+// compare compares lines with a recording, or rewrites the recording if -update is set.
 func compare(t *testing.T, path string, lines []string) {
 	t.Helper()
 	text := strings.Join(lines, "\n") + "\n"
@@ -129,7 +129,7 @@
 	assert.Equal(t, strings.Split(string(recorded), "\n"), strings.Split(text, "\n"))
 }
 
-// result is the error of a file with this text, or a digest of what is read from it.
+// result returns the quoted error of reading a file with this text, or a digest of its contents.
 func result(t *testing.T, f format, text string) string {
 	t.Helper()
 	require.NoError(t, os.WriteFile("file.json", []byte(text), 0o600))
@@ -144,14 +144,14 @@
 	t.Helper()
 	raw, err := json.Marshal(value)
 	require.NoError(t, err)
-	var plain any // maps come out with sorted keys, whatever the order of a struct's fields
+	var plain any // maps are encoded with sorted keys, independently of the order of struct fields
 	require.NoError(t, json.Unmarshal(raw, &plain))
 	raw, err = json.Marshal(plain)
 	require.NoError(t, err)
 	return fmt.Sprintf("accepted %x", sha256.Sum256(raw))[:25]
 }
 
-// values flattens exported fields in their order, without their names.
+// values flattens the exported fields of a struct in order, without their names.
 func values(v reflect.Value) (all []any) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -182,7 +182,7 @@
 	return []any{v.Interface()}
 }
 
-// fieldPaths are the ways to each field, object and list of a file; of a list, the first two entries.
+// fieldPaths returns the paths of all fields, objects and lists of a file, with the first two entries of each list.
 func fieldPaths(t *testing.T, raw []byte) (paths [][]string) {
 	t.Helper()
 	var walk func(path []string, value any)
@@ -205,7 +205,7 @@
 	return paths
 }
 
-// replaced is the file with another value at a path, or without it where the value is empty.
+// replaced returns the file with another value at a path, or without the field if the value is empty.
 func replaced(t *testing.T, raw []byte, path []string, value string) string {
 	t.Helper()
 	root := parse(t, raw)
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -6,14 +6,14 @@
 	"bankledge/decision"
 )
 
-// Microseconds is a time as settings and the bench's wire write it: a whole number of microseconds.
+// Microseconds is a duration in the JSON of settings and of the simulator's protocol: a whole number of microseconds.
 type Microseconds int64
 
-// Duration returns the time as a duration.
+// Duration returns the value as a time.Duration.
 func (m Microseconds) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// info is the settings object. Keys that it does not name are skipped. Lists about workloads have the order of Classes,
-// those about machine types the order of MachineTypes; both may be shorter.
+// info is the JSON form of the settings object; decoding errors contain its name. Unknown keys are ignored. Lists about
+// workloads have the order of Classes, lists about machine types that of MachineTypes; both may be shorter.
 type info struct {
 	Bounds struct {
 		MayCancel     bool         `json:"mayCancel"`
--- a/internal/settings/words.go
+++ b/internal/settings/words.go
@@ -2,7 +2,7 @@
 
 import "bankledge/decision"
 
-// The words of the settings object. The empty word stands for a key that is left out.
+// Allowed words of enumerated fields in the settings object. The empty word represents an absent key.
 var (
 	idempotencyWords = map[string]decision.Idempotency{
 		"idempotent":   decision.Idempotent,
@@ -27,7 +27,7 @@
 		"inline":   decision.LoadReportsInResponses,
 		"on_probe": decision.LoadReportsByHealthCheck,
 	}
-	// pollWords tells for each kind of discovery whether the endpoint list has to be polled.
+	// pollWords states for each kind of discovery whether the router has to poll the endpoint list.
 	pollWords = map[string]bool{
 		"":           false,
 		"pushed":     false,
@@ -35,7 +35,7 @@
 	}
 )
 
-// ReportFieldWords maps the words for a load report's fields in settings.
+// ReportFieldWords maps the names of load report fields in settings.
 var ReportFieldWords = map[string]decision.LoadReportField{
 	"concurrent": decision.FieldInFlight,
 	"depth":      decision.FieldQueueDepth,
@@ -47,8 +47,8 @@
 	"x1":         decision.FieldDisks,
 }
 
-// ResponseFieldWords maps the words for a load report's fields in engines' responses, which may be those of the settings,
-// too.
+// ResponseFieldWords maps the names of load report fields in engines' responses. Engines may also use the names of
+// ReportFieldWords.
 var ResponseFieldWords = map[string]decision.LoadReportField{
 	"inflight":   decision.FieldInFlight,
 	"queue":      decision.FieldQueueDepth,
@@ -66,7 +66,7 @@
 	"err_ps":     decision.FieldErrorRate,
 }
 
-// LookUpWord returns the value that a field's word stands for, or a FieldError with an UnknownWordError.
+// LookUpWord returns the value of a field's word, or a FieldError with an UnknownWordError.
 func LookUpWord[T any](field, word string, words map[string]T) (T, error) {
 	value, ok := words[word]
 	if !ok {
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,5 +1,5 @@
-// Package strictjson reads JSON that other programs and operators write. What is not understood is an error: ignored, it would be a
-// setting or an instruction that nobody follows.
+// Package strictjson decodes JSON from other programs and operators. Unknown fields and trailing data are errors: if they were ignored, a
+// setting or an instruction would silently have no effect.
 package strictjson
 
 import (
@@ -9,10 +9,10 @@
 	"io"
 )
 
-// ErrTrailingData is returned where something other than white space stands behind the value.
+// ErrTrailingData is returned if something other than white space follows the value.
 var ErrTrailingData = errors.New("something stands behind it")
 
-// Decode reads exactly one JSON value. Its error is that of encoding/json, also for an unknown field, or ErrTrailingData.
+// Decode decodes exactly one JSON value. It returns an error of encoding/json, also for an unknown field, or ErrTrailingData.
 func Decode(raw []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
