--- a/internal/proxy/pause_detector.go
+++ b/internal/proxy/pause_detector.go
@@ -7,8 +7,8 @@
 
 const (
 	pauseThreshold         = 250 * time.Millisecond // a longer time without a heartbeat is a pause
-	catchUpDivisor         = 4                      // for 1/4 of its length after a pause, input counts as received during it
-	maxCatchUp             = 250 * time.Millisecond // limits that time, in which new input is treated as old
+	catchUpDivisor         = 4                      // after a pause, input counts as received during it for 1/4 of its length
+	maxCatchUp             = 250 * time.Millisecond // limits that time, since new input is also treated as old during it
 	maxDiscoveryWait       = 500 * time.Millisecond // for reading the control feed's events of a pause: a long list on a slow core
 	discoveryCheckInterval = time.Millisecond       // between two checks for unread events
 )
