--- a/cmd/bankledge-faultlab/compare_cmd.go
+++ b/cmd/bankledge-faultlab/compare_cmd.go
@@ -45,11 +45,11 @@
 
 // Run plays a schedule from a file.
 func (r *replayCmd) Run() error {
-	s, err := faultlab.LoadSchedule(r.File)
+	s, err := faultlab.LoadScenario(r.File)
 	if err != nil {
 		return err
 	}
-	var schedules []*faultlab.Schedule
+	var schedules []*faultlab.Scenario
 	for range r.Times {
 		schedules = append(schedules, s)
 	}
@@ -69,7 +69,7 @@
 type labelledProgram struct{ label, path string }
 
 // run plays each schedule with each program in turn, and reports.
-func (c *comparison) run(schedules []*faultlab.Schedule) error {
+func (c *comparison) run(schedules []*faultlab.Scenario) error {
 	ctx, cancel := interrupted()
 	defer cancel()
 	var programs []labelledProgram
@@ -103,7 +103,7 @@
 	return c.report(outcomes)
 }
 
-func (c *comparison) playAll(ctx context.Context, programs []labelledProgram, schedules []*faultlab.Schedule) (outcomes []faultlab.Outcome, err error) {
+func (c *comparison) playAll(ctx context.Context, programs []labelledProgram, schedules []*faultlab.Scenario) (outcomes []faultlab.Outcome, err error) {
 	for _, s := range schedules {
 		for _, p := range programs {
 			o, err := c.play(ctx, p.path, p.label, s)
--- a/cmd/bankledge-faultlab/group_cmd.go
+++ b/cmd/bankledge-faultlab/group_cmd.go
@@ -98,12 +98,12 @@
 	group.SetLimit(max(1, c.Parallel))
 	for i := range c.Count {
 		group.Go(func() error {
-			s := faultlab.GenerateGroupSchedule(c.From+i, c.Seconds)
+			s := faultlab.GenerateGroupScenario(c.From+i, c.Seconds)
 			own := options
 			if c.Logs != "" {
 				own.Dir = filepath.Join(c.Logs, strings.ReplaceAll(s.Name, " ", "-"))
 			}
-			h, err := faultlab.Play(ctx, s, own)
+			h, err := faultlab.Run(ctx, s, own)
 			if err != nil {
 				return fmt.Errorf("%s: %w", s.Name, err)
 			}
--- a/cmd/bankledge-faultlab/group_test.go
+++ b/cmd/bankledge-faultlab/group_test.go
@@ -23,9 +23,9 @@
 const maxPlaysAtOnce = 3 // plays of a control group: they ask for little of the machine
 
 // playGroup plays a schedule with processes of the control service and of the router, and has the auditors judge.
-func playGroup(t *testing.T, o faultlab.Options, s *faultlab.Schedule) faultlab.ConsistencyReport {
+func playGroup(t *testing.T, o faultlab.Options, s *faultlab.Scenario) faultlab.ConsistencyReport {
 	t.Helper()
-	h, err := faultlab.Play(context.Background(), s, o)
+	h, err := faultlab.Run(context.Background(), s, o)
 	require.NoError(t, err)
 	c := faultlab.CheckConsistency(h)
 	t.Logf("%d versions, longest contradiction %v of %v (looser %v), %d pairs, leased %.2f, %v", c.Versions, c.LongestContradiction,
@@ -42,8 +42,8 @@
 }
 
 // groupSchedule is a schedule of five routers and a control group of three.
-func groupSchedule(name string, versionInterval float64, faults []faultlab.Fault) *faultlab.Schedule {
-	return &faultlab.Schedule{
+func groupSchedule(name string, versionInterval float64, faults []faultlab.Fault) *faultlab.Scenario {
+	return &faultlab.Scenario{
 		Name:            name,
 		Seed:            1,
 		Routers:         5,
@@ -64,7 +64,7 @@
 	o := fleetPrograms(t)
 	turn := make(chan struct{}, maxPlaysAtOnce)
 	for seed := range uint64(n) {
-		s := faultlab.GenerateGroupSchedule(seed+1, 7)
+		s := faultlab.GenerateGroupScenario(seed+1, 7)
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
 			turn <- struct{}{}
@@ -163,7 +163,7 @@
 	s := groupSchedule("push", 0.2, []faultlab.Fault{
 		{Kind: "group-cut", At: 2, For: 3.5, Routers: []int{0, 1}, Members: []int{0, 1, 2}},
 	})
-	h, err := faultlab.Play(context.Background(), s, o)
+	h, err := faultlab.Run(context.Background(), s, o)
 	require.NoError(t, err)
 	c := faultlab.CheckConsistency(h)
 	assert.Greater(t, c.LongestContradiction, faultlab.GroupDurations.MaxContradiction())
--- a/cmd/bankledge-faultlab/main_test.go
+++ b/cmd/bankledge-faultlab/main_test.go
@@ -41,9 +41,9 @@
 	defer goleak.VerifyNone(t)
 	program := routerProgram(t)
 	for seed := range uint64(n) {
-		s := faultlab.GenerateSchedule(seed+1, 7)
+		s := faultlab.GenerateScenario(seed+1, 7)
 		t.Run(s.Name, func(t *testing.T) {
-			h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
+			h, err := faultlab.Run(context.Background(), s, faultlab.Options{RouterProgram: program})
 			require.NoError(t, err)
 			f := faultlab.Measure(h)
 			t.Logf("%d statements, %.3f in time, %v", f.Statements, f.InTime, s.Faults)
@@ -100,8 +100,8 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &faultlab.Schedule{Name: name, Seed: 1, Routers: 9, Engines: 8, Seconds: 7, Load: c.load, Retries: 2, BusiestFactor: 1, Faults: c.faults}
-			h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
+			s := &faultlab.Scenario{Name: name, Seed: 1, Routers: 9, Engines: 8, Seconds: 7, Load: c.load, Retries: 2, BusiestFactor: 1, Faults: c.faults}
+			h, err := faultlab.Run(context.Background(), s, faultlab.Options{RouterProgram: program})
 			require.NoError(t, err)
 			killed, resumed, restarted := 0, 0, 0
 			for _, e := range h.Events {
@@ -133,8 +133,8 @@
 	defer goleak.VerifyNone(t)
 	program := routerProgram(t)
 	for seed := range uint64((n + 1) / 2) {
-		s := faultlab.GenerateSoakSchedule(602+seed, 15) // without the mends of the incident of wall-clock steps, 602 broke a rule
-		h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
+		s := faultlab.GenerateSoakScenario(602+seed, 15) // without the mends of the incident of wall-clock steps, 602 broke a rule
+		h, err := faultlab.Run(context.Background(), s, faultlab.Options{RouterProgram: program})
 		require.NoError(t, err)
 		assert.Greater(t, faultlab.Measure(h).InTime, 0.2, s.Name)
 		for _, b := range faultlab.Audit(h) {
@@ -151,9 +151,9 @@
 	defer goleak.VerifyNone(t)
 	program := routerProgram(t)
 	for seed := range uint64(n + 1) {
-		s := faultlab.GenerateShutdownSoakSchedule(1+seed, 12)
+		s := faultlab.GenerateShutdownSoakScenario(1+seed, 12)
 		t.Run(s.Name, func(t *testing.T) {
-			h, err := faultlab.Play(context.Background(), s, faultlab.Options{RouterProgram: program})
+			h, err := faultlab.Run(context.Background(), s, faultlab.Options{RouterProgram: program})
 			require.NoError(t, err)
 			assert.Greater(t, faultlab.Measure(h).InTime, 0.2)
 			for _, b := range faultlab.Audit(h) {
--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -9,7 +9,7 @@
 	edits   []edit
 	faults  []faultlab.Fault
 	load    float64
-	adjust  func(*faultlab.Schedule) // of the schedule; nil: none
+	adjust  func(*faultlab.Scenario) // of the schedule; nil: none
 }
 
 // Factors of the mutants' schedules whose attempts take long, over the usual, and the share of clients that cancel.
--- a/cmd/bankledge-faultlab/mutants_cmd.go
+++ b/cmd/bankledge-faultlab/mutants_cmd.go
@@ -69,8 +69,8 @@
 
 // schedule returns the schedule of a mutant. Where the auditor judges attempts that take long, statements run for longer than usual and
 // clients wait for longer.
-func (m mutant) schedule(seed uint64) *faultlab.Schedule {
-	s := &faultlab.Schedule{
+func (m mutant) schedule(seed uint64) *faultlab.Scenario {
+	s := &faultlab.Scenario{
 		Name:          m.name,
 		Seed:          seed,
 		Routers:       len(allRouters),
--- a/cmd/bankledge-faultlab/play.go
+++ b/cmd/bankledge-faultlab/play.go
@@ -32,15 +32,15 @@
 	Seconds float64 `default:"12" help:"Length of each."`
 }
 
-func (s seeds) schedules() (list []*faultlab.Schedule) {
+func (s seeds) schedules() (list []*faultlab.Scenario) {
 	for i := range s.Count {
-		list = append(list, faultlab.GenerateSchedule(s.From+i, s.Seconds))
+		list = append(list, faultlab.GenerateScenario(s.From+i, s.Seconds))
 	}
 	return list
 }
 
 // play plays one schedule, keeps what the flags say, and audits it.
-func (c *common) play(ctx context.Context, program, label string, s *faultlab.Schedule) (faultlab.Outcome, error) {
+func (c *common) play(ctx context.Context, program, label string, s *faultlab.Scenario) (faultlab.Outcome, error) {
 	options := faultlab.Options{RouterProgram: program}
 	if c.Logs != "" {
 		options.Dir = filepath.Join(c.Logs, label, strings.ReplaceAll(s.Name, " ", "-"))
@@ -50,7 +50,7 @@
 		options.Progress = func(part float64) { bar.Set(int(part * progressSteps)) }
 		defer bar.Finish()
 	}
-	h, err := faultlab.Play(ctx, s, options)
+	h, err := faultlab.Run(ctx, s, options)
 	if err != nil {
 		return faultlab.Outcome{}, fmt.Errorf("%s: %w", s.Name, err)
 	}
@@ -59,7 +59,7 @@
 			return faultlab.Outcome{}, err
 		}
 	}
-	return faultlab.Outcome{Label: label, Schedule: s, Metrics: faultlab.Measure(h), Violations: faultlab.Audit(h)}, nil
+	return faultlab.Outcome{Label: label, Scenario: s, Metrics: faultlab.Measure(h), Violations: faultlab.Audit(h)}, nil
 }
 
 func newProgressBar(title string) *progressbar.ProgressBar {
@@ -74,7 +74,7 @@
 func keep(dir string, h *faultlab.History) error {
 	return errors.Join(
 		h.Write(filepath.Join(dir, "history.jsonl")),
-		h.Schedule.Save(filepath.Join(dir, "schedule.json")))
+		h.Scenario.Save(filepath.Join(dir, "schedule.json")))
 }
 
 // report prints outcomes. The error is errViolations where any rule was broken.
--- a/cmd/bankledge-faultlab/shrink_cmd.go
+++ b/cmd/bankledge-faultlab/shrink_cmd.go
@@ -18,7 +18,7 @@
 
 // Run cuts a schedule down and writes what is left.
 func (r *shrinkCmd) Run() error {
-	s, err := faultlab.LoadSchedule(r.File)
+	s, err := faultlab.LoadScenario(r.File)
 	if err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 	defer remove()
 	ctx, cancel := interrupted()
 	defer cancel()
-	fails := func(s *faultlab.Schedule) bool { return r.fails(ctx, program, s) }
+	fails := func(s *faultlab.Scenario) bool { return r.fails(ctx, program, s) }
 	if !fails(s) {
 		return fmt.Errorf("%s: no rule is broken in %d plays", r.File, r.Tries)
 	}
@@ -39,7 +39,7 @@
 }
 
 // fails plays a schedule up to Tries times and reports whether a rule was broken. A play that does not come about breaks none.
-func (r *shrinkCmd) fails(ctx context.Context, program string, s *faultlab.Schedule) bool {
+func (r *shrinkCmd) fails(ctx context.Context, program string, s *faultlab.Scenario) bool {
 	for range r.Tries {
 		o, err := r.play(ctx, program, "shrink", s)
 		if err != nil {
--- a/cmd/bankledge-faultlab/shutdown_mutants.go
+++ b/cmd/bankledge-faultlab/shutdown_mutants.go
@@ -16,7 +16,7 @@
 }
 
 // longStatements has statements run for longer than usual, and clients use connections until the router ends them.
-func longStatements(s *faultlab.Schedule) {
+func longStatements(s *faultlab.Scenario) {
 	s.WorkFactor = shutdownWork
 	s.UseWhileDraining = true
 }
@@ -69,7 +69,7 @@
 		}},
 		faults: retirements(1),
 		load:   0.5,
-		adjust: func(s *faultlab.Schedule) { s.EarlyReloads = true },
+		adjust: func(s *faultlab.Scenario) { s.EarlyReloads = true },
 	},
 	{
 		name:    "idle clients take the connections of others",
@@ -81,7 +81,7 @@
 		}},
 		faults: []faultlab.Fault{{Kind: "crowd", At: 1, For: 9, Routers: allRouters, Amount: idleClientsOfEach}},
 		load:   0.5,
-		adjust: func(s *faultlab.Schedule) {
+		adjust: func(s *faultlab.Scenario) {
 			longStatements(s)
 			s.Descriptors = crowdedRouter
 		},
--- a/cmd/bankledge-faultlab/soak_cmd.go
+++ b/cmd/bankledge-faultlab/soak_cmd.go
@@ -26,9 +26,9 @@
 	defer remove()
 	var outcomes []faultlab.Outcome
 	for seed := s.From; seed < s.From+s.Count; seed++ {
-		schedule := faultlab.GenerateShutdownSoakSchedule(seed, s.Seconds)
+		schedule := faultlab.GenerateShutdownSoakScenario(seed, s.Seconds)
 		if s.Plain {
-			schedule = faultlab.GenerateSoakSchedule(seed, s.Seconds)
+			schedule = faultlab.GenerateSoakScenario(seed, s.Seconds)
 		}
 		o, err := s.play(ctx, program, "soak", schedule)
 		if err != nil {
--- a/internal/faultlab/audit.go
+++ b/internal/faultlab/audit.go
@@ -116,7 +116,7 @@
 
 // isCrowdExcused reports whether a statement was lost on a connection of a router whose descriptors idle clients fill: one that is new may
 // be closed unread, and one that is idle may be closed as the statement crosses the close.
-func isCrowdExcused(s *Schedule, router int, end Event) bool {
+func isCrowdExcused(s *Scenario, router int, end Event) bool {
 	if end.Kind != ClientConnectionLost || end.Took > crossingSlack {
 		return false
 	}
--- a/internal/faultlab/audit_answers.go
+++ b/internal/faultlab/audit_answers.go
@@ -27,7 +27,7 @@
 		case StatementAnswered, ClientConnectionLost:
 			s := sent[e.Statement]
 			finished[e.Statement] = true
-			if isLossExcused(outages[s.Router], s, e) || isCrowdExcused(h.Schedule, s.Router, e) {
+			if isLossExcused(outages[s.Router], s, e) || isCrowdExcused(h.Scenario, s.Router, e) {
 				continue
 			}
 			late := e.At - s.At - s.Budget
--- a/internal/faultlab/audit_extrawork.go
+++ b/internal/faultlab/audit_extrawork.go
@@ -21,7 +21,7 @@
 // auditExtraWork: the extra work of all routers keeps the fleet's bounds, in any window.
 func auditExtraWork(h *History) (found []Violation) {
 	observed := observer.New(ExtraWorkBounds)
-	observed.Allowance[retrybudget.Handshake] = float64(h.Schedule.Routers * h.Schedule.Engines) // one on each link, to begin with
+	observed.Allowance[retrybudget.Handshake] = float64(h.Scenario.Routers * h.Scenario.Engines) // one on each link, to begin with
 	started := map[string]bool{}
 	for _, e := range h.Events {
 		switch e.Kind {
--- a/internal/faultlab/audit_test.go
+++ b/internal/faultlab/audit_test.go
@@ -76,7 +76,7 @@
 		{"many further executions", "harm", append(many(100, StatementSent), many(100, AttemptStarted)...), true},
 	} {
 		t.Run(c.auditor+": "+c.name, func(t *testing.T) {
-			h := &History{Schedule: &Schedule{Seconds: 20, Engines: 1, Routers: 2}, Events: append(c.events, end)}
+			h := &History{Scenario: &Scenario{Seconds: 20, Engines: 1, Routers: 2}, Events: append(c.events, end)}
 			h.Sort()
 			found := false
 			for _, b := range Audit(h) {
@@ -107,7 +107,7 @@
 
 func TestRecovery(t *testing.T) {
 	play := func(serves func(second int) bool) *History {
-		h := &History{Schedule: &Schedule{Seconds: 20, Engines: 1, Faults: []Fault{{Kind: "reset", At: 5}, {Kind: "stop", At: 5, For: 2}}}}
+		h := &History{Scenario: &Scenario{Seconds: 20, Engines: 1, Faults: []Fault{{Kind: "reset", At: 5}, {Kind: "stop", At: 5, For: 2}}}}
 		for i := range 20 {
 			for j := range 10 {
 				s := Event{At: time.Duration(i)*sec + time.Duration(j)*100*time.Millisecond, Kind: StatementSent, Statement: fmt.Sprintf("%d-%d-0", i, j), Workload: "lookup", Budget: 2 * sec}
--- a/internal/faultlab/consistency.go
+++ b/internal/faultlab/consistency.go
@@ -82,8 +82,8 @@
 func CheckConsistency(h *History) ConsistencyReport {
 	c := &consistencyChecker{
 		versions:   map[uint64]*configversion.Version{},
-		localRules: localRules(h.Schedule.Routers),
-		routers:    make([]routerState, h.Schedule.Routers),
+		localRules: localRules(h.Scenario.Routers),
+		routers:    make([]routerState, h.Scenario.Routers),
 		open:       map[routerPair]openContradiction{},
 		loosened:   map[routerPair]time.Duration{},
 		seen:       map[contradiction]bool{},
--- a/internal/faultlab/control_benchmark.go
+++ b/internal/faultlab/control_benchmark.go
@@ -64,7 +64,7 @@
 
 // Run measures once. The error is that of a process that does not start, or of routers that do not get a lease or a version in time.
 func (b ControlBenchmark) Run(ctx context.Context) (ControlMetrics, error) {
-	schedule := &Schedule{Routers: 1, ControlMembers: b.Members}
+	schedule := &Scenario{Routers: 1, ControlMembers: b.Members}
 	run := &benchmarkRun{ControlBenchmark: b, fleet: newFleet(schedule, Options{ControlProgram: b.Program}, b.Dir)}
 	run.metrics.Routers = b.Routers
 	defer run.fleet.close()
--- a/internal/faultlab/fleet.go
+++ b/internal/faultlab/fleet.go
@@ -14,7 +14,7 @@
 
 // fleet is what one play runs: the processes, the links between them, and the history that they leave.
 type fleet struct {
-	schedule    *Schedule
+	schedule    *Scenario
 	options     Options
 	dir         string
 	began       time.Time
@@ -31,7 +31,7 @@
 	knownVersions map[uint64]*configversion.Version // written by the control group, by number
 }
 
-func newFleet(s *Schedule, o Options, dir string) *fleet {
+func newFleet(s *Scenario, o Options, dir string) *fleet {
 	return &fleet{
 		schedule:      s,
 		options:       o,
--- a/internal/faultlab/generate.go
+++ b/internal/faultlab/generate.go
@@ -17,7 +17,7 @@
 	shutdownSoakStream = 49
 )
 
-// drawnFaults are the kinds of faults that GenerateSchedule draws.
+// drawnFaults are the kinds of faults that GenerateScenario draws.
 var drawnFaults = []FaultKind{"cut", "cut-there", "cut-back", "delay", "slow", faultResetLinks, faultRefuseConnections, faultBlockFeed,
 	faultKillRouters, faultStopRouters, faultTerminateRouters, faultReplaceEngines, faultLoseEngines, faultSlowEngines, faultFailingEngines, faultSurge}
 
@@ -41,11 +41,11 @@
 	return list
 }
 
-// GenerateSchedule draws a schedule from a seed: nine routers, eight engines, one to three faults of the kinds that a fleet sees, over by
+// GenerateScenario draws a schedule from a seed: nine routers, eight engines, one to three faults of the kinds that a fleet sees, over by
 // two thirds of the time. length is in seconds.
-func GenerateSchedule(seed uint64, length float64) *Schedule {
+func GenerateScenario(seed uint64, length float64) *Scenario {
 	g := newGenerator(seed, scheduleStream)
-	s := &Schedule{Name: fmt.Sprintf("seed %d", seed), Seed: seed, Routers: 9, Engines: 8, Seconds: length, Retries: 2}
+	s := &Scenario{Name: fmt.Sprintf("seed %d", seed), Seed: seed, Routers: 9, Engines: 8, Seconds: length, Retries: 2}
 	s.Load = g.between(0.35, 0.7)
 	s.BusiestFactor = g.between(1, 4)
 	for range 1 + g.random.IntN(3) {
@@ -55,7 +55,7 @@
 	return s
 }
 
-func (g generator) fault(s *Schedule) Fault {
+func (g generator) fault(s *Scenario) Fault {
 	f := Fault{Kind: g.kind(drawnFaults)}
 	f.At = g.between(0.2, 0.4) * s.Seconds
 	spec := faultKinds[f.Kind]
@@ -83,15 +83,15 @@
 	return f
 }
 
-// drawnGroupFaults are the kinds of faults that GenerateGroupSchedule draws; one that stands twice comes twice as often.
+// drawnGroupFaults are the kinds of faults that GenerateGroupScenario draws; one that stands twice comes twice as often.
 var drawnGroupFaults = []FaultKind{"group-cut", "group-cut-there", "group-cut-back", "group-delay", faultResetGroupLinks, faultPartitionMembers,
 	faultKillMembers, faultStopMembers, faultStopMembers, faultKillRouters, faultStopRouters, faultStopRouters}
 
-// GenerateGroupSchedule draws a schedule of a control group's faults from a seed: five routers, a group of three (one in four: of one or
+// GenerateGroupScenario draws a schedule of a control group's faults from a seed: five routers, a group of three (one in four: of one or
 // five), proposals at one of three rates, one to four faults, over by three quarters of the time. length is in seconds.
-func GenerateGroupSchedule(seed uint64, length float64) *Schedule {
+func GenerateGroupScenario(seed uint64, length float64) *Scenario {
 	g := newGenerator(seed, groupStream)
-	s := &Schedule{
+	s := &Scenario{
 		Name:           fmt.Sprintf("group seed %d", seed),
 		Seed:           seed,
 		Routers:        5,
@@ -112,7 +112,7 @@
 	return s
 }
 
-func (g generator) groupFault(s *Schedule) Fault {
+func (g generator) groupFault(s *Scenario) Fault {
 	f := Fault{Kind: g.kind(drawnGroupFaults)}
 	f.At = (0.15 + 0.35*g.random.Float64()) * s.Seconds
 	f.Amount = 0.05 + g.random.Float64()
--- a/internal/faultlab/generate_shutdown_soak.go
+++ b/internal/faultlab/generate_shutdown_soak.go
@@ -25,11 +25,11 @@
 // outageFaults are the kinds of faults that end or suspend a router's process.
 var outageFaults = []FaultKind{faultKillRouters, faultStopRouters, faultTerminateRouters}
 
-// GenerateShutdownSoakSchedule draws a soak as GenerateSoakSchedule does from the same seed, and beside its faults shutdowns as operators
+// GenerateShutdownSoakScenario draws a soak as GenerateSoakScenario does from the same seed, and beside its faults shutdowns as operators
 // begin them: clients use open connections until the kill, which comes as soon as the protocol allows; signals come in series, also before
 // a router is ready; routers start again at once. One soak in three has short deadlines, and one in three a crowd of idle clients.
-func GenerateShutdownSoakSchedule(seed uint64, length float64) *Schedule {
-	s := GenerateSoakSchedule(seed, length)
+func GenerateShutdownSoakScenario(seed uint64, length float64) *Scenario {
+	s := GenerateSoakScenario(seed, length)
 	g := newGenerator(seed, shutdownSoakStream)
 	s.Name = fmt.Sprintf("shutdown soak seed %d", seed)
 	s.UseWhileDraining = true
@@ -62,7 +62,7 @@
 	return s
 }
 
-func (g generator) idleClients(s *Schedule) Fault {
+func (g generator) idleClients(s *Scenario) Fault {
 	return Fault{
 		Kind:    faultIdleClients,
 		At:      g.between(0, 1-largestCrowdDuration) * s.Seconds,
@@ -74,7 +74,7 @@
 
 // routersWithoutOutage lists the routers that no fault ends or suspends. It leaves out faults until those are a third of all: two outages
 // of one process at once would be no shutdown any more.
-func (s *Schedule) routersWithoutOutage() []int {
+func (s *Scenario) routersWithoutOutage() []int {
 	for {
 		free := s.allRouters()
 		last := -1
@@ -91,7 +91,7 @@
 	}
 }
 
-func (s *Schedule) allRouters() (indexes []int) {
+func (s *Scenario) allRouters() (indexes []int) {
 	for i := range s.Routers {
 		indexes = append(indexes, i)
 	}
--- a/internal/faultlab/generate_soak.go
+++ b/internal/faultlab/generate_soak.go
@@ -27,11 +27,11 @@
 	"cut", "cut-there", "cut-back", "delay", faultResetLinks, faultRefuseConnections, faultBlockFeed, faultKillRouters, faultStopRouters,
 	faultStopRouters, faultTerminateRouters, faultReplaceEngines, faultLoseEngines, faultSlowEngines, faultFailingEngines, faultSurge}
 
-// GenerateSoakSchedule draws a schedule from a seed whose faults overlap in time: 10 to 24 routers, six to fourteen faults of all kinds,
+// GenerateSoakScenario draws a schedule from a seed whose faults overlap in time: 10 to 24 routers, six to fourteen faults of all kinds,
 // clients that cancel, clocks that step by seconds or an hour either way, also before routers start again. length is in seconds.
-func GenerateSoakSchedule(seed uint64, length float64) *Schedule {
+func GenerateSoakScenario(seed uint64, length float64) *Scenario {
 	g := newGenerator(seed, soakStream)
-	s := &Schedule{Name: fmt.Sprintf("soak seed %d", seed), Seed: seed, Engines: 8, Seconds: length}
+	s := &Scenario{Name: fmt.Sprintf("soak seed %d", seed), Seed: seed, Engines: 8, Seconds: length}
 	s.Routers = minSoakRouters + g.random.IntN(maxSoakRouters-minSoakRouters+1)
 	s.Retries = g.random.IntN(3)
 	s.Load = g.between(0.3, 0.6)
@@ -50,7 +50,7 @@
 	return s
 }
 
-func (g generator) soakFault(s *Schedule) Fault {
+func (g generator) soakFault(s *Scenario) Fault {
 	f := Fault{Kind: g.kind(soakFaults)}
 	f.At = g.between(0, 1-soakQuietShare) * s.Seconds
 	spec := faultKinds[f.Kind]
--- a/internal/faultlab/history.go
+++ b/internal/faultlab/history.go
@@ -75,7 +75,7 @@
 
 // History is what one play of a schedule left.
 type History struct {
-	Schedule *Schedule
+	Scenario *Scenario
 	Events   []Event // in order of time
 	Versions []*configversion.Version
 }
--- a/internal/faultlab/host_faults.go
+++ b/internal/faultlab/host_faults.go
@@ -21,7 +21,7 @@
 }
 
 // needsHosts reports whether the schedule has faults of routers' hosts.
-func (s *Schedule) needsHosts() bool {
+func (s *Scenario) needsHosts() bool {
 	for _, f := range s.Faults {
 		if _, ok := hostFaults[f.Kind]; ok {
 			return true
--- a/internal/faultlab/metrics.go
+++ b/internal/faultlab/metrics.go
@@ -64,7 +64,7 @@
 	for _, e := range h.Events {
 		m.add(e)
 	}
-	return m.metrics(h.Schedule)
+	return m.metrics(h.Scenario)
 }
 
 func (m *measurement) add(e Event) {
@@ -133,7 +133,7 @@
 	m.wastedWork += min(started.Work, (e.At-started.At).Seconds()*threads)
 }
 
-func (m *measurement) metrics(s *Schedule) Metrics {
+func (m *measurement) metrics(s *Scenario) Metrics {
 	firstFault := seconds(s.Seconds)
 	for _, f := range s.Faults {
 		firstFault = min(firstFault, seconds(f.At))
--- a/internal/faultlab/play.go
+++ b/internal/faultlab/play.go
@@ -20,9 +20,9 @@
 // progressInterval is the time between two calls of Options.Progress.
 const progressInterval = 100 * time.Millisecond
 
-// Play plays a schedule and returns its history in order of time. Everything that it starts has ended when it returns. The error
+// Run plays a schedule and returns its history in order of time. Everything that it starts has ended when it returns. The error
 // is that of an invalid schedule, of a process that does not start, or of the context.
-func Play(ctx context.Context, s *Schedule, o Options) (*History, error) {
+func Run(ctx context.Context, s *Scenario, o Options) (*History, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 
 // finishHistory returns what was recorded, with the versions that the control group wrote.
 func (f *fleet) finishHistory() (*History, error) {
-	h := &History{Schedule: f.schedule}
+	h := &History{Scenario: f.schedule}
 	if err := f.collectVersions(h); err != nil {
 		return nil, err
 	}
--- a/internal/faultlab/report.go
+++ b/internal/faultlab/report.go
@@ -12,7 +12,7 @@
 // Outcome is what one play came to.
 type Outcome struct {
 	Label      string      `json:"label"` // of the router's program
-	Schedule   *Schedule   `json:"schedule"`
+	Scenario   *Scenario   `json:"schedule"`
 	Metrics    Metrics     `json:"figures"`
 	Violations []Violation `json:"breaches"`
 }
@@ -26,7 +26,7 @@
 	b.WriteString("| schedule | program | faults | statements | in time | rejected | work wasted | probes /engine s | further /engine s | called off | dials | p50 | p99 | back | broken |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, o := range outcomes {
-		writeMarkdownRow(&b, o.Schedule.Name, o.Label, faultNames(o.Schedule), o.Metrics, len(o.Violations))
+		writeMarkdownRow(&b, o.Scenario.Name, o.Label, faultNames(o.Scenario), o.Metrics, len(o.Violations))
 	}
 	for _, label := range labels(outcomes) {
 		mean, violations := meanMetrics(outcomes, label)
@@ -47,15 +47,15 @@
 func writeViolations(b *strings.Builder, o Outcome) {
 	for i, v := range o.Violations {
 		if i == maxListed {
-			fmt.Fprintf(b, "- %s, %s: and %d more\n", o.Schedule.Name, o.Label, len(o.Violations)-i)
+			fmt.Fprintf(b, "- %s, %s: and %d more\n", o.Scenario.Name, o.Label, len(o.Violations)-i)
 			return
 		}
-		fmt.Fprintf(b, "- %s, %s, %s, at %v: %s\n", o.Schedule.Name, o.Label, v.Auditor, v.At.Round(time.Millisecond), v.Text)
+		fmt.Fprintf(b, "- %s, %s, %s, at %v: %s\n", o.Scenario.Name, o.Label, v.Auditor, v.At.Round(time.Millisecond), v.Text)
 	}
 }
 
 // faultNames lists the kinds of a schedule's faults.
-func faultNames(s *Schedule) string {
+func faultNames(s *Scenario) string {
 	var names []string
 	for _, f := range s.Faults {
 		names = append(names, string(f.Kind))
@@ -130,9 +130,9 @@
 	for _, o := range outcomes {
 		m := o.Metrics
 		rows = append(rows, Row{
-			Schedule:           o.Schedule.Name,
+			Schedule:           o.Scenario.Name,
 			Program:            o.Label,
-			Faults:             faultNames(o.Schedule),
+			Faults:             faultNames(o.Scenario),
 			InTime:             m.InTime,
 			Rejected:           m.Rejected,
 			Wasted:             m.Wasted,
--- a/internal/faultlab/router_test.go
+++ b/internal/faultlab/router_test.go
@@ -21,7 +21,7 @@
 	dir := t.TempDir()
 	program := filepath.Join(dir, "router")
 	require.NoError(t, os.WriteFile(program, []byte("#!/bin/sh\nexec sleep 60\n"), 0o700))
-	r, err := newFleet(&Schedule{Routers: 1}, Options{RouterProgram: program}, dir).newRouter(0)
+	r, err := newFleet(&Scenario{Routers: 1}, Options{RouterProgram: program}, dir).newRouter(0)
 	require.NoError(t, err)
 	notAwaited, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/faultlab/schedule.go
+++ b/internal/faultlab/schedule.go
@@ -23,9 +23,9 @@
 	maxJsonnetStack = 200
 )
 
-// Schedule is an experiment: a fleet, its traffic, and the faults injected into it. The same schedule gives the same statements at
+// Scenario is an experiment: a fleet, its traffic, and the faults injected into it. The same schedule gives the same statements at
 // the same times and the same faults; what processes and their machine make of them differs from play to play.
-type Schedule struct {
+type Scenario struct {
 	Name              string  `json:"name"`
 	Seed              uint64  `json:"seed"`
 	Routers           int     `json:"routers"`
@@ -59,12 +59,12 @@
 }
 
 // scaledTimeout returns a duration of a client, scaled by the schedule's patience.
-func (s *Schedule) scaledTimeout(usual time.Duration) time.Duration {
+func (s *Scenario) scaledTimeout(usual time.Duration) time.Duration {
 	return time.Duration(cmp.Or(s.PatienceFactor, 1) * float64(usual))
 }
 
 // FaultsEnd is the end of the last fault, in seconds.
-func (s *Schedule) FaultsEnd() (end float64) {
+func (s *Scenario) FaultsEnd() (end float64) {
 	for _, f := range s.Faults {
 		end = max(end, f.At+f.For)
 	}
@@ -72,12 +72,12 @@
 }
 
 // sortFaults orders the faults by time.
-func (s *Schedule) sortFaults() {
+func (s *Scenario) sortFaults() {
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(1e6 * (a.At - b.At)) })
 }
 
 // Validate returns an error that names the first field that is wrong.
-func (s *Schedule) Validate() error {
+func (s *Scenario) Validate() error {
 	for _, field := range []struct {
 		name     string
 		value    float64
@@ -113,7 +113,7 @@
 func isBetween(value, low, high float64) bool { return value >= low && value <= high }
 
 // validateFault returns an error that begins with the name of the field that is wrong.
-func (s *Schedule) validateFault(f Fault) error {
+func (s *Scenario) validateFault(f Fault) error {
 	spec, known := faultKinds[f.Kind]
 	maxAmount := cmp.Or(spec.maxAmount, defaultMaxAmount)
 	switch {
@@ -149,23 +149,23 @@
 	return !slices.ContainsFunc(indexes, func(i int) bool { return i < low || i > high })
 }
 
-// LoadSchedule reads a schedule, Jsonnet or JSON, and validates it; an error names the field.
-func LoadSchedule(path string) (*Schedule, error) {
+// LoadScenario reads a schedule, Jsonnet or JSON, and validates it; an error names the field.
+func LoadScenario(path string) (*Scenario, error) {
 	vm := jsonnet.MakeVM()
 	vm.MaxStack = maxJsonnetStack
 	text, err := vm.EvaluateFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("schedule: %w", err)
 	}
-	s := &Schedule{}
+	s := &Scenario{}
 	if err := json.Unmarshal([]byte(text), s); err != nil {
 		return nil, fmt.Errorf("schedule: %w", err)
 	}
 	return s, s.Validate()
 }
 
-// Save writes a schedule where LoadSchedule finds it.
-func (s *Schedule) Save(path string) error {
+// Save writes a schedule where LoadScenario finds it.
+func (s *Scenario) Save(path string) error {
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
 		return err
--- a/internal/faultlab/schedule_test.go
+++ b/internal/faultlab/schedule_test.go
@@ -36,33 +36,33 @@
 	} {
 		path := filepath.Join(t.TempDir(), "s.jsonnet")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := LoadSchedule(path)
+		_, err := LoadScenario(path)
 		if says == "" {
 			assert.NoError(t, err, text)
 		} else if assert.Error(t, err, text) {
 			assert.Contains(t, err.Error(), says)
 		}
 	}
-	_, err := LoadSchedule("no/such/file")
+	_, err := LoadScenario("no/such/file")
 	assert.Error(t, err)
 }
 
 func TestGeneratedSchedulesRepeat(t *testing.T) {
 	seen := map[FaultKind]bool{}
 	for seed := range uint64(200) {
-		s := GenerateSchedule(seed, 12)
+		s := GenerateScenario(seed, 12)
 		require.NoError(t, s.Validate())
-		require.Equal(t, s, GenerateSchedule(seed, 12))
+		require.Equal(t, s, GenerateScenario(seed, 12))
 		assert.Less(t, s.FaultsEnd(), 8.0, "faults are over by two thirds of the time")
-		g := GenerateGroupSchedule(seed, 12)
+		g := GenerateGroupScenario(seed, 12)
 		require.NoError(t, g.Validate())
-		require.Equal(t, g, GenerateGroupSchedule(seed, 12))
-		soak := GenerateSoakSchedule(seed, 12)
+		require.Equal(t, g, GenerateGroupScenario(seed, 12))
+		soak := GenerateSoakScenario(seed, 12)
 		require.NoError(t, soak.Validate())
-		require.Equal(t, soak, GenerateSoakSchedule(seed, 12))
-		shutdowns := GenerateShutdownSoakSchedule(seed, 12)
+		require.Equal(t, soak, GenerateSoakScenario(seed, 12))
+		shutdowns := GenerateShutdownSoakScenario(seed, 12)
 		require.NoError(t, shutdowns.Validate())
-		require.Equal(t, shutdowns, GenerateShutdownSoakSchedule(seed, 12))
+		require.Equal(t, shutdowns, GenerateShutdownSoakScenario(seed, 12))
 		for _, f := range slices.Concat(s.Faults, g.Faults, soak.Faults, shutdowns.Faults) {
 			seen[f.Kind] = true
 		}
@@ -71,17 +71,17 @@
 	assert.Len(t, seen, len(faultKinds), "all kinds are drawn")
 	assert.Len(t, FaultKinds(), len(faultKinds))
 	path := filepath.Join(t.TempDir(), "s.json")
-	require.NoError(t, GenerateSchedule(7, 12).Save(path))
-	again, err := LoadSchedule(path)
+	require.NoError(t, GenerateScenario(7, 12).Save(path))
+	again, err := LoadScenario(path)
 	require.NoError(t, err)
-	assert.Equal(t, GenerateSchedule(7, 12), again)
+	assert.Equal(t, GenerateScenario(7, 12), again)
 }
 
 // Seeds stand in histories and in reports, so they have to give the same schedules and settings as ever.
 func TestGeneratedSchedulesStayTheSame(t *testing.T) {
 	recorded := sha256.New()
 	for seed := range uint64(200) {
-		for _, s := range []*Schedule{GenerateSchedule(seed, 12), GenerateGroupSchedule(seed, 7), GenerateSoakSchedule(seed, 20)} {
+		for _, s := range []*Scenario{GenerateScenario(seed, 12), GenerateGroupScenario(seed, 7), GenerateSoakScenario(seed, 20)} {
 			require.NoError(t, json.NewEncoder(recorded).Encode(s))
 			recorded.Write([]byte(fleetSettings(s, 3)))
 		}
@@ -90,10 +90,10 @@
 }
 
 func TestShrink(t *testing.T) {
-	s := &Schedule{Routers: 9, Engines: 8, Seconds: 12, Load: 0.5, Retries: 2, Faults: []Fault{
+	s := &Scenario{Routers: 9, Engines: 8, Seconds: 12, Load: 0.5, Retries: 2, Faults: []Fault{
 		{Kind: "stop", At: 1, For: 2, Routers: []int{0, 1, 2, 3}}, {Kind: "cut", At: 2, For: 3, Routers: []int{1, 4, 5}, Engines: []int{0, 3, 6}}, {Kind: "feed", At: 2, For: 1, Routers: []int{8}}}}
 	plays := 0
-	least := Shrink(s, func(c *Schedule) bool { // fails where router 4 is cut from engine 3 for a second
+	least := Shrink(s, func(c *Scenario) bool { // fails where router 4 is cut from engine 3 for a second
 		plays++
 		for _, f := range c.Faults {
 			if f.Kind == "cut" && f.For >= 1 {
--- a/internal/faultlab/shutdown.go
+++ b/internal/faultlab/shutdown.go
@@ -16,7 +16,7 @@
 )
 
 // earliestKill is how long after SIGTERM a router may be killed at the earliest.
-func (s *Schedule) earliestKill() time.Duration {
+func (s *Scenario) earliestKill() time.Duration {
 	longest := time.Duration(0)
 	for _, w := range workloads {
 		longest = max(longest, s.scaledTimeout(w.timeout))
--- a/internal/faultlab/traffic.go
+++ b/internal/faultlab/traffic.go
@@ -48,7 +48,7 @@
 	table    int
 }
 
-func newArrivals(s *Schedule) *arrivals {
+func newArrivals(s *Scenario) *arrivals {
 	random := rand.New(rand.NewPCG(s.Seed, trafficStream))
 	mean := 0.0
 	weights := make([]float64, len(workloads))
--- a/internal/faultlab/workload.go
+++ b/internal/faultlab/workload.go
@@ -47,7 +47,7 @@
 var engineSlowStart = fakes.SlowStart{InitialShare: 0.31, MaxLoadFactor: 4, WarmUpTime: 5 * time.Second, Window: time.Second}
 
 // fleetSettings returns the settings of one router as JSON: the rules are those of the users' fleet, with durations a third as long.
-func fleetSettings(s *Schedule, router int) string {
+func fleetSettings(s *Scenario, router int) string {
 	routers := s.ConfiguredRouters
 	if routers == 0 {
 		routers = s.Routers
