--- a/internal/rules/compare.go
+++ b/internal/rules/compare.go
@@ -1,20 +1,21 @@
 package rules
 
-// Field describes one field of Rules: when two values of it conflict, and which value is safe beside both.
+// Field describes one field of Rules: when two values of the field conflict, and which value conflicts with neither of them.
 type Field struct {
-	Name        string // as in a document
-	Description string // of a conflict: "a router ... than the other's rules allow"
-	Consequence string // of a conflict, for users
+	Name        string // JSON key
+	Description string // what a conflict means; completes the sentence "a router ... than the other's rules allow"
+	Consequence string // what users may experience during a conflict
 
-	conflicts func(a, b *Rules) bool    // a permits what b forbids
-	intersect func(a, b, result *Rules) // sets the field of result to the value that permits what both permit
-	check     func(r *Rules) error      // returns an error if the value is not valid
+	conflicts func(a, b *Rules) bool    // reports whether a permits something that b forbids
+	intersect func(a, b, result *Rules) // sets the field of result to the value that permits exactly what both permit
+	check     func(r *Rules) error      // returns an error if the value is invalid
 }
 
-// Fields returns the description of each field of Rules, in the order of a document. The caller must not change it.
+// Fields returns the description of each field of Rules, in the order in which the fields are encoded. The caller must not modify the
+// slice.
 func Fields() []Field { return fields }
 
-// Conflicts returns the fields in which a router acting on a does what b forbids.
+// Conflicts returns the fields in which a permits something that b forbids. It is not symmetric: Conflicts(b, a) may differ.
 func Conflicts(a, b *Rules) []Field {
 	var conflicting []Field
 	for _, f := range fields {
@@ -25,8 +26,8 @@
 	return conflicting
 }
 
-// Intersect returns the rules that permit what both a and b permit: in each field the more restrictive value. It is idempotent,
-// commutative and associative. The result shares no map with a and b, but may share lists.
+// Intersect returns the rules that permit exactly what both a and b permit. The operation is idempotent, commutative and associative. The
+// result shares no maps with a and b, but may share slices.
 func Intersect(a, b *Rules) *Rules {
 	result := new(Rules)
 	for _, f := range fields {
--- a/internal/rules/compare_test.go
+++ b/internal/rules/compare_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func requireSame(t *rapid.T, property string, a, b *Rules) {
+func requireSameEncoding(t *rapid.T, property string, a, b *Rules) {
 	t.Helper()
 	encodedA, encodedB := string(a.Canonical()), string(b.Canonical())
 	if encodedA != encodedB {
@@ -18,25 +18,25 @@
 	}
 }
 
-// Intersect is the meet operation of a lattice: idempotent, commutative, associative, in conflict with neither side, and it permits all
-// that both permit.
+// Intersect is the meet operation of a lattice: it is idempotent, commutative and associative, its result conflicts with neither operand,
+// and it permits everything that both operands permit.
 func TestIntersectIsALatticeMeet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawnRules.Draw(t, "a"), drawnRules.Draw(t, "b"), drawnRules.Draw(t, "c")
+		a, b, c := rulesGenerator.Draw(t, "a"), rulesGenerator.Draw(t, "b"), rulesGenerator.Draw(t, "c")
 		both := Intersect(a, b)
 		if err := both.Validate(); err != nil {
-			t.Fatalf("the intersection is not valid: %v", err)
+			t.Fatalf("the intersection is invalid: %v", err)
 		}
-		requireSame(t, "idempotent", Intersect(a, a), a)
-		requireSame(t, "commutative", both, Intersect(b, a))
-		requireSame(t, "associative", Intersect(both, c), Intersect(a, Intersect(b, c)))
-		for _, side := range []*Rules{a, b} {
-			if conflicts := Conflicts(both, side); len(conflicts) > 0 {
-				t.Fatalf("the intersection conflicts with a side in %s", conflicts[0].Name)
+		requireSameEncoding(t, "idempotent", Intersect(a, a), a)
+		requireSameEncoding(t, "commutative", both, Intersect(b, a))
+		requireSameEncoding(t, "associative", Intersect(both, c), Intersect(a, Intersect(b, c)))
+		for _, operand := range []*Rules{a, b} {
+			if conflicts := Conflicts(both, operand); len(conflicts) > 0 {
+				t.Fatalf("the intersection conflicts with an operand in %s", conflicts[0].Name)
 			}
 		}
 		if len(Conflicts(c, a)) == 0 && len(Conflicts(c, b)) == 0 && len(Conflicts(c, both)) > 0 {
-			t.Fatalf("both permit what the intersection forbids: %s", Conflicts(c, both)[0].Name)
+			t.Fatalf("the intersection forbids what both operands permit: %s", Conflicts(c, both)[0].Name)
 		}
 	})
 }
@@ -44,31 +44,31 @@
 // The relation "a does not conflict with b" is a partial order.
 func TestConflictsDefineAPartialOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawnRules.Draw(t, "a"), drawnRules.Draw(t, "b"), drawnRules.Draw(t, "c")
+		a, b, c := rulesGenerator.Draw(t, "a"), rulesGenerator.Draw(t, "b"), rulesGenerator.Draw(t, "c")
 		if len(Conflicts(a, a)) > 0 {
 			t.Fatal("rules conflict with themselves")
 		}
 		if len(Conflicts(a, b)) == 0 && len(Conflicts(b, c)) == 0 && len(Conflicts(a, c)) > 0 {
-			t.Fatalf("not transitive: %s", Conflicts(a, c)[0].Name)
+			t.Fatalf("not transitive in field %s", Conflicts(a, c)[0].Name)
 		}
 		if len(Conflicts(a, b)) == 0 && len(Conflicts(b, a)) == 0 {
-			requireSame(t, "rules without a conflict either way are the same", Intersect(a, b), a)
+			requireSameEncoding(t, "rules without a conflict in either direction are equal", Intersect(a, b), a)
 		}
 	})
 }
 
-func TestCanonicalFormIsReadAgain(t *testing.T) {
+func TestCanonicalRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := drawnRules.Draw(t, "rules")
-		again, err := Parse(r.Canonical())
+		r := rulesGenerator.Draw(t, "rules")
+		reparsed, err := Parse(r.Canonical())
 		if err != nil {
 			t.Fatal(err)
 		}
-		requireSame(t, "read again", r, again)
+		requireSameEncoding(t, "round trip", r, reparsed)
 	})
 }
 
-// exampleRules sets each field, so that each can be changed alone.
+// exampleRules returns valid rules with every field set, so that a test can change each field separately.
 func exampleRules(t *testing.T) *Rules {
 	t.Helper()
 	r := &Rules{
@@ -95,7 +95,7 @@
 	return r
 }
 
-// changesByField changes each field alone, from exampleRules.
+// changesByField holds, by field name, changes to exampleRules that change only that field.
 var changesByField = map[string][]func(*Rules){
 	"routers":         {func(r *Rules) { r.Routers = 5 }},
 	"parts":           {func(r *Rules) { r.FleetQuotas["a"] = 0.2 }},
@@ -126,21 +126,21 @@
 	},
 }
 
-// A field that is changed alone conflicts one way or the other, and the intersection conflicts with neither.
-func TestChangeOfAFieldIsAConflict(t *testing.T) {
+// A change of a single field is a conflict in at least one direction, and the intersection conflicts with neither version.
+func TestChangedFieldConflicts(t *testing.T) {
 	for _, field := range Fields() {
 		t.Run(field.Name, func(t *testing.T) {
-			require.NotEmpty(t, changesByField[field.Name], "no change is tried")
+			require.NotEmpty(t, changesByField[field.Name], "changesByField has no change of this field")
 			for i, change := range changesByField[field.Name] {
 				before, after := exampleRules(t), exampleRules(t)
 				change(after)
 				require.NoError(t, after.Validate())
 				conflicts := append(Conflicts(before, after), Conflicts(after, before)...)
-				require.NotEmpty(t, conflicts, "change %d: no conflict is seen", i)
+				require.NotEmpty(t, conflicts, "change %d: no conflict reported", i)
 				both := Intersect(before, after)
 				assert.Empty(t, append(Conflicts(both, before), Conflicts(both, after)...))
 				for _, conflict := range conflicts {
-					if field.Name != "routers" { // fewer routers have larger default quotas
+					if field.Name != "routers" { // the default quotas also depend on the number of routers: fewer routers have larger ones
 						assert.Equal(t, field.Name, conflict.Name)
 					}
 				}
@@ -149,19 +149,19 @@
 	}
 }
 
-// Conflicts and Intersect would ignore a field that is missing in the table.
+// Conflicts and Intersect ignore a field of Rules that is missing in the table.
 func TestEveryFieldIsInTheTable(t *testing.T) {
 	described := map[string]bool{}
 	for _, field := range Fields() {
 		assert.NotEmpty(t, field.Description, field.Name)
 		assert.NotEmpty(t, field.Consequence, field.Name)
-		assert.False(t, described[field.Name], "%s is described twice", field.Name)
+		assert.False(t, described[field.Name], "duplicate field %s", field.Name)
 		described[field.Name] = true
 	}
 	rulesType := reflect.TypeFor[Rules]()
 	for i := range rulesType.NumField() {
 		name, _, _ := strings.Cut(rulesType.Field(i).Tag.Get("json"), ",")
-		assert.True(t, described[name], "%s is not described", name)
+		assert.True(t, described[name], "field %s is missing in the table", name)
 	}
 	assert.Equal(t, rulesType.NumField(), len(Fields()))
 }
--- a/internal/rules/fields.go
+++ b/internal/rules/fields.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Names of the fields that list engines or choose among them.
+// Names of the fields that list engines or restrict which engines may be used.
 const (
 	FieldPlacementExclusions = "kept_off"
 	FieldAllowedMachineTypes = "kinds"
 	FieldEngines             = "engines"
 )
 
-// Consequences that several fields have in common.
+// Consequences that apply to several fields.
 const (
 	consequenceOverload       = "the parts of all come to more than the whole: engines are overrun"
 	consequenceUnevenShedding = "what one router turns away another one keeps: clients go round"
@@ -21,7 +21,7 @@
 	consequenceColdOverload   = "a cold engine is sent more than it bears, and falls over"
 )
 
-// fields lists all fields of Rules, in the order of the type. Conflicts and errors are reported in this order.
+// fields describes all fields of Rules, in the order of their declaration. Conflicts and errors are reported in this order.
 var fields = []Field{
 	{
 		Name:        "routers",
@@ -43,37 +43,37 @@
 		Name:        "importance",
 		Description: "holds a workload to be more important",
 		Consequence: consequenceUnevenShedding,
-		conflicts:   func(a, b *Rules) bool { return anyAbove(a.PriorityWeights, b.PriorityWeights) },
-		intersect:   func(a, b, result *Rules) { result.PriorityWeights = lowerOf(a.PriorityWeights, b.PriorityWeights) },
+		conflicts:   func(a, b *Rules) bool { return exceedsAnyBound(a.PriorityWeights, b.PriorityWeights) },
+		intersect:   func(a, b, result *Rules) { result.PriorityWeights = minByName(a.PriorityWeights, b.PriorityWeights) },
 		check:       func(r *Rules) error { return checkAmounts(r.PriorityWeights, 0, 1e9) },
 	},
 	{
 		Name:        "shares",
 		Description: "gives a member group a larger share",
 		Consequence: "a member group gets more than it is due, at the others' cost",
-		conflicts:   func(a, b *Rules) bool { return anyAbove(a.TenantQuotas, b.TenantQuotas) },
-		intersect:   func(a, b, result *Rules) { result.TenantQuotas = lowerOf(a.TenantQuotas, b.TenantQuotas) },
+		conflicts:   func(a, b *Rules) bool { return exceedsAnyBound(a.TenantQuotas, b.TenantQuotas) },
+		intersect:   func(a, b, result *Rules) { result.TenantQuotas = minByName(a.TenantQuotas, b.TenantQuotas) },
 		check:       func(r *Rules) error { return checkAmounts(r.TenantQuotas, 0, 1e9) },
 	},
-	upperBound("over_importance", "holds what is beyond a share to be more important", "a member group beyond its share crowds out the others",
+	upperBoundField("over_importance", "holds what is beyond a share to be more important", "a member group beyond its share crowds out the others",
 		1, func(r *Rules) *float64 { return &r.OverQuotaFactor }),
-	upperBound("further_share", "allows itself more further executions", consequenceRetryStorm,
+	upperBoundField("further_share", "allows itself more further executions", consequenceRetryStorm,
 		10, func(r *Rules) *float64 { return &r.RetryBudgetShare }),
-	upperBound("further_free", "allows itself more further executions", consequenceRetryStorm,
+	upperBoundField("further_free", "allows itself more further executions", consequenceRetryStorm,
 		1e9, func(r *Rules) *float64 { return &r.RetryBudgetFree }),
-	lowerBound("further_window", "counts its further executions over a shorter time", consequenceRetryStorm,
+	lowerBoundField("further_window", "counts its further executions over a shorter time", consequenceRetryStorm,
 		maxMillis, func(r *Rules) *int64 { return &r.RetryBudgetWindowMillis }),
-	upperBound("probes", "allows itself more probes", "engines are busy answering probes",
+	upperBoundField("probes", "allows itself more probes", "engines are busy answering probes",
 		1e6, func(r *Rules) *float64 { return &r.HealthChecksPerStatement }),
-	upperBound("cold_share", "counts on a larger part of a cold engine", consequenceColdOverload,
+	upperBoundField("cold_share", "counts on a larger part of a cold engine", consequenceColdOverload,
 		1, func(r *Rules) *float64 { return &r.SlowStartShare }),
-	upperBound("cold_multiple", "sends a cold engine more", consequenceColdOverload,
+	upperBoundField("cold_multiple", "sends a cold engine more", consequenceColdOverload,
 		1e6, func(r *Rules) *float64 { return &r.SlowStartMultiple }),
-	lowerBound("warm_after", "takes an engine for warm sooner", consequenceColdOverload,
+	lowerBoundField("warm_after", "takes an engine for warm sooner", consequenceColdOverload,
 		maxMillis, func(r *Rules) *int64 { return &r.WarmAfterMillis }),
-	upperBound("drain_grace", "sends a leaving engine work for longer", "an engine ends with work on it",
+	upperBoundField("drain_grace", "sends a leaving engine work for longer", "an engine ends with work on it",
 		maxMillis, func(r *Rules) *int64 { return &r.DrainGraceMillis }),
-	lowerBound("key_rest", "goes on with a key sooner", "two statements of one key run at once",
+	lowerBoundField("key_rest", "goes on with a key sooner", "two statements of one key run at once",
 		maxMillis, func(r *Rules) *int64 { return &r.KeyQuietPeriodMillis }),
 	{
 		Name:        "may_turn_away",
@@ -91,7 +91,7 @@
 		Consequence: "a load and the reads of its group meet on one engine, and stand still",
 		conflicts:   placementExclusionsConflict,
 		intersect:   intersectPlacementExclusions,
-		check:       func(r *Rules) error { return checkLists(r.PlacementExclusions) },
+		check:       func(r *Rules) error { return checkNameLists(r.PlacementExclusions) },
 	},
 	{
 		Name:        FieldAllowedMachineTypes,
@@ -99,7 +99,7 @@
 		Consequence: "a statement runs where it must not",
 		conflicts:   allowedMachineTypesConflict,
 		intersect:   intersectAllowedMachineTypes,
-		check:       func(r *Rules) error { return checkLists(r.AllowedMachineTypes) },
+		check:       func(r *Rules) error { return checkNameLists(r.AllowedMachineTypes) },
 	},
 	{
 		Name:        FieldEngines,
@@ -111,8 +111,8 @@
 	},
 }
 
-// upperBound describes an amount from 0 to limit of which the lower one is more restrictive.
-func upperBound[T int64 | float64](name, description, consequence string, limit float64, value func(*Rules) *T) Field {
+// upperBoundField returns the Field of an upper bound, a number from 0 to limit: the lower of two values is the more restrictive one.
+func upperBoundField[T int64 | float64](name, description, consequence string, limit float64, value func(*Rules) *T) Field {
 	return Field{
 		Name:        name,
 		Description: description,
@@ -123,8 +123,8 @@
 	}
 }
 
-// lowerBound describes an amount from 0 to limit of which the higher one is more restrictive.
-func lowerBound[T int64 | float64](name, description, consequence string, limit float64, value func(*Rules) *T) Field {
+// lowerBoundField returns the Field of a lower bound, a number from 0 to limit: the higher of two values is the more restrictive one.
+func lowerBoundField[T int64 | float64](name, description, consequence string, limit float64, value func(*Rules) *T) Field {
 	return Field{
 		Name:        name,
 		Description: description,
@@ -135,7 +135,7 @@
 	}
 }
 
-// MaxRouters is the largest value of Rules.Routers.
+// MaxRouters is the highest valid value of Rules.Routers.
 const MaxRouters = 1_000_000
 
 func checkRouters(r *Rules) error {
@@ -146,25 +146,25 @@
 }
 
 func fleetQuotasConflict(a, b *Rules) bool {
-	return slices.ContainsFunc(namesOf(a.FleetQuotas, b.FleetQuotas), func(router string) bool {
+	return slices.ContainsFunc(unionOfKeys(a.FleetQuotas, b.FleetQuotas), func(router string) bool {
 		return a.FleetQuota(router) > b.FleetQuota(router)
 	})
 }
 
-// intersectFleetQuotas leaves out quotas that equal the default of the result, as Validate does.
+// intersectFleetQuotas omits quotas that equal the default quota of the result, as Validate does.
 func intersectFleetQuotas(a, b, result *Rules) {
 	defaultQuota := equalQuota(max(a.Routers, b.Routers))
-	result.FleetQuotas = merge(a.FleetQuotas, b.FleetQuotas, func(router string) (float64, bool) {
+	result.FleetQuotas = mergeMaps(a.FleetQuotas, b.FleetQuotas, func(router string) (float64, bool) {
 		quota := min(a.FleetQuota(router), b.FleetQuota(router))
 		return quota, quota != defaultQuota
 	})
 }
 
-// quotaTolerance is how far the sum of all quotas may exceed 1, for rounding.
+// quotaTolerance is how far the sum of all quotas may exceed 1, to allow for rounding errors.
 const quotaTolerance = 1e-9
 
-// checkFleetQuotas checks that the quotas of all routers, unnamed ones included, do not exceed the fleet. They are summed in the order of
-// the names: the sum's rounding depends on the order, and all replicas of the control group have to find the same.
+// checkFleetQuotas checks that the quotas of all routers, including the default quotas of unnamed routers, add up to at most 1. They are
+// added in the order of the router names: rounding depends on the order, and all replicas of the control group have to get the same result.
 func checkFleetQuotas(r *Rules) error {
 	sum := 0.0
 	for _, router := range slices.Sorted(maps.Keys(r.FleetQuotas)) {
@@ -180,36 +180,36 @@
 }
 
 func placementExclusionsConflict(a, b *Rules) bool {
-	return slices.ContainsFunc(namesOf(a.PlacementExclusions, b.PlacementExclusions), func(tableGroup string) bool {
+	return slices.ContainsFunc(unionOfKeys(a.PlacementExclusions, b.PlacementExclusions), func(tableGroup string) bool {
 		return !subset(b.PlacementExclusions[tableGroup], a.PlacementExclusions[tableGroup])
 	})
 }
 
 func intersectPlacementExclusions(a, b, result *Rules) {
-	result.PlacementExclusions = merge(a.PlacementExclusions, b.PlacementExclusions, func(tableGroup string) ([]string, bool) {
+	result.PlacementExclusions = mergeMaps(a.PlacementExclusions, b.PlacementExclusions, func(tableGroup string) ([]string, bool) {
 		return union(a.PlacementExclusions[tableGroup], b.PlacementExclusions[tableGroup]), true
 	})
 }
 
 func allowedMachineTypesConflict(a, b *Rules) bool {
-	return slices.ContainsFunc(namesOf(a.AllowedMachineTypes, b.AllowedMachineTypes), func(workload string) bool {
-		allowedByB, boundByB := b.AllowedMachineTypes[workload]
-		if !boundByB {
+	return slices.ContainsFunc(unionOfKeys(a.AllowedMachineTypes, b.AllowedMachineTypes), func(workload string) bool {
+		allowedByB, restrictedByB := b.AllowedMachineTypes[workload]
+		if !restrictedByB {
 			return false
 		}
-		allowedByA, boundByA := a.AllowedMachineTypes[workload]
-		return !boundByA || !subset(allowedByA, allowedByB)
+		allowedByA, restrictedByA := a.AllowedMachineTypes[workload]
+		return !restrictedByA || !subset(allowedByA, allowedByB)
 	})
 }
 
 func intersectAllowedMachineTypes(a, b, result *Rules) {
-	result.AllowedMachineTypes = merge(a.AllowedMachineTypes, b.AllowedMachineTypes, func(workload string) ([]string, bool) {
-		allowedByA, boundByA := a.AllowedMachineTypes[workload]
-		allowedByB, boundByB := b.AllowedMachineTypes[workload]
+	result.AllowedMachineTypes = mergeMaps(a.AllowedMachineTypes, b.AllowedMachineTypes, func(workload string) ([]string, bool) {
+		allowedByA, restrictedByA := a.AllowedMachineTypes[workload]
+		allowedByB, restrictedByB := b.AllowedMachineTypes[workload]
 		switch {
-		case !boundByA:
+		case !restrictedByA:
 			return allowedByB, true
-		case !boundByB:
+		case !restrictedByB:
 			return allowedByA, true
 		}
 		return intersection(allowedByA, allowedByB), true
@@ -220,12 +220,12 @@
 	if a.Engines == nil || b.Engines == nil {
 		return b.Engines != nil
 	}
-	return slices.ContainsFunc(namesOf(a.Engines, b.Engines), func(id string) bool {
+	return slices.ContainsFunc(unionOfKeys(a.Engines, b.Engines), func(id string) bool {
 		return engineConflicts(a.Engine(id), b.Engine(id))
 	})
 }
 
-// engineConflicts reports whether a router that acts on entry a sends an engine work that entry b forbids.
+// engineConflicts reports whether entry a permits sending work to an engine that entry b forbids.
 func engineConflicts(a, b Engine) bool {
 	switch {
 	case a.Phase == Active && b.Phase != Active:
@@ -245,14 +245,14 @@
 	case b.Engines == nil:
 		result.Engines = maps.Clone(a.Engines)
 	default:
-		result.Engines = merge(a.Engines, b.Engines, func(id string) (Engine, bool) {
+		result.Engines = mergeMaps(a.Engines, b.Engines, func(id string) (Engine, bool) {
 			return intersectEngine(a.Engine(id), b.Engine(id))
 		})
 	}
 }
 
-// intersectEngine returns the entry that permits what both permit, or false if that is nothing: the engine is listed in one only, or
-// the two entries name different machines.
+// intersectEngine returns the entry that permits exactly what a and b permit. It returns false if they permit nothing in common: the engine
+// is removed in one of them, or the addresses or machine types differ.
 func intersectEngine(a, b Engine) (Engine, bool) {
 	result := Engine{Phase: Draining, WarmingUp: a.WarmingUp || b.WarmingUp, Address: a.Address, Kind: a.Kind}
 	if a.Phase == Active && b.Phase == Active {
--- a/internal/rules/generate_test.go
+++ b/internal/rules/generate_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawnRules generates valid rules of few names and amounts, so that fields of two of them often agree.
-var drawnRules = rapid.Custom(func(t *rapid.T) *Rules {
+// rulesGenerator generates valid rules from few names and numbers, so that fields of two generated values are often equal.
+var rulesGenerator = rapid.Custom(func(t *rapid.T) *Rules {
 	names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	lists := rapid.SliceOfN(names, 0, 4)
 	listsByName := rapid.MapOfN(names, lists, 0, 3)
@@ -24,7 +24,7 @@
 		PlacementExclusions: listsByName.Draw(t, "kept_off"),
 		AllowedMachineTypes: listsByName.Draw(t, "kinds"),
 	}
-	if len(r.FleetQuotas) > 0 { // enough routers that the sum of the quotas stays below 1
+	if len(r.FleetQuotas) > 0 { // keeps the sum of all quotas, including default quotas, at 1 or less
 		r.Routers += 4
 	}
 	for i, field := range []*float64{
--- a/internal/rules/key_names_test.go
+++ b/internal/rules/key_names_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A workload or table group without a name, or with one that is too long, is named in the error. Its text ended in "%!w(<nil>)", since the
-// list under the name was valid.
-func TestKeyOfListIsNoName(t *testing.T) {
+// The error for an empty or overlong map key quotes the key. Its text once ended in "%!w(<nil>)": it wrapped the error of the list under
+// the key, and that list was valid.
+func TestInvalidKeyOfNameList(t *testing.T) {
 	for _, key := range []string{"", strings.Repeat("x", maxNameBytes+1)} {
 		kinds := &Rules{Routers: 1, AllowedMachineTypes: map[string][]string{key: {"k"}}}
 		assert.EqualError(t, kinds.Validate(), `kinds: "`+key+`" is no name`)
--- a/internal/rules/quota_sum_test.go
+++ b/internal/rules/quota_sum_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Quotas whose sum is at the limit: its rounding decides. Each replica of the control group judges them for itself, so the verdict may not
-// depend on the order of a map.
+// The sum of these quotas is at the limit, so its rounding decides whether they are valid. Each replica of the control group checks them
+// separately, so the result must not depend on the iteration order of the map.
 func TestQuotaSumDoesNotDependOnMapOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(49, 1))
 	for range 50 {
@@ -21,9 +21,9 @@
 			sum += quota
 		}
 		r.FleetQuotas["r9"] = 1 + quotaTolerance - sum
-		verdict := checkFleetQuotas(r) == nil
+		wantValid := checkFleetQuotas(r) == nil
 		for range 50 {
-			assert.Equal(t, verdict, checkFleetQuotas(r) == nil)
+			assert.Equal(t, wantValid, checkFleetQuotas(r) == nil)
 		}
 	}
 }
--- a/internal/rules/recording_test.go
+++ b/internal/rules/recording_test.go
@@ -17,11 +17,11 @@
 
 var update = flag.Bool("update", false, "rewrite the recorded files under testdata")
 
-// recordedPairs is the hash of how 2,000 generated pairs of rules compare and combine, computed at commit 05e118f.
-const recordedPairs = "b048d97b189b0f0e9c29c53a7b226497b8439ae6710d09466c5d3ea2434e09d8"
+// recordedPairsHash is the hash of the conflicts and intersections of 2,000 generated pairs of rules, computed at commit 05e118f.
+const recordedPairsHash = "b048d97b189b0f0e9c29c53a7b226497b8439ae6710d09466c5d3ea2434e09d8"
 
-// TestRecordedDocuments parses each line of testdata/documents.txt and compares the canonical form, or the error's text, with what
-// commit 05e118f gave.
+// TestRecordedDocuments parses each line of testdata/documents.txt and compares the canonical encoding, or the error text, with the result
+// recorded at commit 05e118f.
 func TestRecordedDocuments(t *testing.T) {
 	documents, err := os.ReadFile("testdata/documents.txt")
 	require.NoError(t, err)
@@ -39,13 +39,13 @@
 	compareWithFile(t, "testdata/documents.golden", out.Bytes())
 }
 
-// TestRecordedPairs generates pairs of rules and hashes their conflicts and their cautious combination.
+// TestRecordedPairs generates pairs of rules and hashes their conflicts and intersections.
 func TestRecordedPairs(t *testing.T) {
 	random := rand.New(rand.NewPCG(45, 1))
 	hash := sha256.New()
-	before := generated(t, random)
+	before := generateRules(t, random)
 	for range 2000 {
-		next := generated(t, random)
+		next := generateRules(t, random)
 		for _, pair := range [][2]*Rules{{before, next}, {next, before}} {
 			for _, f := range Conflicts(pair[0], pair[1]) {
 				fmt.Fprintf(hash, "%s ", f.Name)
@@ -54,11 +54,11 @@
 		}
 		before = next
 	}
-	assert.Equal(t, recordedPairs, hex.EncodeToString(hash.Sum(nil)))
+	assert.Equal(t, recordedPairsHash, hex.EncodeToString(hash.Sum(nil)))
 }
 
-// generated returns rules that pass Check, from few names and amounts so that fields of two of them often agree.
-func generated(t *testing.T, random *rand.Rand) *Rules {
+// generateRules returns valid rules from few names and numbers, so that fields of two generated values are often equal.
+func generateRules(t *testing.T, random *rand.Rand) *Rules {
 	t.Helper()
 	amount := func() string { return []string{"0", "0.25", "0.5", "1"}[random.IntN(4)] }
 	list := func() string {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestParseNamesTheField(t *testing.T) {
+func TestParseErrorNamesField(t *testing.T) {
 	const valid = `"routers": 3, "engines": {"e": {"phase": "active", "address": "h:1"}}`
 	for document, wantError := range map[string]string{
 		`{`:                                                     "rules",
 		`{"routers": 0}`:                                        "routers: 0",
 		`{` + valid + `, "cold_share": 2}`:                      "cold_share: 2",
-		`{` + valid + `, "unheard": 1}`:                         "unheard",
+		`{` + valid + `, "no_such_field": 1}`:                   "no_such_field",
 		`{` + valid + `} x`:                                     "rules",
 		`{` + valid + `, "warm_after": -1}`:                     "warm_after",
 		`{` + valid + `, "parts": {"a": 0.5}}`:                  "parts: all together",
@@ -37,7 +37,7 @@
 	assert.Equal(t, []string{"a", "b"}, r.SheddableWorkloads)
 }
 
-func TestValidateReturnsTheField(t *testing.T) {
+func TestValidateReturnsFieldError(t *testing.T) {
 	err := (&Rules{Routers: 1, SlowStartShare: 2}).Validate()
 	var fieldError *FieldError
 	require.ErrorAs(t, err, &fieldError)
@@ -51,11 +51,11 @@
 		if err != nil {
 			return
 		}
-		again, err := Parse(r.Canonical())
-		if err != nil || string(again.Canonical()) != string(r.Canonical()) {
-			t.Fatalf("%s: parsed again: %v", raw, err)
+		reparsed, err := Parse(r.Canonical())
+		if err != nil || string(reparsed.Canonical()) != string(r.Canonical()) {
+			t.Fatalf("%s: encoding changed in a round trip, or error: %v", raw, err)
 		}
-		if len(Conflicts(r, again)) > 0 {
+		if len(Conflicts(r, reparsed)) > 0 {
 			t.Fatal("rules conflict with themselves")
 		}
 	})
--- a/internal/rules/sets.go
+++ b/internal/rules/sets.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// namesOf returns the keys of either map, sorted.
-func namesOf[V any](a, b map[string]V) []string {
+// unionOfKeys returns the sorted keys of both maps, without duplicates.
+func unionOfKeys[V any](a, b map[string]V) []string {
 	names := slices.Collect(maps.Keys(a))
 	for name := range b {
 		if _, inBoth := a[name]; !inBoth {
@@ -17,10 +17,10 @@
 	return names
 }
 
-// merge builds a map over the keys of either map, without those for which value returns false.
-func merge[V any](a, b map[string]V, value func(name string) (V, bool)) map[string]V {
+// mergeMaps calls value for each key of either map and returns a map of the results. Keys for which value returns false are omitted.
+func mergeMaps[V any](a, b map[string]V, value func(name string) (V, bool)) map[string]V {
 	merged := make(map[string]V, max(len(a), len(b)))
-	for _, name := range namesOf(a, b) {
+	for _, name := range unionOfKeys(a, b) {
 		if v, keep := value(name); keep {
 			merged[name] = v
 		}
@@ -28,33 +28,33 @@
 	return merged
 }
 
-// anyAbove reports whether a permits a higher amount than b anywhere. A name that is missing is not bounded.
-func anyAbove(a, b map[string]float64) bool {
-	for name, boundOfB := range b {
-		boundOfA, bounded := a[name]
-		if !bounded || boundOfA > boundOfB {
+// exceedsAnyBound reports whether any upper bound in a is higher than that in b. A name without an entry is unbounded.
+func exceedsAnyBound(a, b map[string]float64) bool {
+	for name, boundB := range b {
+		boundA, bounded := a[name]
+		if !bounded || boundA > boundB {
 			return true
 		}
 	}
 	return false
 }
 
-// lowerOf returns the lower amount of each name. A name that is missing is not bounded.
-func lowerOf(a, b map[string]float64) map[string]float64 {
-	return merge(a, b, func(name string) (float64, bool) {
-		boundOfA, inA := a[name]
-		boundOfB, inB := b[name]
+// minByName returns the lower of the two upper bounds for each name. A name without an entry is unbounded.
+func minByName(a, b map[string]float64) map[string]float64 {
+	return mergeMaps(a, b, func(name string) (float64, bool) {
+		boundA, inA := a[name]
+		boundB, inB := b[name]
 		switch {
 		case !inA:
-			return boundOfB, true
+			return boundB, true
 		case !inB:
-			return boundOfA, true
+			return boundA, true
 		}
-		return min(boundOfA, boundOfB), true
+		return min(boundA, boundB), true
 	})
 }
 
-// subset reports whether the sorted list b holds all of a.
+// subset reports whether the sorted list b contains all elements of a.
 func subset(a, b []string) bool {
 	return !slices.ContainsFunc(a, func(name string) bool { return !contains(b, name) })
 }
@@ -64,22 +64,22 @@
 	return found
 }
 
-// intersection returns what both sorted lists hold, in a new list.
+// intersection returns the elements that both sorted lists contain, in a new slice.
 func intersection(a, b []string) []string {
 	return slices.DeleteFunc(append([]string{}, a...), func(name string) bool { return !contains(b, name) })
 }
 
-// union returns what either list holds, sorted, in a new list.
+// union returns the elements of both lists, sorted and without duplicates, in a new slice.
 func union(a, b []string) []string { return sortedUnique(append(append([]string{}, a...), b...)) }
 
-// sortedUnique returns a sorted copy without duplicates; it is never nil.
+// sortedUnique returns a sorted copy of list without duplicates. The result is never nil.
 func sortedUnique(list []string) []string {
 	list = append([]string{}, list...)
 	slices.Sort(list)
 	return slices.Compact(list)
 }
 
-// sortedUniqueLists applies sortedUnique to each list; the map is never nil.
+// sortedUniqueLists returns a map with sortedUnique applied to each list. The result is never nil.
 func sortedUniqueLists(lists map[string][]string) map[string][]string {
 	result := make(map[string][]string, len(lists))
 	for key, list := range lists {
@@ -88,6 +88,7 @@
 	return result
 }
 
+// withoutEmptyLists deletes the entries with empty lists from the map and returns it.
 func withoutEmptyLists(lists map[string][]string) map[string][]string {
 	maps.DeleteFunc(lists, func(_ string, list []string) bool { return len(list) == 0 })
 	return lists
--- a/internal/rules/validation.go
+++ b/internal/rules/validation.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Limits that keep a document small enough to be replicated and sent to every router.
+// Limits that keep the encoded rules small enough to be replicated and sent to every router.
 const (
-	maxEntries   = 5000             // in one map or list
-	maxListed    = 10 * maxEntries  // names in all lists of one map together
-	maxNameBytes = 200              // in one name or address
-	maxMillis    = 24 * 3600 * 1000 // one day: the longest duration, in milliseconds
+	maxEntries      = 5000             // in a map or list
+	maxNamesInLists = 10 * maxEntries  // names in all lists of a map together
+	maxNameBytes    = 200              // in a name or address
+	maxMillis       = 24 * 3600 * 1000 // longest duration: one day
 )
 
 func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
-// checkAmount also refuses NaN, which is not within any bounds.
+// checkAmount returns an error if value is out of range. The condition is negated so that it also rejects NaN.
 func checkAmount(value, lowest, highest float64) error {
 	if !(value >= lowest && value <= highest) {
 		return fmt.Errorf("%v is not from %v to %v", value, lowest, highest)
@@ -45,8 +45,8 @@
 	return nil
 }
 
-func checkLists(lists map[string][]string) error {
-	listed := 0
+func checkNameLists(lists map[string][]string) error {
+	nameCount := 0
 	for _, key := range slices.Sorted(maps.Keys(lists)) {
 		if !validName(key) {
 			return fmt.Errorf("%q is no name", key)
@@ -54,9 +54,9 @@
 		if err := checkNames(lists[key]); err != nil {
 			return fmt.Errorf("%q: %w", key, err)
 		}
-		listed += len(lists[key])
-		if listed > maxListed {
-			return fmt.Errorf("over %d names in all", maxListed)
+		nameCount += len(lists[key])
+		if nameCount > maxNamesInLists {
+			return fmt.Errorf("over %d names in all", maxNamesInLists)
 		}
 	}
 	return nil
