--- a/internal/configregister/recording_test.go
+++ b/internal/configregister/recording_test.go
@@ -17,34 +17,34 @@
 	"bankledge/internal/configversion/versiontest"
 )
 
-// recording hashes the results of a register for generated entries.
-type recording struct {
+// recorder generates log entries and hashes the results of applying them to a register.
+type recorder struct {
 	t      *testing.T
 	random *rand.Rand
 	hash   hash.Hash
 }
 
-func newRecording(t *testing.T) *recording {
-	return &recording{t: t, random: rand.New(rand.NewPCG(45, 6)), hash: sha256.New()}
+func newRecorder(t *testing.T) *recorder {
+	return &recorder{t: t, random: rand.New(rand.NewPCG(45, 6)), hash: sha256.New()}
 }
 
-func (r *recording) line(kind, format string, args ...any) {
+func (r *recorder) hashLine(kind, format string, args ...any) {
 	fmt.Fprintf(r.hash, kind+" "+format+"\n", args...)
 }
 
-func (r *recording) sum() string { return hex.EncodeToString(r.hash.Sum(nil)) }
+func (r *recorder) sum() string { return hex.EncodeToString(r.hash.Sum(nil)) }
 
-// chance reports whether something of this probability happens.
-func (r *recording) chance(probability float64) bool { return r.random.Float64() < probability }
+// chance returns true with the given probability.
+func (r *recorder) chance(probability float64) bool { return r.random.Float64() < probability }
 
-func (r *recording) json(value any) string {
+func (r *recorder) json(value any) string {
 	raw, err := json.Marshal(value)
 	require.NoError(r.t, err)
 	return string(raw)
 }
 
-// entry returns the i-th generated entry, at times one that can't be read. The proposed rules are those of one of the versions.
-func (r *recording) entry(i int, newest uint64, versions []*configversion.Version) []byte {
+// entry returns the i-th generated log entry. Some entries can't be decoded. Proposals contain the rules of one of the versions.
+func (r *recorder) entry(i int, newest uint64, versions []*configversion.Version) []byte {
 	e := Entry{Kind: "propose", ID: fmt.Sprint("p", i-r.random.IntN(3)), Note: fmt.Sprint("note ", i)}
 	switch r.random.IntN(12) {
 	case 0:
@@ -77,28 +77,28 @@
 	return []byte(r.json(e))
 }
 
-// TestRecordedRegister applies generated entries, unreadable ones among them, and hashes the outcomes, the snapshots and the versions
-// that a router is sent. The hash was computed at commit 05e118f: a difference is a change of behaviour.
+// TestRecordedRegister applies generated entries, including some that can't be decoded, and hashes the outcomes, the snapshots and the
+// versions that are sent to a router. The hash was computed at commit 05e118f: a different hash means that the behaviour has changed.
 func TestRecordedRegister(t *testing.T) {
-	r := newRecording(t)
+	r := newRecorder(t)
 	register := Register{Guards: configversion.Guards{MaxRemovedShare: 0.5}}
 	versions := versiontest.Lineage(t, r.random, "l", 60)
 	for i := range 1200 {
 		raw := r.entry(i, register.NewestNumber(), versions)
 		outcome, proposed := register.Apply(raw)
-		r.line("outcome", "%v %s", proposed, r.json(outcome))
+		r.hashLine("outcome", "%v %s", proposed, r.json(outcome))
 		snapshot := register.Snapshot()
-		r.line("snapshot", "%s", snapshot)
+		r.hashLine("snapshot", "%s", snapshot)
 		for _, v := range register.UpdatesAfter(uint64(max(0, int(register.NewestNumber())-r.random.IntN(4)))) {
-			r.line("after", "%d", v.Number)
+			r.hashLine("after", "%d", v.Number)
 		}
 		if i%10 == 0 {
-			again := Register{}
-			require.NoError(t, again.Restore(snapshot))
-			require.Equal(t, string(snapshot), string(again.Snapshot()))
-			register = again
+			restoredRegister := Register{}
+			require.NoError(t, restoredRegister.Restore(snapshot))
+			require.Equal(t, string(snapshot), string(restoredRegister.Snapshot()))
+			register = restoredRegister
 		}
 	}
-	assert.Greater(t, register.NewestNumber(), uint64(64), "enough versions that the oldest are dropped")
+	assert.Greater(t, register.NewestNumber(), uint64(64), "the test must create more versions than the register keeps")
 	assert.Equal(t, "a3e34d01ba31ba1d690612f2017932d8063e7ef52319ea280e1f17726eeb0a47", r.sum())
 }
--- a/internal/configregister/register.go
+++ b/internal/configregister/register.go
@@ -1,8 +1,8 @@
-// Package configregister is the replicated state of the control group: a register of configuration versions. All replicas apply the same
-// log entries in the same order and so hold the same register. It does no I/O and has no clock.
+// Package configregister implements the replicated state of the control group: a register of configuration versions. All replicas apply the
+// same log entries in the same order, so their registers are equal. The package does no I/O and reads no clock.
 //
-// A version is committed when its entry is applied, and activated by a later entry, once every router with a lease knows it. A version is
-// committed only after the one before it has been activated, so at most two are in force at a time.
+// A version is committed when its entry is applied. A later entry activates it, once every router with a lease knows the version. A version
+// is committed only after the previous version has been activated, so at most two versions are in force at a time.
 package configregister
 
 import (
@@ -15,31 +15,32 @@
 	"bankledge/internal/rules"
 )
 
-// Register holds the versions. The zero value with Guards is the register of a group that is not founded yet.
+// Register holds the versions. A Register in which only Guards is set is the initial state of a group, before it is bootstrapped.
 type Register struct {
-	// Guards are those of the last entry that held a share. Before there is one they are those of the snapshot, or of the process's
-	// settings: they judge only entries that earlier versions of this program wrote, which hold none.
+	// Guards are the guards for the next proposal. Each entry with a MaxRemovedShare replaces the share. Until the first such entry, the
+	// guards come from the snapshot or from the process's settings; these apply only to entries written by earlier versions of this
+	// program, which contain no share.
 	Guards   configversion.Guards     `json:"guards"`
-	Lineage  string                   `json:"lineage"`  // empty until the group is founded
-	Floor    *rules.Rules             `json:"floor"`    // of the first version: routers without a lease may rely on it
+	Lineage  string                   `json:"lineage"`  // empty until the group is bootstrapped
+	Floor    *rules.Rules             `json:"floor"`    // rules of the first version; routers without a lease may rely on them
 	Versions []*configversion.Version `json:"versions"` // the last maxVersions, oldest first
-	// Activated is the number up to which all versions are activated.
+	// Activated is the number of the newest activated version. All earlier versions are activated as well.
 	Activated uint64    `json:"settled"`
 	Outcomes  []Outcome `json:"outcomes"` // of the last maxOutcomes proposals, oldest first
 }
 
-// Limits of a register.
+// Limits on the size of a register.
 const (
 	maxVersions = 64
-	maxOutcomes = 1024 // a duplicate proposal is recognized by its outcome
+	maxOutcomes = 1024 // duplicates of a proposal are detected by its outcome
 )
 
 var (
-	// ErrRolloutInProgress reports that a proposal has to wait until the version before it is activated. Outcomes hold it as
+	// ErrRolloutInProgress is the reason for rejecting a proposal while the newest version is not activated yet. Outcomes represent it by
 	// CodeRolloutInProgress.
 	ErrRolloutInProgress = errors.New("still spreading")
 
-	errNotFounded = errors.New("the group is not founded yet")
+	errNotBootstrapped = errors.New("the group is not founded yet")
 )
 
 // Newest returns the newest version, or nil if there is none.
@@ -58,7 +59,7 @@
 	return 0
 }
 
-// ByNumber returns the version with a number, or nil if the register does not have it.
+// ByNumber returns the version with the given number, or nil if the register does not contain it.
 func (r *Register) ByNumber(number uint64) *configversion.Version {
 	i := slices.IndexFunc(r.Versions, func(v *configversion.Version) bool { return v.Number == number })
 	if i < 0 {
@@ -67,8 +68,8 @@
 	return r.Versions[i]
 }
 
-// UpdatesAfter returns the versions that a router which knows a number has to be sent, oldest first: the newest one, preceded by the
-// activated one beside which it is in force.
+// UpdatesAfter returns the versions to send, oldest first, to a router whose newest known version has the given number: the newest
+// activated version and the version that is not activated yet, unless the router already knows them.
 func (r *Register) UpdatesAfter(number uint64) []*configversion.Version {
 	var updates []*configversion.Version
 	for _, v := range r.Versions {
@@ -79,14 +80,16 @@
 	return updates
 }
 
-// Clone returns a copy that stays as it is while r changes. The two share their versions and outcomes, to which r only appends.
+// Clone returns a copy that later changes of r do not affect. The copy and r share the arrays of versions and outcomes, to which r only
+// appends.
 func (r *Register) Clone() *Register {
 	clone := *r
 	return &clone
 }
 
-// Apply applies an encoded log entry. It returns the outcome and true if the entry was a proposal. It never fails: the error of a
-// proposal is its outcome, and an entry that can't be read is skipped, as no version of this program has written it.
+// Apply applies an encoded log entry. It returns the outcome and true if the entry was a proposal. It never fails: the outcome of a
+// rejected proposal contains the error, and an entry that can't be decoded is skipped, because no version of this program writes such
+// entries.
 func (r *Register) Apply(raw []byte) (Outcome, bool) {
 	var entry LogEntry
 	if err := json.Unmarshal(raw, &entry); err != nil {
@@ -97,7 +100,7 @@
 	}
 	switch entry.Kind {
 	case EntryFound:
-		r.found(entry.Lineage)
+		r.bootstrap(entry.Lineage)
 	case EntryActivate:
 		r.activate(entry.Number)
 	case EntryPropose, EntryRollback:
@@ -106,18 +109,21 @@
 	return Outcome{}, false
 }
 
-func (r *Register) found(lineage string) {
+// bootstrap sets the lineage unless it is already set.
+func (r *Register) bootstrap(lineage string) {
 	if r.Lineage == "" {
 		r.Lineage = lineage
 	}
 }
 
+// activate ignores numbers above that of the newest version, and never lowers Activated.
 func (r *Register) activate(number uint64) {
 	if number <= r.NewestNumber() {
 		r.Activated = max(r.Activated, number)
 	}
 }
 
+// applyProposal returns the recorded outcome for a duplicate of an earlier proposal.
 func (r *Register) applyProposal(entry Entry) Outcome {
 	earlier := slices.IndexFunc(r.Outcomes, func(o Outcome) bool { return entry.ID != "" && o.ID == entry.ID })
 	if earlier >= 0 {
@@ -133,7 +139,7 @@
 	}
 	if errors.Is(err, ErrRolloutInProgress) {
 		outcome.Code = CodeRolloutInProgress
-		return outcome // not recorded: the same proposal may be written again later
+		return outcome // not recorded, so that the same proposal can be applied when it is sent again later
 	}
 	r.Outcomes = append(r.Outcomes, outcome)
 	r.Outcomes = r.Outcomes[max(0, len(r.Outcomes)-maxOutcomes):]
@@ -148,10 +154,10 @@
 	r.Versions = r.Versions[max(0, len(r.Versions)-maxVersions):]
 }
 
-// newVersion returns the version that a proposal requests, or an error that says why the proposal is rejected.
+// newVersion returns the version that a proposal requests, or an error if the proposal is rejected.
 func (r *Register) newVersion(entry Entry) (*configversion.Version, error) {
 	if r.Lineage == "" {
-		return nil, errNotFounded
+		return nil, errNotBootstrapped
 	}
 	if r.NewestNumber() > r.Activated {
 		return nil, fmt.Errorf("version %d is %w", r.NewestNumber(), ErrRolloutInProgress)
@@ -167,7 +173,7 @@
 		return nil, err
 	}
 	v := configversion.New(r.Newest(), r.Lineage, proposed, entry.ForcedGuards, entry.Note)
-	if _, err := configversion.Decode(v.Encode()); err != nil { // such as a note that is too long: every router would reject it
+	if _, err := configversion.Decode(v.Encode()); err != nil { // for example, the note is too long; every router would reject the version
 		return nil, err
 	}
 	return v, nil
@@ -184,7 +190,7 @@
 	return earlier.Rules, nil
 }
 
-// checkChange applies the guards, and rejects rules that do not differ from the newest ones.
+// checkChange applies the guards and rejects rules that are equal to those of the newest version.
 func (r *Register) checkChange(proposed *rules.Rules, forcedGuards []string) error {
 	var previous *rules.Rules
 	if newest := r.Newest(); newest != nil {
@@ -199,22 +205,22 @@
 	return nil
 }
 
-// Snapshot encodes the whole register, for Restore.
+// Snapshot returns an encoding of the complete register that Restore accepts.
 func (r *Register) Snapshot() []byte {
 	raw, err := json.Marshal(r)
-	if err != nil { // valid rules hold finite amounts, so this is a programming error
+	if err != nil { // programming error: the numbers in valid rules are finite
 		panic(err)
 	}
 	return raw
 }
 
-// IsFromEarlierVersion reports whether an encoded log entry holds no share, so that its result depends on Register.Guards.
+// IsFromEarlierVersion reports whether an encoded log entry contains no MaxRemovedShare, so that its result depends on Register.Guards.
 func IsFromEarlierVersion(raw []byte) bool {
 	var entry LogEntry
 	return json.Unmarshal(raw, &entry) == nil && entry.MaxRemovedShare == 0
 }
 
-// Restore replaces the register by a snapshot, with the guards that the snapshot holds. On an error the register is unchanged.
+// Restore replaces the register with a snapshot, including its guards. If Restore returns an error, the register is unchanged.
 func (r *Register) Restore(raw []byte) error {
 	restored := Register{Guards: r.Guards}
 	if err := json.Unmarshal(raw, &restored); err != nil {
--- a/internal/configregister/register_test.go
+++ b/internal/configregister/register_test.go
@@ -11,7 +11,7 @@
 	"bankledge/internal/rules"
 )
 
-// fixture applies entries to a register.
+// fixture is a register to which tests apply entries.
 type fixture struct {
 	Register
 	t *testing.T
@@ -30,19 +30,19 @@
 	return outcome
 }
 
-// propose proposes rules that differ in the load on a warming engine.
-func (f *fixture) propose(id string, multiple float64, forced ...string) Outcome {
+// propose proposes rules that differ only in SlowStartMultiple.
+func (f *fixture) propose(id string, slowStartMultiple float64, forced ...string) Outcome {
 	f.t.Helper()
-	r := &rules.Rules{Routers: 3, SlowStartMultiple: multiple, SlowStartShare: 0.3, HealthChecksPerStatement: 2}
+	r := &rules.Rules{Routers: 3, SlowStartMultiple: slowStartMultiple, SlowStartShare: 0.3, HealthChecksPerStatement: 2}
 	require.NoError(f.t, r.Validate())
 	return f.apply(Entry{Kind: EntryPropose, ID: id, Rules: r.Canonical(), ForcedGuards: forced})
 }
 
 func (f *fixture) activateUpTo(number uint64) { f.apply(Entry{Kind: EntryActivate, Number: number}) }
 
-func TestRegisterIsFoundedOnce(t *testing.T) {
+func TestRegisterIsBootstrappedOnce(t *testing.T) {
 	f := newFixture(t)
-	assert.Contains(t, f.propose("early", 2).Error, "not founded")
+	assert.Contains(t, f.propose("before bootstrap", 2).Error, "not founded")
 	f.apply(Entry{Kind: EntryFound, Lineage: "l"})
 	f.apply(Entry{Kind: EntryFound, Lineage: "m"})
 	assert.Equal(t, "l", f.Lineage)
@@ -55,16 +55,16 @@
 	assert.Contains(t, f.propose("b", 3).Error, ErrRolloutInProgress.Error())
 
 	f.activateUpTo(9)
-	assert.Zero(t, f.Activated, "only a version that is committed can be activated")
+	assert.Zero(t, f.Activated, "only a committed version can be activated")
 	f.activateUpTo(1)
-	assert.Equal(t, uint64(2), f.propose("b", 3).Number, "a proposal that had to wait may come again")
-	assert.Equal(t, uint64(2), f.propose("b", 3).Number, "a proposal that comes twice counts once")
+	assert.Equal(t, uint64(2), f.propose("b", 3).Number, "a proposal that was rejected during a rollout can be sent again")
+	assert.Equal(t, uint64(2), f.propose("b", 3).Number, "a duplicate proposal is applied once")
 	assert.Len(t, f.Versions, 2)
 
 	assert.Len(t, f.UpdatesAfter(0), 2)
 	assert.Len(t, f.UpdatesAfter(1), 1)
 	f.activateUpTo(2)
-	assert.Len(t, f.UpdatesAfter(0), 1, "a router that knows nothing needs only what is activated")
+	assert.Len(t, f.UpdatesAfter(0), 1, "a router that knows no version needs only the activated one")
 
 	assert.Contains(t, f.propose("c", 1).Error, configversion.GuardFloor)
 	assert.Contains(t, f.propose("same", 3).Error, "nothing differs")
--- a/internal/configversion/diff.go
+++ b/internal/configversion/diff.go
@@ -7,17 +7,17 @@
 	"bankledge/internal/rules"
 )
 
-// Values longer than maxShownBytes are cut to shownPrefixBytes in a difference.
+// Diff truncates values longer than maxValueBytes to valuePrefixBytes.
 const (
-	maxShownBytes    = 120
-	shownPrefixBytes = 100
+	maxValueBytes    = 120
+	valuePrefixBytes = 100
 )
 
-// Diff describes the change from one set of rules to another for operators: a line for each field that differs, which says whether
-// the field becomes looser or tighter.
+// Diff describes the change from one version of the rules to another for operators. It returns one line for each field that differs; the
+// line says whether the field becomes looser (permits more), tighter (permits less) or both.
 func Diff(from, to *rules.Rules) []string {
-	looser := conflictingNames(to, from)
-	tighter := conflictingNames(from, to)
+	looser := conflictingFieldNames(to, from)
+	tighter := conflictingFieldNames(from, to)
 	before := valuesByField(from)
 	after := valuesByField(to)
 	var lines []string
@@ -31,7 +31,8 @@
 	return lines
 }
 
-func conflictingNames(a, b *rules.Rules) map[string]bool {
+// conflictingFieldNames returns the names of the fields in which a permits something that b forbids.
+func conflictingFieldNames(a, b *rules.Rules) map[string]bool {
 	names := map[string]bool{}
 	for _, field := range rules.Conflicts(a, b) {
 		names[field.Name] = true
@@ -39,7 +40,7 @@
 	return names
 }
 
-// describeDirection returns an empty string where nothing differs.
+// describeDirection returns an empty string if the field does not differ.
 func describeDirection(looser, tighter bool) string {
 	switch {
 	case looser && tighter:
@@ -53,23 +54,24 @@
 }
 
 func describeChange(direction string, before, after json.RawMessage) string {
-	if string(before) == string(after) { // default quotas follow from the number of routers
+	if string(before) == string(after) { // only the default quotas differ, which depend on the number of routers
 		return direction + ", by the number of routers"
 	}
-	return fmt.Sprintf("%s: %s -> %s", direction, shorten(before), shorten(after))
+	return fmt.Sprintf("%s: %s -> %s", direction, truncate(before), truncate(after))
 }
 
+// valuesByField returns the encoded value of each field, by field name.
 func valuesByField(r *rules.Rules) map[string]json.RawMessage {
 	var values map[string]json.RawMessage
-	if err := json.Unmarshal(r.Canonical(), &values); err != nil { // the encoder's own output, so this is a programming error
+	if err := json.Unmarshal(r.Canonical(), &values); err != nil { // programming error: Canonical returns valid JSON
 		panic(err)
 	}
 	return values
 }
 
-func shorten(raw []byte) string {
-	if len(raw) <= maxShownBytes {
+func truncate(raw []byte) string {
+	if len(raw) <= maxValueBytes {
 		return string(raw)
 	}
-	return fmt.Sprintf("%s... (%d bytes)", raw[:shownPrefixBytes], len(raw))
+	return fmt.Sprintf("%s... (%d bytes)", raw[:valuePrefixBytes], len(raw))
 }
--- a/internal/configversion/guards.go
+++ b/internal/configversion/guards.go
@@ -9,29 +9,29 @@
 	"bankledge/internal/rules"
 )
 
-// Guards bound what one version may change. An author can override each guard by its name.
+// Guards reject versions that are likely mistakes. The author of a version can override each guard by its name.
 type Guards struct {
-	// MaxRemovedShare is the fraction, from 0 to 1, of the active engines that one version may remove or drain. Its key in stored
-	// snapshots is the name that the field once had.
+	// MaxRemovedShare is the fraction, from 0 to 1, of the active engines that one version may remove or drain. The JSON key is the
+	// former name of the field; stored snapshots contain it.
 	MaxRemovedShare float64 `json:"MostGone"`
 }
 
-// Names of the guards, as an author gives them to override one.
+// Names of the guards, each with the reason for which it rejects a version. An author overrides a guard by its name.
 const (
-	GuardAllEngines       = "all-engines"        // no engine would be active
-	GuardShareOfEngines   = "share-of-engines"   // more engines would be removed at once than MaxRemovedShare
-	GuardKind             = "kind"               // no active engine would be of a kind that a workload is bound to
-	GuardPlacement        = "placement"          // a table group would be excluded from every active engine
-	GuardNothingInBetween = "nothing-in-between" // no engine is active both before and after
-	GuardFloor            = "floor"              // it would forbid what routers without a lease may rely on
+	GuardAllEngines       = "all-engines"        // no engine is active
+	GuardShareOfEngines   = "share-of-engines"   // more than MaxRemovedShare of the active engines are removed or drained
+	GuardMachineType      = "kind"               // a workload is restricted to machine types that no active engine has
+	GuardPlacement        = "placement"          // a table group is excluded from every active engine
+	GuardNothingInBetween = "nothing-in-between" // no engine is active in both the previous and the new version
+	GuardFloor            = "floor"              // the version forbids something that the floor permits; see Guards.Violations
 )
 
-// GuardNames lists the guards.
+// GuardNames returns the names of all guards.
 func GuardNames() []string {
-	return []string{GuardAllEngines, GuardShareOfEngines, GuardKind, GuardPlacement, GuardNothingInBetween, GuardFloor}
+	return []string{GuardAllEngines, GuardShareOfEngines, GuardMachineType, GuardPlacement, GuardNothingInBetween, GuardFloor}
 }
 
-// CheckGuardNames returns an error for the first name that is not the name of a guard.
+// CheckGuardNames returns an error for the first element of names that is not a guard's name.
 func CheckGuardNames(names []string) error {
 	for _, name := range names {
 		if !slices.Contains(GuardNames(), name) {
@@ -41,10 +41,10 @@
 	return nil
 }
 
-// Violation is a guard that rejects a version, with the reason.
+// Violation names a guard that rejects a version and says why.
 type Violation struct{ Guard, Message string }
 
-// GuardError is returned for a version that guards reject.
+// GuardError is the error for a version that one or more guards reject.
 type GuardError struct{ Violations []Violation }
 
 func (e *GuardError) Error() string {
@@ -55,7 +55,7 @@
 	return strings.Join(messages, "; ")
 }
 
-// Check returns a *GuardError if Violations finds any.
+// Check returns a *GuardError if Violations returns any violations, and nil otherwise.
 func (g Guards) Check(previous, floor, next *rules.Rules, forced []string) error {
 	violations := g.Violations(previous, floor, next, forced)
 	if len(violations) == 0 {
@@ -64,8 +64,8 @@
 	return &GuardError{Violations: violations}
 }
 
-// Violations returns the guards that a change of rules violates and that are not forced. The previous rules are nil for the first
-// version. The floor is the first version of the lineage, on which routers without a lease may rely; nil means that there is none yet.
+// Violations returns the violations of all guards that are not named in forced. The previous rules are nil for the first version. The floor
+// is the rules of the first version of the lineage, which routers without a lease may rely on; it is nil as long as there is no version.
 func (g Guards) Violations(previous, floor, next *rules.Rules, forced []string) []Violation {
 	violations := slices.Concat(
 		g.checkEngineList(previous, next),
@@ -75,7 +75,7 @@
 	return slices.DeleteFunc(violations, func(v Violation) bool { return slices.Contains(forced, v.Guard) })
 }
 
-// checkEngineList applies the guards that look at the engine list of the new version, if it has one.
+// checkEngineList applies the guards that check the engine list of the new version, if it has one.
 func (g Guards) checkEngineList(previous, next *rules.Rules) []Violation {
 	if next.Engines == nil {
 		return nil
@@ -91,7 +91,7 @@
 			return slices.Contains(next.AllowedMachineTypes[workload], e.Kind)
 		})
 		if allowed == 0 {
-			violations = append(violations, Violation{GuardKind, fmt.Sprintf("no active engine is of a kind that %s is bound to", workload)})
+			violations = append(violations, Violation{GuardMachineType, fmt.Sprintf("no active engine is of a kind that %s is bound to", workload)})
 		}
 	}
 	for _, tableGroup := range slices.Sorted(maps.Keys(next.PlacementExclusions)) {
@@ -105,6 +105,7 @@
 	return violations
 }
 
+// checkRemovedShare rejects a version that removes or drains more than MaxRemovedShare of the active engines of the previous version.
 func (g Guards) checkRemovedShare(previous, next *rules.Rules) []Violation {
 	if previous == nil || previous.Engines == nil {
 		return nil
@@ -120,7 +121,8 @@
 	return []Violation{{GuardShareOfEngines, message}}
 }
 
-// checkOverlap rejects a change during which routers, acting on the intersection of both versions, would have no engine.
+// checkOverlap rejects a change during which routers would have no active engine: while both versions are in force, routers act on their
+// intersection.
 func checkOverlap(previous, next *rules.Rules) []Violation {
 	if previous == nil || previous.Engines == nil || next.Engines == nil {
 		return nil
@@ -134,8 +136,8 @@
 	return []Violation{{GuardNothingInBetween, "no engine is active before and after: between the two, routers would have none"}}
 }
 
-// checkFloor rejects a version that forbids what the floor permits. Lists of engines are not covered: see docs/control.md, "What is
-// not promised".
+// checkFloor rejects a version that forbids something that the floor permits. Fields that list engines or restrict which engines may be
+// used are not checked: see docs/control.md, "What is not promised".
 func checkFloor(floor, next *rules.Rules) []Violation {
 	if floor == nil {
 		return nil
@@ -157,6 +159,7 @@
 
 func anyEngine(string, rules.Engine) bool { return true }
 
+// countActive returns the number of active engines for which matches returns true.
 func countActive(r *rules.Rules, matches func(id string, engine rules.Engine) bool) int {
 	count := 0
 	for id, engine := range r.Engines {
--- a/internal/configversion/guards_test.go
+++ b/internal/configversion/guards_test.go
@@ -14,8 +14,8 @@
 	guards := Guards{MaxRemovedShare: 0.3}
 	all := rulesWithEngines(t, 8)
 	onlyFirst := rulesWithEngines(t, 1)
-	// without returns the rules of all without the first engines, changed further.
-	without := func(removed int, change func(*rules.Rules)) *rules.Rules {
+	// rulesWithout returns the rules in all without the first engines, and applies change to them unless it is nil.
+	rulesWithout := func(removed int, change func(*rules.Rules)) *rules.Rules {
 		r := rulesWithEngines(t, 8)
 		for i := range removed {
 			delete(r.Engines, fmt.Sprintf("e%d", i))
@@ -26,11 +26,11 @@
 		require.NoError(t, r.Validate())
 		return r
 	}
-	noList := without(0, func(r *rules.Rules) { r.Engines = nil })
-	boundToAnotherKind := without(0, func(r *rules.Rules) { r.AllowedMachineTypes = map[string][]string{"load": {"tiny"}} })
-	excludedFromTheLast := without(7, func(r *rules.Rules) { r.PlacementExclusions = map[string][]string{"7": {"e7"}} })
-	tighter := without(0, func(r *rules.Rules) { r.SlowStartMultiple = 3 })
-	looser := without(0, func(r *rules.Rules) { r.SlowStartMultiple = 9 })
+	noEngineList := rulesWithout(0, func(r *rules.Rules) { r.Engines = nil })
+	missingMachineType := rulesWithout(0, func(r *rules.Rules) { r.AllowedMachineTypes = map[string][]string{"load": {"tiny"}} })
+	excludedFromLast := rulesWithout(7, func(r *rules.Rules) { r.PlacementExclusions = map[string][]string{"7": {"e7"}} })
+	tighter := rulesWithout(0, func(r *rules.Rules) { r.SlowStartMultiple = 3 })
+	looser := rulesWithout(0, func(r *rules.Rules) { r.SlowStartMultiple = 9 })
 	for _, test := range []struct {
 		name                  string
 		previous, floor, next *rules.Rules
@@ -38,16 +38,16 @@
 	}{
 		{"nothing changes", all, all, all, nil},
 		{"the first version", nil, nil, onlyFirst, nil},
-		{"two of eight engines removed", all, nil, without(2, nil), nil},
-		{"three of eight engines removed", all, nil, without(3, nil), []string{GuardShareOfEngines}},
-		{"all engines removed", all, nil, without(8, nil), []string{GuardAllEngines, GuardShareOfEngines}},
-		{"no list at all", all, nil, noList, nil},
-		{"all engines replaced", onlyFirst, nil, without(7, nil), []string{GuardShareOfEngines, GuardNothingInBetween}},
-		{"bound to a kind that no engine has", all, nil, boundToAnotherKind, []string{GuardKind}},
-		{"excluded from every engine", onlyFirst, nil, excludedFromTheLast, []string{GuardShareOfEngines, GuardPlacement, GuardNothingInBetween}},
+		{"two of eight engines removed", all, nil, rulesWithout(2, nil), nil},
+		{"three of eight engines removed", all, nil, rulesWithout(3, nil), []string{GuardShareOfEngines}},
+		{"all engines removed", all, nil, rulesWithout(8, nil), []string{GuardAllEngines, GuardShareOfEngines}},
+		{"no engine list", all, nil, noEngineList, nil},
+		{"all engines replaced", onlyFirst, nil, rulesWithout(7, nil), []string{GuardShareOfEngines, GuardNothingInBetween}},
+		{"workload restricted to a machine type that no engine has", all, nil, missingMachineType, []string{GuardMachineType}},
+		{"table group excluded from every engine", onlyFirst, nil, excludedFromLast, []string{GuardShareOfEngines, GuardPlacement, GuardNothingInBetween}},
 		{"tighter than the floor", all, all, tighter, []string{GuardFloor}},
 		{"looser than the floor", all, all, looser, nil},
-		{"same as the floor, without a previous version", nil, all, without(0, nil), nil},
+		{"equal to the floor, without a previous version", nil, all, rulesWithout(0, nil), nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var violated []string
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestGuardErrorHoldsTheViolations(t *testing.T) {
+func TestGuardErrorContainsViolations(t *testing.T) {
 	err := Guards{MaxRemovedShare: 0.3}.Check(rulesWithEngines(t, 8), nil, rulesWithEngines(t, 4), nil)
 	var guardError *GuardError
 	require.ErrorAs(t, err, &guardError)
--- a/internal/configversion/recording_test.go
+++ b/internal/configversion/recording_test.go
@@ -22,10 +22,10 @@
 
 var update = flag.Bool("update", false, "rewrite the recorded files under testdata")
 
-// recordedChanges is the hash of the guards and differences of 3,000 generated changes, computed at commit 05e118f.
-const recordedChanges = "b816cf7e4c77a424a1071be5762a8d555bb743bf9d612b464567ae34ac106351"
+// recordedChangesHash is the hash of the guard violations and differences of 3,000 generated changes, computed at commit 05e118f.
+const recordedChangesHash = "b816cf7e4c77a424a1071be5762a8d555bb743bf9d612b464567ae34ac106351"
 
-// TestRecordedVersions compares the stored bytes of a chain of versions with those that commit 05e118f wrote, and reads those again.
+// TestRecordedVersions compares the encodings of successive versions with those recorded at commit 05e118f, and decodes the recorded ones.
 func TestRecordedVersions(t *testing.T) {
 	deployed, err := jsonnet.MakeVM().EvaluateFile("../../deploy/rules.jsonnet")
 	require.NoError(t, err)
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestRecordedErrors compares the texts of the errors of Decode, Follows and CheckForced with those of commit 05e118f.
+// TestRecordedErrors compares the error texts of Decode, CheckFollows and CheckGuardNames with those recorded at commit 05e118f.
 func TestRecordedErrors(t *testing.T) {
 	var out bytes.Buffer
 	record := func(name string, err error) { fmt.Fprintf(&out, "%s: %v\n", name, err) }
@@ -83,7 +83,7 @@
 			decode(fmt.Sprint("decode ", field, i), func(fields map[string]any) { fields[field] = value })
 		}
 	}
-	for _, raw := range []string{"", "{", "{} x", "null", `{"number": 1}`, string(good.Encode()) + " behind", strings.Repeat(" ", 1<<20+1)} {
+	for _, raw := range []string{"", "{", "{} x", "null", `{"number": 1}`, string(good.Encode()) + " trailing", strings.Repeat(" ", 1<<20+1)} {
 		_, err := Decode([]byte(raw))
 		record(fmt.Sprintf("decode %.20q", raw), err)
 	}
@@ -101,13 +101,13 @@
 	compareWithFile(t, "testdata/errors.golden", []byte(strings.Join(lines, "")))
 }
 
-// TestRecordedChanges generates changes from rules to rules and hashes the guards that each breaks, their text and the difference.
+// TestRecordedChanges generates changes of the rules and hashes the guards that each change violates, the error text and the difference.
 func TestRecordedChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(45, 2))
 	hash := sha256.New()
-	floor, before := changed(t, random, rulesWithEngines(t, 6)), changed(t, random, rulesWithEngines(t, 6))
+	floor, before := changeRandomly(t, random, rulesWithEngines(t, 6)), changeRandomly(t, random, rulesWithEngines(t, 6))
 	for i := range 3000 {
-		next := changed(t, random, before)
+		next := changeRandomly(t, random, before)
 		if i%100 == 0 {
 			floor, next = next, rulesWithEngines(t, 6)
 		}
@@ -125,11 +125,11 @@
 		fmt.Fprintf(hash, "%q\n", Diff(before, next))
 		before = next
 	}
-	assert.Equal(t, recordedChanges, hex.EncodeToString(hash.Sum(nil)))
+	assert.Equal(t, recordedChangesHash, hex.EncodeToString(hash.Sum(nil)))
 }
 
-// changed returns a copy of rules with a few random changes.
-func changed(t *testing.T, random *rand.Rand, from *rules.Rules) *rules.Rules {
+// changeRandomly returns a copy of rules with a few random changes.
+func changeRandomly(t *testing.T, random *rand.Rand, from *rules.Rules) *rules.Rules {
 	t.Helper()
 	fields := map[string]any{}
 	require.NoError(t, json.Unmarshal(from.Canonical(), &fields))
--- a/internal/configversion/trailing_test.go
+++ b/internal/configversion/trailing_test.go
@@ -9,8 +9,8 @@
 	"bankledge/internal/rules"
 )
 
-// A version with something behind it is not what was hashed and sent.
-func TestDecodeRefusesTrailingData(t *testing.T) {
+// Data after the encoded version is not covered by the hash, so Decode must reject it.
+func TestDecodeRejectsTrailingData(t *testing.T) {
 	r := &rules.Rules{Routers: 3}
 	require.NoError(t, r.Validate())
 	encoded := New(nil, "l", r, nil, "").Encode()
--- a/internal/configversion/version.go
+++ b/internal/configversion/version.go
@@ -1,6 +1,6 @@
 // Package configversion defines numbered versions of the fleet's configuration: the rules with their number, lineage and hash, the
-// canonical encoding in which they are stored and sent, the guards that reject a version that is likely a mistake, and the differences
-// between two versions. It does no I/O and has no clock.
+// canonical encoding in which they are stored and sent, the guards that reject a version that is likely a mistake, and the description
+// of the differences between two versions. It does no I/O and reads no clock.
 package configversion
 
 import (
@@ -17,25 +17,25 @@
 	"bankledge/internal/strictjson"
 )
 
-// Version is one numbered configuration. It is immutable once it has its number.
+// Version is a numbered version of the configuration. It is immutable: New creates it with its number and hash.
 type Version struct {
 	Number       uint64       `json:"number"`  // from 1, without gaps within a lineage
-	Lineage      string       `json:"lineage"` // identifies the control group that wrote it; generated when the group is founded
-	PreviousHash string       `json:"before"`  // hash of the previous version, empty for the first
-	ForcedGuards []string     `json:"forced"`  // names of the guards that its author overrode, sorted
+	Lineage      string       `json:"lineage"` // identifies the control group that created the version; generated at the group's bootstrap
+	PreviousHash string       `json:"before"`  // hash of the previous version; empty in the first one
+	ForcedGuards []string     `json:"forced"`  // sorted names of the guards that the author overrode
 	Note         string       `json:"note"`    // the author's reason
 	Rules        *rules.Rules `json:"rules"`
-	Hash         string       `json:"hash"` // SHA-256, in hex, of the encoding with an empty hash
+	Hash         string       `json:"hash"` // hexadecimal SHA-256 of the encoding with an empty hash
 }
 
-// Limits of a version's encoding, in bytes.
+// Limits of an encoded version and its fields, in bytes.
 const (
 	MaxEncodedBytes = 1 << 20
 	maxNoteBytes    = 1000
 	maxLineageBytes = 100
 )
 
-// ErrHashMismatch reports that a version was changed or damaged after its hash was computed.
+// ErrHashMismatch is returned for a version that was modified or damaged after its hash was computed.
 var ErrHashMismatch = errors.New("hash: it is not what was hashed")
 
 var (
@@ -45,12 +45,12 @@
 	errRulesMissing   = errors.New("rules: missing")
 )
 
-// New returns the successor of a version (nil: the first version of the lineage). The rules have to be valid.
+// New returns the version that follows previous, or the first version of the lineage if previous is nil. The rules must be valid.
 func New(previous *Version, lineage string, r *rules.Rules, forcedGuards []string, note string) *Version {
 	v := &Version{
 		Number:       1,
 		Lineage:      lineage,
-		ForcedGuards: append([]string{}, forcedGuards...), // never nil, which would be encoded as null
+		ForcedGuards: append([]string{}, forcedGuards...), // not nil, which would be encoded as null
 		Note:         note,
 		Rules:        r,
 	}
@@ -65,26 +65,27 @@
 }
 
 func (v *Version) computeHash() string {
-	unhashed := *v
-	unhashed.Hash = ""
-	sum := sha256.Sum256(unhashed.Encode())
+	withoutHash := *v
+	withoutHash.Hash = ""
+	sum := sha256.Sum256(withoutHash.Encode())
 	return hex.EncodeToString(sum[:])
 }
 
-// Encode returns the canonical encoding: the same version gives the same bytes.
+// Encode returns the canonical JSON encoding. Equal versions have equal encodings.
 func (v *Version) Encode() []byte {
 	raw, err := json.Marshal(v)
-	if err != nil { // valid rules hold finite amounts, so this is a programming error
+	if err != nil { // programming error: the numbers in valid rules are finite
 		panic(err)
 	}
 	return raw
 }
 
-// publishedNames are the names of types in the texts of decoding errors, which routers send to the control group.
+// publishedNames restores the former names of types in the texts of decoding errors. Routers send these texts to the control group, so they
+// must not change when a type is renamed.
 var publishedNames = strings.NewReplacer("configversion.Version", "version.Version")
 
-// Decode reads a version and checks its fields, rules and hash; the error names the field. The hash also shows a version that was
-// received in part.
+// Decode decodes a version and checks its fields, rules and hash; the error names the invalid field. The hash also
+// detects a version that was received only in part.
 func Decode(raw []byte) (*Version, error) {
 	if len(raw) > MaxEncodedBytes {
 		return nil, fmt.Errorf("version: %d bytes, over %d", len(raw), MaxEncodedBytes)
@@ -119,8 +120,8 @@
 	return nil
 }
 
-// CheckFollows returns an error if v can't be accepted after previous, or beside it: another lineage, another version of the same number,
-// or another predecessor. A gap between the numbers is allowed. Without a previous version the result is nil.
+// CheckFollows returns an error if v contradicts previous: it has another lineage, it has the same number but another hash, or it has the
+// next number but another predecessor. A gap between the numbers is allowed. If previous is nil, CheckFollows returns nil.
 func (v *Version) CheckFollows(previous *Version) error {
 	switch {
 	case previous == nil:
--- a/internal/configversion/version_test.go
+++ b/internal/configversion/version_test.go
@@ -10,7 +10,7 @@
 	"bankledge/internal/rules"
 )
 
-// rulesWithEngines returns rules with active engines e0, e1 and so on, alternately of kind big and small.
+// rulesWithEngines returns rules with the active engines e0, e1 and so on, whose machine types alternate between big and small.
 func rulesWithEngines(t testing.TB, engines int) *rules.Rules {
 	t.Helper()
 	r := &rules.Rules{Routers: 3, SlowStartMultiple: 4, SlowStartShare: 0.3, Engines: map[string]rules.Engine{}}
@@ -33,23 +33,23 @@
 	assert.NoError(t, decoded.CheckFollows(first))
 }
 
-func TestDecodeRefusesPartsOfAVersion(t *testing.T) {
+func TestDecodeRejectsTruncatedVersion(t *testing.T) {
 	encoded := New(nil, "l1", rulesWithEngines(t, 5), []string{GuardAllEngines}, "a note").Encode()
 	for size := range len(encoded) {
 		_, err := Decode(encoded[:size])
-		require.Error(t, err, "cut at %d bytes", size)
+		require.Error(t, err, "truncated to %d bytes", size)
 	}
 }
 
-func TestDecodeRefusesAChangedVersion(t *testing.T) {
-	changed := *New(nil, "l1", rulesWithEngines(t, 4), nil, "founded")
-	changed.Note = "something else"
-	_, err := Decode(changed.Encode())
+func TestDecodeRejectsModifiedVersion(t *testing.T) {
+	modified := *New(nil, "l1", rulesWithEngines(t, 4), nil, "founded")
+	modified.Note = "something else"
+	_, err := Decode(modified.Encode())
 	assert.ErrorIs(t, err, ErrHashMismatch)
 	assert.ErrorContains(t, err, "hash")
 }
 
-func TestDecodeNamesTheField(t *testing.T) {
+func TestDecodeErrorNamesField(t *testing.T) {
 	for wantError, encoded := range map[string]string{
 		"number":         `{"number": 0}`,
 		"lineage":        `{"number": 1}`,
@@ -84,9 +84,9 @@
 		if err != nil {
 			return
 		}
-		again, err := Decode(v.Encode())
-		if err != nil || again.Hash != v.Hash {
-			t.Fatal("decoded again:", err)
+		redecoded, err := Decode(v.Encode())
+		if err != nil || redecoded.Hash != v.Hash {
+			t.Fatal("hash changed in a round trip, or error:", err)
 		}
 	})
 }
--- a/internal/configversion/versiontest/versiontest.go
+++ b/internal/configversion/versiontest/versiontest.go
@@ -10,8 +10,8 @@
 	"bankledge/internal/rules"
 )
 
-// Lineage returns the first n versions of a lineage. Their rules tighten and loosen at random, and from the second one on have a list of
-// engines; most of them force all guards.
+// Lineage returns the first n versions of a lineage, with random rules that become looser and tighter. All versions except the first have
+// an engine list. Most versions force all guards.
 func Lineage(t *testing.T, random *rand.Rand, lineage string, n int) []*configversion.Version {
 	t.Helper()
 	var versions []*configversion.Version
@@ -26,10 +26,10 @@
 			SheddableWorkloads:       []string{"a", "b", "c"}[:random.IntN(4)],
 		}
 		if i > 0 {
-			r.Engines = engines(random)
+			r.Engines = randomEngines(random)
 		}
 		if err := r.Validate(); err != nil {
-			t.Fatalf("generated rules are not valid: %v", err)
+			t.Fatalf("generated rules are invalid: %v", err)
 		}
 		var forced []string
 		if random.IntN(4) > 0 {
@@ -41,7 +41,8 @@
 	return versions
 }
 
-func engines(random *rand.Rand) map[string]rules.Engine {
+// randomEngines returns an engine list of up to four engines, some of them draining.
+func randomEngines(random *rand.Rand) map[string]rules.Engine {
 	list := map[string]rules.Engine{}
 	for i := range 4 {
 		if random.IntN(5) == 0 {
