--- a/internal/faultlab/audit.go
+++ b/internal/faultlab/audit.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// Violation is something that must not be, found in a history.
+// Violation is a broken rule that an auditor found in a history.
 type Violation struct {
 	Auditor string        `json:"auditor"`
 	At      time.Duration `json:"at"`
 	Text    string        `json:"text"`
 }
 
-// Auditor searches a history for one kind of violation. It knows nothing of the routers but what clients, engines, links and
-// the control feed observed; only the auditor "guard" reads the routers' logs.
+// Auditor searches a history for one kind of violation. Auditors use only what clients, engines, links and control feeds observed,
+// except the auditor "guard", which reads the routers' logs.
 type Auditor struct {
 	Name        string
 	Description string
 	Find        func(*History) []Violation
 }
 
-// Names of auditors that judge how well the fleet does.
+// Names of auditors that judge how well the fleet performs.
 const (
 	auditorExtraWork = "harm"
 	auditorRecovery  = "back"
 )
 
-// Auditors are all of them.
+// Auditors lists all auditors of the fleet.
 var Auditors = []Auditor{
-	{"answers", "one final answer a statement, before its client's time is up", auditAnswers},
-	{"once", "nothing non-idempotent starts twice", auditNonIdempotent},
-	{"one at a time", "no statement runs on two engines at once", auditConcurrentAttempts},
-	{"left", "nothing is sent for a client that has left", auditCancelled},
-	{"guard", "no router's own check finds a rule broken or a panic", auditInvariants},
-	{"drains", "nothing new comes to an engine that a router was told drains or is gone", auditDraining},
-	{"cold", "no cold engine is sent more than it bears by all routers", auditSlowStart},
-	{auditorExtraWork, "all routers' extra work keeps the fleet's bounds", auditExtraWork},
-	{auditorRecovery, "nine tenths of what was in time before come back within 5 s of the last fault", auditRecovery},
+	{"answers", "each statement gets one final answer before its client's timeout", auditAnswers},
+	{"once", "no non-idempotent statement starts twice", auditNonIdempotent},
+	{"one at a time", "no statement runs on two engines at the same time", auditConcurrentAttempts},
+	{"left", "no attempt starts after its client has cancelled", auditCancelled},
+	{"guard", "no router logs a violated invariant or a panic", auditInvariants},
+	{"drains", "no router starts an attempt on an engine after it was notified that the engine drains or was removed", auditDraining},
+	{"cold", "all routers together send no cold engine more load than it can take", auditSlowStart},
+	{auditorExtraWork, "the extra work of all routers stays within the fleet's bounds", auditExtraWork},
+	{auditorRecovery, "within 5 s after the last fault, the share in time is back to nine tenths of its value before the first fault", auditRecovery},
 }
 
-// IsInvariant reports whether an auditor judges what must hold on any machine and under any faults. The others judge how well the fleet
-// does, which depends on the machine's speed and on what the faults leave.
+// IsInvariant reports whether an auditor checks a rule that must hold on any machine and under any faults. The other auditors judge how
+// well the fleet performs, which depends on the machine's speed and on the capacity that the faults leave.
 func IsInvariant(auditor string) bool {
 	return auditor != auditorExtraWork && auditor != auditorRecovery
 }
 
-// Audit has all auditors search a history.
+// Audit runs all auditors on a history and returns the violations that they find.
 func Audit(h *History) (found []Violation) {
 	for _, a := range Auditors {
 		for _, v := range a.Find(h) {
@@ -56,21 +56,21 @@
 	return found
 }
 
-// forever is the end of an outage that lasts until the end of the play.
+// forever is the end of an outage that lasts until the end of the run.
 const forever = time.Hour
 
 const (
-	startupSlack    = 300 * time.Millisecond // statements in flight while a router goes down or comes up
-	terminateWindow = 700 * time.Millisecond // a router need not answer what comes so long after SIGTERM
+	startupSlack = 300 * time.Millisecond // allowance for statements in flight while a router goes down or comes up
+	acceptWindow = 700 * time.Millisecond // a router must answer statements received within this time after SIGTERM
 )
 
-// outage is a time in which a router was not there.
+// outage is a period in which a router was unavailable.
 type outage struct {
 	from, to time.Duration
-	cause    string // text of the event RouterDown
+	cause    string // Text of the RouterDown event
 }
 
-// routerOutages lists when each router was not there, by its index.
+// routerOutages returns the outages of each router, by router index.
 func routerOutages(h *History) map[int][]outage {
 	outages := map[int][]outage{}
 	for _, e := range h.Events {
@@ -87,36 +87,36 @@
 	return outages
 }
 
-// crossingSlack is how long after it was written a statement may be lost with a connection that the router closes: it crosses the close
-// within 50 ms, and all processes share one machine.
+// crossingSlack is the longest time between writing a statement and losing it because the router closed the connection concurrently. The
+// statement crosses the close within 50 ms; the rest allows for all processes sharing one machine.
 const crossingSlack = 250 * time.Millisecond
 
-// isLossExcused reports whether no router can answer for a statement that was answered late or lost. end is its last event.
+// isLossExcused reports whether an outage excuses the late answer or the loss of a statement. end is the statement's last event.
 func isLossExcused(outages []outage, sent, end Event) bool {
 	return slices.ContainsFunc(outages, func(o outage) bool {
-		if o.cause == downTerminated { // the process may outlive the start of the next one
+		if o.cause == downTerminated { // the process may outlive the start of its successor
 			return sent.At < max(o.to, o.from+maxAwaitedTimeout+killGrace)+startupSlack && isLossAtShutdownExcused(o, end)
 		}
 		return sent.At < o.to+startupSlack && end.At > o.from-startupSlack
 	})
 }
 
-// isLossAtShutdownExcused reports whether a statement was lost in a way that a router that was told to end cannot prevent: it could not be
-// sent any more, or it was written when requests had no longer to be expected, and crossed the close.
+// isLossAtShutdownExcused reports whether a statement was lost in a way that a router cannot prevent after SIGTERM: either it could not be
+// sent any more, or it was written after requestWindow and crossed the close of the connection.
 func isLossAtShutdownExcused(o outage, end Event) bool {
 	if end.Kind != ClientConnectionLost {
 		return false
 	}
 	if end.Took == 0 {
-		return end.At > o.from+terminateWindow
+		return end.At > o.from+acceptWindow
 	}
 	written := end.At - end.Took
 	return written > o.from+requestWindow && end.Took <= crossingSlack
 }
 
-// isCrowdExcused reports whether a statement was lost on a connection of a router whose descriptors idle clients fill: one that is new may
-// be closed unread, and one that is idle may be closed as the statement crosses the close.
-func isCrowdExcused(s *Scenario, router int, end Event) bool {
+// isIdleClientLossExcused reports whether a statement was lost while idle clients exhausted the router's file descriptors. The router may
+// then close a new connection without reading it, or close an idle connection while a statement is being sent on it.
+func isIdleClientLossExcused(s *Scenario, router int, end Event) bool {
 	if end.Kind != ClientConnectionLost || end.Took > crossingSlack {
 		return false
 	}
@@ -127,12 +127,12 @@
 	})
 }
 
-// isExcused reports whether a statement's router was away while it was open, in a way that no router can answer for.
+// isExcused reports whether an outage of the router excuses a violation for a statement that was open from sent to end.
 func isExcused(outages []outage, sent, end time.Duration) bool {
 	return slices.ContainsFunc(outages, func(o outage) bool {
 		from := o.from - startupSlack
-		if o.cause == downTerminated { // what it received before, it answers
-			from = o.from + terminateWindow
+		if o.cause == downTerminated { // a terminated router answers statements received before
+			from = o.from + acceptWindow
 		}
 		return sent < o.to+startupSlack && end > from
 	})
--- a/internal/faultlab/audit_answers.go
+++ b/internal/faultlab/audit_answers.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// answerSlack is how late an answer may come: all processes share one machine.
+// answerSlack is how late an answer may arrive, since all processes share one machine.
 const answerSlack = 400 * time.Millisecond
 
-// auditAnswers: every statement that a living router has received gets one final answer, before its client's time is up.
+// auditAnswers checks that every statement received by a running router gets exactly one final answer before its client's timeout.
 func auditAnswers(h *History) (found []Violation) {
 	outages := routerOutages(h)
 	sent := map[string]Event{}
@@ -21,18 +21,18 @@
 		case StatementSent:
 			sent[e.Statement] = e
 		case DuplicateAnswer:
-			found = append(found, Violation{At: e.At, Text: "a second answer for " + e.Statement})
-		case ClientLeft:
+			found = append(found, Violation{At: e.At, Text: "second answer to " + e.Statement})
+		case ClientCancelled:
 			finished[e.Statement] = true
 		case StatementAnswered, ClientConnectionLost:
 			s := sent[e.Statement]
 			finished[e.Statement] = true
-			if isLossExcused(outages[s.Router], s, e) || isCrowdExcused(h.Scenario, s.Router, e) {
+			if isLossExcused(outages[s.Router], s, e) || isIdleClientLossExcused(h.Scenario, s.Router, e) {
 				continue
 			}
 			late := e.At - s.At - s.Budget
 			if e.Kind == ClientConnectionLost || late > answerSlack {
-				text := fmt.Sprintf("%s %s at router %d %v after its client's time was up (%s)", s.Workload, e.Statement, s.Router, late, e.Kind)
+				text := fmt.Sprintf("%s %s at router %d: no answer in time, ended %v after its client's timeout (%s)", s.Workload, e.Statement, s.Router, late, e.Kind)
 				found = append(found, Violation{At: e.At, Text: text})
 			}
 		}
--- a/internal/faultlab/audit_draining.go
+++ b/internal/faultlab/audit_draining.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	drainGrace = time.Second // of the rule, as fleetSettings has it
+	drainGrace = time.Second // of the rule, as in fleetSettings
 	drainSlack = 250 * time.Millisecond
 )
 
-// notifiedLink is a router that was notified that an engine drains or is gone.
+// notifiedLink identifies a router and an engine that the router was notified about.
 type notifiedLink struct {
 	router int
 	engine string
 }
 
-// auditDraining: nothing new comes to an engine from a router that was notified, for as long as the rule grants, that it drains or is gone.
+// auditDraining checks that no router starts an attempt on an engine later than drainGrace after it was notified that the engine drains or
+// was removed.
 func auditDraining(h *History) (found []Violation) {
 	notified := map[notifiedLink]time.Duration{}
 	postpone := func(router int, until time.Duration) {
@@ -32,12 +33,12 @@
 		switch {
 		case e.Kind == EndpointNotified && e.Text != stateActive && !known:
 			notified[link] = e.At
-		case e.Kind == RouterDown: // what it sends when it resumes is in flight already, or it starts again and is notified again
+		case e.Kind == RouterDown: // after it resumes, attempts in flight may still arrive; after a restart it is notified again
 			postpone(e.Router, forever)
 		case e.Kind == RouterUp:
 			postpone(e.Router, e.At)
 		case e.Kind == AttemptStarted && known && e.At > since+drainGrace+drainSlack:
-			text := fmt.Sprintf("router %d starts %s on %s, of which it heard at %v", e.Router, e.Statement, e.Engine, since)
+			text := fmt.Sprintf("router %d started %s on %s, of whose draining or removal it was notified at %v", e.Router, e.Statement, e.Engine, since)
 			found = append(found, Violation{At: e.At, Text: text})
 		}
 	}
--- a/internal/faultlab/audit_extrawork.go
+++ b/internal/faultlab/audit_extrawork.go
@@ -7,7 +7,7 @@
 	"bankledge/internal/retrybudget/observer"
 )
 
-// ExtraWorkBounds are the fleet's bounds for each kind of extra work, as the lab audits them.
+// ExtraWorkBounds are the fleet's bounds for each kind of extra work that auditExtraWork checks.
 var ExtraWorkBounds = retrybudget.Bounds{
 	Window: 5 * time.Second,
 	ByKind: [retrybudget.NumWorkKinds]retrybudget.Bound{
@@ -18,10 +18,10 @@
 	},
 }
 
-// auditExtraWork: the extra work of all routers keeps the fleet's bounds, in any window.
+// auditExtraWork checks that the extra work of all routers stays within the fleet's bounds in every window.
 func auditExtraWork(h *History) (found []Violation) {
 	observed := observer.New(ExtraWorkBounds)
-	observed.Allowance[retrybudget.Handshake] = float64(h.Scenario.Routers * h.Scenario.Engines) // one on each link, to begin with
+	observed.Allowance[retrybudget.Handshake] = float64(h.Scenario.Routers * h.Scenario.Engines) // the initial connection of each link
 	started := map[string]bool{}
 	for _, e := range h.Events {
 		switch e.Kind {
--- a/internal/faultlab/audit_idempotency.go
+++ b/internal/faultlab/audit_idempotency.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// auditNonIdempotent: a non-idempotent statement is started at most once, by all routers together.
+// auditNonIdempotent checks that all routers together start a non-idempotent statement at most once.
 func auditNonIdempotent(h *History) (found []Violation) {
 	started := map[string]Event{}
 	for _, e := range h.Events {
@@ -11,7 +11,7 @@
 			continue
 		}
 		if first, twice := started[e.Statement]; twice {
-			found = append(found, Violation{At: e.At, Text: fmt.Sprintf("%s ran on %s at %v and on %s", e.Statement, first.Engine, first.At, e.Engine)})
+			found = append(found, Violation{At: e.At, Text: fmt.Sprintf("%s was started on %s at %v and again on %s", e.Statement, first.Engine, first.At, e.Engine)})
 		}
 		started[e.Statement] = e
 	}
--- a/internal/faultlab/audit_invariants.go
+++ b/internal/faultlab/audit_invariants.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// auditInvariants: no router's own check has found a violation, and no router has panicked.
+// auditInvariants checks that no router has logged a violated invariant or a panic, and that every restart after a shutdown succeeded.
 func auditInvariants(h *History) (found []Violation) {
 	for _, e := range h.Events {
 		if e.Kind == InvariantViolated {
--- a/internal/faultlab/benchmark_router.go
+++ b/internal/faultlab/benchmark_router.go
@@ -14,16 +14,16 @@
 	"bankledge/internal/rules"
 )
 
-// benchmarkRouter is a router's side of the control service, without the router.
+// benchmarkRouter is a router's client of the control service, without the rest of the router.
 type benchmarkRouter struct {
 	transport *controlclient.Transport
-	origin    time.Time // of the client's clock
+	origin    time.Time // origin of the client's clock
 	wake      chan struct{}
 
 	mu            sync.Mutex
 	client        *lease.Client
 	configuration lease.ActiveConfiguration
-	applied       map[uint64]time.Time // since when it acts on an activated version, by number
+	applied       map[uint64]time.Time // activation times by version number
 }
 
 func newBenchmarkRouter(index int, local *rules.Rules, addresses []string) *benchmarkRouter {
@@ -45,7 +45,7 @@
 	return r
 }
 
-// post steps the client by an event, carries out its actions and wakes run.
+// post passes an event to the client, executes the resulting actions and wakes run.
 func (r *benchmarkRouter) post(event lease.ClientEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// apply is called with the lock held.
+// apply stores a configuration and its activation time. The caller holds the lock.
 func (r *benchmarkRouter) apply(c lease.ActiveConfiguration) {
 	r.configuration = c
 	if c.Leased && c.Pending == 0 {
@@ -75,7 +75,7 @@
 	for ctx.Err() == nil {
 		r.post(lease.ClientTick{})
 		select {
-		case <-r.wake: // by the post itself
+		case <-r.wake: // sent by the call of post above
 		default:
 		}
 		select {
@@ -98,7 +98,7 @@
 	return r.configuration.Leased
 }
 
-// appliedAt is zero where the router has not activated the version.
+// appliedAt returns when the router activated a version, or the zero time if it has not.
 func (r *benchmarkRouter) appliedAt(version uint64) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultlab/charts.go
+++ b/internal/faultlab/charts.go
@@ -15,18 +15,18 @@
 	boxWidth    = 30 // points
 )
 
-// Charts writes PNG files into a folder that show, for each program, how its plays are spread by priority weight in time, and by time
-// until recovery.
+// Charts writes box plots as PNG files into a folder. They show, for each program, the distribution over its runs of the priority weight
+// answered in time and of the recovery time.
 func Charts(dir string, outcomes []Outcome) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	inTime := func(m Metrics) float64 { return m.InTime }
-	if err := writeBoxPlot(filepath.Join(dir, "in-time.png"), "importance in time", inTime, outcomes); err != nil {
+	if err := writeBoxPlot(filepath.Join(dir, "in-time.png"), "share of priority weight answered in time", inTime, outcomes); err != nil {
 		return err
 	}
 	recovery := func(m Metrics) float64 { return m.RecoveryTime.Seconds() }
-	return writeBoxPlot(filepath.Join(dir, "back.png"), "seconds back to normal", recovery, outcomes)
+	return writeBoxPlot(filepath.Join(dir, "back.png"), "recovery time (seconds)", recovery, outcomes)
 }
 
 func writeBoxPlot(path, title string, value func(Metrics) float64, outcomes []Outcome) error {
--- a/internal/faultlab/consistency.go
+++ b/internal/faultlab/consistency.go
@@ -8,12 +8,12 @@
 	"bankledge/internal/rules"
 )
 
-// ConsistencyReport is what the auditors of the control group find in a history. Two routers contradict each other while one does what the
-// version that the other one goes by, with a lease, forbids.
+// ConsistencyReport holds the findings of the control group's auditors in a history. Two routers that hold leases contradict each other
+// while one applies a configuration that the newest version known to the other forbids.
 type ConsistencyReport struct {
 	LongestContradiction  time.Duration
-	Contradictions        int           // pairs of an applied configuration and a version that contradicted each other at some time
-	LongestEarlyLoosening time.Duration // that a router applied something looser while another one had a lease on the version before
+	Contradictions        int           // distinct pairs of an applied configuration and a version that contradicted each other
+	LongestEarlyLoosening time.Duration // longest time that a router applied looser rules while another one held a lease on a version that forbids them
 	Versions              int
 	LeasedShare           float64 // share of the routers' time with a lease, once the first version is activated
 	Violations            []Violation
@@ -26,59 +26,60 @@
 	auditorAcknowledged  = "acknowledged"
 )
 
-// consistencySlack is by how much a router's log and the lab's own events may differ: a process resumes, is notified or writes its
-// log a little later than recorded.
+// consistencySlack is the largest difference between the times of a router's log and of the fault lab's own events: a process resumes, is
+// notified or writes its log a little later than recorded.
 const consistencySlack = 150 * time.Millisecond
 
-// appliedConfiguration is what a router acts on.
+// appliedConfiguration identifies the configuration that a router applies.
 type appliedConfiguration struct {
 	activated, pending uint64 // numbers of versions; 0: none
 	leased             bool
 }
 
-// newest is the number of the newest version that the router knows.
+// newest returns the number of the newest version that the router knows.
 func (c appliedConfiguration) newest() uint64 { return max(c.activated, c.pending) }
 
-// routerState is a router at a moment of the history.
+// routerState is the state of a router at one point of the history.
 type routerState struct {
-	applied    appliedConfiguration
-	up         bool
-	killed     bool          // one that is resumed then is not there
-	blindUntil time.Duration // it has just resumed or started, and has not looked at the time yet
+	applied     appliedConfiguration
+	up          bool
+	killed      bool          // a process that is killed while suspended does not resume
+	exemptUntil time.Duration // set after a start or resume, when the router has not checked its lease yet
 }
 
-// routerPair are the indexes of a router that acts and of another one that goes by a version.
-type routerPair struct{ acting, other int }
+// routerPair holds the index of a router that applies a configuration and of another one that knows a version.
+type routerPair struct{ applying, other int }
 
-// contradiction is an applied configuration and the version of another router that forbids it.
+// contradiction is an applied configuration and another router's version that forbids it.
 type contradiction struct {
 	applied appliedConfiguration
 	version uint64
 }
 
-// openContradiction is one that goes on: as long as one router acts on the same, however often the other's version changes.
+// openContradiction is a contradiction that has not ended. It lasts as long as the router applies the same configuration and any version of
+// the other router forbids it.
 type openContradiction struct {
 	contradiction
 	since time.Duration
 }
 
-// consistencyChecker goes through a history.
+// consistencyChecker processes the events of a history in order.
 type consistencyChecker struct {
 	report     ConsistencyReport
 	versions   map[uint64]*configversion.Version
 	localRules *rules.Rules
 	routers    []routerState
 	open       map[routerPair]openContradiction
-	loosened   map[routerPair]time.Duration // since when a router has acted on something looser early
+	loosened   map[routerPair]time.Duration // start of the period in which a router has applied looser rules too early
 	seen       map[contradiction]bool
-	conflicts  map[contradiction]string // cached; empty: there is none
+	conflicts  map[contradiction]string // cache of conflict; empty: no conflict
 	checkedAt  time.Duration
-	routerTime float64 // seconds of routers that are up and have an activated version
-	leasedTime float64 // seconds of them with a lease
+	routerTime float64 // total seconds of routers that are up and have an activated version
+	leasedTime float64 // the part of routerTime with a lease
 }
 
-// CheckConsistency goes through a history and compares, at each change, what all routers act on with the versions that those with a lease
-// go by.
+// CheckConsistency processes a history. At each change it compares the configurations that all routers apply with the newest versions known
+// to the routers that hold a lease.
 func CheckConsistency(h *History) ConsistencyReport {
 	c := &consistencyChecker{
 		versions:   map[uint64]*configversion.Version{},
@@ -108,16 +109,16 @@
 	return c.report
 }
 
-// observe checks before and after an event that changes the state of a router.
+// observe applies an event that changes the state of a router, and checks all pairs before and after the change.
 func (c *consistencyChecker) observe(e Event) {
 	switch e.Kind {
 	case RulesApplied:
 		c.check(e.At)
 		r := &c.routers[e.Router]
 		r.applied = appliedConfiguration{activated: e.Activated, pending: e.Version, leased: e.Leased}
-		r.blindUntil = 0
+		r.exemptUntil = 0
 	case RouterDown:
-		if e.Text == downTerminated { // it serves on for a while
+		if e.Text == downTerminated { // it keeps serving until it ends
 			return
 		}
 		c.check(e.At)
@@ -132,23 +133,23 @@
 		}
 		c.check(e.At)
 		r.up = true
-		if !resumed { // a new process knows nothing
+		if !resumed { // a new process knows no version
 			*r = routerState{up: true}
 		}
-		r.blindUntil = e.At + consistencySlack
+		r.exemptUntil = e.At + consistencySlack
 	default:
 		return
 	}
 	c.check(e.At)
 }
 
-// check compares all pairs of routers at a time.
+// check compares all pairs of routers at one point of time.
 func (c *consistencyChecker) check(now time.Duration) {
-	for i, acting := range c.routers {
-		c.addLeasedTime(acting, now)
+	for i, applying := range c.routers {
+		c.addLeasedTime(applying, now)
 		for j, other := range c.routers {
 			if i != j {
-				c.checkPair(routerPair{acting: i, other: j}, acting, other, now)
+				c.checkPair(routerPair{applying: i, other: j}, applying, other, now)
 			}
 		}
 	}
@@ -166,32 +167,32 @@
 	}
 }
 
-func (c *consistencyChecker) checkPair(pair routerPair, acting, other routerState, now time.Duration) {
-	found := contradiction{applied: acting.applied, version: other.applied.newest()}
+func (c *consistencyChecker) checkPair(pair routerPair, applying, other routerState, now time.Duration) {
+	found := contradiction{applied: applying.applied, version: other.applied.newest()}
 	conflict := ""
-	bothLeased := acting.up && other.up && acting.applied.leased && other.applied.leased
-	if bothLeased && now >= acting.blindUntil && now >= other.blindUntil && found.version > 0 {
+	bothLeased := applying.up && other.up && applying.applied.leased && other.applied.leased
+	if bothLeased && now >= applying.exemptUntil && now >= other.exemptUntil && found.version > 0 {
 		conflict = c.conflict(found)
 	}
 	c.trackLoosening(pair, conflict != "" && found.applied.activated >= found.version, now, found, conflict)
-	open, goesOn := c.open[pair]
-	if goesOn && (conflict == "" || open.applied != found.applied) {
-		c.end(open, now)
+	open, ongoing := c.open[pair]
+	if ongoing && (conflict == "" || open.applied != found.applied) {
+		c.closeContradiction(open, now)
 		delete(c.open, pair)
-		goesOn = false
+		ongoing = false
 	}
 	if conflict == "" {
 		return
 	}
 	since := now
-	if goesOn {
+	if ongoing {
 		since = open.since
 	}
 	c.open[pair] = openContradiction{contradiction: found, since: since}
 	c.seen[found] = true
 }
 
-// conflict says how an applied configuration contradicts a version; empty: it does not.
+// conflict describes how an applied configuration contradicts a version. It returns an empty string if it does not.
 func (c *consistencyChecker) conflict(x contradiction) string {
 	if text, known := c.conflicts[x]; known {
 		return text
@@ -208,7 +209,8 @@
 	return text
 }
 
-// appliedRules returns the rules that a router acts on: the strictest of all that it knows; nil: a version is not known.
+// appliedRules returns the rules that a router applies: the intersection of its versions, and of its local rules unless it holds a lease on
+// an activated version. It returns nil if a version is missing from the history.
 func (c *consistencyChecker) appliedRules(a appliedConfiguration) (strictest *rules.Rules) {
 	add := func(r *rules.Rules) {
 		if strictest == nil {
@@ -232,45 +234,46 @@
 	return strictest
 }
 
-// end takes a contradiction that is over.
-func (c *consistencyChecker) end(x openContradiction, now time.Duration) {
+// closeContradiction records the duration of a contradiction that has ended, and a violation if it lasted too long.
+func (c *consistencyChecker) closeContradiction(x openContradiction, now time.Duration) {
 	lasted := now - x.since
 	c.report.LongestContradiction = max(c.report.LongestContradiction, lasted)
 	if lasted <= GroupDurations.MaxContradiction()+consistencySlack {
 		return
 	}
-	c.violate(auditorContradiction, now, "for %v a router acted on versions %d and %d while another went by %d: %s",
+	c.addViolation(auditorContradiction, now, "for %v a router applied versions %d (activated) and %d (pending) while the newest version of another router with a lease was %d: %s",
 		lasted, x.applied.activated, x.applied.pending, x.version, c.conflict(x.contradiction))
 }
 
-// trackLoosening follows how long a router acts on something looser than what another one, which is behind, still goes by.
+// trackLoosening measures how long a router that has activated the same or a newer version applies rules that the version of another
+// router with a lease forbids.
 func (c *consistencyChecker) trackLoosening(pair routerPair, looser bool, now time.Duration, x contradiction, conflict string) {
-	since, goesOn := c.loosened[pair]
+	since, ongoing := c.loosened[pair]
 	if !looser {
 		delete(c.loosened, pair)
 		return
 	}
-	if !goesOn {
+	if !ongoing {
 		c.loosened[pair] = now
 		return
 	}
 	lasted := now - since
 	c.report.LongestEarlyLoosening = max(c.report.LongestEarlyLoosening, lasted)
 	if lasted > consistencySlack {
-		c.violate(auditorLoosened, now, "for %v a router acted on version %d while another had a term on %d: %s",
+		c.addViolation(auditorLoosened, now, "for %v a router applied version %d while the newest version of another router with a lease was still %d: %s",
 			lasted, x.applied.activated, x.version, conflict)
 		c.loosened[pair] = now
 	}
 }
 
-func (c *consistencyChecker) violate(auditor string, at time.Duration, format string, values ...any) {
+func (c *consistencyChecker) addViolation(auditor string, at time.Duration, format string, values ...any) {
 	c.report.Violations = append(c.report.Violations, Violation{Auditor: auditor, At: at, Text: fmt.Sprintf(format, values...)})
 }
 
-// finish ends what goes on at the end of the history.
+// finish closes all open contradictions at the end of the history.
 func (c *consistencyChecker) finish(at time.Duration) {
 	c.check(at)
 	for _, x := range c.open {
-		c.end(x, at)
+		c.closeContradiction(x, at)
 	}
 }
--- a/internal/faultlab/consistency_acknowledged.go
+++ b/internal/faultlab/consistency_acknowledged.go
@@ -6,8 +6,8 @@
 	"bankledge/internal/configversion"
 )
 
-// auditAcknowledged finds proposals that were acknowledged with a number that no version has, and numbers that two proposals got. Versions
-// older than all known ones have been compacted.
+// auditAcknowledged finds proposals that were acknowledged with a number that no version has, and numbers that two proposals were
+// acknowledged with. It ignores missing versions that are older than all known ones, since the group has compacted them.
 func auditAcknowledged(events []Event, versions map[uint64]*configversion.Version) (found []Violation) {
 	newest, oldest := uint64(0), uint64(0)
 	for number := range versions {
@@ -22,13 +22,13 @@
 			continue
 		}
 		if other := proposals[e.Version]; other != "" && other != e.Statement {
-			text := fmt.Sprintf("proposals %s and %s both got version %d", other, e.Statement, e.Version)
+			text := fmt.Sprintf("proposals %s and %s were both acknowledged as version %d", other, e.Statement, e.Version)
 			found = append(found, Violation{Auditor: auditorAcknowledged, At: e.At, Text: text})
 		}
 		proposals[e.Version] = e.Statement
 		missing := e.Version >= oldest && versions[e.Version] == nil
 		if e.Version > newest || missing {
-			text := fmt.Sprintf("proposal %s was told that it is version %d, and nobody has it", e.Statement, e.Version)
+			text := fmt.Sprintf("proposal %s was acknowledged as version %d, which no member has", e.Statement, e.Version)
 			found = append(found, Violation{Auditor: auditorAcknowledged, At: e.At, Text: text})
 		}
 	}
--- a/internal/faultlab/control_benchmark.go
+++ b/internal/faultlab/control_benchmark.go
@@ -11,7 +11,7 @@
 	"bankledge/internal/adminclient"
 )
 
-// How long the parts of a benchmark may take.
+// Time limits of the parts of a benchmark.
 const (
 	benchmarkProposalTimeout = 20 * time.Second
 	leaseAllTimeout          = 30 * time.Second
@@ -20,13 +20,13 @@
 	minMembersForFailover    = 3
 )
 
-// ControlBenchmark measures the control service: a group of real processes, and many client sides of routers, with the router's own code,
-// in this process.
+// ControlBenchmark measures the control service. The group consists of real processes; many control clients of routers run in this process,
+// with the router's own code.
 type ControlBenchmark struct {
 	Program         string // path of the built control service
 	Members         int
 	Routers         int
-	Seconds         float64 // of each part
+	Seconds         float64 // duration of each part
 	VersionInterval time.Duration
 	Dir             string
 }
@@ -35,37 +35,37 @@
 type ControlMetrics struct {
 	Routers            int           `json:"routers"`
 	Versions           int           `json:"versions"`
-	CommitP50          time.Duration `json:"written_p50_ns"` // from propose to its number
+	CommitP50          time.Duration `json:"written_p50_ns"` // from the proposal to its acknowledgement
 	CommitP99          time.Duration `json:"written_p99_ns"`
-	ApplyP50           time.Duration `json:"acts_p50_ns"` // from propose until a router has activated it, of each router
+	ApplyP50           time.Duration `json:"acts_p50_ns"` // from the proposal until a router has activated it, over all routers
 	ApplyP99           time.Duration `json:"acts_p99_ns"`
-	ConvergeP50        time.Duration `json:"all_p50_ns"` // until the last router has
+	ConvergeP50        time.Duration `json:"all_p50_ns"` // from the proposal until the last router has activated it
 	ConvergeP99        time.Duration `json:"all_p99_ns"`
-	IdleCPU            float64       `json:"idle_cpu"` // seconds a second, of the leader
+	IdleCPU            float64       `json:"idle_cpu"` // processor seconds of the leader per second
 	BusyCPU            float64       `json:"busy_cpu"` // while versions are proposed
 	ResidentMB         float64       `json:"resident_mb"`
-	IdleBytes          float64       `json:"idle_bytes"` // a second and router, both ways
+	IdleBytes          float64       `json:"idle_bytes"` // per second and router, read and written
 	BusyBytes          float64       `json:"busy_bytes"`
-	Outage             time.Duration `json:"outage_ns"` // of proposals, when the leader is killed
-	RecoveryTime       time.Duration `json:"back_ns"`   // until all have a lease again, when all members are started anew
-	LeasedDuringOutage float64       `json:"terms_meanwhile"`
+	Outage             time.Duration `json:"outage_ns"`       // time until a proposal succeeds after the leader is killed
+	RecoveryTime       time.Duration `json:"back_ns"`         // time until all routers have a lease again after a restart of all members
+	LeasedDuringOutage float64       `json:"terms_meanwhile"` // share of routers with a lease at the end of the outage
 }
 
-// benchmarkRun is one run of a benchmark.
+// benchmarkRun is the state of one run of a benchmark.
 type benchmarkRun struct {
 	ControlBenchmark
 	fleet     *fleet
 	routers   []*benchmarkRouter
 	client    *adminclient.Client
-	leader    *member // at the beginning
+	leader    *member // at the start of the benchmark
 	proposals int
 	metrics   ControlMetrics
 }
 
-// Run measures once. The error is that of a process that does not start, or of routers that do not get a lease or a version in time.
+// Run runs the benchmark once. It fails if a process does not start, or if routers do not get a lease or a version in time.
 func (b ControlBenchmark) Run(ctx context.Context) (ControlMetrics, error) {
-	schedule := &Scenario{Routers: 1, ControlMembers: b.Members}
-	run := &benchmarkRun{ControlBenchmark: b, fleet: newFleet(schedule, Options{ControlProgram: b.Program}, b.Dir)}
+	scenario := &Scenario{Routers: 1, ControlMembers: b.Members}
+	run := &benchmarkRun{ControlBenchmark: b, fleet: newFleet(scenario, Options{ControlProgram: b.Program}, b.Dir)}
 	run.metrics.Routers = b.Routers
 	defer run.fleet.close()
 	if err := run.fleet.startGroup(ctx); err != nil {
@@ -108,7 +108,8 @@
 	}
 }
 
-// propose proposes rules that are now tighter, now looser than those before, and returns the version's number and how long that took.
+// propose proposes rules that are alternately tighter and looser than the previous ones. It returns the version's number and how long the
+// proposal took.
 func (run *benchmarkRun) propose(ctx context.Context) (number uint64, took time.Duration, err error) {
 	run.proposals++
 	r := initialRules(run.Routers)
@@ -122,13 +123,13 @@
 	return outcome.Number, time.Since(began), err
 }
 
-// leaseAll writes the first version and waits until all routers have a lease.
+// leaseAll proposes the first version and waits until all routers have a lease.
 func (run *benchmarkRun) leaseAll(ctx context.Context) error {
 	if _, _, err := run.propose(ctx); err != nil {
 		return err
 	}
 	if err := waitFor(ctx, leaseAllTimeout, run.allLeased); err != nil {
-		return fmt.Errorf("not all routers get a term: %d do", run.leased())
+		return fmt.Errorf("only %d routers have a lease", run.leased())
 	}
 	run.leader = run.fleet.members[run.fleet.leader()]
 	return nil
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// measureVersions proposes versions, each when all routers have activated the one before.
+// measureVersions proposes versions, each after all routers have activated the previous one.
 func (run *benchmarkRun) measureVersions(ctx context.Context) error {
 	commit, apply, converge := newDurationHistogram(), newDurationHistogram(), newDurationHistogram()
 	usage := run.startUsage()
@@ -155,7 +156,7 @@
 		commit.RecordValue(int64(took))
 		allApplied := func() bool { return run.applied(number) == len(run.routers) }
 		if err := waitFor(ctx, applyTimeout, allApplied); err != nil {
-			return fmt.Errorf("version %d: %d of %d act on it", number, run.applied(number), len(run.routers))
+			return fmt.Errorf("version %d: only %d of %d routers have activated it", number, run.applied(number), len(run.routers))
 		}
 		latest := time.Duration(0)
 		for _, r := range run.routers {
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// measureFailover kills the leader and measures how long nothing can be proposed. It starts it again.
+// measureFailover kills the leader, measures how long no proposal succeeds, and restarts the member.
 func (run *benchmarkRun) measureFailover(ctx context.Context) error {
 	if run.Members < minMembersForFailover {
 		return nil
@@ -194,7 +195,8 @@
 	return leader.start(ctx)
 }
 
-// measureRestart kills all members, waits until all leases have expired, and measures how long it takes until all routers have one again.
+// measureRestart kills all members, waits until all leases have expired, and measures the time from the restart until all routers have a
+// lease again.
 func (run *benchmarkRun) measureRestart(ctx context.Context) error {
 	for _, m := range run.fleet.members {
 		if err := m.kill(); err != nil {
@@ -212,7 +214,7 @@
 		}
 	}
 	if err := waitFor(ctx, leaseAllTimeout, run.allLeased); err != nil {
-		return fmt.Errorf("after a restart of all: %d of %d routers have a term", run.leased(), len(run.routers))
+		return fmt.Errorf("after a restart of all members: only %d of %d routers have a lease", run.leased(), len(run.routers))
 	}
 	run.metrics.RecoveryTime = time.Since(began)
 	return nil
@@ -240,7 +242,7 @@
 	return n
 }
 
-// newDurationHistogram takes nanoseconds up to a minute.
+// newDurationHistogram returns a histogram of nanoseconds up to one minute.
 func newDurationHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute), 3)
 }
@@ -249,17 +251,17 @@
 	return time.Duration(h.ValueAtQuantile(50)), time.Duration(h.ValueAtQuantile(99))
 }
 
-// waitPoll is the time between two looks of waitFor.
-const waitPoll = 2 * time.Millisecond
+// waitPollInterval is the time between two checks of waitFor.
+const waitPollInterval = 2 * time.Millisecond
 
-// waitFor waits until a condition holds.
+// waitFor waits until a condition holds. It fails after the limit or when the context is done.
 func waitFor(ctx context.Context, limit time.Duration, condition func() bool) error {
 	deadline := time.Now().Add(limit)
 	for !condition() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return fmt.Errorf("not within %v", limit)
+			return fmt.Errorf("condition not met within %v", limit)
 		}
-		sleep(ctx, waitPoll)
+		sleep(ctx, waitPollInterval)
 	}
 	return nil
 }
--- a/internal/faultlab/control_feed.go
+++ b/internal/faultlab/control_feed.go
@@ -14,7 +14,7 @@
 // feedKeepAlive is the time between two comments of an idle control feed.
 const feedKeepAlive = time.Second
 
-// notification is what one event of a control feed says.
+// notification is the content of one event of a control feed.
 type notification struct {
 	engines []string // ids
 	state   string
@@ -26,9 +26,9 @@
 	closed chan struct{}
 
 	mu            sync.Mutex
-	events        []string // as on the wire; the first one has number 1
+	events        []string // as sent; the first one has number 1
 	notifications []notification
-	changed       chan struct{} // closed when there is another event
+	changed       chan struct{} // closed when an event is added
 }
 
 func newControlFeed() *controlFeed {
@@ -43,7 +43,7 @@
 	f.server.Close()
 }
 
-// add publishes an event; the first one is the complete list.
+// add publishes an event. The first event is the complete endpoint list.
 func (f *controlFeed) add(members []string, n notification) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,23 +56,23 @@
 	f.changed = make(chan struct{})
 }
 
-// published returns all events so far, as a router's configuration holds them, and the number of the last one.
+// published returns all events so far, in the form of a router's configuration, and the number of the last one.
 func (f *controlFeed) published() (events string, last int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return strings.Join(f.events, ","), len(f.events)
 }
 
-// after returns the events after a number, and what is closed when there are more.
+// after returns the events after a number, and a channel that is closed when another event is added.
 func (f *controlFeed) after(last int) (events []string, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.events[min(max(0, last), len(f.events)):], f.changed
 }
 
-// ServeHTTP sends the events after the one that the request names, and a comment when there is nothing else to send.
+// ServeHTTP streams the events after the one that the request names, and a comment as a keep-alive when there are no events.
 func (f *controlFeed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	last, _ := strconv.Atoi(r.Header.Get("Last-Event-ID")) // none: from the first event on
+	last, _ := strconv.Atoi(r.Header.Get("Last-Event-ID")) // without the header, all events are sent
 	ticker := time.NewTicker(feedKeepAlive)
 	defer ticker.Stop()
 	for {
@@ -94,8 +94,8 @@
 	}
 }
 
-// deliveries returns a function that is to be called with the bytes that have passed the router's link. It calls delivered for each
-// event that the router has received completely.
+// deliveries returns a function that must be called with the bytes that were delivered on the router's link. It calls delivered for
+// each event that the router has received completely.
 func (f *controlFeed) deliveries(delivered func(notification)) func([]byte) {
 	var mu sync.Mutex
 	var line []byte
@@ -109,7 +109,7 @@
 				continue
 			}
 			if number, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
-				id, _ = strconv.Atoi(string(number)) // the feed wrote it
+				id, _ = strconv.Atoi(string(number)) // a number that ServeHTTP wrote
 			} else if len(line) == 0 && id > 0 {
 				delivered(f.notification(id))
 				id = 0
--- a/internal/faultlab/control_member.go
+++ b/internal/faultlab/control_member.go
@@ -19,7 +19,7 @@
 	"bankledge/internal/lease"
 )
 
-// GroupDurations are those of a play with a control group: shorter than usual, so that a play takes seconds.
+// GroupDurations are the durations of a run with a control group, shorter than the defaults so that a run takes seconds.
 var GroupDurations = lease.Durations{
 	LeaseDuration: time.Second,
 	RenewInterval: 200 * time.Millisecond,
@@ -30,43 +30,43 @@
 }
 
 const (
-	memberHeartbeat       = 50 * time.Millisecond
-	memberElectionTimeout = 400 * time.Millisecond
-	memberCompaction      = 50 // entries of the log
-	leaderStatusTimeout   = 300 * time.Millisecond
-	noLeader              = -1
+	memberHeartbeat          = 50 * time.Millisecond
+	memberElectionTimeout    = 400 * time.Millisecond
+	memberCompactionInterval = 50 // entries of the log
+	leaderStatusTimeout      = 300 * time.Millisecond
+	noLeader                 = -1
 )
 
-// member is a process of the control group, with the links that lead to it.
+// member is a process of the control group, with the links to it.
 type member struct {
 	fleet         *fleet
 	index         int
-	peerAddress   string  // where it listens for the other members
-	clientAddress string  // where it listens for routers and operators
+	peerAddress   string  // listen address for the other members
+	clientAddress string  // listen address for routers and operators
 	peerLinks     []*Link // one from each member
 	routerLinks   []*Link // one from each router
 
 	mu      sync.Mutex
 	process *process // nil before the first start
 	starts  int
-	lost    bool // it never starts again
+	lost    bool // it is never restarted
 }
 
-// Addresses of members are below the ports that the system gives to connections, which would take one while a member is down.
+// Members listen below the range of ephemeral ports, so that no connection takes the port of a member that is down.
 const (
 	firstMemberPort = 12000
-	memberPorts     = 20000
-	portsTried      = 200
+	memberPortCount = 20000
+	maxPortAttempts = 200
 )
 
 var nextMemberPort atomic.Int64
 
-// unusedMemberAddress returns an address on loopback that nobody listens on at present.
+// unusedMemberAddress returns a loopback address on which no process currently listens.
 func unusedMemberAddress() (string, error) {
 	nextMemberPort.CompareAndSwap(0, int64(os.Getpid())*131)
 	var err error
-	for range portsTried {
-		address := fmt.Sprintf("127.0.0.1:%d", firstMemberPort+nextMemberPort.Add(1)%memberPorts)
+	for range maxPortAttempts {
+		address := fmt.Sprintf("127.0.0.1:%d", firstMemberPort+nextMemberPort.Add(1)%memberPortCount)
 		var listener net.Listener
 		listener, err = net.Listen("tcp", address)
 		if err == nil {
@@ -79,7 +79,7 @@
 
 // startGroup starts the processes of the control group.
 func (f *fleet) startGroup(ctx context.Context) error {
-	for i := range f.schedule.ControlMembers {
+	for i := range f.scenario.ControlMembers {
 		m, err := f.newMember(i)
 		if err != nil {
 			return err
@@ -105,11 +105,11 @@
 	if err != nil {
 		return nil, err
 	}
-	m.peerLinks, err = newLinks(f.schedule.ControlMembers, m.peerAddress)
+	m.peerLinks, err = newLinks(f.scenario.ControlMembers, m.peerAddress)
 	if err != nil {
 		return nil, err
 	}
-	m.routerLinks, err = newLinks(f.schedule.Routers, m.clientAddress)
+	m.routerLinks, err = newLinks(f.scenario.Routers, m.clientAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 	return links, nil
 }
 
-// start starts the process and waits until it serves. One that is lost stays away.
+// start starts the process and waits until it serves. It does nothing if the member is lost.
 func (m *member) start(ctx context.Context) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -150,7 +150,7 @@
 	return err
 }
 
-// writeSettings writes the settings of the process. It finds each other member by a link of its own.
+// writeSettings writes the settings of the process, in which the address of each other member is that of a link.
 func (m *member) writeSettings() (path string, err error) {
 	members := map[string]controlserver.Member{}
 	for _, other := range m.fleet.members {
@@ -174,7 +174,7 @@
 		HeartbeatMillis:       memberHeartbeat.Milliseconds(),
 		ElectionTimeoutMillis: memberElectionTimeout.Milliseconds(),
 		MaxRemovedShare:       1,
-		CompactionInterval:    memberCompaction,
+		CompactionInterval:    memberCompactionInterval,
 	})
 	if err != nil {
 		return "", err
@@ -192,7 +192,7 @@
 // kill kills the process and waits until it has ended.
 func (m *member) kill() error { return m.current().kill() }
 
-// lose kills the process for good.
+// lose kills the process permanently.
 func (m *member) lose() error {
 	m.lost = true
 	return m.kill()
@@ -214,7 +214,7 @@
 	}
 }
 
-// leader returns the index of the member that can prove that it leads, or noLeader.
+// leader returns the index of the member that reports itself as the confirmed leader, or noLeader.
 func (f *fleet) leader() int {
 	for _, m := range f.members {
 		client := adminclient.New([]string{m.clientAddress}, leaderStatusTimeout)
@@ -226,7 +226,7 @@
 	return noLeader
 }
 
-// memberAddresses returns where the members listen for operators.
+// memberAddresses returns the addresses on which the members listen for operators.
 func (f *fleet) memberAddresses() (addresses []string) {
 	for _, m := range f.members {
 		addresses = append(addresses, m.clientAddress)
--- a/internal/faultlab/engine.go
+++ b/internal/faultlab/engine.go
@@ -9,10 +9,10 @@
 	"bankledge/internal/fakes"
 )
 
-// abandonAfter is how long an engine runs a statement that nobody polls.
+// abandonAfter is how long an engine runs a statement that no router polls.
 const abandonAfter = 2 * time.Second
 
-// States of an engine, as the control feed says them.
+// States of an engine, as the control feed publishes them.
 const (
 	stateActive   = "active"
 	stateDraining = "leaving"
@@ -22,25 +22,25 @@
 // engine is a simulated engine of the fleet.
 type engine struct {
 	id    string
-	place int
+	slot  int
 	model *fakes.SimulatedEngine
 }
 
-// engineEvents are the kinds of events of a history for those of a simulated engine.
+// engineEvents maps the kinds of events of a simulated engine to those of a history.
 var engineEvents = map[fakes.EngineEventKind]EventKind{
 	fakes.AttemptStarted:   AttemptStarted,
 	fakes.AttemptEnded:     AttemptEnded,
 	fakes.AttemptCancelled: AttemptCancelled,
 	fakes.AttemptAbandoned: AttemptDropped,
 	fakes.HealthChecked:    HealthChecked,
-	fakes.Collapsed:        EngineCollapsed,
+	fakes.Collapsed:        ColdEngineOverloaded,
 }
 
-// newEngine starts an engine whose events go to the history.
-func (f *fleet) newEngine(place int, slowStart fakes.SlowStart) *engine {
+// newEngine starts an engine whose events are recorded in the history.
+func (f *fleet) newEngine(slot int, slowStart fakes.SlowStart) *engine {
 	f.mu.Lock()
 	f.enginesMade++
-	e := &engine{id: fmt.Sprintf("e%02d", f.enginesMade), place: place}
+	e := &engine{id: fmt.Sprintf("e%02d", f.enginesMade), slot: slot}
 	f.mu.Unlock()
 	model := fakes.NewSimulatedEngine(engineCores, func(_, text string) (time.Duration, int) { return statementCost(text) })
 	model.SlowStart = slowStart
@@ -70,7 +70,7 @@
 // costTag precedes the cost of a statement in its text: milliseconds of work on one thread, a dot, and the number of threads.
 const costTag = "cost = "
 
-// statementCost reads what a statement costs from its text. One that the lab did not write costs a millisecond.
+// statementCost parses the cost of a statement from its text. A statement without a valid cost tag costs one millisecond on one thread.
 func statementCost(text string) (work time.Duration, threads int) {
 	_, tag, _ := strings.Cut(text, costTag)
 	millis, threadText, _ := strings.Cut(strings.Fields(tag + " 1")[0], ".")
@@ -85,8 +85,8 @@
 	return time.Duration(workMillis) * time.Millisecond, threads
 }
 
-// stopEngines ends engines at once: their links are reset and refuse connections. They are gone from then on, and a new engine may have
-// their addresses; the end of their servers waits for polls that nobody hears any more.
+// stopEngines stops engines immediately: it resets their links and has them refuse connections. The engines count as stopped from then
+// on, and new engines may get their addresses. Closing a server takes longer, as it waits for polls that no router can receive any more.
 func (f *fleet) stopEngines(engines []*engine) {
 	for _, e := range engines {
 		for _, r := range f.routers {
@@ -95,12 +95,12 @@
 				link.Reset()
 			}
 		}
-		f.record(Event{Kind: EngineGone, Router: noRouter, Engine: e.id})
+		f.record(Event{Kind: EngineStopped, Router: noRouter, Engine: e.id})
 		e.model.Close()
 	}
 }
 
-// replaceEngines has engines drain, or stops them at once, and returns what puts new ones, which start slowly, in their places.
+// replaceEngines drains engines, or stops them immediately, and returns a function that starts cold engines in their slots.
 func (f *fleet) replaceEngines(fault Fault) (repair func() error) {
 	drain := fault.Kind == faultReplaceEngines
 	old := f.enginesAt(fault.Engines)
@@ -113,7 +113,7 @@
 	return func() error {
 		var started []*engine
 		for _, e := range old {
-			started = append(started, f.newEngine(e.place, engineSlowStart))
+			started = append(started, f.newEngine(e.slot, engineSlowStart))
 		}
 		if drain {
 			f.publish(old, stateRemoved)
@@ -123,7 +123,7 @@
 	}
 }
 
-// joinEngines makes the links to new engines, gives them their places and publishes them.
+// joinEngines creates the links to new engines, assigns their slots and publishes them as active.
 func (f *fleet) joinEngines(engines []*engine) error {
 	for _, r := range f.routers {
 		for _, e := range engines {
@@ -134,7 +134,7 @@
 	}
 	f.mu.Lock()
 	for _, e := range engines {
-		f.engines[e.place] = e
+		f.engines[e.slot] = e
 	}
 	f.mu.Unlock()
 	f.publish(engines, stateActive)
--- a/internal/faultlab/fault_kind.go
+++ b/internal/faultlab/fault_kind.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// FaultKind names a kind of fault, as schedules and histories have it.
+// FaultKind is a kind of fault. Scenarios and histories store its value.
 type FaultKind string
 
 // Kinds of faults. The faults of links are in engineLinkFaults and groupLinkFaults.
@@ -32,7 +32,7 @@
 	faultFailSocket        FaultKind = "socket-fails"
 )
 
-// faultSpec says which fields a kind of fault needs, and what it does.
+// faultSpec defines which fields of a Fault a kind of fault requires, and describes the fault.
 type faultSpec struct {
 	routers   bool
 	engines   bool
@@ -40,48 +40,48 @@
 	amount    bool
 	signed    bool    // the amount may be negative
 	maxAmount float64 // 0: defaultMaxAmount
-	lasting   bool    // it needs a duration
+	duration  bool    // Fault.For must be set
 	help      string
 }
 
 const defaultMaxAmount = 100
 
 var faultKinds = map[FaultKind]faultSpec{
-	"cut":                  {routers: true, engines: true, lasting: true, help: "links of routers to engines pass nothing, both ways"},
-	"cut-there":            {routers: true, engines: true, lasting: true, help: "the same from routers to engines only"},
-	"cut-back":             {routers: true, engines: true, lasting: true, help: "the same from engines to routers only"},
-	"delay":                {routers: true, engines: true, amount: true, lasting: true, help: "answers of engines to routers come so many seconds late"},
-	"slow":                 {routers: true, engines: true, lasting: true, help: "answers of engines come a byte a tick"},
-	faultResetLinks:        {routers: true, engines: true, help: "all connections of routers to engines are reset"},
-	faultRefuseConnections: {engines: true, lasting: true, help: "engines refuse new connections and run on"},
-	faultBlockFeed:         {routers: true, lasting: true, help: "the control feed passes nothing"},
-	faultKillRouters:       {routers: true, lasting: true, help: "routers are killed, and started again after the time"},
-	faultStopRouters:       {routers: true, lasting: true, help: "routers are stopped, and woken after the time"},
-	faultTerminateRouters:  {routers: true, lasting: true, help: "routers end by SIGTERM, and are started again after the time"},
-	faultReplaceEngines:    {engines: true, lasting: true, help: "engines drain, leave after the time, and new cold ones take their place"},
-	faultLoseEngines:       {engines: true, lasting: true, help: "engines die, and come back cold under new ids after the time"},
-	faultSlowEngines:       {engines: true, amount: true, lasting: true, help: "engines take so many times as long"},
-	faultFailingEngines:    {engines: true, lasting: true, help: "engines end all with an error"},
-	"group-cut":            {routers: true, members: true, lasting: true, help: "links of routers to processes of the control group pass nothing, both ways"},
-	"group-cut-there":      {routers: true, members: true, lasting: true, help: "the same from routers to the group only"},
-	"group-cut-back":       {routers: true, members: true, lasting: true, help: "the same from the group to routers only"},
-	"group-delay":          {routers: true, members: true, amount: true, lasting: true, help: "what the group says to routers comes so many seconds late"},
-	faultResetGroupLinks:   {routers: true, members: true, help: "all connections of routers to the group are reset"},
-	faultPartitionMembers:  {members: true, lasting: true, help: "processes of the group are cut off from the others"},
-	faultKillMembers:       {members: true, lasting: true, help: "processes of the group are killed, and started again after the time"},
-	faultStopMembers:       {members: true, lasting: true, help: "processes of the group are stopped, and woken after the time"},
-	faultLoseMembers:       {members: true, help: "processes of the group are killed, and never come back"},
-	faultSurge:             {amount: true, lasting: true, help: "so many times the traffic"},
-	faultStepClock:         {routers: true, amount: true, signed: true, maxAmount: 7200, help: "the wall clock of routers' hosts steps by so many seconds, and back after the time, if there is one"},
-	faultFailAccept:        {routers: true, amount: true, lasting: true, help: "one in so many of routers' calls to accept fails: ECONNABORTED, EMFILE, ENFILE or ENOBUFS"},
-	faultFailConnect:       {routers: true, amount: true, lasting: true, help: "one in so many of routers' calls to connect fails: EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH or ETIMEDOUT"},
-	faultFailSocket:        {routers: true, amount: true, lasting: true, help: "one in so many of routers' calls to socket fails: EMFILE, ENFILE or ENOBUFS"},
-	faultRetireRouters:     {routers: true, amount: true, help: "routers end by a series of so many signals, SIGTERM first, are killed as soon as the protocol allows, and started again at once"},
-	faultIdleClients:       {routers: true, amount: true, maxAmount: 1000, lasting: true, help: "so many idle clients rest on connections of each router"},
-	faultReloadRouters:     {routers: true, help: "routers read their configuration again (SIGHUP)"},
+	"cut":                  {routers: true, engines: true, duration: true, help: "links between routers and engines are blocked in both directions"},
+	"cut-there":            {routers: true, engines: true, duration: true, help: "links between routers and engines are blocked from router to engine"},
+	"cut-back":             {routers: true, engines: true, duration: true, help: "links between routers and engines are blocked from engine to router"},
+	"delay":                {routers: true, engines: true, amount: true, duration: true, help: "answers of engines to routers are delayed by the amount in seconds"},
+	"slow":                 {routers: true, engines: true, duration: true, help: "answers of engines to routers are throttled to one byte per 20 ms"},
+	faultResetLinks:        {routers: true, engines: true, help: "all connections from routers to engines are reset"},
+	faultRefuseConnections: {engines: true, duration: true, help: "engines refuse new connections and keep running"},
+	faultBlockFeed:         {routers: true, duration: true, help: "the control feeds of routers are blocked"},
+	faultKillRouters:       {routers: true, duration: true, help: "routers are killed, and restarted after the duration"},
+	faultStopRouters:       {routers: true, duration: true, help: "routers are suspended (SIGSTOP), and resumed after the duration"},
+	faultTerminateRouters:  {routers: true, duration: true, help: "routers are terminated (SIGTERM), and restarted after the duration"},
+	faultReplaceEngines:    {engines: true, duration: true, help: "engines drain; after the duration they are removed and cold engines replace them"},
+	faultLoseEngines:       {engines: true, duration: true, help: "engines stop immediately; after the duration cold engines with new ids replace them"},
+	faultSlowEngines:       {engines: true, amount: true, duration: true, help: "engines take longer by the amount as a factor"},
+	faultFailingEngines:    {engines: true, duration: true, help: "all statements that start on engines end with an error"},
+	"group-cut":            {routers: true, members: true, duration: true, help: "links between routers and members of the control group are blocked in both directions"},
+	"group-cut-there":      {routers: true, members: true, duration: true, help: "links between routers and members of the control group are blocked from router to member"},
+	"group-cut-back":       {routers: true, members: true, duration: true, help: "links between routers and members of the control group are blocked from member to router"},
+	"group-delay":          {routers: true, members: true, amount: true, duration: true, help: "replies of members of the control group to routers are delayed by the amount in seconds"},
+	faultResetGroupLinks:   {routers: true, members: true, help: "all connections from routers to members of the control group are reset"},
+	faultPartitionMembers:  {members: true, duration: true, help: "members of the control group are partitioned from the others"},
+	faultKillMembers:       {members: true, duration: true, help: "members of the control group are killed, and restarted after the duration"},
+	faultStopMembers:       {members: true, duration: true, help: "members of the control group are suspended (SIGSTOP), and resumed after the duration"},
+	faultLoseMembers:       {members: true, help: "members of the control group are killed and never restarted"},
+	faultSurge:             {amount: true, duration: true, help: "traffic is multiplied by the amount, at most by 3"},
+	faultStepClock:         {routers: true, amount: true, signed: true, maxAmount: 7200, help: "the wall clock of routers' hosts steps by the amount in seconds, and back after the duration, if one is set"},
+	faultFailAccept:        {routers: true, amount: true, duration: true, help: "one in amount of the routers' calls to accept fails: ECONNABORTED, EMFILE, ENFILE or ENOBUFS"},
+	faultFailConnect:       {routers: true, amount: true, duration: true, help: "one in amount of the routers' calls to connect fails: EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH or ETIMEDOUT"},
+	faultFailSocket:        {routers: true, amount: true, duration: true, help: "one in amount of the routers' calls to socket fails: EMFILE, ENFILE or ENOBUFS"},
+	faultRetireRouters:     {routers: true, amount: true, help: "routers receive as many signals as the amount, SIGTERM first, are killed as soon as the protocol allows, and are restarted immediately"},
+	faultIdleClients:       {routers: true, amount: true, maxAmount: 1000, duration: true, help: "as many idle clients as the amount keep connections to each router"},
+	faultReloadRouters:     {routers: true, help: "routers reload their configuration (SIGHUP)"},
 }
 
-// FaultKinds lists the kinds of faults and what they do, a line each, in order.
+// FaultKinds returns one line for each kind of fault with its name and description, sorted by name.
 func FaultKinds() (lines []string) {
 	for kind, spec := range faultKinds {
 		lines = append(lines, string(kind)+": "+spec.help)
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// playFault injects a fault at its time and repairs it at the end of it.
-func (f *fleet) playFault(ctx context.Context, fault Fault) error {
-	f.waitUntil(ctx, fault.At) // where the context is done, the fault begins and ends at once
+// runFault injects a fault at its time and repairs it at its end.
+func (f *fleet) runFault(ctx context.Context, fault Fault) error {
+	f.waitUntil(ctx, fault.At) // if the context is done, the fault begins and ends immediately
 	f.record(Event{Kind: FaultStarted, Router: noRouter, Text: string(fault.Kind)})
 	repair, err := f.inject(ctx, fault)
 	if err == nil && repair != nil {
@@ -20,7 +20,7 @@
 	return err
 }
 
-// inject begins a fault. repair ends it; nil: there is nothing to end.
+// inject begins a fault. repair ends it, and is nil if there is nothing to end.
 func (f *fleet) inject(ctx context.Context, fault Fault) (repair func() error, err error) {
 	if impaired, ok := engineLinkFaults[fault.Kind]; ok {
 		return f.impairLinks(fault, impaired(fault)), nil
@@ -49,7 +49,7 @@
 	return f.injectRouterFault(ctx, fault)
 }
 
-// injectRouterFault begins a fault of the processes of routers. One of another kind, such as a surge of traffic, is played elsewhere.
+// injectRouterFault begins a fault of routers' processes. It ignores other kinds: surgeAt applies a surge of traffic, for example.
 func (f *fleet) injectRouterFault(ctx context.Context, fault Fault) (repair func() error, err error) {
 	restart := func() error {
 		return f.eachRouter(fault, func(r *router) error { return r.start(ctx) })
@@ -62,7 +62,7 @@
 	case faultRetireRouters:
 		return nil, f.eachRouter(fault, func(r *router) error { return r.retire(ctx, int(fault.Amount)) })
 	case faultIdleClients:
-		return f.crowd(ctx, fault), nil
+		return f.connectIdleClients(ctx, fault), nil
 	case faultReloadRouters:
 		return nil, f.eachRouter(fault, func(r *router) error { return r.signal(syscall.SIGHUP) })
 	case faultStopRouters:
@@ -72,10 +72,10 @@
 	return nil, nil
 }
 
-// linkImpairments are what a fault does to the two directions of links.
+// linkImpairments are the impairments that a fault applies to the two directions of links.
 type linkImpairments struct{ forward, reverse Impairment }
 
-// engineLinkFaults are the faults of links from routers to engines.
+// engineLinkFaults maps the faults of links from routers to engines to their impairments.
 var engineLinkFaults = map[FaultKind]func(Fault) linkImpairments{
 	"cut":       blockBothWays,
 	"cut-there": blockForward,
@@ -100,7 +100,7 @@
 	return linkImpairments{reverse: Impairment{Delay: seconds(fault.Amount)}}
 }
 
-// eachRouter calls a function for the routers of a fault at the same time, and returns the first error.
+// eachRouter calls a function concurrently for the routers of a fault, and returns the first error.
 func (f *fleet) eachRouter(fault Fault, do func(*router) error) error {
 	var group errgroup.Group
 	for _, i := range fault.Routers {
@@ -128,7 +128,7 @@
 	}
 }
 
-// refuseConnections has engines refuse connections of all routers.
+// refuseConnections makes engines refuse new connections of all routers.
 func (f *fleet) refuseConnections(fault Fault) (repair func() error) {
 	links := Fault{Routers: f.allRouters(), Engines: fault.Engines}
 	f.eachLink(links, func(l *Link) { l.RefuseConnections(true) })
@@ -150,7 +150,7 @@
 	}
 }
 
-// slowEngines has engines take some times as long. failing: all statements that start there end with an error.
+// slowEngines multiplies the execution time of engines by a factor. If failing is set, all statements that start there end with an error.
 func (f *fleet) slowEngines(fault Fault, factor float64, failing bool) (repair func() error) {
 	for _, e := range f.enginesAt(fault.Engines) {
 		e.model.Slow(factor, failing)
--- a/internal/faultlab/fleet.go
+++ b/internal/faultlab/fleet.go
@@ -12,28 +12,28 @@
 	"bankledge/internal/faultinject"
 )
 
-// fleet is what one play runs: the processes, the links between them, and the history that they leave.
+// fleet holds the state of one run: the processes, the links between them, and the history that is recorded.
 type fleet struct {
-	schedule    *Scenario
+	scenario    *Scenario
 	options     Options
 	dir         string
 	began       time.Time
-	hostLibrary string // gives routers a host whose faults can be chosen; empty: the schedule has no such faults
+	hostLibrary string // path of the preloaded library for host faults; empty: the scenario has no host faults
 	routers     []*router
 	members     []*member // of the control group
-	sources     sync.Map  // from the address of a connection as an engine sees it to the index of the router
+	sources     sync.Map  // maps the source address that an engine sees to the index of the router
 	clients     sync.WaitGroup
 
 	mu            sync.Mutex
 	events        []Event
-	engines       []*engine // by place; an engine that replaces another one gets its place
+	engines       []*engine // by slot; a replacement engine takes the slot of the engine that it replaces
 	enginesMade   int
 	knownVersions map[uint64]*configversion.Version // written by the control group, by number
 }
 
 func newFleet(s *Scenario, o Options, dir string) *fleet {
 	return &fleet{
-		schedule:      s,
+		scenario:      s,
 		options:       o,
 		dir:           dir,
 		began:         time.Now(),
@@ -41,7 +41,7 @@
 	}
 }
 
-// record adds an event to the history, at the present time unless it says another.
+// record adds an event to the history. An event without a time gets the current time.
 func (f *fleet) record(e Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,18 +51,18 @@
 	f.events = append(f.events, e)
 }
 
-// start starts engines, control feeds, control group and routers, and waits until all routers are ready. The history begins then.
+// start starts engines, control feeds, control group and routers, and waits until all routers are ready. The history begins at that time.
 func (f *fleet) start(ctx context.Context) error {
 	f.began = time.Now()
-	if f.schedule.needsHosts() {
+	if f.scenario.needsHosts() {
 		library, err := faultinject.Build(f.dir)
 		if err != nil {
 			return err
 		}
 		f.hostLibrary = library
 	}
-	for place := range f.schedule.Engines {
-		f.engines = append(f.engines, f.newEngine(place, fakes.SlowStart{}))
+	for slot := range f.scenario.Engines {
+		f.engines = append(f.engines, f.newEngine(slot, fakes.SlowStart{}))
 	}
 	if err := f.startGroup(ctx); err != nil {
 		return err
@@ -79,7 +79,7 @@
 
 func (f *fleet) startRouters(ctx context.Context) error {
 	var group errgroup.Group
-	for i := range f.schedule.Routers {
+	for i := range f.scenario.Routers {
 		r, err := f.newRouter(i)
 		if err != nil {
 			return err
@@ -102,7 +102,7 @@
 	}
 }
 
-// waitUntil waits until a time of the schedule, in seconds from the start of the traffic, or until the context is done.
+// waitUntil waits until a time of the scenario, in seconds from the start of the traffic, or until the context is done.
 func (f *fleet) waitUntil(ctx context.Context, at float64) error {
 	select {
 	case <-ctx.Done():
@@ -112,20 +112,20 @@
 	}
 }
 
-// enginesAt returns the engines that now have these places.
-func (f *fleet) enginesAt(places []int) (engines []*engine) {
+// enginesAt returns the engines that currently occupy the given slots.
+func (f *fleet) enginesAt(slots []int) (engines []*engine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, place := range places {
-		engines = append(engines, f.engines[place])
+	for _, slot := range slots {
+		engines = append(engines, f.engines[slot])
 	}
 	return engines
 }
 
 // allRouters returns the indexes of all routers.
-func (f *fleet) allRouters() []int { return f.schedule.allRouters() }
+func (f *fleet) allRouters() []int { return f.scenario.allRouters() }
 
-// publish has the control feeds of all routers publish the state of engines.
+// publish sends the state of engines on the control feeds of all routers.
 func (f *fleet) publish(engines []*engine, state string) {
 	for _, r := range f.routers {
 		r.publish(engines, state)
--- a/internal/faultlab/generate.go
+++ b/internal/faultlab/generate.go
@@ -8,20 +8,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Streams of random numbers that a seed gives, one for each kind of schedule.
+// Streams of random numbers of a seed, one for each kind of generated scenario.
 const (
-	scheduleStream = 28
+	scenarioStream = 28
 	groupStream    = 30
 	soakStream     = 39
 
 	shutdownSoakStream = 49
 )
 
-// drawnFaults are the kinds of faults that GenerateScenario draws.
+// drawnFaults are the kinds of faults that GenerateScenario draws from.
 var drawnFaults = []FaultKind{"cut", "cut-there", "cut-back", "delay", "slow", faultResetLinks, faultRefuseConnections, faultBlockFeed,
 	faultKillRouters, faultStopRouters, faultTerminateRouters, faultReplaceEngines, faultLoseEngines, faultSlowEngines, faultFailingEngines, faultSurge}
 
-// generator draws the parts of a schedule. The order of its draws is part of what a seed means.
+// generator draws the parts of a scenario. A seed gives the same scenario only if the order of the draws stays the same.
 type generator struct{ random *rand.Rand }
 
 func newGenerator(seed, stream uint64) generator {
@@ -34,17 +34,17 @@
 
 func (g generator) kind(kinds []FaultKind) FaultKind { return kinds[g.random.IntN(len(kinds))] }
 
-// indexes draws n of the indexes below count, in order.
+// indexes draws n distinct indexes below count, in ascending order.
 func (g generator) indexes(count, n int) []int {
 	list := g.random.Perm(count)[:n]
 	slices.Sort(list)
 	return list
 }
 
-// GenerateScenario draws a schedule from a seed: nine routers, eight engines, one to three faults of the kinds that a fleet sees, over by
-// two thirds of the time. length is in seconds.
+// GenerateScenario draws a scenario from a seed: nine routers, eight engines, and one to three of drawnFaults, which end before two thirds
+// of the length. length is in seconds.
 func GenerateScenario(seed uint64, length float64) *Scenario {
-	g := newGenerator(seed, scheduleStream)
+	g := newGenerator(seed, scenarioStream)
 	s := &Scenario{Name: fmt.Sprintf("seed %d", seed), Seed: seed, Routers: 9, Engines: 8, Seconds: length, Retries: 2}
 	s.Load = g.between(0.35, 0.7)
 	s.BusiestFactor = g.between(1, 4)
@@ -59,7 +59,7 @@
 	f := Fault{Kind: g.kind(drawnFaults)}
 	f.At = g.between(0.2, 0.4) * s.Seconds
 	spec := faultKinds[f.Kind]
-	if spec.lasting {
+	if spec.duration {
 		f.For = g.between(0.05, 0.26) * s.Seconds
 	}
 	if spec.routers {
@@ -83,12 +83,13 @@
 	return f
 }
 
-// drawnGroupFaults are the kinds of faults that GenerateGroupScenario draws; one that stands twice comes twice as often.
+// drawnGroupFaults are the kinds of faults that GenerateGroupScenario draws from. A kind that is listed twice is twice as likely.
 var drawnGroupFaults = []FaultKind{"group-cut", "group-cut-there", "group-cut-back", "group-delay", faultResetGroupLinks, faultPartitionMembers,
 	faultKillMembers, faultStopMembers, faultStopMembers, faultKillRouters, faultStopRouters, faultStopRouters}
 
-// GenerateGroupScenario draws a schedule of a control group's faults from a seed: five routers, a group of three (one in four: of one or
-// five), proposals at one of three rates, one to four faults, over by three quarters of the time. length is in seconds.
+// GenerateGroupScenario draws a scenario with faults of the control group from a seed: five routers, a group of three members (for every
+// fourth seed one or five), proposals at one of three rates, and one to four faults, which end before three quarters of the length.
+// length is in seconds.
 func GenerateGroupScenario(seed uint64, length float64) *Scenario {
 	g := newGenerator(seed, groupStream)
 	s := &Scenario{
@@ -117,7 +118,7 @@
 	f.At = (0.15 + 0.35*g.random.Float64()) * s.Seconds
 	f.Amount = 0.05 + g.random.Float64()
 	spec := faultKinds[f.Kind]
-	if spec.lasting {
+	if spec.duration {
 		f.For = (0.03 + 0.22*g.random.Float64()) * s.Seconds
 	}
 	if spec.routers {
--- a/internal/faultlab/generate_shutdown_soak.go
+++ b/internal/faultlab/generate_shutdown_soak.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Bounds of a drawn soak of shutdowns.
+// Bounds of a generated soak of shutdowns.
 const (
-	maxRetirements       = 3
-	maxSignals           = 5   // of a series
-	retirementRoom       = 4.5 // seconds before the end: the longest time until a kill, and a start
-	crowdDescriptors     = 256 // of a router in a soak with a crowd
-	minCrowd             = 60  // idle clients of a router
-	maxCrowd             = 130
-	minShortPatience     = 0.2 // times the usual
-	maxShortPatience     = 0.6
-	oneInShortDeadlines  = 3 // soaks has short deadlines
-	oneInCrowds          = 3 // soaks has a crowd
-	oneInEarlyReloads    = 2 // soaks reloads routers before they are ready
-	oneInFreeOfOutages   = 3 // routers has no other outage
-	largestCrowdDuration = 0.6
+	maxRetirements         = 3
+	maxSignals             = 5   // in the series that a router receives
+	retirementReserve      = 4.5 // seconds before the end, for the longest time until the kill and for the restart
+	idleClientsDescriptors = 256 // file descriptors of a router in a soak with idle clients
+	minIdleClients         = 60  // per router
+	maxIdleClients         = 130
+	minShortTimeoutFactor  = 0.2 // scales the default timeouts
+	maxShortTimeoutFactor  = 0.6
+	oneInShortDeadlines    = 3 // soaks has short timeouts
+	oneInIdleClients       = 3 // soaks has idle clients
+	oneInEarlyReloads      = 2 // soaks reloads restarted routers before they are ready
+	oneInWithoutOutage     = 3 // routers has no outage other than planned restarts
+	maxIdleClientsShare    = 0.6
 )
 
-// outageFaults are the kinds of faults that end or suspend a router's process.
+// outageFaults are the kinds of faults that end or suspend a router's process, except planned restarts.
 var outageFaults = []FaultKind{faultKillRouters, faultStopRouters, faultTerminateRouters}
 
-// GenerateShutdownSoakScenario draws a soak as GenerateSoakScenario does from the same seed, and beside its faults shutdowns as operators
-// begin them: clients use open connections until the kill, which comes as soon as the protocol allows; signals come in series, also before
-// a router is ready; routers start again at once. One soak in three has short deadlines, and one in three a crowd of idle clients.
+// GenerateShutdownSoakScenario draws the soak of GenerateSoakScenario from the same seed and adds shutdowns as operators perform them:
+// clients use open connections until the router is killed, as soon as the protocol allows; a router receives a series of signals, also
+// before it is ready; it restarts immediately. One soak in three has short timeouts, and one in three a load of idle clients.
 func GenerateShutdownSoakScenario(seed uint64, length float64) *Scenario {
 	s := GenerateSoakScenario(seed, length)
 	g := newGenerator(seed, shutdownSoakStream)
@@ -35,13 +35,13 @@
 	s.UseWhileDraining = true
 	s.EarlyReloads = g.random.IntN(oneInEarlyReloads) == 0
 	if g.random.IntN(oneInShortDeadlines) == 0 {
-		s.PatienceFactor = g.between(minShortPatience, maxShortPatience)
+		s.PatienceFactor = g.between(minShortTimeoutFactor, maxShortTimeoutFactor)
 		s.WorkFactor = 1
 	}
 	free := s.routersWithoutOutage()
 	g.random.Shuffle(len(free), func(i, j int) { free[i], free[j] = free[j], free[i] })
 	for range 1 + g.random.IntN(maxRetirements) {
-		count := min(len(free), 1+g.random.IntN(max(1, s.Routers/oneInFreeOfOutages)))
+		count := min(len(free), 1+g.random.IntN(max(1, s.Routers/oneInWithoutOutage)))
 		if count == 0 {
 			break
 		}
@@ -49,13 +49,13 @@
 		free = free[count:]
 		s.Faults = append(s.Faults, Fault{
 			Kind:    faultRetireRouters,
-			At:      g.between(0, max(0, 1-retirementRoom/length)) * length,
+			At:      g.between(0, max(0, 1-retirementReserve/length)) * length,
 			Routers: routers,
 			Amount:  float64(1 + g.random.IntN(maxSignals)),
 		})
 	}
-	if g.random.IntN(oneInCrowds) == 0 {
-		s.Descriptors = crowdDescriptors
+	if g.random.IntN(oneInIdleClients) == 0 {
+		s.Descriptors = idleClientsDescriptors
 		s.Faults = append(s.Faults, g.idleClients(s))
 	}
 	s.sortFaults()
@@ -65,15 +65,15 @@
 func (g generator) idleClients(s *Scenario) Fault {
 	return Fault{
 		Kind:    faultIdleClients,
-		At:      g.between(0, 1-largestCrowdDuration) * s.Seconds,
-		For:     g.between(maxSoakFaultShare, largestCrowdDuration) * s.Seconds,
+		At:      g.between(0, 1-maxIdleClientsShare) * s.Seconds,
+		For:     g.between(maxSoakFaultShare, maxIdleClientsShare) * s.Seconds,
 		Routers: g.indexes(s.Routers, 1+g.random.IntN(s.Routers/2)),
-		Amount:  float64(minCrowd + g.random.IntN(maxCrowd-minCrowd)),
+		Amount:  float64(minIdleClients + g.random.IntN(maxIdleClients-minIdleClients)),
 	}
 }
 
-// routersWithoutOutage lists the routers that no fault ends or suspends. It leaves out faults until those are a third of all: two outages
-// of one process at once would be no shutdown any more.
+// routersWithoutOutage returns the routers that no fault ends or suspends. It deletes faults from the scenario until at least a third of
+// the routers is free of outages, since a shutdown that overlaps another outage of the same process does not test a shutdown.
 func (s *Scenario) routersWithoutOutage() []int {
 	for {
 		free := s.allRouters()
@@ -84,7 +84,7 @@
 				free = slices.DeleteFunc(free, func(router int) bool { return slices.Contains(f.Routers, router) })
 			}
 		}
-		if len(free) >= s.Routers/oneInFreeOfOutages || last < 0 {
+		if len(free) >= s.Routers/oneInWithoutOutage || last < 0 {
 			return free
 		}
 		s.Faults = slices.Delete(s.Faults, last, last+1)
--- a/internal/faultlab/generate_soak.go
+++ b/internal/faultlab/generate_soak.go
@@ -5,30 +5,31 @@
 	"slices"
 )
 
-// Bounds of a drawn soak.
+// Bounds of a generated soak.
 const (
 	minSoakRouters       = 10
 	maxSoakRouters       = 24
 	minSoakFaults        = 6
 	maxSoakFaults        = 14
-	maxSoakWork          = 6.0 // times the usual: long attempts are in flight when faults come
-	maxSoakPatience      = 3.0 // times the usual: what is lost is retried while its client still waits
-	maxSoakFaultShare    = 0.3 // of the length, the longest fault
-	soakQuietShare       = 0.2 // of the length, at its end: no fault begins there
-	soakClockSteps       = 6   // of a wall clock that steps there and back while links are blocked
+	maxSoakWorkFactor    = 6.0 // factor; attempts run long enough to be in flight when faults begin
+	maxSoakTimeoutFactor = 3.0 // factor; lost attempts are retried while the client still waits
+	maxSoakFaultShare    = 0.3 // of the length: duration of the longest fault
+	soakTailShare        = 0.2 // of the length, at its end, in which no fault begins
+	clockStepsPerFault   = 6   // steps of a wall clock, alternately forward and back, while links are blocked
 	maxClockStepInterval = 0.3 // seconds
 )
 
-// soakSilences are the faults that leave routers without a word from engines: what counts as over then rests on durations.
-var soakSilences = []FaultKind{"cut", "cut-back", "cut-there"}
+// soakBlockingFaults are the faults that cut routers off from engines. Routers then decide only by durations whether an attempt has ended,
+// so clock steps are added to these faults.
+var soakBlockingFaults = []FaultKind{"cut", "cut-back", "cut-there"}
 
-// soakFaults are the kinds of faults of a soak; one that stands twice comes twice as often.
+// soakFaults are the kinds of faults that a soak draws from. A kind that is listed several times is that many times as likely.
 var soakFaults = []FaultKind{faultStepClock, faultStepClock, faultStepClock, faultFailAccept, faultFailConnect, faultFailSocket, faultReloadRouters,
 	"cut", "cut-there", "cut-back", "delay", faultResetLinks, faultRefuseConnections, faultBlockFeed, faultKillRouters, faultStopRouters,
 	faultStopRouters, faultTerminateRouters, faultReplaceEngines, faultLoseEngines, faultSlowEngines, faultFailingEngines, faultSurge}
 
-// GenerateSoakScenario draws a schedule from a seed whose faults overlap in time: 10 to 24 routers, six to fourteen faults of all kinds,
-// clients that cancel, clocks that step by seconds or an hour either way, also before routers start again. length is in seconds.
+// GenerateSoakScenario draws a scenario with overlapping faults from a seed: 10 to 24 routers, six to fourteen of soakFaults, clients that
+// cancel, and clocks that step forward or back by seconds up to an hour, also before routers restart. length is in seconds.
 func GenerateSoakScenario(seed uint64, length float64) *Scenario {
 	g := newGenerator(seed, soakStream)
 	s := &Scenario{Name: fmt.Sprintf("soak seed %d", seed), Seed: seed, Engines: 8, Seconds: length}
@@ -37,12 +38,12 @@
 	s.Load = g.between(0.3, 0.6)
 	s.BusiestFactor = g.between(1, 4)
 	s.CancelShare = g.between(0, 0.2)
-	s.WorkFactor = g.between(1, maxSoakWork)
-	s.PatienceFactor = g.between(1, maxSoakPatience)
+	s.WorkFactor = g.between(1, maxSoakWorkFactor)
+	s.PatienceFactor = g.between(1, maxSoakTimeoutFactor)
 	for range minSoakFaults + g.random.IntN(maxSoakFaults-minSoakFaults+1) {
 		f := g.soakFault(s)
 		s.Faults = append(s.Faults, f)
-		if slices.Contains(soakSilences, f.Kind) {
+		if slices.Contains(soakBlockingFaults, f.Kind) {
 			s.Faults = append(s.Faults, g.clockSteps(f, length)...)
 		}
 	}
@@ -52,9 +53,9 @@
 
 func (g generator) soakFault(s *Scenario) Fault {
 	f := Fault{Kind: g.kind(soakFaults)}
-	f.At = g.between(0, 1-soakQuietShare) * s.Seconds
+	f.At = g.between(0, 1-soakTailShare) * s.Seconds
 	spec := faultKinds[f.Kind]
-	if spec.lasting || f.Kind == faultStepClock && g.random.IntN(2) == 0 {
+	if spec.duration || f.Kind == faultStepClock && g.random.IntN(2) == 0 {
 		f.For = g.between(0.03, maxSoakFaultShare) * s.Seconds
 	}
 	if spec.routers {
@@ -66,7 +67,7 @@
 	return g.limitSoakFault(f)
 }
 
-// limitSoakFault draws the amount of a fault, and leaves it no more engines than the fleet can spare.
+// limitSoakFault draws the amount of a fault and limits its engines to as many as the fleet can spare.
 func (g generator) limitSoakFault(f Fault) Fault {
 	switch f.Kind {
 	case faultStepClock:
@@ -87,11 +88,11 @@
 	return f
 }
 
-// clockSteps draws steps of the wall clocks of the routers of another fault, there and back, while it lasts.
+// clockSteps draws steps of the wall clocks of another fault's routers, alternately forward and back, that start during that fault.
 func (g generator) clockSteps(during Fault, length float64) (steps []Fault) {
 	amount := []float64{3, 20, 400, 3600}[g.random.IntN(4)]
 	at := during.At
-	for len(steps) < soakClockSteps {
+	for len(steps) < clockStepsPerFault {
 		at = min(at+g.between(0.05, maxClockStepInterval), length)
 		steps = append(steps, Fault{Kind: faultStepClock, At: at, Routers: during.Routers, Amount: amount})
 		amount = -amount
--- a/internal/faultlab/group_faults.go
+++ b/internal/faultlab/group_faults.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// groupLinkFaults are the faults of links from routers to members of the control group.
+// groupLinkFaults maps the faults of links from routers to members of the control group to their impairments.
 var groupLinkFaults = map[FaultKind]func(Fault) linkImpairments{
 	"group-cut":       blockBothWays,
 	"group-cut-there": blockForward,
@@ -14,7 +14,7 @@
 	"group-delay":     delayReverse,
 }
 
-// faultMembers returns the members that a fault names: an index, or the leader of the moment.
+// faultMembers returns the members that a fault selects, by index or as the current leader. It skips currentLeader if there is no leader.
 func (f *fleet) faultMembers(fault Fault) (members []*member) {
 	for _, index := range fault.Members {
 		if index == currentLeader {
@@ -28,7 +28,7 @@
 	return members
 }
 
-// injectGroupFault begins a fault of the control group. repair ends it; nil: it lasts.
+// injectGroupFault begins a fault of the control group. repair ends it, and is nil if the fault is permanent or instantaneous.
 func (f *fleet) injectGroupFault(ctx context.Context, fault Fault) (repair func() error, err error) {
 	members := f.faultMembers(fault)
 	if impaired, ok := groupLinkFaults[fault.Kind]; ok {
@@ -53,7 +53,7 @@
 	return nil, nil
 }
 
-// eachMember calls a function for all members in turn, and joins its errors.
+// eachMember calls a function for each of the members in turn, and joins the errors.
 func eachMember(members []*member, do func(*member) error) (err error) {
 	for _, m := range members {
 		err = errors.Join(err, do(m))
@@ -78,7 +78,7 @@
 	}
 }
 
-// partition cuts members off from all others of the group.
+// partition blocks the links between the given members and all other members of the group.
 func (f *fleet) partition(members []*member) (repair func() error) {
 	impair := func(i Impairment) {
 		for _, m := range members {
--- a/internal/faultlab/history.go
+++ b/internal/faultlab/history.go
@@ -9,83 +9,83 @@
 	"bankledge/internal/configversion"
 )
 
-// noRouter is the Router of an event that belongs to none, or whose router is not known.
+// noRouter is the Router of an event that concerns no router, or whose router is unknown.
 const noRouter = -1
 
-// Event is one line of a history: what happened where. All times are of one clock, from the start of the traffic.
+// Event is one line of a history. All times are read from one clock, relative to the start of the traffic.
 type Event struct {
 	At        time.Duration `json:"at"`
 	Kind      EventKind     `json:"what"`
-	Statement string        `json:"statement,omitempty"` // its id; of a version: the id of its proposal
+	Statement string        `json:"statement,omitempty"` // id of the statement; of a version event: id of its proposal
 	Workload  string        `json:"workload,omitempty"`
-	Router    int           `json:"router"` // index, or noRouter
+	Router    int           `json:"router"` // index of the router, or noRouter
 	Engine    string        `json:"engine,omitempty"`
 	Code      byte          `json:"code,omitempty"`    // of an answer, as on the wire
 	Work      float64       `json:"work,omitempty"`    // of a statement or an attempt: seconds on one thread
-	ColdLoad  float64       `json:"of,omitempty"`      // of an attempt: work sent in the window over what a cold engine bears
-	Budget    time.Duration `json:"budget,omitempty"`  // of a sent statement: how long its client waits
-	Took      time.Duration `json:"took,omitempty"`    // of an answer or a lost connection: since the statement was written; 0: it was not
-	Retry     int           `json:"try,omitempty"`     // of a sent statement: how many times it was rejected before
-	Text      string        `json:"text,omitempty"`    // see the kind
-	Version   uint64        `json:"version,omitempty"` // of rules applied: the pending version; of a proposal: its number
-	Activated uint64        `json:"settled,omitempty"` // of rules applied: the activated version
-	Leased    bool          `json:"term,omitempty"`    // of rules applied: the router holds a lease
+	ColdLoad  float64       `json:"of,omitempty"`      // of an attempt: work sent in the window, relative to the most that a cold engine can take
+	Budget    time.Duration `json:"budget,omitempty"`  // of a sent statement: timeout of its client
+	Took      time.Duration `json:"took,omitempty"`    // of an answer or a lost connection: time since the statement was written; 0: it was not written
+	Retry     int           `json:"try,omitempty"`     // of a sent statement: number of earlier rejections
+	Text      string        `json:"text,omitempty"`    // depends on the kind
+	Version   uint64        `json:"version,omitempty"` // of applied rules: the pending version; of a proposal: its number
+	Activated uint64        `json:"settled,omitempty"` // of applied rules: the activated version
+	Leased    bool          `json:"term,omitempty"`    // of applied rules: the router holds a lease
 }
 
-// EventKind is a kind of event. Its value is stored in histories.
+// EventKind is a kind of event. Histories store its value.
 type EventKind string
 
-// Kinds of events of clients. A statement counts as sent from when it was due, also where the lab was late with it.
+// Kinds of events of clients. A statement counts as sent at the time at which it is due, even if the fault lab sends it later.
 const (
 	StatementSent        EventKind = "sent"
 	StatementAnswered    EventKind = "answered"
-	DuplicateAnswer      EventKind = "again"  // a second answer of one statement
-	ClientConnectionLost EventKind = "broken" // before the answer came; Text is the error
-	ClientLeft           EventKind = "left"   // the client has cancelled
+	DuplicateAnswer      EventKind = "again"  // a second answer to the same statement
+	ClientConnectionLost EventKind = "broken" // before the answer arrived; Text is the error
+	ClientCancelled      EventKind = "left"   // the client cancelled its statement
 )
 
 // Kinds of events of engines.
 const (
-	AttemptStarted   EventKind = "started"
-	AttemptEnded     EventKind = "ended"   // its work was done
-	AttemptCancelled EventKind = "called"  // by a router
-	AttemptDropped   EventKind = "dropped" // by the engine, since nobody polled
-	HealthChecked    EventKind = "probed"
-	EngineCollapsed  EventKind = "fell" // a cold engine was sent more than it bears
-	EngineGone       EventKind = "gone" // with all that ran there
-	EngineConnected  EventKind = "dialled"
+	AttemptStarted       EventKind = "started"
+	AttemptEnded         EventKind = "ended"   // its work is complete
+	AttemptCancelled     EventKind = "called"  // at the request of a router
+	AttemptDropped       EventKind = "dropped" // by the engine, because no router polled for the result
+	HealthChecked        EventKind = "probed"
+	ColdEngineOverloaded EventKind = "fell" // a cold engine received more load than it can take
+	EngineStopped        EventKind = "gone" // with all attempts that ran on it
+	EngineConnected      EventKind = "dialled"
 )
 
 // Kinds of events of routers.
 const (
 	InvariantViolated EventKind = "violated" // Text is the line of the router's log
-	EndpointNotified  EventKind = "told"     // the router has received the control feed's event; Text is the engine's new state
-	RouterDown        EventKind = "down"     // Text says how
-	RouterUp          EventKind = "up"       // it serves again; Text says whether it was stopped
-	RulesApplied      EventKind = "acts"     // the router acts on other rules from here on
+	EndpointNotified  EventKind = "told"     // the router received the control feed's event; Text is the engine's new state
+	RouterDown        EventKind = "down"     // Text is one of the down texts in router.go
+	RouterUp          EventKind = "up"       // the router serves again; Text is downStopped if it was suspended
+	RulesApplied      EventKind = "acts"     // the router's active rules changed
 )
 
 // Kinds of events of faults and of the control group.
 const (
 	FaultStarted        EventKind = "befell"  // Text is the kind of fault
-	FaultEnded          EventKind = "mended"  // likewise
-	VersionProposed     EventKind = "wanted"  // a proposal was sent that got this number
-	VersionAcknowledged EventKind = "written" // the number came back
+	FaultEnded          EventKind = "mended"  // Text is the kind of fault
+	VersionProposed     EventKind = "wanted"  // time at which the proposal with this number was due
+	VersionAcknowledged EventKind = "written" // the operator received the number
 )
 
-// History is what one play of a schedule left.
+// History is the record of one run of a scenario.
 type History struct {
 	Scenario *Scenario
 	Events   []Event // in order of time
 	Versions []*configversion.Version
 }
 
-// Sort orders the events by time; those of the same time stay in order.
+// Sort orders the events by time. Events of the same time keep their order.
 func (h *History) Sort() {
 	slices.SortStableFunc(h.Events, func(a, b Event) int { return int(a.At - b.At) })
 }
 
-// Write writes the events as JSON, one a line.
+// Write writes the events to a file as JSON, one per line.
 func (h *History) Write(path string) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/internal/faultlab/host_faults.go
+++ b/internal/faultlab/host_faults.go
@@ -7,10 +7,10 @@
 	"bankledge/internal/faultinject"
 )
 
-// hostFault is a fault that needs the preloaded library.
+// hostFault is a fault of a simulated host, which requires the preloaded library.
 type hostFault struct {
 	call   faultinject.Call
-	errors []syscall.Errno // one of which the call fails with; none: the fault is a step of the wall clock
+	errors []syscall.Errno // candidates for the error of the call; empty: the fault steps the wall clock
 }
 
 var hostFaults = map[FaultKind]hostFault{
@@ -20,7 +20,7 @@
 	faultFailSocket:  {faultinject.Socket, []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS}},
 }
 
-// needsHosts reports whether the schedule has faults of routers' hosts.
+// needsHosts reports whether the scenario has faults of routers' hosts.
 func (s *Scenario) needsHosts() bool {
 	for _, f := range s.Faults {
 		if _, ok := hostFaults[f.Kind]; ok {
@@ -30,7 +30,7 @@
 	return false
 }
 
-// injectHostFault begins a fault of routers' hosts. repair ends it; nil: it lasts.
+// injectHostFault begins a fault of routers' hosts. repair ends it, and is nil if the fault is permanent.
 func (f *fleet) injectHostFault(fault Fault) (repair func() error) {
 	if len(hostFaults[fault.Kind].errors) > 0 {
 		return f.failCalls(fault)
@@ -46,7 +46,7 @@
 	}
 }
 
-// failCalls has one in so many calls fail, with an error that is drawn for each host.
+// failCalls makes one in fault.Amount calls fail. It draws the error for each host.
 func (f *fleet) failCalls(fault Fault) (repair func() error) {
 	kind := hostFaults[fault.Kind]
 	f.eachHost(fault, func(h *faultinject.Host) {
--- a/internal/faultlab/link.go
+++ b/internal/faultlab/link.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Impairment is what happens to one direction of a link. The zero value passes everything at once.
+// Impairment defines how one direction of a link delays or blocks data. The zero value passes all data immediately.
 type Impairment struct {
-	Blocked   bool          // nothing passes; what was in flight passes when the link is restored, as with a retransmission
+	Blocked   bool          // no data passes; data in flight passes when the link is restored, as after a retransmission
 	Delay     time.Duration // of every chunk
-	Throttled bool          // a byte each throttleInterval
+	Throttled bool          // one byte passes per throttleInterval
 }
 
 const (
@@ -19,19 +19,19 @@
 	targetDialLimit  = time.Second
 )
 
-// Link is a relay of TCP connections from an address of its own to a target. Faults between two processes are injected here.
+// Link relays TCP connections from its own listen address to a target, and injects faults between two processes.
 type Link struct {
-	OnDelivered func(reverse []byte) // called with what has passed from the target to who connected; nil: nobody listens
-	OnConnect   func(source string)  // called with the address from which the target sees a connection, before anything passes; nil: nobody listens
+	OnDelivered func(reverse []byte) // called with the data that was delivered from the target to the connecting side; may be nil
+	OnConnect   func(source string)  // called with the source address that the target sees, before any data passes; may be nil
 
 	inFlight atomic.Int64 // chunks
 	resets   atomic.Int64
 
 	mu          sync.Mutex
 	address     string
-	listener    net.Listener // nil: connections are refused
+	listener    net.Listener // nil while connections are refused
 	target      string
-	forward     Impairment // from who connected to the target
+	forward     Impairment // from the connecting side to the target
 	reverse     Impairment
 	changed     chan struct{} // closed when an impairment changes, or the link is closed
 	connections map[net.Conn]net.Conn
@@ -39,7 +39,7 @@
 	closed      bool
 }
 
-// NewLink starts a link to a target. Close ends it.
+// NewLink starts a link to a target. Close stops it.
 func NewLink(target string) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,23 +56,23 @@
 	return l, nil
 }
 
-// Address is where the link listens.
+// Address returns the listen address of the link.
 func (l *Link) Address() string { return l.address }
 
-// Connections is how many connections were made through the link.
+// Connections returns the number of connections that the link has accepted so far.
 func (l *Link) Connections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dialled
 }
 
-// InFlight is how many chunks have been read and neither passed nor dropped.
+// InFlight returns the number of chunks that have been read and neither delivered nor dropped.
 func (l *Link) InFlight() int { return int(l.inFlight.Load()) }
 
-// Resets is how often a sender has reset a connection.
+// Resets returns the number of connection resets received from senders.
 func (l *Link) Resets() int { return int(l.resets.Load()) }
 
-// Impair sets what happens to the two directions from now on: forward is from who connects to the target.
+// Impair sets the impairments of both directions. forward applies from the connecting side to the target.
 func (l *Link) Impair(forward, reverse Impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,30 +81,30 @@
 	l.notifyChange()
 }
 
-// Restore ends all impairments.
+// Restore removes all impairments.
 func (l *Link) Restore() { l.Impair(Impairment{}, Impairment{}) }
 
-// notifyChange wakes what waits to pass. The lock is held.
+// notifyChange wakes the goroutines that wait to pass data. The caller holds the lock.
 func (l *Link) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// SetTarget names another target for connections to come.
+// SetTarget sets the target of new connections.
 func (l *Link) SetTarget(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = address
 }
 
-// Reset breaks all connections with a TCP reset.
+// Reset closes all connections with a TCP reset.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resetConnections()
 }
 
-// resetConnections is Reset with the lock held.
+// resetConnections closes all connections with a TCP reset. The caller holds the lock.
 func (l *Link) resetConnections() {
 	for from, to := range l.connections {
 		resetConnection(from)
@@ -120,8 +120,8 @@
 	}
 }
 
-// RefuseConnections has new connections refused, or accepted again at the same address; connections that stand go on. The
-// error is that of listening again.
+// RefuseConnections makes the link refuse new connections, or accept them again at the same address. Open connections are not
+// affected. It fails if the link cannot listen at its address again.
 func (l *Link) RefuseConnections(refuse bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// Close ends the link and its connections.
+// Close stops the link and resets its connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,7 +165,7 @@
 	}
 }
 
-// relay joins a connection to one to the target, until both directions have ended.
+// relay connects to the target and relays a connection until both directions have ended.
 func (l *Link) relay(from net.Conn) {
 	defer from.Close()
 	l.mu.Lock()
--- a/internal/faultlab/link_direction.go
+++ b/internal/faultlab/link_direction.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	chunkSize   = 16 << 10
-	chunksAhead = 64 // read ahead of what has passed, in one direction of a connection
+	chunkSize       = 16 << 10
+	maxQueuedChunks = 64 // read but not yet delivered, in one direction of a connection
 )
 
-// direction carries the bytes of one direction of a relayed connection.
+// direction relays one direction of a connection.
 type direction struct {
 	link        *Link
 	from, to    net.Conn
-	impairment  *Impairment // a field of the link, read with its lock held
+	impairment  *Impairment // points to a field of the link, guarded by its lock
 	onDelivered func([]byte)
-	senderReset atomic.Bool // what the sender sent and has not passed never will
+	senderReset atomic.Bool // the sender reset the connection: undelivered data is dropped
 }
 
-// chunk is what one read has returned.
+// chunk is the data returned by one read.
 type chunk struct {
 	bytes  []byte
 	readAt time.Time
 }
 
-// run carries bytes until the sender has ended, the link is closed, or the receiver is gone.
+// run relays data until the sender ends, the link is closed, or the receiver is unreachable.
 func (d *direction) run() {
-	queue := make(chan chunk, chunksAhead)
+	queue := make(chan chunk, maxQueuedChunks)
 	stopped := make(chan struct{})
 	go d.read(queue, stopped)
-	defer func() { // what has not passed never will
+	defer func() { // drops undelivered chunks
 		close(stopped)
 		for range queue {
 			d.link.inFlight.Add(-1)
 		}
 	}()
 	for c := range queue {
-		passed := d.awaitTurn(c.readAt) && !d.senderReset.Load() && d.write(c.bytes)
+		passed := d.awaitRelease(c.readAt) && !d.senderReset.Load() && d.write(c.bytes)
 		d.link.inFlight.Add(-1)
 		if d.senderReset.Load() {
 			resetConnection(d.to)
@@ -55,7 +55,7 @@
 	}
 }
 
-// read reads ahead, until the sender has ended or nothing more is to pass. It closes the queue.
+// read queues data until the sender ends or run has stopped. It closes the queue.
 func (d *direction) read(queue chan<- chunk, stopped <-chan struct{}) {
 	defer close(queue)
 	for {
@@ -80,7 +80,7 @@
 	}
 }
 
-// write passes a chunk on, at once or throttled. It returns false where nothing more can pass.
+// write delivers a chunk, immediately or throttled. It returns false if the receiver accepts no more data.
 func (d *direction) write(bytes []byte) bool {
 	for len(bytes) > 0 {
 		step := len(bytes)
@@ -108,8 +108,8 @@
 	return d.impairment.Throttled
 }
 
-// awaitTurn waits until a chunk may pass. It returns false when the link is closed.
-func (d *direction) awaitTurn(readAt time.Time) bool {
+// awaitRelease waits until the impairment lets a chunk pass. It returns false if the link is closed.
+func (d *direction) awaitRelease(readAt time.Time) bool {
 	for {
 		d.link.mu.Lock()
 		impairment := *d.impairment
--- a/internal/faultlab/link_test.go
+++ b/internal/faultlab/link_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	patience  = 10 * time.Second
-	silence   = 50 * time.Millisecond // in which nothing may come
+	ioTimeout = 10 * time.Second
+	quietTime = 50 * time.Millisecond // in which no data may arrive
 	testDelay = 80 * time.Millisecond
 )
 
-// startEchoServer answers each byte with itself.
+// startEchoServer starts a server that sends back all data that it receives.
 func startEchoServer(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,7 +69,7 @@
 	require.NoError(c.t, err)
 }
 
-// receive reads n bytes, or what comes of them within a time.
+// receive reads n bytes, or as many of them as arrive within a time.
 func (c *linkClient) receive(n int, within time.Duration) (string, error) {
 	b := make([]byte, n)
 	c.conn.SetReadDeadline(time.Now().Add(within))
@@ -79,7 +79,7 @@
 
 func (c *linkClient) expect(text string) {
 	c.t.Helper()
-	got, err := c.receive(len(text), patience)
+	got, err := c.receive(len(text), ioTimeout)
 	require.NoError(c.t, err)
 	assert.Equal(c.t, text, got)
 }
@@ -91,7 +91,7 @@
 	assert.Positive(t, c.link.Connections())
 }
 
-// What was in flight while a link was blocked passes when it is restored.
+// Data that is in flight while a link is blocked passes when the link is restored.
 func TestLinkBlocked(t *testing.T) {
 	blocked := Impairment{Blocked: true}
 	for name, impaired := range map[string]linkImpairments{
@@ -103,7 +103,7 @@
 			c := connectThroughLink(t)
 			c.link.Impair(impaired.forward, impaired.reverse)
 			c.send("two")
-			_, err := c.receive(1, silence)
+			_, err := c.receive(1, quietTime)
 			assert.Error(t, err)
 			c.link.Restore()
 			c.expect("two")
@@ -129,7 +129,7 @@
 	assert.GreaterOrEqual(t, time.Since(began), 3*throttleInterval)
 }
 
-// While connections are refused, those that stand go on.
+// Open connections keep working while new connections are refused.
 func TestLinkRefusesConnections(t *testing.T) {
 	c := connectThroughLink(t)
 	c.send("one")
@@ -150,11 +150,11 @@
 	c.send("one")
 	c.expect("one")
 	c.link.Reset()
-	_, err := c.receive(1, patience)
+	_, err := c.receive(1, ioTimeout)
 	assert.ErrorContains(t, err, "reset")
 }
 
-// What its sender has reset never comes, even if it was in flight when the link was blocked.
+// Data is dropped when its sender resets the connection, even if the data was in flight while the link was blocked.
 func TestResetOvertakesDataInFlight(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -168,11 +168,11 @@
 	t.Cleanup(func() { to.Close() })
 	link.Impair(Impairment{Blocked: true}, Impairment{Blocked: true})
 	c.Write([]byte("late"))
-	require.Eventually(t, func() bool { return link.InFlight() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return link.InFlight() == 1 }, ioTimeout, time.Millisecond)
 	resetConnection(c)
-	require.Eventually(t, func() bool { return link.Resets() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return link.Resets() == 1 }, ioTimeout, time.Millisecond)
 	link.Restore()
-	to.SetReadDeadline(time.Now().Add(patience))
+	to.SetReadDeadline(time.Now().Add(ioTimeout))
 	n, err := to.Read(make([]byte, 10))
 	assert.Zero(t, n)
 	assert.ErrorContains(t, err, "reset")
--- a/internal/faultlab/metrics.go
+++ b/internal/faultlab/metrics.go
@@ -6,41 +6,41 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Codes of answers, as on the wire.
+// Codes of answers in the client protocol.
 const (
 	codeCompleted = 20
 	codeRejected  = 50
 )
 
-// Metrics summarise a history.
+// Metrics summarises a history.
 type Metrics struct {
 	Statements         int     `json:"statements"`
-	InTime             float64 `json:"in_time"` // priority weight answered in time, of all
-	Rejected           float64 `json:"rejected"`
-	Wasted             float64 `json:"wasted"`   // engines' work that no answer came of, of all work begun
-	HealthChecks       float64 `json:"probes"`   // an engine and second
-	AdditionalAttempts float64 `json:"further"`  // beyond a statement's first, an engine and second
-	Cancellations      float64 `json:"calloffs"` // of attempts
-	Handshakes         float64 `json:"dials"`    // of attempts
+	InTime             float64 `json:"in_time"`  // share of priority weight answered in time
+	Rejected           float64 `json:"rejected"` // share of sent statements
+	Wasted             float64 `json:"wasted"`   // share of the engines' work that was spent on abandoned attempts
+	HealthChecks       float64 `json:"probes"`   // per engine and second
+	AdditionalAttempts float64 `json:"further"`  // after a statement's first, per engine and second
+	Cancellations      float64 `json:"calloffs"` // share of attempts that were cancelled or dropped
+	Handshakes         float64 `json:"dials"`    // per attempt
 	P50, P99           time.Duration
-	InTimeBefore       float64       `json:"before"` // priority weight in time before the first fault, of that asked
-	FaultsEnd          time.Duration `json:"quiet"`  // when the last fault ended
-	RecoveryTime       time.Duration `json:"back"`   // from then to nine tenths of InTimeBefore; 0: at once
+	InTimeBefore       float64       `json:"before"` // share in time of the priority weight due before the first fault
+	FaultsEnd          time.Duration `json:"quiet"`  // end of the last fault
+	RecoveryTime       time.Duration `json:"back"`   // from FaultsEnd until nine tenths of InTimeBefore are reached; 0: immediately
 	PeakColdLoad       float64       `json:"cold_most"`
 }
 
-// latencyMax is the longest latency that the histogram takes, in milliseconds.
-const latencyMax = 120_000
+// maxLatencyMillis is the longest latency that the histogram can record, in milliseconds.
+const maxLatencyMillis = 120_000
 
-// measurement goes through a history and sums it up.
+// measurement accumulates the metrics of a history.
 type measurement struct {
 	sent     map[string]Event // by id of the statement
-	attempts map[string]Event // the last one started, by id of the statement
+	attempts map[string]Event // latest attempt by id of the statement
 	served   servedBySecond
 	latency  *hdrhistogram.Histogram // milliseconds
 
 	statements         int
-	askedWeight        float64
+	totalWeight        float64
 	inTimeWeight       float64
 	rejected           int
 	work               float64 // seconds on one thread
@@ -53,13 +53,14 @@
 	peakColdLoad       float64
 }
 
-// Measure computes the metrics. Latencies count from when a statement was due, so that a lab or a router that was late hides nothing.
+// Measure computes the metrics of a history. Latencies are measured from the time at which a statement is due, so that a delay in the
+// fault lab or in a router is included.
 func Measure(h *History) Metrics {
 	m := &measurement{
 		sent:     map[string]Event{},
 		attempts: map[string]Event{},
 		served:   servedBySecond{},
-		latency:  hdrhistogram.New(1, latencyMax, 3),
+		latency:  hdrhistogram.New(1, maxLatencyMillis, 3),
 	}
 	for _, e := range h.Events {
 		m.add(e)
@@ -91,8 +92,8 @@
 	}
 	weight := workloadNamed(e.Workload).priorityWeight
 	m.statements++
-	m.askedWeight += weight
-	m.served.addAsked(e.At, weight)
+	m.totalWeight += weight
+	m.served.addDue(e.At, weight)
 }
 
 func (m *measurement) addAnswer(e Event) {
@@ -122,7 +123,8 @@
 	m.peakColdLoad = max(m.peakColdLoad, e.ColdLoad)
 }
 
-// addAbandoned counts the work of an attempt without an answer: at most what could run since its start, and at most all of it.
+// addAbandoned adds the wasted work of an attempt that was cancelled or dropped: the work that could run since its start, but at most the
+// work of the attempt.
 func (m *measurement) addAbandoned(e Event) {
 	m.abandonedAttempts++
 	started, ok := m.attempts[e.Statement]
@@ -143,7 +145,7 @@
 	engineSeconds := float64(s.Engines) * s.Seconds
 	return Metrics{
 		Statements:         m.statements,
-		InTime:             ratio(m.inTimeWeight, m.askedWeight),
+		InTime:             ratio(m.inTimeWeight, m.totalWeight),
 		Rejected:           ratio(float64(m.rejected), float64(len(m.sent))),
 		Wasted:             ratio(m.wastedWork, m.work),
 		HealthChecks:       m.healthChecks / engineSeconds,
@@ -163,7 +165,7 @@
 	return time.Duration(m.latency.ValueAtQuantile(percent)) * time.Millisecond
 }
 
-// ratio is 0 where the whole is 0.
+// ratio returns part divided by whole, or 0 if whole is 0.
 func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/faultlab/operator.go
+++ b/internal/faultlab/operator.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	operatorStream  = 31 // of random numbers
+	operatorStream  = 31 // stream of random numbers
 	proposalTimeout = 15 * time.Second
-	operatedShare   = 0.75 // of the play, from its start
+	proposalShare   = 0.75 // of the run, from its start, in which versions are proposed
 )
 
-// initialRules are what operators begin with: looser than the routers' own.
+// initialRules returns the rules of the first version, which are looser than the routers' local rules.
 func initialRules(routers int) *rules.Rules {
 	r := &rules.Rules{
 		Routers:                  routers,
@@ -40,7 +40,7 @@
 	return r
 }
 
-// localRules are the rules of the routers' own settings, as far as the auditors need them; nil: they are invalid.
+// localRules returns the rules of the routers' own settings, as far as the auditors need them, or nil if they are invalid.
 func localRules(routers int) *rules.Rules {
 	r := initialRules(routers)
 	r.RetryBudgetShare = 0
@@ -51,9 +51,9 @@
 	return r
 }
 
-// operate proposes versions until most of the play is over: each tightens something, loosens something, or does both.
-func (f *fleet) operate(ctx context.Context) error {
-	s := f.schedule
+// proposeVersions proposes versions during the first proposalShare of the run. Each one tightens rules, loosens rules, or does both.
+func (f *fleet) proposeVersions(ctx context.Context) error {
+	s := f.scenario
 	if s.ControlMembers == 0 || s.VersionInterval == 0 {
 		return nil
 	}
@@ -62,7 +62,7 @@
 	var proposals sync.WaitGroup
 	defer proposals.Wait()
 	at := 0.0
-	for n := 0; at < s.Seconds*operatedShare; n++ {
+	for n := 0; at < s.Seconds*proposalShare; n++ {
 		if err := f.waitUntil(ctx, at); err != nil {
 			return err
 		}
@@ -75,7 +75,7 @@
 		}
 		entry := proposal(fmt.Sprintf("p%d", n), r)
 		due := time.Since(f.began)
-		if n == 0 { // the others change this one
+		if n == 0 { // later versions change the first one, so it is awaited
 			f.propose(ctx, entry, due)
 			continue
 		}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// proposal returns an entry that proposes rules, even where the floor guard is against them.
+// proposal returns an entry that proposes rules and overrides the floor guard.
 func proposal(id string, r *rules.Rules) configregister.Entry {
 	return configregister.Entry{
 		Kind:         configregister.EntryPropose,
@@ -94,7 +94,7 @@
 	}
 }
 
-// propose proposes a version. One whose number does not come back leaves no event: it may or may not be written.
+// propose proposes a version. A proposal without a reply records no event, since it is unknown whether the version was written.
 func (f *fleet) propose(ctx context.Context, entry configregister.Entry, due time.Duration) {
 	client := adminclient.New(f.memberAddresses(), proposalTimeout)
 	outcome, err := client.Propose(context.WithoutCancel(ctx), entry)
@@ -119,5 +119,5 @@
 	case 3:
 		r.PriorityWeights["lookup"] = min(3, max(0.5, r.PriorityWeights["lookup"]*scale))
 	}
-	r.RetryBudgetFree = 10 + float64(n%2) // no version equals the one before
+	r.RetryBudgetFree = 10 + float64(n%2) // so that no version equals the previous one
 }
--- a/internal/faultlab/process.go
+++ b/internal/faultlab/process.go
@@ -13,16 +13,16 @@
 	"bankledge/internal/logevent"
 )
 
-// startTimeout is how long a process may take until it serves.
+// startTimeout is the longest time that a process may take from its start until it serves.
 const startTimeout = 15 * time.Second
 
-// Reasons why a process was not started. A StartError wraps them.
+// Causes of a StartError.
 var (
-	errExited     = errors.New("exited before it served")
-	errNotServing = fmt.Errorf("does not serve within %v", startTimeout)
+	errExited     = errors.New("exited before it was serving")
+	errNotServing = fmt.Errorf("not serving within %v", startTimeout)
 )
 
-// StartError says which process could not be started, and where its log is.
+// StartError reports that a process failed to start.
 type StartError struct {
 	Process string
 	LogFile string
@@ -31,23 +31,23 @@
 
 // Error names the process, the cause and the log file.
 func (e *StartError) Error() string {
-	return fmt.Sprintf("%s: %v: see %s", e.Process, e.Err, e.LogFile)
+	return fmt.Sprintf("%s: %v (log file %s)", e.Process, e.Err, e.LogFile)
 }
 
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// process is one run of a program under test. Its standard error is its log.
+// process is one process of a program under test. It logs to standard error.
 type process struct {
 	name    string
 	logFile string
 	cmd     *exec.Cmd
-	serving chan string   // receives the listen address of the log, once
-	ended   chan struct{} // closed when the process has ended and its log is written
+	serving chan string   // receives the listen address from the log, once
+	ended   chan struct{} // closed after the process has ended and its log is written
 }
 
-// startProcess starts a command and copies its log to a file. onLine is called with each line of the log, before the
-// process counts as serving by it; the line is valid during the call only.
+// startProcess starts a command and copies its log to a file. It calls onLine with each line of the log, before it checks
+// whether the line reports that the process serves. The line is valid only during the call.
 func startProcess(name string, cmd *exec.Cmd, logFile string, onLine func([]byte)) (*process, error) {
 	log, err := os.Create(logFile)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return p, nil
 }
 
-// detectServing passes on the listen address of the first line that says that the process serves.
+// detectServing sends the listen address of the first log line that reports that the process serves.
 func (p *process) detectServing(line []byte) {
 	var event struct{ Msg, Listen string }
 	if json.Unmarshal(line, &event) != nil || event.Msg != logevent.Serving {
@@ -91,12 +91,12 @@
 	}
 	select {
 	case p.serving <- event.Listen:
-	default: // only the first counts
+	default: // already sent
 	}
 }
 
-// awaitServing waits until the process serves, and returns its listen address; empty: the log has none.
-// The error is a *StartError, or that of the context.
+// awaitServing waits until the process serves, and returns its listen address, which is empty if the log line has none.
+// The error is a *StartError or the context's error.
 func (p *process) awaitServing(ctx context.Context) (string, error) {
 	select {
 	case address := <-p.serving:
@@ -110,7 +110,7 @@
 	}
 }
 
-// signal sends a signal. A process that has ended already is no error.
+// signal sends a signal. It returns nil if the process has already ended.
 func (p *process) signal(s os.Signal) error {
 	err := p.cmd.Process.Signal(s)
 	if errors.Is(err, os.ErrProcessDone) {
--- a/internal/faultlab/process_usage.go
+++ b/internal/faultlab/process_usage.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	clockTicks   = 100 // a second, of the processor times in /proc
+	clockTicks   = 100 // per second, the unit of processor times in /proc
 	megabyte     = 1 << 20
-	statUserTime = 11 // fields of /proc/PID/stat after the name of the command
+	statUserTime = 11 // index of the field of /proc/PID/stat after the command name
 	statSysTime  = 12
-	statmPages   = 1 // field of /proc/PID/statm
+	statmPages   = 1 // index of the field of /proc/PID/statm
 )
 
-// groupUsage is what the control group had used at a moment.
+// groupUsage is a snapshot of the resources that the control group has used.
 type groupUsage struct {
 	members []*member
 	leader  *member
@@ -32,14 +32,14 @@
 	}
 }
 
-// rates returns what was used since: processor time of the leader a second, and bytes of the group a second and router.
+// rates returns the usage since the snapshot: processor seconds of the leader per second, and bytes of the group per second and router.
 func (u groupUsage) rates(passed float64, routers int) (cpu, bytes float64) {
 	cpu = (u.leader.cpuSeconds() - u.cpu) / passed
 	bytes = (transferredBytes(u.members) - u.bytes) / passed / float64(routers)
 	return cpu, bytes
 }
 
-// cpuSeconds is the processor time of the process by the system's own accounting; 0: not known.
+// cpuSeconds returns the processor time of the process from /proc, or 0 if it is not available.
 func (m *member) cpuSeconds() float64 {
 	raw, err := os.ReadFile(m.procFile("stat"))
 	if err != nil {
@@ -53,7 +53,7 @@
 	return (parseNumber(fields[statUserTime]) + parseNumber(fields[statSysTime])) / clockTicks
 }
 
-// residentMB is the resident memory of the process; 0: not known.
+// residentMB returns the resident memory of the process in megabytes, or 0 if it is not available.
 func (m *member) residentMB() float64 {
 	raw, err := os.ReadFile(m.procFile("statm"))
 	fields := strings.Fields(string(raw))
@@ -63,7 +63,7 @@
 	return parseNumber(fields[statmPages]) * float64(os.Getpagesize()) / megabyte
 }
 
-// transferredBytes is what all processes have read and written by calls, which is what passed their sockets and a little of their disks.
+// transferredBytes returns the bytes that all processes have read and written by system calls: mostly socket traffic, and some disk I/O.
 func transferredBytes(members []*member) (total float64) {
 	for _, m := range members {
 		raw, err := os.ReadFile(m.procFile("io"))
@@ -84,7 +84,7 @@
 	return fmt.Sprintf("/proc/%d/%s", m.current().cmd.Process.Pid, name)
 }
 
-// parseNumber returns 0 for what is no number.
+// parseNumber parses a number. It returns 0 for invalid text.
 func parseNumber(text string) float64 {
 	number, _ := strconv.ParseFloat(text, 64)
 	return number
--- a/internal/faultlab/report.go
+++ b/internal/faultlab/report.go
@@ -9,21 +9,21 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Outcome is what one play came to.
+// Outcome is the result of one run.
 type Outcome struct {
-	Label      string      `json:"label"` // of the router's program
+	Label      string      `json:"label"` // name of the router program
 	Scenario   *Scenario   `json:"schedule"`
 	Metrics    Metrics     `json:"figures"`
 	Violations []Violation `json:"breaches"`
 }
 
-// maxListed is how many violations of one play a report lists.
+// maxListed is the largest number of violations of one run that a report lists.
 const maxListed = 3
 
-// Markdown returns a table of outcomes, with a mean for each label, and a list of violations.
+// Markdown returns a table of outcomes with a mean for each label, followed by a list of violations.
 func Markdown(outcomes []Outcome) string {
 	var b strings.Builder
-	b.WriteString("| schedule | program | faults | statements | in time | rejected | work wasted | probes /engine s | further /engine s | called off | dials | p50 | p99 | back | broken |\n")
+	b.WriteString("| scenario | program | faults | statements | in time | rejected | work wasted | health checks /engine s | additional attempts /engine s | cancelled | connections /attempt | p50 | p99 | recovery | violations |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, o := range outcomes {
 		writeMarkdownRow(&b, o.Scenario.Name, o.Label, faultNames(o.Scenario), o.Metrics, len(o.Violations))
@@ -54,7 +54,7 @@
 	}
 }
 
-// faultNames lists the kinds of a schedule's faults.
+// faultNames returns the kinds of a scenario's faults, separated by spaces.
 func faultNames(s *Scenario) string {
 	var names []string
 	for _, f := range s.Faults {
@@ -63,7 +63,7 @@
 	return strings.Join(names, " ")
 }
 
-// labels lists the labels of outcomes, each once, in the order in which they come.
+// labels returns the distinct labels of outcomes in order of first appearance.
 func labels(outcomes []Outcome) (list []string) {
 	seen := map[string]bool{}
 	for _, o := range outcomes {
@@ -75,19 +75,19 @@
 	return list
 }
 
-// meanMetrics returns the means of a label's metrics, with the sum of its statements and violations.
+// meanMetrics returns the means of a label's metrics, and the totals of its statements and violations.
 func meanMetrics(outcomes []Outcome, label string) (m Metrics, violations int) {
-	var plays []Metrics
+	var runs []Metrics
 	for _, o := range outcomes {
 		if o.Label == label {
-			plays = append(plays, o.Metrics)
+			runs = append(runs, o.Metrics)
 			m.Statements += o.Metrics.Statements
 			violations += len(o.Violations)
 		}
 	}
 	mean := func(value func(Metrics) float64) float64 {
 		var values []float64
-		for _, p := range plays {
+		for _, p := range runs {
 			values = append(values, value(p))
 		}
 		return stat.Mean(values, nil)
@@ -105,9 +105,9 @@
 	return m, violations
 }
 
-// Row is an outcome's row in a Parquet file.
+// Row is the row of an outcome in a Parquet file.
 type Row struct {
-	Schedule           string  `parquet:"schedule"`
+	Scenario           string  `parquet:"schedule"`
 	Program            string  `parquet:"program"`
 	Faults             string  `parquet:"faults"`
 	InTime             float64 `parquet:"in_time"`
@@ -124,13 +124,13 @@
 	Violations         int64   `parquet:"broken"`
 }
 
-// WriteParquet writes a file with a row for each outcome.
+// WriteParquet writes a Parquet file with a row for each outcome.
 func WriteParquet(path string, outcomes []Outcome) error {
 	var rows []Row
 	for _, o := range outcomes {
 		m := o.Metrics
 		rows = append(rows, Row{
-			Schedule:           o.Scenario.Name,
+			Scenario:           o.Scenario.Name,
 			Program:            o.Label,
 			Faults:             faultNames(o.Scenario),
 			InTime:             m.InTime,
--- a/internal/faultlab/router.go
+++ b/internal/faultlab/router.go
@@ -21,14 +21,14 @@
 	"bankledge/internal/logevent"
 )
 
-// unusedAddress is the target of a router's link until its process has logged where it listens.
+// unusedAddress is the target of a router's client link until its process has logged its listen address.
 const unusedAddress = "127.0.0.1:1"
 
-// router is a process of the real router, with all links that lead to it and from it.
+// router is a process of the real router, with all links to it and from it.
 type router struct {
 	fleet      *fleet
 	index      int
-	host       *faultinject.Host // nil: that of the machine; it outlives the process, as a host does
+	host       *faultinject.Host // simulated host, kept across restarts of the process; nil: the machine itself
 	clientLink *Link
 	feed       *controlFeed
 	feedLink   *Link
@@ -36,14 +36,14 @@
 	mu          sync.Mutex
 	engineLinks map[string]*Link // by id of the engine
 	process     *process         // nil before the first start
-	processes   []*process       // all that were started: two outages that overlap start two
-	address     string           // where the process listens
+	processes   []*process       // all processes that were started: overlapping outages may start several
+	address     string           // listen address of the process
 	starts      int
 	clients     []*fakes.Client
 	inFlight    map[*fakes.Client]int // statements of each connection
 }
 
-// newRouter makes a router's links and control feed; its process is not started yet.
+// newRouter creates a router's links and control feed. It does not start the process.
 func (f *fleet) newRouter(index int) (*router, error) {
 	r := &router{fleet: f, index: index, engineLinks: map[string]*Link{}, inFlight: map[*fakes.Client]int{}}
 	var err error
@@ -78,7 +78,7 @@
 	}
 }
 
-// connect makes the link to an engine.
+// connect creates the link to an engine.
 func (r *router) connect(e *engine) error {
 	link, err := NewLink(e.model.Server.Listener.Addr().String())
 	if err != nil {
@@ -94,14 +94,14 @@
 	return nil
 }
 
-// linkTo returns nil where there is no link to the engine yet.
+// linkTo returns the link to an engine, or nil if there is none yet.
 func (r *router) linkTo(engine string) *Link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.engineLinks[engine]
 }
 
-// publish has the router's control feed publish the state of engines, at the addresses of this router's links.
+// publish sends the state of engines on the router's control feed, with the addresses of this router's links.
 func (r *router) publish(engines []*engine, state string) {
 	n := notification{state: state}
 	var members []string
@@ -145,7 +145,7 @@
 	r.mu.Lock()
 	r.address = address
 	r.mu.Unlock()
-	if start > 1 && r.fleet.schedule.EarlyReloads {
+	if start > 1 && r.fleet.scenario.EarlyReloads {
 		if err := started.reloadBeforeReady(); err != nil {
 			return err
 		}
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// awaitReady asks the router, as a client does, until it says that it is ready.
+// awaitReady polls the router's readiness over the client protocol until the router is ready.
 func (r *router) awaitReady() error {
 	c, err := fakes.Dial(r.clientLink.Address())
 	if err != nil {
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// command writes the router's files, and returns the command that starts it for the nth time.
+// command writes the router's configuration files and returns the command for its nth start.
 func (r *router) command(start int) (*exec.Cmd, error) {
 	config, err := r.writeConfig(start)
 	if err != nil {
@@ -194,18 +194,18 @@
 	return cmd, nil
 }
 
-// writeConfig writes the router's configuration, which holds what the control feed has published by now.
+// writeConfig writes the router's configuration, including all events that the control feed has published so far.
 func (r *router) writeConfig(start int) (path string, err error) {
 	events, last := r.feed.published()
-	seed := r.fleet.schedule.Seed*1000 + uint64(r.index*20+start)
+	seed := r.fleet.scenario.Seed*1000 + uint64(r.index*20+start)
 	config := fmt.Appendf(nil, `{"name":"r%d","listen":"127.0.0.1:0","seed":"%016x","feed":%q,"limits":{"cores":1,"memory_mb":%d,"sockets":%d},
-		"known":{"n":%d,"events":[%s]},"settings":%s}`, r.index, seed, r.feedLink.Address(), routerMemoryMB, cmp.Or(r.fleet.schedule.Descriptors, routerSockets),
-		last, events, fleetSettings(r.fleet.schedule, r.index))
+		"known":{"n":%d,"events":[%s]},"settings":%s}`, r.index, seed, r.feedLink.Address(), routerMemoryMB, cmp.Or(r.fleet.scenario.Descriptors, routerSockets),
+		last, events, fleetSettings(r.fleet.scenario, r.index))
 	path = filepath.Join(r.fleet.dir, fmt.Sprintf("router-%d.json", r.index))
 	return path, os.WriteFile(path, config, 0o600)
 }
 
-// writeControlConfig writes where the control group is: at links of this router's own.
+// writeControlConfig writes the configuration of the control client. Its addresses are those of this router's own links to the group.
 func (r *router) writeControlConfig() (path string, err error) {
 	config := controlclient.Config{
 		LeaseMillis:         GroupDurations.LeaseDuration.Milliseconds(),
@@ -227,7 +227,7 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// observeLog records what the auditors need of a line of the router's log.
+// observeLog records the events of a line of the router's log that the auditors need.
 func (r *router) observeLog(line []byte) {
 	r.recordActiveRules(line)
 	violated := bytes.Contains(line, []byte(logevent.InvariantViolated))
@@ -237,7 +237,7 @@
 	}
 }
 
-// Texts of RouterDown and RouterUp events: how the router went down. They stand in stored histories.
+// Texts of RouterDown and RouterUp events: how the router went down. Histories store them.
 const (
 	downTerminated = "term"
 	downKilled     = "kill"
@@ -260,7 +260,8 @@
 	return r.signal(syscall.SIGSTOP)
 }
 
-// resume resumes whatever stop has suspended. That may be an earlier process, if an outage that overlaps has started another one since.
+// resume resumes the process that stop has suspended. It signals all processes, because an overlapping outage may have started another
+// process since.
 func (r *router) resume() error {
 	r.mu.Lock()
 	processes := slices.Clone(r.processes)
--- a/internal/faultlab/router_client.go
+++ b/internal/faultlab/router_client.go
@@ -8,34 +8,34 @@
 	"bankledge/internal/fakes"
 )
 
-// maxInFlight is how many statements share a connection.
+// maxInFlight is the largest number of concurrent statements on a connection.
 const maxInFlight = 24
 
-// Why a client has no answer.
+// Reasons why a client has no answer.
 var (
-	errClientLeft = errors.New("the client left")
-	errNoAnswer   = errors.New("no answer")
+	errClientCancelled = errors.New("the client cancelled")
+	errNoAnswer        = errors.New("no answer")
 )
 
-// send sends a statement and waits for its answer, no longer than within. leaveAfter: the client cancels after that time, and the
-// answer's error is errClientLeft; 0: it does not.
-func (r *router) send(ctx context.Context, within, leaveAfter time.Duration, fields map[string]string, text string) fakes.Answer {
+// send sends a statement and waits for its answer, no longer than within. If cancelAfter is not 0, the client cancels after that time and
+// the answer's error is errClientCancelled.
+func (r *router) send(ctx context.Context, within, cancelAfter time.Duration, fields map[string]string, text string) fakes.Answer {
 	c, err := r.reserveClient()
 	if err != nil {
 		return fakes.Answer{Err: err}
 	}
 	defer r.releaseClient(c)
-	var leaves <-chan time.Time
-	if leaveAfter > 0 {
-		leaves = time.After(leaveAfter)
+	var cancelled <-chan time.Time
+	if cancelAfter > 0 {
+		cancelled = time.After(cancelAfter)
 	}
 	stream, answer := c.Open(fields, text)
 	select {
 	case a := <-answer:
 		return a
-	case <-leaves:
+	case <-cancelled:
 		c.Cancel(stream)
-		return fakes.Answer{Err: errClientLeft}
+		return fakes.Answer{Err: errClientCancelled}
 	case <-time.After(within):
 		return fakes.Answer{Err: errNoAnswer, Took: within}
 	case <-ctx.Done():
@@ -43,7 +43,7 @@
 	}
 }
 
-// reserveClient returns a connection with room for a statement, a new one if there is none, and forgets those that have ended.
+// reserveClient returns a connection with capacity for a statement, opening a new one if needed. It removes connections that have ended.
 func (r *router) reserveClient() (*fakes.Client, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.UseWhileDraining = r.fleet.schedule.UseWhileDraining
+	c.UseWhileDraining = r.fleet.scenario.UseWhileDraining
 	c.OnDuplicate = func(uint32) { r.fleet.record(Event{Kind: DuplicateAnswer, Router: r.index}) }
 	r.clients = append(r.clients, c)
 	r.inFlight[c] = 1
--- a/internal/faultlab/router_test.go
+++ b/internal/faultlab/router_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startTwice starts a router's process twice, as two outages that overlap do. The processes do nothing.
+// startTwice starts a router's process twice, as two overlapping outages do. The processes only sleep.
 func startTwice(t *testing.T) (r *router, started []*process) {
 	t.Helper()
 	dir := t.TempDir()
@@ -23,26 +23,27 @@
 	require.NoError(t, os.WriteFile(program, []byte("#!/bin/sh\nexec sleep 60\n"), 0o700))
 	r, err := newFleet(&Scenario{Routers: 1}, Options{RouterProgram: program}, dir).newRouter(0)
 	require.NoError(t, err)
-	notAwaited, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 2 {
-		require.ErrorIs(t, r.start(notAwaited), context.Canceled)
+		require.ErrorIs(t, r.start(cancelled), context.Canceled)
 		started = append(started, r.process)
 	}
 	return r, started
 }
 
-// Two outages of a router that overlap start its process twice. Only the later one was killed at the end: soaks left routers running.
+// Two overlapping outages of a router start its process twice. close must kill both: soaks left routers running when it killed only the
+// later process.
 func TestCloseEndsEveryProcess(t *testing.T) {
 	r, started := startTwice(t)
 	r.close()
 	for _, p := range started {
-		assert.NotNil(t, p.cmd.ProcessState, "it has not ended")
+		assert.NotNil(t, p.cmd.ProcessState, "the process has not ended")
 	}
 }
 
-// A process is suspended, and an outage that overlaps starts another one before it is resumed. Only the later one was resumed: the first
-// held its clients' connections and answered nothing until the end of the play (soak seed 111).
+// A process is suspended, and an overlapping outage starts another process before the first one is resumed. When resume signalled only the
+// later process, the first one kept its clients' connections open and answered nothing until the end of the run (soak seed 111).
 func TestResumeResumesTheProcessThatWasSuspended(t *testing.T) {
 	r, started := startTwice(t)
 	defer r.close()
@@ -52,7 +53,7 @@
 	require.Eventually(t, func() bool { return processState(t, started[0]) != "T" }, 10*time.Second, time.Millisecond)
 }
 
-// processState returns the state of a process in /proc: T for one that is suspended.
+// processState returns the state of a process from /proc. T means suspended.
 func processState(t *testing.T, p *process) string {
 	t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
--- a/internal/faultlab/play.go
+++ b/internal/faultlab/run.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Options say with which programs a schedule is played.
+// Options define which programs run a scenario, and with which environment and log folder.
 type Options struct {
 	RouterProgram  string             // path of the built router
-	ControlProgram string             // path of the built control service; empty: schedules with a control group cannot be played
-	Dir            string             // for the logs of the processes; empty: a temporary one that is removed
-	Progress       func(part float64) // called with the share of the play that is over, from 0 to 1; nil: nobody listens
+	ControlProgram string             // path of the built control service; required by scenarios with a control group
+	Dir            string             // for the logs of the processes; empty: a temporary folder that is removed after the run
+	Progress       func(part float64) // called with the completed share of the run, from 0 to 1; may be nil
 	Env            map[string]string  // additional environment of the routers
 }
 
 // progressInterval is the time between two calls of Options.Progress.
 const progressInterval = 100 * time.Millisecond
 
-// Run plays a schedule and returns its history in order of time. Everything that it starts has ended when it returns. The error
-// is that of an invalid schedule, of a process that does not start, or of the context.
+// Run runs a scenario and returns its history in order of time. All processes and goroutines that it starts have ended when it
+// returns. It fails if the scenario is invalid, a process does not start, or the context is done.
 func Run(ctx context.Context, s *Scenario, o Options) (*History, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 	return f.finishHistory()
 }
 
-// logDir makes the folder for logs: the one named, or a temporary one that remove deletes.
+// logDir creates the folder for logs: the named one, or a temporary one that remove deletes.
 func logDir(named string) (dir string, remove func(), err error) {
 	if named != "" {
 		return named, func() {}, os.MkdirAll(named, 0o755)
@@ -57,13 +57,13 @@
 	return dir, func() { os.RemoveAll(dir) }, nil
 }
 
-// run sends the traffic and injects the faults. Clients may still wait for their answers when it returns.
+// run sends the traffic and injects the faults. Clients may still wait for their answers after it returns.
 func (f *fleet) run(ctx context.Context) error {
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.Go(func() error { return f.generateTraffic(groupCtx, ctx) })
-	group.Go(func() error { return f.operate(groupCtx) })
-	for _, fault := range f.schedule.Faults {
-		group.Go(func() error { return f.playFault(groupCtx, fault) })
+	group.Go(func() error { return f.proposeVersions(groupCtx) })
+	for _, fault := range f.scenario.Faults {
+		group.Go(func() error { return f.runFault(groupCtx, fault) })
 	}
 	if f.options.Progress != nil {
 		defer inBackground(ctx, f.reportProgress)()
@@ -74,7 +74,7 @@
 	return err
 }
 
-// inBackground starts a task, and returns what cancels it and waits until it has ended.
+// inBackground starts a task and returns a function that cancels it and waits until it has ended.
 func inBackground(ctx context.Context, task func(context.Context)) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -96,14 +96,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			f.options.Progress(min(1, time.Since(f.began).Seconds()/f.schedule.Seconds))
+			f.options.Progress(min(1, time.Since(f.began).Seconds()/f.scenario.Seconds))
 		}
 	}
 }
 
-// finishHistory returns what was recorded, with the versions that the control group wrote.
+// finishHistory returns the recorded events in order of time, with the versions that the control group wrote.
 func (f *fleet) finishHistory() (*History, error) {
-	h := &History{Scenario: f.schedule}
+	h := &History{Scenario: f.scenario}
 	if err := f.collectVersions(h); err != nil {
 		return nil, err
 	}
--- a/internal/faultlab/schedule.go
+++ b/internal/faultlab/scenario.go
@@ -12,10 +12,10 @@
 	"github.com/google/go-jsonnet"
 )
 
-// currentLeader stands among the members of a fault for the one that leads when the fault begins.
+// currentLeader is the member index of a fault that selects the member that is the leader when the fault begins.
 const currentLeader = -1
 
-// Limits of schedules.
+// Limits of scenarios.
 const (
 	maxSeconds      = 600
 	maxProcesses    = 64
@@ -23,47 +23,47 @@
 	maxJsonnetStack = 200
 )
 
-// Scenario is an experiment: a fleet, its traffic, and the faults injected into it. The same schedule gives the same statements at
-// the same times and the same faults; what processes and their machine make of them differs from play to play.
+// Scenario describes one experiment: a fleet, its traffic, and the faults injected into it. The same scenario produces the same
+// statements at the same times and the same faults. How the processes and their machine respond differs from run to run.
 type Scenario struct {
 	Name              string  `json:"name"`
 	Seed              uint64  `json:"seed"`
 	Routers           int     `json:"routers"`
 	Engines           int     `json:"engines"`
 	Seconds           float64 `json:"seconds"`
-	Load              float64 `json:"load"`     // work sent over what the engines' cores can do, without faults
-	Retries           int     `json:"tries"`    // of a client whose statement was rejected
-	ConfiguredRouters int     `json:"says"`     // routers, as the settings have it; 0: as many as there are
-	BusiestFactor     float64 `json:"busiest"`  // traffic of router 0 over that of each other router
-	WorkFactor        float64 `json:"work"`     // work of a statement over the usual; 0: as usual
-	PatienceFactor    float64 `json:"patience"` // latency objectives and timeouts over the usual; 0: as usual
-	CancelShare       float64 `json:"leavers"`  // share of the clients that cancel before their timeout
-	ControlMembers    int     `json:"control"`  // processes of the control group; 0: there is none
-	VersionInterval   float64 `json:"every"`    // mean seconds between two proposed versions
+	Load              float64 `json:"load"`     // work sent, as a fraction of what the engines' cores can do, without faults
+	Retries           int     `json:"tries"`    // by a client whose statement is rejected
+	ConfiguredRouters int     `json:"says"`     // number of routers in the routers' settings; 0: Routers
+	BusiestFactor     float64 `json:"busiest"`  // traffic of router 0, relative to each other router
+	WorkFactor        float64 `json:"work"`     // scales the work of a statement; 0: default work
+	PatienceFactor    float64 `json:"patience"` // scales latency objectives and timeouts; 0: default values
+	CancelShare       float64 `json:"leavers"`  // share of the clients that cancel before their timeout expires
+	ControlMembers    int     `json:"control"`  // processes of the control group; 0: no control group
+	VersionInterval   float64 `json:"every"`    // mean seconds between two proposals of a version
 	Faults            []Fault `json:"faults"`
 
-	UseWhileDraining bool `json:"use_draining,omitempty"`  // clients send on connections on which a router has asked for nothing new
-	Descriptors      int  `json:"descriptors,omitempty"`   // a router's limit; 0: as usual
-	EarlyReloads     bool `json:"early_reloads,omitempty"` // a router that is started again is sent SIGHUP twice before it is ready
+	UseWhileDraining bool `json:"use_draining,omitempty"`  // clients keep sending on connections that a router drains
+	Descriptors      int  `json:"descriptors,omitempty"`   // limit of file descriptors of a router; 0: default limit
+	EarlyReloads     bool `json:"early_reloads,omitempty"` // a restarted router receives SIGHUP twice before it is ready
 }
 
-// Fault is one fault of a schedule.
+// Fault is one fault of a scenario.
 type Fault struct {
 	At      float64   `json:"at"`  // seconds from the start of the traffic
-	For     float64   `json:"for"` // seconds; 0: for good, or for a moment
+	For     float64   `json:"for"` // seconds; 0: permanent or instantaneous
 	Kind    FaultKind `json:"kind"`
 	Routers []int     `json:"routers,omitempty"`
 	Engines []int     `json:"engines,omitempty"`
-	Members []int     `json:"members,omitempty"` // of the control group; -1: the one that leads then
+	Members []int     `json:"members,omitempty"` // of the control group; -1: the leader when the fault begins
 	Amount  float64   `json:"amount,omitempty"`  // its unit depends on the kind
 }
 
-// scaledTimeout returns a duration of a client, scaled by the schedule's patience.
-func (s *Scenario) scaledTimeout(usual time.Duration) time.Duration {
-	return time.Duration(cmp.Or(s.PatienceFactor, 1) * float64(usual))
+// scaledTimeout returns a client's timeout or latency objective, scaled by PatienceFactor.
+func (s *Scenario) scaledTimeout(base time.Duration) time.Duration {
+	return time.Duration(cmp.Or(s.PatienceFactor, 1) * float64(base))
 }
 
-// FaultsEnd is the end of the last fault, in seconds.
+// FaultsEnd returns the end of the last fault, in seconds from the start of the traffic.
 func (s *Scenario) FaultsEnd() (end float64) {
 	for _, f := range s.Faults {
 		end = max(end, f.At+f.For)
@@ -76,7 +76,7 @@
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(1e6 * (a.At - b.At)) })
 }
 
-// Validate returns an error that names the first field that is wrong.
+// Validate returns an error that names the first invalid field.
 func (s *Scenario) Validate() error {
 	for _, field := range []struct {
 		name     string
@@ -109,38 +109,38 @@
 	return nil
 }
 
-// isBetween reports whether a value is within bounds; NaN is not.
+// isBetween reports whether a value is within inclusive bounds. It returns false for NaN.
 func isBetween(value, low, high float64) bool { return value >= low && value <= high }
 
-// validateFault returns an error that begins with the name of the field that is wrong.
+// validateFault returns an error that begins with the name of the invalid field.
 func (s *Scenario) validateFault(f Fault) error {
 	spec, known := faultKinds[f.Kind]
 	maxAmount := cmp.Or(spec.maxAmount, defaultMaxAmount)
 	switch {
 	case !known:
-		return fmt.Errorf("kind: %q is none", f.Kind)
+		return fmt.Errorf("kind: unknown kind of fault %q", f.Kind)
 	case !isBetween(f.At, 0, s.Seconds):
-		return fmt.Errorf("at: %v is not within the schedule", f.At)
+		return fmt.Errorf("at: %v is not within the length of the scenario", f.At)
 	case !isBetween(f.For, 0, maxSeconds):
-		return fmt.Errorf("for: %v is no time", f.For)
-	case spec.lasting && f.For == 0:
-		return fmt.Errorf("for: missing")
+		return fmt.Errorf("for: %v is not from 0 to %v", f.For, maxSeconds)
+	case spec.duration && f.For == 0:
+		return fmt.Errorf("for: missing, this kind of fault needs a duration")
 	case spec.amount && (f.Amount == 0 || f.Amount < 0 && !spec.signed):
 		return fmt.Errorf("amount: %v is not above 0", f.Amount)
 	case spec.amount && !(math.Abs(f.Amount) <= maxAmount):
-		return fmt.Errorf("amount: %v is over %v", f.Amount, maxAmount)
+		return fmt.Errorf("amount: absolute value of %v exceeds %v", f.Amount, maxAmount)
 	case spec.routers && len(f.Routers) == 0:
-		return fmt.Errorf("routers: none")
+		return fmt.Errorf("routers: none given, this kind of fault needs at least one")
 	case spec.members && len(f.Members) == 0:
-		return fmt.Errorf("members: none")
+		return fmt.Errorf("members: none given, this kind of fault needs at least one")
 	case !allBetween(f.Members, currentLeader, s.ControlMembers-1):
-		return fmt.Errorf("members: one is not from 0 to %d, nor -1", s.ControlMembers-1)
+		return fmt.Errorf("members: an index is neither from 0 to %d nor -1, the current leader", s.ControlMembers-1)
 	case spec.engines && len(f.Engines) == 0:
-		return fmt.Errorf("engines: none")
+		return fmt.Errorf("engines: none given, this kind of fault needs at least one")
 	case !allBetween(f.Routers, 0, s.Routers-1):
-		return fmt.Errorf("routers: one is not from 0 to %d", s.Routers-1)
+		return fmt.Errorf("routers: an index is not from 0 to %d", s.Routers-1)
 	case !allBetween(f.Engines, 0, s.Engines-1):
-		return fmt.Errorf("engines: one is not from 0 to %d", s.Engines-1)
+		return fmt.Errorf("engines: an index is not from 0 to %d", s.Engines-1)
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 	return !slices.ContainsFunc(indexes, func(i int) bool { return i < low || i > high })
 }
 
-// LoadScenario reads a schedule, Jsonnet or JSON, and validates it; an error names the field.
+// LoadScenario reads a scenario from a Jsonnet or JSON file and validates it. A validation error names the invalid field.
 func LoadScenario(path string) (*Scenario, error) {
 	vm := jsonnet.MakeVM()
 	vm.MaxStack = maxJsonnetStack
@@ -164,7 +164,7 @@
 	return s, s.Validate()
 }
 
-// Save writes a schedule where LoadScenario finds it.
+// Save writes a scenario to a JSON file that LoadScenario can read.
 func (s *Scenario) Save(path string) error {
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
--- a/internal/faultlab/shrink.go
+++ b/internal/faultlab/shrink.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// minHalvedSeconds is the length of a fault up to which Shrink leaves it as it is.
+// minHalvedSeconds is the duration of a fault up to which Shrink does not shorten it.
 const minHalvedSeconds = 0.4
 
-// Shrink cuts a schedule that fails down to one that still does and of which nothing can be left out: no fault, no half of a fault's
-// routers or engines, no half of its time. fails plays a schedule and reports whether it still fails.
+// Shrink reduces a failing scenario to a minimal one that still fails: without any of its faults, half of a fault's routers or engines,
+// half of a fault's duration, or the retries, it no longer fails. fails runs a scenario and reports whether it fails.
 func Shrink(s *Scenario, fails func(*Scenario) bool) *Scenario {
-	least := s
+	smallest := s
 	for {
-		smaller := firstFailing(reductions(least), fails)
+		smaller := firstFailing(reductions(smallest), fails)
 		if smaller == nil {
-			return least
+			return smallest
 		}
-		least = smaller
+		smallest = smaller
 	}
 }
 
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// reductions returns the schedules that lack one thing, the largest things first.
+// reductions returns the scenarios that differ from s by one reduction, the largest reductions first.
 func reductions(s *Scenario) (list []*Scenario) {
 	add := func(reduce func(*Scenario)) {
 		c := s.clone()
@@ -56,7 +56,7 @@
 	return list
 }
 
-// clone copies a schedule so that its faults can be changed.
+// clone copies a scenario so that the faults of the copy, with their routers and engines, can be changed.
 func (s *Scenario) clone() *Scenario {
 	c := *s
 	c.Faults = nil
--- a/internal/faultlab/shutdown.go
+++ b/internal/faultlab/shutdown.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// The times of a planned restart, from its SIGTERM.
+// Times of a planned restart, relative to its SIGTERM.
 const (
-	requestWindow     = 600 * time.Millisecond // what is written by then has its answer, also if the process is killed
-	killGrace         = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM, and the longest timeout later
-	maxAwaitedTimeout = 3 * time.Second        // the longest timeout that counts for that
+	requestWindow     = 600 * time.Millisecond // statements written before this time are answered, even if the process is killed
+	killGrace         = 700 * time.Millisecond // SIGKILL is sent at the earliest after the longest timeout plus this grace
+	maxAwaitedTimeout = 3 * time.Second        // upper bound of the timeout that delays SIGKILL
 	signalSpacing     = 2 * time.Millisecond   // between the signals of a series
 )
 
-// earliestKill is how long after SIGTERM a router may be killed at the earliest.
+// earliestKill returns the shortest time from SIGTERM to SIGKILL that the shutdown protocol allows.
 func (s *Scenario) earliestKill() time.Duration {
 	longest := time.Duration(0)
 	for _, w := range workloads {
@@ -24,14 +24,14 @@
 	return min(longest, maxAwaitedTimeout) + killGrace
 }
 
-// retire tells the process to end, by a series of signals that begins with SIGTERM, kills it as soon as the protocol allows, and starts
-// another one at once.
+// retire shuts the process down with a series of signals that begins with SIGTERM, kills it as soon as the protocol allows, and starts a
+// new process immediately.
 func (r *router) retire(ctx context.Context, signals int) error {
 	r.fleet.record(Event{Kind: RouterDown, Router: r.index, Text: downTerminated})
 	r.mu.Lock()
 	p := r.process
 	r.mu.Unlock()
-	kill := time.After(r.fleet.schedule.earliestKill())
+	kill := time.After(r.fleet.scenario.earliestKill())
 	if err := p.signalSeries(syscall.SIGTERM, signals); err != nil {
 		return err
 	}
@@ -43,12 +43,12 @@
 		return err
 	}
 	if err := r.start(ctx); err != nil && ctx.Err() == nil {
-		r.fleet.record(Event{Kind: InvariantViolated, Router: r.index, Text: "it does not start again: " + err.Error()})
+		r.fleet.record(Event{Kind: InvariantViolated, Router: r.index, Text: "restart after a shutdown failed: " + err.Error()})
 	}
 	return nil
 }
 
-// signalSeries sends a signal, and further ones within milliseconds: SIGHUP and SIGTERM in turn.
+// signalSeries sends a signal and then, signalSpacing apart, SIGHUP and SIGTERM alternately, until it has sent the given number of signals.
 func (p *process) signalSeries(first os.Signal, signals int) error {
 	next := first
 	for i := range signals {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// reloadBeforeReady has a process that serves and is not ready yet read its configuration twice.
+// reloadBeforeReady makes a process that serves but is not ready yet reload its configuration twice.
 func (p *process) reloadBeforeReady() error {
 	if err := p.signal(syscall.SIGHUP); err != nil {
 		return err
--- a/internal/faultlab/traffic.go
+++ b/internal/faultlab/traffic.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	maxSurge       = 3.0                    // times the usual traffic, at most
-	retryPause     = 150 * time.Millisecond // of a client whose statement was rejected
-	answerPatience = 600 * time.Millisecond // how long after its timeout a client still waits, to see a late answer
+	maxSurge       = 3.0                    // largest factor of a surge over the normal traffic
+	retryPause     = 150 * time.Millisecond // before a client retries a rejected statement
+	lateAnswerWait = 600 * time.Millisecond // how long a client waits beyond its timeout, so that late answers are recorded
 	tableCount     = 40
 
-	// Streams of random numbers that a seed gives, one for each purpose.
+	// Streams of random numbers of a seed, one for each purpose.
 	trafficStream = 2
-	leavingStream = 3
+	cancelStream  = 3
 
-	// Work of a statement over the mean of its workload: lognormal with mean one.
+	// Work of a statement relative to the mean of its workload: lognormal with mean one.
 	workMu    = -0.18
 	workSigma = 0.6
 )
 
-// arrivals draws statements of a Poisson process. The order of the draws is part of what a seed means.
+// arrivals draws statements of a Poisson process. A seed gives the same statements only if the order of the draws stays the same.
 type arrivals struct {
 	random    *rand.Rand
-	gap       distuv.Exponential // seconds at the usual rate
+	gap       distuv.Exponential // seconds at the normal rate
 	workload  distuv.Categorical
 	router    distuv.Categorical
 	work      distuv.LogNormal
 	thinning  distuv.Uniform
-	workScale float64 // of the schedule
+	workScale float64 // WorkFactor of the scenario
 }
 
 // arrival is one drawn statement.
@@ -44,7 +44,7 @@
 	workload *workload
 	router   int
 	work     float64 // seconds on one thread
-	thinning float64 // it is left out if this is above the surge at its time
+	thinning float64 // the statement is skipped if this exceeds the surge factor at its time
 	table    int
 }
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// nextGap draws the seconds until the next statement, at the fastest rate: statements are thinned out where the traffic is less,
-// so that a surge leaves the other statements as they are.
+// nextGap draws the seconds until the next statement at the rate of the largest surge. Statements are thinned out when the traffic is
+// lower, so that a surge does not change the other statements.
 func (a *arrivals) nextGap() float64 { return a.gap.Rand() / maxSurge }
 
 func (a *arrivals) next() arrival {
@@ -88,15 +88,15 @@
 	return x
 }
 
-// generateTraffic sends statements at the times of a Poisson process, whatever became of those before. Their clients go on, under a
-// context of their own, when it has returned.
+// generateTraffic sends statements at the times of a Poisson process, independent of the results of earlier statements. The clients use
+// clientCtx and may continue after it has returned.
 func (f *fleet) generateTraffic(ctx, clientCtx context.Context) error {
-	statements := newArrivals(f.schedule)
-	leaving := rand.New(rand.NewPCG(f.schedule.Seed, leavingStream))
+	statements := newArrivals(f.scenario)
+	cancelDraws := rand.New(rand.NewPCG(f.scenario.Seed, cancelStream))
 	now := 0.0
 	for n := 0; ; n++ {
 		now += statements.nextGap()
-		if now > f.schedule.Seconds {
+		if now > f.scenario.Seconds {
 			return nil
 		}
 		drawn := statements.next()
@@ -109,21 +109,21 @@
 		c := &client{
 			fleet:   f,
 			arrival: drawn,
-			id:      fmt.Sprintf("%08x%07x", uint32(f.schedule.Seed), n),
-			timeout: f.schedule.scaledTimeout(drawn.workload.timeout),
+			id:      fmt.Sprintf("%08x%07x", uint32(f.scenario.Seed), n),
+			timeout: f.scenario.scaledTimeout(drawn.workload.timeout),
 		}
-		if leaving.Float64() < f.schedule.CancelShare {
-			c.leaveAfter = time.Duration(leaving.Int64N(int64(c.timeout)))
+		if cancelDraws.Float64() < f.scenario.CancelShare {
+			c.cancelAfter = time.Duration(cancelDraws.Int64N(int64(c.timeout)))
 		}
 		due := seconds(now)
 		f.clients.Go(func() { c.run(clientCtx, due) })
 	}
 }
 
-// surgeAt returns how many times the usual traffic there is, some seconds after the start.
+// surgeAt returns the factor over the normal traffic at a time in seconds from the start.
 func (f *fleet) surgeAt(now float64) float64 {
 	factor := 1.0
-	for _, fault := range f.schedule.Faults {
+	for _, fault := range f.scenario.Faults {
 		if fault.Kind == faultSurge && now >= fault.At && now < fault.At+fault.For {
 			factor = max(factor, min(maxSurge, fault.Amount))
 		}
@@ -131,16 +131,16 @@
 	return factor
 }
 
-// client sends one statement, and sends it again under a new id when it is rejected.
+// client sends one statement, and sends it again with a new id when it is rejected.
 type client struct {
 	fleet *fleet
 	arrival
-	id         string // of the statement, without the digit of the retry
-	timeout    time.Duration
-	leaveAfter time.Duration // then it cancels; 0: it does not
+	id          string // of the statement, without the last digit, which counts the retries
+	timeout     time.Duration
+	cancelAfter time.Duration // time after which the client cancels; 0: it does not cancel
 }
 
-// run sends the statement, which was due at a time of the play, and its retries.
+// run sends the statement and its retries. due is the time of the run at which the statement is due.
 func (c *client) run(ctx context.Context, due time.Duration) {
 	f := c.fleet
 	for retry := 0; ; retry++ {
@@ -156,7 +156,7 @@
 			Work:      c.work,
 		})
 		fields, text := c.request(id, retry, due)
-		answer := f.routers[c.router].send(ctx, c.timeout+answerPatience, c.leaveAfter, fields, text)
+		answer := f.routers[c.router].send(ctx, c.timeout+lateAnswerWait, c.cancelAfter, fields, text)
 		outcome := Event{
 			Kind:      StatementAnswered,
 			Statement: id,
@@ -165,15 +165,15 @@
 			Code:      byte(answer.Code),
 			Took:      answer.Took,
 		}
-		if errors.Is(answer.Err, errClientLeft) {
-			outcome.Kind = ClientLeft
+		if errors.Is(answer.Err, errClientCancelled) {
+			outcome.Kind = ClientCancelled
 		} else if answer.Err != nil {
 			outcome.Kind = ClientConnectionLost
 			outcome.Text = answer.Err.Error()
 		}
 		f.record(outcome)
 		rejected := answer.Err == nil && answer.Code == downstream.CodeRejected
-		if !rejected || retry >= f.schedule.Retries || ctx.Err() != nil {
+		if !rejected || retry >= f.scenario.Retries || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(retryPause)
@@ -181,7 +181,7 @@
 	}
 }
 
-// request returns the fields and the text of the statement, as the wire has them.
+// request returns the fields and the text of the statement as they are sent to the router.
 func (c *client) request(id string, retry int, due time.Duration) (fields map[string]string, text string) {
 	late := time.Since(c.fleet.began) - due
 	estimate := fmt.Sprint(max(1, int(c.work*1000))) // milliseconds
@@ -202,5 +202,5 @@
 	return fields, fmt.Sprintf(format, c.table, estimate, c.workload.threads)
 }
 
-// originalID returns the id under which a statement was first sent: the last digit counts the retries.
+// originalID returns the id of the first sending of a statement. The last digit of an id counts the retries.
 func originalID(id string) string { return id[:len(id)-1] + "0" }
--- a/internal/faultlab/versions.go
+++ b/internal/faultlab/versions.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	recordInterval       = 300 * time.Millisecond
-	recordTimeout        = 200 * time.Millisecond
-	collectPatience      = 5 * time.Second
-	collectTimeout       = time.Second
-	collectStatusTimeout = 5 * time.Second
+	versionPollInterval   = 300 * time.Millisecond
+	versionPollTimeout    = 200 * time.Millisecond
+	collectCatchUpTimeout = 5 * time.Second
+	collectTimeout        = time.Second
+	collectStatusTimeout  = 5 * time.Second
 )
 
-// errNoVersions: no member of the control group has answered.
-var errNoVersions = errors.New("no member of the control group answers with its versions")
+// errNoVersions reports that no member of the control group has replied.
+var errNoVersions = errors.New("no member of the control group returned its versions")
 
-// recordVersions records the versions of the control group while it runs: the group itself keeps the last ones only.
+// recordVersions polls and records the versions of the control group during the run, because the group keeps only the latest ones.
 func (f *fleet) recordVersions(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.recordFirstAnswer(ctx)
+		f.recordFirstReply(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(recordInterval):
+		case <-time.After(versionPollInterval):
 		}
 	}
 }
 
-// recordFirstAnswer records the versions of the first member that answers.
-func (f *fleet) recordFirstAnswer(ctx context.Context) {
+// recordFirstReply records the versions of the first member that replies.
+func (f *fleet) recordFirstReply(ctx context.Context) {
 	for _, m := range f.members {
-		list, err := adminclient.New([]string{m.clientAddress}, recordTimeout).Versions(context.WithoutCancel(ctx))
+		list, err := adminclient.New([]string{m.clientAddress}, versionPollTimeout).Versions(context.WithoutCancel(ctx))
 		if err != nil {
 			continue
 		}
@@ -52,10 +52,11 @@
 	}
 }
 
-// collectVersions adds to a history what the control group has written by the end. A member that lags knows less than the group: all
-// are asked until one has the version that the leader can prove to be the newest, or until the patience is over.
+// collectVersions adds to a history the versions that the control group has written by the end of the run. A lagging member may lack the
+// newest versions, so all members are queried until one returns the newest version that the leader reports, or until
+// collectCatchUpTimeout.
 func (f *fleet) collectVersions(h *History) error {
-	if f.schedule.ControlMembers == 0 {
+	if f.scenario.ControlMembers == 0 {
 		return nil
 	}
 	var addresses []string
@@ -69,9 +70,9 @@
 	if err == nil && status.IsLeader {
 		newest = status.NewestVersion
 	}
-	deadline := time.Now().Add(collectPatience)
+	deadline := time.Now().Add(collectCatchUpTimeout)
 	for have := uint64(0); have == 0 || have < newest && time.Now().Before(deadline); {
-		have, err = f.askForVersions(addresses, have)
+		have, err = f.queryVersions(addresses, have)
 		if err != nil {
 			return err
 		}
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// askForVersions asks all members once, and returns the newest number that is known by then.
-func (f *fleet) askForVersions(addresses []string, newest uint64) (uint64, error) {
+// queryVersions queries all members once, and returns the newest version number seen so far.
+func (f *fleet) queryVersions(addresses []string, newest uint64) (uint64, error) {
 	for _, address := range addresses {
 		list, err := adminclient.New([]string{address}, collectTimeout).Versions(context.Background())
 		if err != nil {
@@ -104,18 +105,18 @@
 	return newest, nil
 }
 
-// addVersion fails where another version of the same number is known.
+// addVersion records a version. It fails if a different version with the same number is known.
 func (f *fleet) addVersion(v *configversion.Version) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if known := f.knownVersions[v.Number]; known != nil && known.Hash != v.Hash {
-		return fmt.Errorf("two versions %d were seen", v.Number)
+		return fmt.Errorf("two different versions have the number %d", v.Number)
 	}
 	f.knownVersions[v.Number] = v
 	return nil
 }
 
-// recordActiveRules records which versions a line of the router's log says that it acts on; other lines are skipped.
+// recordActiveRules records a change of the router's active rules from a line of its log. It ignores other lines.
 func (r *router) recordActiveRules(line []byte) {
 	var event struct {
 		Msg       string
@@ -127,7 +128,7 @@
 	if json.Unmarshal(line, &event) != nil || event.Msg != logevent.ActiveRulesChanged {
 		return
 	}
-	at := event.TS.Sub(r.fleet.began.Round(0)) // both by the wall clock of the machine
+	at := event.TS.Sub(r.fleet.began.Round(0)) // both read from the wall clock of the machine
 	r.fleet.record(Event{
 		At:        max(at, 1),
 		Kind:      RulesApplied,
--- a/internal/faultlab/workload.go
+++ b/internal/faultlab/workload.go
@@ -7,7 +7,7 @@
 	"bankledge/internal/fakes"
 )
 
-// workload is one kind of statement that the lab's clients send.
+// workload is one kind of statement that the clients send.
 type workload struct {
 	name             string
 	share            float64 // of all statements
@@ -15,18 +15,18 @@
 	threads          int
 	priorityWeight   float64
 	latencyObjective time.Duration
-	timeout          time.Duration // how long the client waits
+	timeout          time.Duration // of the client
 	nonIdempotent    bool
 }
 
-// workloads are those of fakes.Settings. Durations are shorter than those of a real fleet, so that a play takes seconds.
+// workloads are those of fakes.Settings. Durations are shorter than in a real fleet, so that a run takes seconds.
 var workloads = []workload{
 	{name: "lookup", share: 0.80, meanWork: 0.02, threads: 1, priorityWeight: 1, latencyObjective: 800 * time.Millisecond, timeout: 2 * time.Second},
 	{name: "report", share: 0.15, meanWork: 0.25, threads: 2, priorityWeight: 7.5, latencyObjective: 1600 * time.Millisecond, timeout: 4 * time.Second},
 	{name: "price-load", share: 0.05, meanWork: 0.3, threads: 2, priorityWeight: 10, latencyObjective: 2 * time.Second, timeout: 5 * time.Second, nonIdempotent: true},
 }
 
-// workloadNamed returns nil for an unknown name.
+// workloadNamed returns the workload with a name, or nil if there is none.
 func workloadNamed(name string) *workload {
 	for i := range workloads {
 		if workloads[i].name == name {
@@ -43,10 +43,10 @@
 	routerSockets  = 1024
 )
 
-// engineSlowStart is how an engine starts that joins during a play. The routers' settings and the rules of operators say the same.
+// engineSlowStart is the slow start of engines that join during a run. The routers' settings and the proposed rules use the same values.
 var engineSlowStart = fakes.SlowStart{InitialShare: 0.31, MaxLoadFactor: 4, WarmUpTime: 5 * time.Second, Window: time.Second}
 
-// fleetSettings returns the settings of one router as JSON: the rules are those of the users' fleet, with durations a third as long.
+// fleetSettings returns the settings of one router as JSON. The rules are those of the users' fleet, with durations a third as long.
 func fleetSettings(s *Scenario, router int) string {
 	routers := s.ConfiguredRouters
 	if routers == 0 {
