--- a/internal/faultinject/host.go
+++ b/internal/faultinject/host.go
@@ -1,6 +1,6 @@
-// Package faultinject injects the faults of a bad host into a process under test: a wall clock that steps, and socket calls that fail. It
-// works by a library that the dynamic linker preloads, so the process has to be linked dynamically. It needs no privileges, and
-// touches nothing but that process. It needs Linux on x86-64, and gcc.
+// Package faultinject injects host faults into a process under test: steps of the wall clock, and failures of socket calls. The dynamic
+// linker preloads a library that injects the faults, so the process must be linked dynamically. The library needs no privileges and
+// affects only that process. The package requires Linux on x86-64, and gcc.
 package faultinject
 
 import (
@@ -13,10 +13,10 @@
 	"unsafe"
 )
 
-// Call is a system call that may be made to fail.
+// Call is a system call that can be made to fail.
 type Call int
 
-// The calls that may fail.
+// Calls that can be made to fail.
 const (
 	Accept Call = iota
 	Connect
@@ -37,15 +37,15 @@
 	calls      [numCalls]callFault
 }
 
-// Host is what one process, and those started after it with the same environment, take for their host. Close gives its memory back.
+// Host is a simulated host of one or more processes that are started with the same Environment. Close releases its memory.
 type Host struct {
 	library string
-	path    string // of the file through which control is shared
-	memory  []byte // the file, mapped
+	path    string // of the file that shares control with the processes
+	memory  []byte // the mapped file
 	control *control
 }
 
-// NewHost prepares a host whose control file lies in a folder. name sets it apart from others there. library is the path that Build returned.
+// NewHost creates a host whose control file is in a folder. name must be unique in that folder. library is the path that Build returned.
 func NewHost(library, dir, name string) (*Host, error) {
 	path := filepath.Join(dir, name+".hostfault")
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -64,13 +64,14 @@
 	return &Host{library: library, path: path, memory: memory, control: (*control)(unsafe.Pointer(&memory[0]))}, nil
 }
 
-// Close gives the memory back. Processes that were started go on with what was set last. The host must not be used afterwards.
+// Close releases the memory. Processes that are still running keep the last settings. The host must not be used afterwards.
 func (h *Host) Close() error {
 	h.control = nil
 	return syscall.Munmap(h.memory)
 }
 
-// Environment returns what a process has to be started with, beside its own environment. sockets: its socket calls may be failed, too.
+// Environment returns the variables that must be added to the environment of a process. If sockets is set, its socket calls can be made to
+// fail.
 func (h *Host) Environment(sockets bool) []string {
 	env := []string{"LD_PRELOAD=" + h.library, "HOSTFAULT_CONTROL=" + h.path}
 	if sockets {
@@ -79,15 +80,15 @@
 	return env
 }
 
-// StepWallClock moves the wall clock by a duration, forwards or back. The monotonic clock runs on.
+// StepWallClock steps the wall clock by a duration, forward or back. It does not affect the monotonic clock.
 func (h *Host) StepWallClock(by time.Duration) { atomic.AddInt64(&h.control.wallOffset, int64(by)) }
 
-// Fail has one in so many calls fail with an error from now on; oneIn 0: none does.
+// Fail makes one in oneIn calls fail with an error from now on. If oneIn is 0, no call fails.
 func (h *Host) Fail(call Call, with syscall.Errno, oneIn uint32) {
 	fault := &h.control.calls[call]
 	atomic.StoreInt32(&fault.errno, int32(with))
 	atomic.StoreUint32(&fault.oneIn, oneIn)
 }
 
-// Failed is how many calls have failed so far.
+// Failed returns how many calls of a kind have been made to fail so far.
 func (h *Host) Failed(call Call) uint64 { return atomic.LoadUint64(&h.control.calls[call].failed) }
--- a/internal/faultinject/host_test.go
+++ b/internal/faultinject/host_test.go
@@ -18,7 +18,8 @@
 
 const childVariable = "HOSTFAULT_TEST_CHILD"
 
-// TestMain serves as the process under test where childVariable is set: for each line it reads it says what it sees.
+// TestMain runs as the process under test if childVariable is set: for each command that it reads from standard input, it prints the result
+// to standard output.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) == "" {
 		os.Exit(m.Run())
@@ -68,9 +69,9 @@
 	return &child{t, in, bufio.NewReader(out)}
 }
 
-func (c *child) ask(question string) string {
+func (c *child) run(command string) string {
 	c.t.Helper()
-	_, err := io.WriteString(c.in, question+"\n")
+	_, err := io.WriteString(c.in, command+"\n")
 	require.NoError(c.t, err)
 	line, err := c.out.ReadString('\n')
 	require.NoError(c.t, err)
@@ -88,13 +89,13 @@
 	return h
 }
 
-// The wall clock of the process steps, its monotonic clock runs on.
+// A step moves the wall clock of the process and leaves its monotonic clock unchanged.
 func TestStepWallClock(t *testing.T) {
 	h := newHost(t)
 	c := startChild(t, h, false)
-	since := func() (wall, monotonic time.Duration) {
+	elapsed := func() (wall, monotonic time.Duration) {
 		var w, m int64
-		_, err := fmt.Sscan(c.ask("clocks"), &w, &m)
+		_, err := fmt.Sscan(c.run("clocks"), &w, &m)
 		require.NoError(t, err)
 		return time.Duration(w) * time.Millisecond, time.Duration(m) * time.Millisecond
 	}
@@ -102,24 +103,24 @@
 	for _, step := range []time.Duration{0, time.Hour, -3 * time.Second, -2 * time.Hour} {
 		h.StepWallClock(step)
 		offset += step
-		wall, monotonic := since()
+		wall, monotonic := elapsed()
 		assert.InDelta(t, offset.Seconds(), (wall - monotonic).Seconds(), 0.1, "a step by %v", step)
 		assert.Less(t, monotonic, time.Minute)
 		assert.GreaterOrEqual(t, monotonic, time.Duration(0))
 	}
 }
 
-// Calls fail with the error that was set, as often as was said.
+// Calls fail with the configured error while it is set, and succeed otherwise.
 func TestFailCalls(t *testing.T) {
 	h := newHost(t)
 	c := startChild(t, h, true)
-	assert.Equal(t, "<nil>", c.ask("connect"))
+	assert.Equal(t, "<nil>", c.run("connect"))
 	for call, errno := range map[Call]syscall.Errno{Connect: syscall.EADDRNOTAVAIL, Socket: syscall.ENOBUFS} {
 		before := h.Failed(call)
 		h.Fail(call, errno, 1)
-		assert.Contains(t, c.ask("connect"), errno.Error())
+		assert.Contains(t, c.run("connect"), errno.Error())
 		h.Fail(call, errno, 0)
-		assert.Equal(t, "<nil>", c.ask("connect"))
+		assert.Equal(t, "<nil>", c.run("connect"))
 		assert.Greater(t, h.Failed(call), before)
 	}
 }
--- a/internal/faultinject/library.go
+++ b/internal/faultinject/library.go
@@ -11,18 +11,18 @@
 //go:embed preload/hostfault.c
 var librarySource []byte
 
-// Build compiles the preloaded library into a folder, with gcc, and returns its path. The error holds what the compiler says.
+// Build compiles the preloaded library with gcc into a folder and returns its path. An error includes the output of the compiler.
 func Build(dir string) (library string, err error) {
-	code := filepath.Join(dir, "hostfault.c")
-	if err := os.WriteFile(code, librarySource, 0o600); err != nil {
+	source := filepath.Join(dir, "hostfault.c")
+	if err := os.WriteFile(source, librarySource, 0o600); err != nil {
 		return "", err
 	}
 	library = filepath.Join(dir, "hostfault.so")
-	// The clock function runs on stacks of the Go runtime: no stack protector, no vector registers to be saved.
+	// clock_gettime_stepped runs on stacks of the Go runtime, so it must use neither the stack protector nor vector registers.
 	out, err := exec.Command("gcc", "-O2", "-Wall", "-Werror", "-fPIC", "-shared", "-pthread", "-fno-stack-protector", "-mgeneral-regs-only",
-		"-o", library, code).CombinedOutput()
+		"-o", library, source).CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("hostfault: %w: %s", err, out)
+		return "", fmt.Errorf("hostfault: gcc failed: %w: %s", err, out)
 	}
 	return library, nil
 }
--- a/internal/faultinject/preload/hostfault.c
+++ b/internal/faultinject/preload/hostfault.c
@@ -1,14 +1,14 @@
 /*
- * hostfault.c: a preloaded library that steps the wall clock and fails socket calls of the one process that it is
- * loaded into. It needs no privileges.
+ * hostfault.c: a preloaded library that steps the wall clock and fails socket calls of the process that loads it. It
+ * needs no privileges.
  *
- * The wall clock: Go reads clocks through the vDSO, so the entry of __vdso_clock_gettime in this process's own vDSO page
- * is replaced by a jump to clock_gettime_stepped, which adds an offset to CLOCK_REALTIME. CLOCK_MONOTONIC is left alone.
+ * Wall clock: Go reads clocks through the vDSO, so the library overwrites the entry of __vdso_clock_gettime in the vDSO page
+ * of this process with a jump to clock_gettime_stepped, which adds an offset to CLOCK_REALTIME. CLOCK_MONOTONIC is unchanged.
  *
- * Socket calls: a seccomp filter reports accept4, connect and socket to a thread of this library, which lets each call go on
- * or fails it with the error that the controlling process has set.
+ * Socket calls: a seccomp filter reports accept4, connect and socket to a thread of this library, which lets each call
+ * continue or fails it with the error that the controlling process has set.
  *
- * The controlling process writes struct control, which is shared through the file named by HOSTFAULT_CONTROL.
+ * The controlling process writes struct control, which is shared through the file that HOSTFAULT_CONTROL names.
  */
 #define _GNU_SOURCE
 #include <elf.h>
@@ -33,32 +33,33 @@
 #include <unistd.h>
 
 #ifndef __x86_64__
-#error "hostfault.c knows the calling convention of x86-64 only"
+#error "hostfault.c supports only x86-64"
 #endif
 
-/* One call that may fail. The Go side has the same layout. */
+/* Settings and counter of one system call that can be made to fail. callFault in host.go has the same layout. */
 struct call_fault {
 	uint32_t one_in; /* 0: never fails; n: one call in n fails */
-	int32_t error;   /* a positive errno */
-	uint64_t failed; /* calls that have failed so far */
+	int32_t error;   /* positive errno value */
+	uint64_t failed; /* number of calls that were made to fail so far */
 };
 
 enum { FAULT_ACCEPT, FAULT_CONNECT, FAULT_SOCKET, FAULT_COUNT };
 
+/* Shared with the controlling process. control in host.go has the same layout. */
 struct control {
-	int64_t wall_offset; /* nanoseconds that are added to the wall clock */
+	int64_t wall_offset; /* nanoseconds added to the wall clock */
 	struct call_fault calls[FAULT_COUNT];
 };
 
 static struct control *control;
 
-static void fail(const char *what)
+static void fatal(const char *what)
 {
 	fprintf(stderr, "hostfault: %s: %s\n", what, strerror(errno));
 	_exit(70);
 }
 
-/* clock_gettime_stepped stands in for the vDSO's function: it runs on stacks of the Go runtime and uses no libc. */
+/* clock_gettime_stepped replaces the vDSO's function. It runs on stacks of the Go runtime, so it must not use libc. */
 static int clock_gettime_stepped(clockid_t id, struct timespec *ts)
 {
 	const int64_t second = 1000000000;
@@ -76,7 +77,7 @@
 	return (int)result;
 }
 
-/* vdso_symbol finds a function in the vDSO by its name. */
+/* vdso_symbol returns the address of a function in the vDSO, or NULL if the vDSO does not define it. */
 static unsigned char *vdso_symbol(const char *name)
 {
 	unsigned char *base = (unsigned char *)getauxval(AT_SYSINFO_EHDR);
@@ -109,58 +110,58 @@
 
 	if (entry == NULL) {
 		errno = ENOSYS;
-		fail("no __vdso_clock_gettime");
+		fatal("vDSO does not define __vdso_clock_gettime");
 	}
 	memcpy(jump + 2, &target, sizeof target);
-	int memory = open("/proc/self/mem", O_RDWR | O_CLOEXEC); /* mprotect does not make the vDSO writable */
+	int memory = open("/proc/self/mem", O_RDWR | O_CLOEXEC); /* mprotect cannot make the vDSO writable */
 	if (memory < 0 || pwrite(memory, jump, sizeof jump, (off_t)(uintptr_t)entry) != sizeof jump)
-		fail("writing the vDSO");
+		fatal("write to the vDSO");
 	close(memory);
 }
 
-static int listener = -1; /* of the seccomp filter */
+static int notify_fd = -1; /* notification descriptor of the seccomp filter */
 
-/* decide returns the error that a call is to fail with, or 0. */
-static int decide(int number)
+/* injected_error returns the error with which a call must fail, or 0 if the call continues. */
+static int injected_error(int number)
 {
-	static uint64_t chance = 88172645463325252ull;
+	static uint64_t random_state = 88172645463325252ull;
 	int index = number == SYS_accept4 ? FAULT_ACCEPT : number == SYS_connect ? FAULT_CONNECT : FAULT_SOCKET;
 	struct call_fault *fault = &control->calls[index];
 	uint32_t one_in = __atomic_load_n(&fault->one_in, __ATOMIC_RELAXED);
 
-	chance ^= chance << 13;
-	chance ^= chance >> 7;
-	chance ^= chance << 17;
-	if (one_in == 0 || chance % one_in != 0)
+	random_state ^= random_state << 13;
+	random_state ^= random_state >> 7;
+	random_state ^= random_state << 17;
+	if (one_in == 0 || random_state % one_in != 0)
 		return 0;
 	__atomic_add_fetch(&fault->failed, 1, __ATOMIC_RELAXED);
 	return __atomic_load_n(&fault->error, __ATOMIC_RELAXED);
 }
 
-/* supervise answers each reported call. Its own thread is outside the filter. */
-static void *supervise(void *unused)
+/* handle_notifications responds to each reported call. Its thread starts before the filter is installed and is not filtered. */
+static void *handle_notifications(void *unused)
 {
 	struct seccomp_notif call;
-	struct seccomp_notif_resp answer;
+	struct seccomp_notif_resp response;
 
 	(void)unused;
-	while (__atomic_load_n(&listener, __ATOMIC_ACQUIRE) < 0)
+	while (__atomic_load_n(&notify_fd, __ATOMIC_ACQUIRE) < 0)
 		usleep(100);
 	for (;;) {
 		memset(&call, 0, sizeof call);
-		if (ioctl(listener, SECCOMP_IOCTL_NOTIF_RECV, &call) != 0)
-			continue; /* the caller was interrupted */
-		memset(&answer, 0, sizeof answer);
-		answer.id = call.id;
-		answer.error = -decide(call.data.nr);
-		if (answer.error == 0)
-			answer.flags = SECCOMP_USER_NOTIF_FLAG_CONTINUE;
-		ioctl(listener, SECCOMP_IOCTL_NOTIF_SEND, &answer);
+		if (ioctl(notify_fd, SECCOMP_IOCTL_NOTIF_RECV, &call) != 0)
+			continue; /* the calling thread was interrupted */
+		memset(&response, 0, sizeof response);
+		response.id = call.id;
+		response.error = -injected_error(call.data.nr);
+		if (response.error == 0)
+			response.flags = SECCOMP_USER_NOTIF_FLAG_CONTINUE;
+		ioctl(notify_fd, SECCOMP_IOCTL_NOTIF_SEND, &response);
 	}
 	return NULL;
 }
 
-static void filter_calls(void)
+static void install_filter(void)
 {
 	struct sock_filter rules[] = {
 		BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, arch)),
@@ -176,20 +177,20 @@
 	pthread_t thread;
 	sigset_t all, before;
 
-	sigfillset(&all); /* signals are for the program's own threads */
+	sigfillset(&all); /* the program's own threads handle signals */
 	pthread_sigmask(SIG_SETMASK, &all, &before);
-	if (pthread_create(&thread, NULL, supervise, NULL) != 0)
-		fail("thread");
+	if (pthread_create(&thread, NULL, handle_notifications, NULL) != 0)
+		fatal("pthread_create");
 	pthread_sigmask(SIG_SETMASK, &before, NULL);
 	if (prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) != 0)
-		fail("no_new_privs");
+		fatal("prctl(PR_SET_NO_NEW_PRIVS)");
 	int fd = syscall(SYS_seccomp, SECCOMP_SET_MODE_FILTER, SECCOMP_FILTER_FLAG_NEW_LISTENER, &program);
 	if (fd < 0)
-		fail("seccomp");
-	__atomic_store_n(&listener, fd, __ATOMIC_RELEASE);
+		fatal("seccomp");
+	__atomic_store_n(&notify_fd, fd, __ATOMIC_RELEASE);
 }
 
-__attribute__((constructor)) static void start(void)
+__attribute__((constructor)) static void init_hostfault(void)
 {
 	const char *path = getenv("HOSTFAULT_CONTROL");
 
@@ -197,12 +198,12 @@
 		return;
 	int fd = open(path, O_RDWR | O_CLOEXEC);
 	if (fd < 0)
-		fail(path);
+		fatal(path);
 	control = mmap(NULL, sizeof *control, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
 	if (control == MAP_FAILED)
-		fail("mmap");
+		fatal("mmap");
 	close(fd);
 	replace_clock();
 	if (getenv("HOSTFAULT_SOCKETS") != NULL)
-		filter_calls();
+		install_filter();
 }
