--- a/internal/faultinject/host.go
+++ b/internal/faultinject/host.go
@@ -83,12 +83,12 @@
 // StepWallClock steps the wall clock by a duration, forward or back. It does not affect the monotonic clock.
 func (h *Host) StepWallClock(by time.Duration) { atomic.AddInt64(&h.control.wallOffset, int64(by)) }
 
-// Fail makes one in oneIn calls fail with an error from now on. If oneIn is 0, no call fails.
-func (h *Host) Fail(call Call, with syscall.Errno, oneIn uint32) {
+// FailCalls makes one in oneIn calls fail with an error from now on. If oneIn is 0, no call fails.
+func (h *Host) FailCalls(call Call, errno syscall.Errno, oneIn uint32) {
 	fault := &h.control.calls[call]
-	atomic.StoreInt32(&fault.errno, int32(with))
+	atomic.StoreInt32(&fault.errno, int32(errno))
 	atomic.StoreUint32(&fault.oneIn, oneIn)
 }
 
-// Failed returns how many calls of a kind have been made to fail so far.
-func (h *Host) Failed(call Call) uint64 { return atomic.LoadUint64(&h.control.calls[call].failed) }
+// FailedCalls returns how many calls of a kind have been made to fail so far.
+func (h *Host) FailedCalls(call Call) uint64 { return atomic.LoadUint64(&h.control.calls[call].failed) }
--- a/internal/faultinject/host_test.go
+++ b/internal/faultinject/host_test.go
@@ -116,11 +116,11 @@
 	c := startChild(t, h, true)
 	assert.Equal(t, "<nil>", c.run("connect"))
 	for call, errno := range map[Call]syscall.Errno{Connect: syscall.EADDRNOTAVAIL, Socket: syscall.ENOBUFS} {
-		before := h.Failed(call)
-		h.Fail(call, errno, 1)
+		before := h.FailedCalls(call)
+		h.FailCalls(call, errno, 1)
 		assert.Contains(t, c.run("connect"), errno.Error())
-		h.Fail(call, errno, 0)
+		h.FailCalls(call, errno, 0)
 		assert.Equal(t, "<nil>", c.run("connect"))
-		assert.Greater(t, h.Failed(call), before)
+		assert.Greater(t, h.FailedCalls(call), before)
 	}
 }
--- a/internal/faultlab/generate_shutdown_soak.go
+++ b/internal/faultlab/generate_shutdown_soak.go
@@ -15,10 +15,10 @@
 	maxIdleClients         = 130
 	minShortTimeoutFactor  = 0.2 // scales the default timeouts
 	maxShortTimeoutFactor  = 0.6
-	oneInShortDeadlines    = 3 // soaks has short timeouts
-	oneInIdleClients       = 3 // soaks has idle clients
-	oneInEarlyReloads      = 2 // soaks reloads restarted routers before they are ready
-	oneInWithoutOutage     = 3 // routers has no outage other than planned restarts
+	oneInShortDeadlines    = 3 // one soak in this many has short timeouts
+	oneInIdleClients       = 3 // one soak in this many has idle clients
+	oneInEarlyReloads      = 2 // one soak in this many reloads restarted routers before they are ready
+	oneInWithoutOutage     = 3 // at least one router in this many has no outage other than planned restarts
 	maxIdleClientsShare    = 0.6
 )
 
--- a/internal/faultlab/history.go
+++ b/internal/faultlab/history.go
@@ -58,9 +58,9 @@
 
 // Kinds of events of routers.
 const (
-	InvariantViolated EventKind = "violated" // Text is the line of the router's log
+	InvariantViolated EventKind = "violated" // Text is the line of the router's log, or why a restart after a shutdown failed
 	EndpointNotified  EventKind = "told"     // the router received the control feed's event; Text is the engine's new state
-	RouterDown        EventKind = "down"     // Text is one of the down texts in router.go
+	RouterDown        EventKind = "down"     // Text is downTerminated, downKilled or downStopped
 	RouterUp          EventKind = "up"       // the router serves again; Text is downStopped if it was suspended
 	RulesApplied      EventKind = "acts"     // the router's active rules changed
 )
@@ -69,7 +69,7 @@
 const (
 	FaultStarted        EventKind = "befell"  // Text is the kind of fault
 	FaultEnded          EventKind = "mended"  // Text is the kind of fault
-	VersionProposed     EventKind = "wanted"  // time at which the proposal with this number was due
+	VersionProposed     EventKind = "wanted"  // a proposal that was acknowledged with this number; At is when it was due
 	VersionAcknowledged EventKind = "written" // the operator received the number
 )
 
--- a/internal/faultlab/host_faults.go
+++ b/internal/faultlab/host_faults.go
@@ -50,10 +50,10 @@
 func (f *fleet) failCalls(fault Fault) (repair func() error) {
 	kind := hostFaults[fault.Kind]
 	f.eachHost(fault, func(h *faultinject.Host) {
-		h.Fail(kind.call, kind.errors[rand.IntN(len(kind.errors))], uint32(fault.Amount))
+		h.FailCalls(kind.call, kind.errors[rand.IntN(len(kind.errors))], uint32(fault.Amount))
 	})
 	return func() error {
-		f.eachHost(fault, func(h *faultinject.Host) { h.Fail(kind.call, 0, 0) })
+		f.eachHost(fault, func(h *faultinject.Host) { h.FailCalls(kind.call, 0, 0) })
 		return nil
 	}
 }
