--- a/internal/faultinject/host.go
+++ b/internal/faultinject/host.go
@@ -84,9 +84,9 @@
 func (h *Host) StepWallClock(by time.Duration) { atomic.AddInt64(&h.control.wallOffset, int64(by)) }
 
 // FailCalls makes one in oneIn calls fail with an error from now on. If oneIn is 0, no call fails.
-func (h *Host) FailCalls(call Call, errno syscall.Errno, oneIn uint32) {
+func (h *Host) FailCalls(call Call, code syscall.Errno, oneIn uint32) {
 	fault := &h.control.calls[call]
-	atomic.StoreInt32(&fault.errno, int32(errno))
+	atomic.StoreInt32(&fault.errno, int32(code))
 	atomic.StoreUint32(&fault.oneIn, oneIn)
 }
 
