--- a/internal/controlserver/api_test.go
+++ b/internal/controlserver/api_test.go
@@ -14,21 +14,21 @@
 	"bankledge/internal/controlapi"
 )
 
-// Invalid requests are rejected with a suitable status, and the process continues to serve.
+// Invalid requests are rejected with the expected status, and the process continues to serve.
 func TestInvalidRequests(t *testing.T) {
 	server := startServer(t, singleSettings(t, t.TempDir()))
 	for _, c := range []struct {
 		name, method, path, body string
 		status                   int
 	}{
-		{"half a renewal", "POST", "/v1/term", "{", 400},
-		{"unknown field", "POST", "/v1/term", `{"unheard": 1}`, 400},
+		{"truncated renewal", "POST", "/v1/term", "{", 400},
+		{"unknown field", "POST", "/v1/term", `{"unknown": 1}`, 400},
 		{"renewal too large", "POST", "/v1/term", strings.Repeat(" ", maxRenewalBytes+1), 400},
 		{"activation by an operator", "POST", "/v1/proposals", `{"kind": "settle", "id": "x", "number": 9}`, 409},
 		{"proposal of another type", "POST", "/v1/proposals", `[]`, 400},
-		{"a proposal with something behind it", "POST", "/v1/proposals", `{"kind": "settle", "id": "x", "number": 9} {}`, 400},
-		{"a renewal with something behind it", "POST", "/v1/term", `{"incarnation": "x"} x`, 400},
-		{"a member with something behind it", "POST", "/v1/members", `{"id": 9, "remove": true}]`, 400},
+		{"proposal with trailing data", "POST", "/v1/proposals", `{"kind": "settle", "id": "x", "number": 9} {}`, 400},
+		{"renewal with trailing data", "POST", "/v1/term", `{"incarnation": "x"} x`, 400},
+		{"membership change with trailing data", "POST", "/v1/members", `{"id": 9, "remove": true}]`, 400},
 		{"unknown path", "GET", "/v1/none", "", 404},
 		{"member without addresses", "POST", "/v1/members", `{"id": 1}`, 409},
 		{"unknown method", "DELETE", "/v1/status", "", 405},
@@ -43,7 +43,7 @@
 	}
 }
 
-// Messages from a process of another group, which had this address before, are rejected with that reason.
+// Messages from a process of another group, in which this process's address was used before, are rejected with that reason.
 func TestMessagesOfAnotherGroup(t *testing.T) {
 	server := startServer(t, singleSettings(t, t.TempDir()))
 	server.awaitLeader(t)
@@ -76,10 +76,10 @@
 
 func TestInvalidPeerMessages(t *testing.T) {
 	for name, raw := range map[string][]byte{
-		"half a length":    {0xff},
-		"too short":        {5, 1, 2},
-		"no protobuf":      {2, 0xff, 0xff},
-		"length too large": bytes.Repeat([]byte{0x80}, 20),
+		"truncated length":  {0xff},
+		"truncated message": {5, 1, 2},
+		"invalid protobuf":  {2, 0xff, 0xff},
+		"length too large":  bytes.Repeat([]byte{0x80}, 20),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := decodeMessages(bytes.NewReader(raw))
--- a/internal/controlserver/driver.go
+++ b/internal/controlserver/driver.go
@@ -13,8 +13,8 @@
 	"bankledge/internal/replica"
 )
 
-// driver runs the replica: it hands it messages and the time, and carries out its actions in their order. Its goroutine alone
-// touches the replica, the storage and the calls.
+// driver runs the replica: it passes messages and the current time to the replica and executes the replica's actions in order. Only the
+// driver's goroutine accesses the replica and the calls, and saves to the storage.
 type driver struct {
 	replica *replica.Replica
 	storage Storage
@@ -23,11 +23,11 @@
 	state   *publishedState
 	clock   func() time.Duration
 	log     *zap.Logger
-	calls   map[uint64]chan<- lease.CoordinatorAction // by call id
+	calls   map[uint64]chan<- lease.CoordinatorAction // reply channels of the pending calls, by call id
 }
 
-// run handles messages until ctx ends or the storage fails. The raft library panics when the leader refers to entries that this process has
-// acknowledged and does not have: then its disk has lost synced data, and the process must not continue.
+// run handles messages until ctx is cancelled or the storage fails. The raft library panics when the leader refers to entries that this
+// process has acknowledged but no longer has: its disk has then lost synced data, and the process must not continue.
 func (d *driver) run(ctx context.Context, actions []replica.Action) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// handle hands one message to the replica.
+// handle passes one message to the replica and returns the resulting actions.
 func (d *driver) handle(msg message) []replica.Action {
 	switch msg := msg.(type) {
 	case eventMessage:
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// execute carries out the replica's actions in order: nothing is sent or answered before the changes ahead of it
-// are synced. It returns the error of the storage, if any.
+// execute executes the replica's actions in order, so that no message or response is sent before the state changes that precede it are
+// synced to disk. It returns the storage's error, if any.
 func (d *driver) execute(actions []replica.Action) error {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -84,7 +84,7 @@
 		case replica.SendMessage:
 			d.peers.send(action.Message)
 		case replica.LeaseResponse:
-			d.answer(action.Action)
+			d.deliverReply(action.Action)
 		case replica.PublishState:
 			d.state.publish(d.replica)
 		case replica.RoleChanged:
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// answer delivers an answer to its caller, unless the call was cancelled.
-func (d *driver) answer(action lease.CoordinatorAction) {
+// deliverReply delivers a reply or an outcome to the caller that waits for it, unless the call was cancelled.
+func (d *driver) deliverReply(action lease.CoordinatorAction) {
 	var callID uint64
 	switch action := action.(type) {
 	case lease.SendReply:
--- a/internal/controlserver/helpers_test.go
+++ b/internal/controlserver/helpers_test.go
@@ -33,7 +33,7 @@
 	pollInterval  = 10 * time.Millisecond
 )
 
-// singleSettings are the settings of one process alone, on free addresses.
+// singleSettings returns the settings of a group of one process, which listens on free ports.
 func singleSettings(t *testing.T, dir string) *Settings {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "single.jsonnet")
@@ -47,14 +47,14 @@
 	return settings
 }
 
-// runningServer is a server whose Run is under way.
+// runningServer is a server whose Run is running.
 type runningServer struct {
 	*Server
 	cancel context.CancelFunc
-	wait   func() error // for Run; may be called again
+	wait   func() error // waits for Run and returns its error; may be called repeatedly
 }
 
-// startServer runs a process with the storage of its settings until it is stopped or the test ends.
+// startServer runs a process, with the storage that its settings name, until it is stopped or the test ends.
 func startServer(t *testing.T, settings *Settings) *runningServer {
 	t.Helper()
 	storage, err := store.Open(settings.DataDir, settings.ID)
@@ -75,7 +75,7 @@
 	return running
 }
 
-// stop ends the server, if it has not ended before, and returns what Run returned.
+// stop stops the server, if it is still running, and returns the error of Run.
 func (s *runningServer) stop() error {
 	s.cancel()
 	return s.wait()
@@ -114,7 +114,7 @@
 	return httpResponse.StatusCode, string(raw), err
 }
 
-// followVersions follows the stream of versions after a number, until the test ends.
+// followVersions follows the stream of the versions after the given number until the test ends.
 func followVersions(t *testing.T, server *runningServer, after uint64) <-chan controlapi.VersionEvent {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+server.clientAddress()+controlapi.VersionStreamPath, nil)
@@ -137,7 +137,7 @@
 	return events
 }
 
-// proposal proposes rules that differ in one field; a greater value is looser.
+// proposal returns a proposal of rules that differ only in SlowStartMultiple, of which a greater value is looser.
 func proposal(t *testing.T, id string, slowStartMultiple float64) configregister.Entry {
 	t.Helper()
 	proposed := &rules.Rules{Routers: 2, SlowStartMultiple: slowStartMultiple}
@@ -147,7 +147,7 @@
 
 var errNoSpace = errors.New("no space left on device")
 
-// failingStorage fails each Save while fails is set.
+// failingStorage is a storage whose Save fails while fails is set.
 type failingStorage struct {
 	Storage
 	fails atomic.Bool
@@ -160,12 +160,12 @@
 	return s.Storage.Save(state)
 }
 
-// stallingStorage blocks in one Save until it is released.
+// stallingStorage is a storage of which the next Save blocks once stalls is set.
 type stallingStorage struct {
 	Storage
 	stalls   atomic.Bool
-	reached  chan struct{}
-	released chan struct{}
+	reached  chan struct{} // closed when that Save is called
+	released chan struct{} // closed by the test to unblock it
 }
 
 func (s *stallingStorage) Save(state consensus.PersistentState) error {
--- a/internal/controlserver/http.go
+++ b/internal/controlserver/http.go
@@ -24,10 +24,10 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// discardLog drops the log output of libraries about connections and elections, which this process reports in its own events.
+// discardLog discards the log output of net/http and the raft library; this process logs elections and failures as events of its own.
 var discardLog = log.New(io.Discard, "", 0)
 
-// clientHandler serves routers and operators.
+// clientHandler handles the requests of routers and operators.
 func (s *Server) clientHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+controlapi.VersionStreamPath, s.handleVersionStream)
@@ -39,14 +39,14 @@
 	return mux
 }
 
-// peerHandler serves the other processes of the group.
+// peerHandler handles the requests of the other processes of the group.
 func (s *Server) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+controlapi.PeerMessagesPath, s.handlePeerMessages)
 	return mux
 }
 
-// serveHTTP serves until ctx ends, then shuts down gracefully for up to shutdownTimeout.
+// serveHTTP serves until ctx is cancelled, then shuts down gracefully and closes the remaining connections after shutdownTimeout.
 func serveHTTP(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{
 		Handler:           handler,
@@ -72,30 +72,30 @@
 	}
 }
 
-// readJSON reads the body of a request, which may have up to maxBytes. A field that is not known is an error, as is anything
-// behind the value.
-func readJSON(w http.ResponseWriter, r *http.Request, maxBytes int64, into any) error {
+// readJSON decodes the body of a request, of at most maxBytes, into target. Unknown fields and trailing data are errors.
+func readJSON(w http.ResponseWriter, r *http.Request, maxBytes int64, target any) error {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err != nil {
 		return err
 	}
-	return decodeStrict(raw, into)
+	return decodeStrict(raw, target)
 }
 
-// publishedNames are the names of types in the texts of decoding errors, which go over HTTP and to standard error.
+// publishedNames replaces Go type names in the texts of decoding errors, which HTTP responses and standard error contain, by names that
+// stay the same when the types are renamed.
 var publishedNames = strings.NewReplacer(
 	"configregister.Entry", "agree.Entry",
 	"lease.Renewal", "agree.Renewal",
 	"controlapi.MembershipChange", "control.Change",
 	"field MembershipChange.", "field Change.",
 	"controlserver.", "control.",
-	"controlclient.Config", "steer.File", // a control file as it is written for routers
+	"controlclient.Config", "steer.File", // type of a router's control file
 	"field Config.", "field File.",
 )
 
-// decodeStrict decodes one JSON value. A field that is not known is an error, as is anything behind the value.
-func decodeStrict(raw []byte, into any) error {
-	return jsonerror.WithPublishedNames(strictjson.Decode(raw, into), publishedNames)
+// decodeStrict decodes exactly one JSON value into target. Unknown fields and trailing data are errors.
+func decodeStrict(raw []byte, target any) error {
+	return jsonerror.WithPublishedNames(strictjson.Decode(raw, target), publishedNames)
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
--- a/internal/controlserver/jsonnet.go
+++ b/internal/controlserver/jsonnet.go
@@ -2,16 +2,16 @@
 
 import "github.com/google/go-jsonnet"
 
-// maxJsonnetStack bounds the call depth of a template, so that endless recursion is an error.
+// maxJsonnetStack bounds the call depth of a Jsonnet file, so that infinite recursion ends with an error.
 const maxJsonnetStack = 200
 
-// EvaluateJsonnet evaluates a Jsonnet or JSON file and decodes the result. A field that is not known is an error.
-func EvaluateJsonnet(path string, into any) error {
+// EvaluateJsonnet evaluates a Jsonnet or JSON file and decodes the result into target. Unknown fields are errors.
+func EvaluateJsonnet(path string, target any) error {
 	vm := jsonnet.MakeVM()
 	vm.MaxStack = maxJsonnetStack
 	text, err := vm.EvaluateFile(path)
 	if err != nil {
 		return err
 	}
-	return decodeStrict([]byte(text), into)
+	return decodeStrict([]byte(text), target)
 }
--- a/internal/controlserver/logevent.go
+++ b/internal/controlserver/logevent.go
@@ -1,6 +1,6 @@
 package controlserver
 
-// The events in the log of bankledge-control.
+// Messages of the log lines of bankledge-control, which log consumers match.
 const (
 	eventServing               = "serving"
 	eventStopped               = "stopped"
--- a/internal/controlserver/mailbox.go
+++ b/internal/controlserver/mailbox.go
@@ -10,10 +10,10 @@
 	"bankledge/internal/replica"
 )
 
-// mailboxSize is how many messages may wait for the driver.
+// mailboxSize is the maximum number of messages that are queued for the driver.
 const mailboxSize = 4096
 
-// errBusy is returned to a caller whose request the driver did not answer in time.
+// errBusy is returned to a caller whose request the driver did not answer before the deadline.
 var errBusy = errors.New("this process is busy, or ends")
 
 // mailbox queues the messages that HTTP handlers and the peer transport send to the driver.
@@ -26,20 +26,20 @@
 type message interface{ message() }
 
 type (
-	// eventMessage is an event for the replica that needs no answer.
+	// eventMessage carries an event for the replica that has no reply.
 	eventMessage struct{ event replica.Event }
 
-	// callMessage is an event for the replica whose answer a caller waits for.
+	// callMessage carries an event for the replica whose reply a caller waits for.
 	callMessage struct {
 		callID uint64
 		event  replica.Event
 		reply  chan<- lease.CoordinatorAction // buffered, so that the driver never blocks on it
 	}
 
-	// cancelMessage reports that the caller no longer waits for the answer to a call.
+	// cancelMessage reports that the caller no longer waits for the reply to a call.
 	cancelMessage struct{ callID uint64 }
 
-	// inspectMessage runs a function that reads the replica.
+	// inspectMessage makes the driver's goroutine run a function that reads the replica.
 	inspectMessage struct {
 		inspect func(node *replica.Replica, now time.Duration)
 	}
@@ -54,7 +54,7 @@
 	return &mailbox{messages: make(chan message, mailboxSize)}
 }
 
-// send blocks until the mailbox accepts the message. It returns errBusy if ctx ends before.
+// send blocks until the mailbox has capacity for the message. It returns errBusy if ctx ends first.
 func (m *mailbox) send(ctx context.Context, msg message) error {
 	select {
 	case m.messages <- msg:
@@ -64,7 +64,7 @@
 	}
 }
 
-// trySend drops the message when the mailbox is full, as a network would.
+// trySend queues the message, or drops it if the mailbox is full: the replica tolerates lost messages, as it does on the network.
 func (m *mailbox) trySend(msg message) {
 	select {
 	case m.messages <- msg:
@@ -72,7 +72,7 @@
 	}
 }
 
-// call hands the replica an event that carries a call's id and waits for the answer. It returns errBusy if ctx ends before.
+// call sends the replica the event that newEvent returns for a new call id, and waits for the reply. It returns errBusy if ctx ends first.
 func (m *mailbox) call(ctx context.Context, newEvent func(callID uint64) replica.Event) (lease.CoordinatorAction, error) {
 	callID := m.lastCallID.Add(1)
 	reply := make(chan lease.CoordinatorAction, 1)
@@ -80,15 +80,15 @@
 		return nil, err
 	}
 	select {
-	case answer := <-reply:
-		return answer, nil
+	case action := <-reply:
+		return action, nil
 	case <-ctx.Done():
-		m.trySend(cancelMessage{callID: callID}) // work that has begun may still complete
+		m.trySend(cancelMessage{callID: callID}) // an operation that has started may still complete
 		return nil, errBusy
 	}
 }
 
-// sessions returns the router processes that this process knows if it is the leader, nil if the driver does not answer in time.
+// sessions returns the lease sessions of routers that this process knows as the leader, or nil if ctx ends before the driver answers.
 func (m *mailbox) sessions(ctx context.Context) []lease.Session {
 	sessions := make(chan []lease.Session, 1)
 	inspect := func(node *replica.Replica, now time.Duration) {
--- a/internal/controlserver/mailbox_test.go
+++ b/internal/controlserver/mailbox_test.go
@@ -16,42 +16,42 @@
 }
 
 func TestMailboxCall(t *testing.T) {
-	box := newMailbox()
+	mailbox := newMailbox()
 	go func() {
-		call := (<-box.messages).(callMessage)
+		call := (<-mailbox.messages).(callMessage)
 		call.reply <- lease.SendReply{CallID: call.callID}
 	}()
-	answer, err := box.call(t.Context(), renewalEvent)
+	action, err := mailbox.call(t.Context(), renewalEvent)
 	require.NoError(t, err)
-	assert.Equal(t, lease.SendReply{CallID: 1}, answer)
+	assert.Equal(t, lease.SendReply{CallID: 1}, action)
 }
 
-// A cancelled call is reported to the driver, so that the replica forgets it.
+// A cancelled call is reported to the driver, so that the replica can drop it.
 func TestMailboxCallCancelled(t *testing.T) {
-	box := newMailbox()
+	mailbox := newMailbox()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() {
-		_, err := box.call(ctx, renewalEvent)
+		_, err := mailbox.call(ctx, renewalEvent)
 		ended <- err
 	}()
-	call := (<-box.messages).(callMessage)
+	call := (<-mailbox.messages).(callMessage)
 	cancel()
 	assert.ErrorIs(t, <-ended, errBusy)
-	assert.Equal(t, cancelMessage{callID: call.callID}, <-box.messages)
+	assert.Equal(t, cancelMessage{callID: call.callID}, <-mailbox.messages)
 }
 
-// A full mailbox blocks calls and drops messages that need no answer.
+// A full mailbox blocks calls and drops messages that have no reply.
 func TestMailboxFull(t *testing.T) {
-	box := newMailbox()
+	mailbox := newMailbox()
 	for range mailboxSize {
-		box.trySend(eventMessage{event: replica.Tick{}})
+		mailbox.trySend(eventMessage{event: replica.Tick{}})
 	}
-	box.trySend(eventMessage{event: replica.Tick{}})
-	assert.Len(t, box.messages, mailboxSize)
+	mailbox.trySend(eventMessage{event: replica.Tick{}})
+	assert.Len(t, mailbox.messages, mailboxSize)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := box.call(ctx, renewalEvent)
+	_, err := mailbox.call(ctx, renewalEvent)
 	assert.ErrorIs(t, err, errBusy)
-	assert.Nil(t, box.sessions(ctx))
+	assert.Nil(t, mailbox.sessions(ctx))
 }
--- a/internal/controlserver/operator_api.go
+++ b/internal/controlserver/operator_api.go
@@ -14,36 +14,36 @@
 
 const (
 	maxMembershipBytes = 4 << 10
-	outcomeTimeout     = 30 * time.Second // a proposal may wait until the version before it is in force
+	outcomeTimeout     = 30 * time.Second // a proposal may wait until the previous version is in force
 	statusTimeout      = time.Second
 )
 
-// handleProposal answers a proposal with its outcome, once that is known.
+// handleProposal submits a proposal and responds with its outcome once that is known.
 func (s *Server) handleProposal(w http.ResponseWriter, r *http.Request) {
 	var entry configregister.Entry
 	if err := readJSON(w, r, configversion.MaxEncodedBytes, &entry); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.answerWithOutcome(w, r, func(callID uint64) replica.Event {
+	s.respondWithOutcome(w, r, func(callID uint64) replica.Event {
 		return replica.LeaseRequest{Event: lease.ProposalReceived{CallID: callID, Entry: entry}}
 	})
 }
 
-// handleMembershipChange answers a membership change with its outcome, once that is known.
+// handleMembershipChange submits a membership change and responds with its outcome once that is known.
 func (s *Server) handleMembershipChange(w http.ResponseWriter, r *http.Request) {
 	var change controlapi.MembershipChange
 	if err := readJSON(w, r, maxMembershipBytes, &change); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.answerWithOutcome(w, r, func(callID uint64) replica.Event {
+	s.respondWithOutcome(w, r, func(callID uint64) replica.Event {
 		return replica.MembershipRequest{CallID: callID, MemberID: change.MemberID, Member: replica.Member(change.Member), Remove: change.Remove}
 	})
 }
 
-// answerWithOutcome hands the replica an event and answers with its outcome.
-func (s *Server) answerWithOutcome(w http.ResponseWriter, r *http.Request, newEvent func(callID uint64) replica.Event) {
+// respondWithOutcome sends the replica an event and responds with its outcome, or with 503 if there is none within outcomeTimeout.
+func (s *Server) respondWithOutcome(w http.ResponseWriter, r *http.Request, newEvent func(callID uint64) replica.Event) {
 	ctx, cancel := context.WithTimeout(r.Context(), outcomeTimeout)
 	defer cancel()
 	answer, err := s.mailbox.call(ctx, newEvent)
@@ -55,7 +55,8 @@
 	writeJSON(w, outcomeStatus(result.Outcome), result.Outcome)
 }
 
-// outcomeStatus is the HTTP status of an outcome. Outcomes are stored in the replicated state, with their error as a text.
+// outcomeStatus returns the HTTP status of an outcome. It compares error texts because the replicated state stores an outcome's error as
+// text.
 func outcomeStatus(outcome configregister.Outcome) int {
 	switch outcome.Error {
 	case "":
@@ -72,8 +73,8 @@
 	writeJSON(w, http.StatusOK, controlapi.VersionList{Lineage: view.register.Lineage, Activated: view.register.Activated, Versions: view.register.Versions})
 }
 
-// handleStatus answers with the state of the group. A process reports itself as the leader only once a quorum has confirmed it, so an
-// isolated leader does not.
+// handleStatus responds with the state of the group. A process reports itself as the leader only after a quorum has confirmed its
+// leadership for this request, so a leader that is isolated from the group does not.
 func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
@@ -94,7 +95,7 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-// localStatus is what this process knows without asking another one.
+// localStatus returns what this process knows without contacting another one.
 func (s *Server) localStatus() controlapi.Status {
 	view := s.state.load()
 	status := controlapi.Status{
--- a/internal/controlserver/peer_api.go
+++ b/internal/controlserver/peer_api.go
@@ -16,17 +16,17 @@
 
 const (
 	maxPeerMessageBytes = 16 << 20
-	maxPeerBodyBytes    = 64 << 20 // of one call
+	maxPeerBodyBytes    = 64 << 20 // of one HTTP request
 )
 
 var errInvalidMessageLength = errors.New("messages: a length that can't be")
 
-// handlePeerMessages receives messages of the replicated log from another process. Those of another lineage are rejected: they come from
-// a group that had this process's address before.
+// handlePeerMessages receives messages of the replicated log from another process. It rejects messages of another lineage: their sender
+// belongs to a group in which this process's address was used before.
 func (s *Server) handlePeerMessages(w http.ResponseWriter, r *http.Request) {
 	lineage := s.state.load().register.Lineage
-	theirs := r.Header.Get(controlapi.LineageHeader)
-	if lineage != "" && theirs != "" && lineage != theirs {
+	senderLineage := r.Header.Get(controlapi.LineageHeader)
+	if lineage != "" && senderLineage != "" && lineage != senderLineage {
 		http.Error(w, "another group: its lineage is "+lineage, http.StatusConflict)
 		return
 	}
@@ -37,13 +37,13 @@
 	}
 	for _, message := range messages {
 		if err := s.mailbox.send(r.Context(), eventMessage{replica.MessageReceived{Message: message}}); err != nil {
-			return // the caller has disconnected
+			return // the request's context has ended: the sender disconnected or the server is shutting down
 		}
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// encodeMessages writes messages one after the other, each prefixed by its length as a varint.
+// encodeMessages concatenates the encoded messages, each prefixed by its length as a varint.
 func encodeMessages(messages []*pb.Message) ([]byte, error) {
 	var body []byte
 	for _, message := range messages {
@@ -57,7 +57,7 @@
 	return body, nil
 }
 
-// decodeMessages reads what encodeMessages writes.
+// decodeMessages decodes the format of encodeMessages.
 func decodeMessages(body io.Reader) ([]*pb.Message, error) {
 	raw, err := io.ReadAll(body)
 	if err != nil {
@@ -65,13 +65,13 @@
 	}
 	var messages []*pb.Message
 	for len(raw) > 0 {
-		length, prefix := binary.Uvarint(raw)
-		if prefix <= 0 || length > maxPeerMessageBytes || length > uint64(len(raw)-prefix) {
+		length, prefixSize := binary.Uvarint(raw)
+		if prefixSize <= 0 || length > maxPeerMessageBytes || length > uint64(len(raw)-prefixSize) {
 			return nil, errInvalidMessageLength
 		}
-		end := prefix + int(length)
+		end := prefixSize + int(length)
 		message := new(pb.Message)
-		if err := proto.Unmarshal(raw[prefix:end], message); err != nil {
+		if err := proto.Unmarshal(raw[prefixSize:end], message); err != nil {
 			return nil, fmt.Errorf("messages: %w", err)
 		}
 		messages = append(messages, message)
--- a/internal/controlserver/peer_transport.go
+++ b/internal/controlserver/peer_transport.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	maxQueuedMessages  = 1024 // to one process; beyond it they are lost, as on a network
+	maxQueuedMessages  = 1024 // for one process; further messages are dropped, which raft tolerates as loss on the network
 	maxMessagesPerCall = 64
 	peerTimeout        = time.Second
-	maxIgnoredBytes    = 1 << 10 // of a peer's response body, which is discarded
+	maxDiscardedBytes  = 1 << 10 // of a peer's response body, which is read and discarded
 )
 
 var errNotMember = errors.New("not a member")
 
-// peerStatusError is returned when another process rejected a batch of messages.
+// peerStatusError is returned when another process responds to a batch of messages with a status other than 204.
 type peerStatusError struct {
 	peerID uint64
 	status int
 }
 
 func (e *peerStatusError) Error() string {
-	return fmt.Sprintf("process %d answered %d", e.peerID, e.status)
+	return fmt.Sprintf("process %d responded with HTTP status %d", e.peerID, e.status)
 }
 
-// peerTransport sends messages of the replicated log to the other processes, each by a goroutine and a connection of its own. The
-// goroutines end with ctx; wait waits for them.
+// peerTransport sends messages of the replicated log to the other processes. Each destination has its own queue, goroutine and
+// connection. The goroutines end when ctx is cancelled; wait waits for them.
 type peerTransport struct {
 	ctx     context.Context
 	state   *publishedState
 	mailbox *mailbox
 	http    *http.Client
 	mu      sync.Mutex
-	queues  map[uint64]chan *pb.Message // by the id of the process
+	queues  map[uint64]chan *pb.Message // by the id of the destination process
 	senders sync.WaitGroup
 }
 
@@ -66,7 +66,7 @@
 	t.http.CloseIdleConnections()
 }
 
-// send queues a message for its process, and drops it when the queue is full. It never waits.
+// send queues a message for its destination, or drops it if the queue is full. It never blocks.
 func (t *peerTransport) send(message *pb.Message) {
 	select {
 	case t.queue(message.GetTo()) <- message:
@@ -74,7 +74,7 @@
 	}
 }
 
-// queue returns the queue of a process, and starts its sender with the first message.
+// queue returns the queue of a process. The first call for a process creates the queue and starts its sender.
 func (t *peerTransport) queue(peerID uint64) chan<- *pb.Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +87,8 @@
 	return queue
 }
 
-// sendQueued sends the queued messages for one process, several in a call, and reports undelivered ones to the replica.
+// sendQueued sends the queued messages for one process, up to maxMessagesPerCall in one HTTP request. It reports failed requests, and
+// the delivery or loss of snapshots, to the replica.
 func (t *peerTransport) sendQueued(peerID uint64, queue <-chan *pb.Message) {
 	for {
 		batch := t.nextBatch(queue)
@@ -105,7 +106,7 @@
 	}
 }
 
-// nextBatch waits for a message and returns it with those queued after it; nil once the transport's context has ended.
+// nextBatch waits for a message and returns it with the messages queued after it, or nil once the transport's context has ended.
 func (t *peerTransport) nextBatch(queue <-chan *pb.Message) []*pb.Message {
 	var batch []*pb.Message
 	select {
@@ -129,7 +130,7 @@
 	return false
 }
 
-// post sends a batch of messages to a process in one call.
+// post sends a batch of messages to a process in one HTTP request.
 func (t *peerTransport) post(peerID uint64, batch []*pb.Message) error {
 	view := t.state.load()
 	member, known := view.members[peerID]
@@ -150,7 +151,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(response.Body, maxIgnoredBytes)) // so that the connection can be used again
+	io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBytes)) // an unread body would prevent reuse of the connection
 	if response.StatusCode != http.StatusNoContent {
 		return &peerStatusError{peerID: peerID, status: response.StatusCode}
 	}
--- a/internal/controlserver/renewal_api.go
+++ b/internal/controlserver/renewal_api.go
@@ -10,14 +10,14 @@
 
 const maxRenewalBytes = 4 << 10
 
-// handleRenewal answers a router's renewal of its lease.
+// handleRenewal passes a router's lease renewal to the replica and responds with the reply.
 func (s *Server) handleRenewal(w http.ResponseWriter, r *http.Request) {
 	var renewal lease.Renewal
 	if err := readJSON(w, r, maxRenewalBytes, &renewal); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), s.durations.LeaseDuration) // a later grant would have expired already
+	ctx, cancel := context.WithTimeout(r.Context(), s.durations.LeaseDuration) // a lease granted later would already have expired
 	defer cancel()
 	answer, err := s.mailbox.call(ctx, func(callID uint64) replica.Event {
 		return replica.LeaseRequest{Event: lease.RenewalReceived{CallID: callID, Renewal: renewal}}
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -1,6 +1,6 @@
-// Package controlserver runs one process of the control group. A replica (package replica) makes all decisions; the driver hands it
-// the events of the sockets, the disk and the clock, and carries out its actions in order. Handlers of HTTP requests reach the
-// replica through the driver's mailbox, or read the state that was last published.
+// Package controlserver runs one process of the control group. A replica (package replica) makes all decisions; the driver passes it
+// the events of the sockets, the disk and the clock, and executes its actions in order. HTTP handlers send requests to the replica
+// through the driver's mailbox, or read the latest published state.
 package controlserver
 
 import (
@@ -24,7 +24,7 @@
 	"bankledge/internal/replica"
 )
 
-// Storage preserves the replicated log and its state over a restart. Save returns once the change is synced.
+// Storage persists the replicated log and its state across restarts. Save returns once the change is synced to disk.
 type Storage interface {
 	Load() (consensus.PersistentState, error)
 	Save(consensus.PersistentState) error
@@ -34,22 +34,22 @@
 
 // Server is one process of the control group.
 type Server struct {
-	// Ready is closed once the process serves.
+	// Ready is closed once the HTTP servers have been started.
 	Ready chan struct{}
 
 	settings       *Settings
 	durations      lease.Durations
 	log            *zap.Logger
 	storage        Storage
-	origin         time.Time // of the replica's clock
+	clockOrigin    time.Time // zero point of the replica's clock
 	mailbox        *mailbox
 	state          *publishedState
-	streams        atomic.Int64 // open streams of versions
-	clientListener net.Listener // for routers and operators
-	peerListener   net.Listener // for the other processes
+	streams        atomic.Int64 // number of open version streams
+	clientListener net.Listener // accepts routers and operators
+	peerListener   net.Listener // accepts the other processes of the group
 }
 
-// New opens the storage and the sockets of a process. Nothing runs before Run.
+// New opens the storage and the listening sockets of a process. No goroutine is started until Run is called.
 func New(settings *Settings, log *zap.Logger) (*Server, error) {
 	storage, err := store.Open(settings.DataDir, settings.ID)
 	if err != nil {
@@ -58,17 +58,18 @@
 	return NewWithStorage(settings, storage, log)
 }
 
-// NewWithStorage opens the sockets of a process with a storage, which the server closes, also when it returns an error.
+// NewWithStorage opens the listening sockets of a process. The server takes ownership of the storage: it closes the storage when Run
+// returns, and also when NewWithStorage returns an error.
 func NewWithStorage(settings *Settings, storage Storage, log *zap.Logger) (*Server, error) {
 	s := &Server{
-		Ready:     make(chan struct{}),
-		settings:  settings,
-		durations: settings.LeaseDurations(),
-		log:       log,
-		storage:   storage,
-		origin:    time.Now().Add(-time.Hour), // a time of 0 means never to the replica
-		mailbox:   newMailbox(),
-		state:     newPublishedState(log),
+		Ready:       make(chan struct{}),
+		settings:    settings,
+		durations:   settings.LeaseDurations(),
+		log:         log,
+		storage:     storage,
+		clockOrigin: time.Now().Add(-time.Hour), // the clock must not start at 0, which the replica treats as "never"
+		mailbox:     newMailbox(),
+		state:       newPublishedState(log),
 	}
 	if err := s.listen(); err != nil {
 		s.close()
@@ -96,11 +97,11 @@
 	s.storage.Close()
 }
 
-// clock is the monotonic time that the replica counts in.
-func (s *Server) clock() time.Duration { return time.Since(s.origin) }
+// clock returns the monotonic time that is passed to the replica.
+func (s *Server) clock() time.Duration { return time.Since(s.clockOrigin) }
 
-// Run serves until ctx ends or the storage fails; after a storage error it answers no more requests and returns that error. It closes the
-// storage and the sockets, and returns when all its goroutines have ended.
+// Run serves until ctx is cancelled or the storage fails; after a storage error it answers no further requests and returns that error.
+// It closes the storage and the sockets, and returns after all its goroutines have ended.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.close()
 	persisted, err := s.storage.Load()
@@ -121,7 +122,8 @@
 	return err
 }
 
-// replicaSettings adds to the settings of the file the values that are generated at each start.
+// replicaSettings returns the replica's settings: those of the settings file, and the lineage, the random seed and the logger, which are
+// set at each start.
 func (s *Server) replicaSettings() (replica.Settings, error) {
 	settings, err := s.settings.ReplicaSettings()
 	if err != nil {
@@ -135,7 +137,8 @@
 	return settings, nil
 }
 
-// serve runs the replica, whose first actions are given, and the HTTP servers until ctx ends or one of them fails.
+// serve runs the replica and the HTTP servers until ctx is cancelled or one of them fails. actions are those that the replica returned
+// when it was created.
 func (s *Server) serve(ctx context.Context, node *replica.Replica, actions []replica.Action, recoveryStart time.Time) error {
 	group, ctx := errgroup.WithContext(ctx)
 	peers := newPeerTransport(ctx, s.state, s.mailbox)
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -13,7 +13,8 @@
 	"bankledge/internal/consensus/store"
 )
 
-// One process alone: versions, a stream that continues from the last event, a restart that restores the state, and no goroutine leak.
+// A group of one process: proposals, a version stream that resumes after the last known version, a restart that restores the state, and no
+// leaked goroutines.
 func TestSingleProcess(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	dir := t.TempDir()
@@ -24,7 +25,7 @@
 	require.NoError(t, client.AwaitActivated(t.Context(), outcome.Number))
 	outcome, err = client.Propose(t.Context(), proposal(t, "a", 2))
 	require.NoError(t, err)
-	assert.Equal(t, uint64(1), outcome.Number, "proposed twice, counted once")
+	assert.Equal(t, uint64(1), outcome.Number, "a repeated proposal creates no second version")
 	_, err = client.Propose(t.Context(), proposal(t, "b", 1))
 	var rejected *adminclient.RejectedError
 	require.ErrorAs(t, err, &rejected)
@@ -37,7 +38,7 @@
 	require.NoError(t, err)
 	second := <-events
 	assert.Equal(t, uint64(2), second.Version.Number)
-	for event := second; event.Activated < 2; { // at once, since no router holds a lease
+	for event := second; event.Activated < 2; { // needs no wait, since no router holds a lease
 		event = <-events
 	}
 	status, err := client.Status(t.Context())
@@ -56,7 +57,7 @@
 	require.NoError(t, server.stop())
 }
 
-// A process whose storage fails ends with the storage's error and acknowledges nothing that was not stored.
+// A process whose storage fails stops with the storage's error and does not acknowledge a proposal that was not stored.
 func TestStorageFails(t *testing.T) {
 	settings := singleSettings(t, t.TempDir())
 	disk, err := store.Open(settings.DataDir, settings.ID)
@@ -66,14 +67,14 @@
 	_, err = server.adminClient().Propose(t.Context(), proposal(t, "a", 2))
 	require.NoError(t, err)
 	storage.fails.Store(true)
-	impatient := adminclient.New([]string{server.clientAddress()}, 300*time.Millisecond)
-	_, err = impatient.Propose(t.Context(), proposal(t, "b", 3))
+	shortTimeoutClient := adminclient.New([]string{server.clientAddress()}, 300*time.Millisecond)
+	_, err = shortTimeoutClient.Propose(t.Context(), proposal(t, "b", 3))
 	var unavailable *adminclient.UnavailableError
 	assert.ErrorAs(t, err, &unavailable)
 	assert.ErrorIs(t, server.wait(), errNoSpace)
 }
 
-// A process whose storage blocks answers routers and operators that it is busy.
+// While the storage of a process blocks, the process responds to routers and operators that it is busy.
 func TestStorageStalls(t *testing.T) {
 	settings := singleSettings(t, t.TempDir())
 	disk, err := store.Open(settings.DataDir, settings.ID)
--- a/internal/controlserver/settings.go
+++ b/internal/controlserver/settings.go
@@ -17,33 +17,33 @@
 	"bankledge/internal/settings"
 )
 
-// Settings of one process, as in its settings file. A field that is missing or 0 has its default.
+// Settings are the contents of a process's settings file. A field that is missing or 0 has its default.
 type Settings struct {
 	ID                    uint64            `json:"id"`
-	DataDir               string            `json:"dir"`     // of the replicated log, relative to the folder of the file
-	Members               map[string]Member `json:"members"` // by id: the founding members, or for a process that joins, the present members
-	Joining               bool              `json:"joins"`   // the group exists already, and this process was added to it
-	PeerAddress           string            `json:"peer"`    // for the other processes; if empty, this process's address in Members
-	ClientAddress         string            `json:"client"`  // for routers and operators; if empty, as for PeerAddress
+	DataDir               string            `json:"dir"`     // of the replicated log; a relative path is relative to the directory of the settings file
+	Members               map[string]Member `json:"members"` // by id: the founding members, or the current members if Joining is set
+	Joining               bool              `json:"joins"`   // this process was added to an existing group
+	PeerAddress           string            `json:"peer"`    // listen address for the other processes; default: that of this process in Members
+	ClientAddress         string            `json:"client"`  // listen address for routers and operators; default: that of this process in Members
 	LeaseMillis           int64             `json:"term_ms"`
 	RenewIntervalMillis   int64             `json:"renew_ms"`
 	ReplyTimeoutMillis    int64             `json:"answer_ms"`
 	MaxBatchMillis        int64             `json:"batch_ms"`
 	MaxPauseMillis        int64             `json:"pause_ms"`
-	MaxClockDrift         *float64          `json:"drift"` // fraction: 0.01 is one percent; nil: the default
+	MaxClockDrift         *float64          `json:"drift"` // as a fraction: 0.01 is one percent; nil: the default
 	HeartbeatMillis       int64             `json:"heartbeat_ms"`
 	ElectionTimeoutMillis int64             `json:"election_ms"`
-	MaxRemovedShare       float64           `json:"most_gone"` // fraction of the engines that one version may remove
-	CompactionInterval    uint64            `json:"compact"`   // entries after which the log is replaced by a snapshot
+	MaxRemovedShare       float64           `json:"most_gone"` // largest fraction of the engines that one version may remove
+	CompactionInterval    uint64            `json:"compact"`   // number of log entries after which the log is replaced by a snapshot
 }
 
-// Member is where a process of the group listens.
+// Member holds the listen addresses of a process of the group.
 type Member struct {
 	Peer   string `json:"peer"`
 	Client string `json:"client"`
 }
 
-// Defaults of the settings; those of the leases are lease.DefaultDurations.
+// Defaults of the settings. The defaults of the lease durations are lease.DefaultDurations.
 const (
 	defaultDataDir               = "bankledge-control"
 	defaultHeartbeatMillis       = 100
@@ -54,11 +54,11 @@
 	defaultPeerAddress           = "127.0.0.1:7100"
 )
 
-// provisionalLineage stands for the lineage while settings are validated: the lineage of a new group is generated when a process starts.
-const provisionalLineage = "not drawn yet"
+// placeholderLineage satisfies the validation of settings, which requires a lineage: the actual one is generated when the process starts.
+const placeholderLineage = "not generated yet"
 
-// LoadSettings reads a file, Jsonnet or JSON. An empty path means a group of one process, in the folder bankledge-control. An error
-// names the field.
+// LoadSettings reads and validates a settings file in Jsonnet or JSON. An empty path selects a group of one process with the data
+// directory bankledge-control. The error names the invalid field.
 func LoadSettings(path string) (*Settings, error) {
 	s := &Settings{DataDir: defaultDataDir}
 	if path != "" {
@@ -99,22 +99,22 @@
 	setDefault(&s.MaxRemovedShare, defaultMaxRemovedShare)
 	setDefault(&s.CompactionInterval, defaultCompactionInterval)
 
-	alone := len(s.Members) == 0
-	if alone {
+	singleProcess := len(s.Members) == 0
+	if singleProcess {
 		setDefault(&s.ID, 1)
 	}
 	ownID := strconv.FormatUint(s.ID, 10)
-	own := s.Members[ownID]
-	setDefault(&s.PeerAddress, own.Peer)
+	ownMember := s.Members[ownID]
+	setDefault(&s.PeerAddress, ownMember.Peer)
 	setDefault(&s.PeerAddress, defaultPeerAddress)
-	setDefault(&s.ClientAddress, own.Client)
+	setDefault(&s.ClientAddress, ownMember.Client)
 	setDefault(&s.ClientAddress, defaultClientAddress)
-	if alone {
+	if singleProcess {
 		s.Members = map[string]Member{ownID: {Peer: s.PeerAddress, Client: s.ClientAddress}}
 	}
 }
 
-// setDefault sets a field that has its zero value.
+// setDefault assigns value to a field that has its zero value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -122,7 +122,8 @@
 	}
 }
 
-// LeaseDurations returns the durations on which routers and group have to agree.
+// LeaseDurations returns the durations of the lease protocol. Routers and the group have to use the same
+// lease duration and clock drift.
 func (s *Settings) LeaseDurations() lease.Durations {
 	return lease.Durations{
 		LeaseDuration: milliseconds(s.LeaseMillis),
@@ -136,7 +137,8 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// ReplicaSettings are the settings of the replica; an error names the field. The caller sets the lineage, the seed and the logger.
+// ReplicaSettings returns the settings of the replica, without a lineage, a seed and a logger, which the caller sets. The error names the
+// invalid field.
 func (s *Settings) ReplicaSettings() (replica.Settings, error) {
 	result := replica.Settings{
 		LeaseDurations:     s.LeaseDurations(),
@@ -144,7 +146,7 @@
 		InitialMembers:     map[uint64]replica.Member{},
 		Joining:            s.Joining,
 		CompactionInterval: s.CompactionInterval,
-		Lineage:            provisionalLineage,
+		Lineage:            placeholderLineage,
 		Consensus: consensus.Settings{
 			ID:                s.ID,
 			HeartbeatInterval: milliseconds(s.HeartbeatMillis),
@@ -154,7 +156,7 @@
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		id, err := strconv.ParseUint(name, 10, 64)
 		if err != nil || id == 0 {
-			return result, fmt.Errorf("members: %q is no id: a number from 1", name)
+			return result, fmt.Errorf("members: invalid id %q: must be a whole number from 1", name)
 		}
 		member := s.Members[name]
 		result.InitialMembers[id] = replica.Member{Peer: member.Peer, Client: member.Client, Voter: true}
@@ -183,9 +185,9 @@
 	return replicaSettings.Validate()
 }
 
-// validateMembers rejects invalid addresses and those that two members share.
+// validateMembers rejects invalid addresses and duplicate ones, except addresses with port 0, for which the system assigns a free port.
 func (s *Settings) validateMembers() error {
-	owners := map[string]string{} // member by address
+	memberByAddress := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		member := s.Members[name]
 		for _, field := range []struct{ name, address string }{{"peer", member.Peer}, {"client", member.Client}} {
@@ -193,10 +195,10 @@
 				return fmt.Errorf("members: %s: %s: %w", name, field.name, err)
 			}
 			anyFreePort := strings.HasSuffix(field.address, ":0")
-			if owner := owners[field.address]; owner != "" && !anyFreePort {
-				return fmt.Errorf("members: %s: %s: %s has it, too", name, field.name, owner)
+			if other := memberByAddress[field.address]; other != "" && !anyFreePort {
+				return fmt.Errorf("members: %s: %s: duplicate of an address of member %s", name, field.name, other)
 			}
-			owners[field.address] = name
+			memberByAddress[field.address] = name
 		}
 	}
 	return nil
--- a/internal/controlserver/settings_test.go
+++ b/internal/controlserver/settings_test.go
@@ -11,16 +11,16 @@
 	"bankledge/internal/controlclient"
 )
 
-// An error of a settings file names the field.
+// The error for an invalid settings file names the field.
 func TestInvalidSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		`{id: 0, members: {'1': {peer: 'a', client: 'b'}}}`:                               "id: missing",
 		`{id: 1, dir: 'd', peer: 'x'}`:                                                    "not an address",
 		`{id: 2, dir: 'd', members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}`: "none of them",
 		`{id: 1, dir: ''}`: "dir: missing",
-		`{id: 1, dir: 'd', members: {'x': {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}`: "no id",
-		`{id: 1, unheard: 1}`: "unheard",
-		`{id: 1, dir: 'd', members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:1'}}}`: "has it, too",
+		`{id: 1, dir: 'd', members: {'x': {peer: '127.0.0.1:1', client: '127.0.0.1:2'}}}`: `members: invalid id "x": must be a whole number from 1`,
+		`{id: 1, unknown_key: 1}`: "unknown_key",
+		`{id: 1, dir: 'd', members: {'1': {peer: '127.0.0.1:1', client: '127.0.0.1:1'}}}`: "members: 1: client: duplicate of an address of member 1",
 		`{id: 1, dir: 'd', term_ms: 200}`:                                                 "spans: renew",
 		`{id: 1, dir: 'd', drift: 0.5}`:                                                   "drift",
 		`{id: 1, dir: 'd', most_gone: 2}`:                                                 "most_gone",
--- a/internal/controlserver/state.go
+++ b/internal/controlserver/state.go
@@ -11,14 +11,14 @@
 	"bankledge/internal/replica"
 )
 
-// loggedHashLength is how many digits of a version's hash are logged.
+// loggedHashLength is the number of leading digits of a version's hash that are logged.
 const loggedHashLength = 12
 
-// stateView is an immutable snapshot of what this process knew at one moment, which handlers read without a lock.
+// stateView is an immutable snapshot of this process's state, which handlers read without a lock.
 type stateView struct {
 	register *configregister.Register // a copy
 	members  map[uint64]controlapi.Member
-	leader   uint64 // 0: none is known
+	leader   uint64 // id of the leader; 0: unknown
 	term     uint64 // of the replicated log
 }
 
@@ -36,12 +36,12 @@
 	return view
 }
 
-// publishedState is the newest stateView, and notifies goroutines that wait for the next one.
+// publishedState holds the newest stateView and notifies goroutines that wait for the next one.
 type publishedState struct {
 	log     *zap.Logger
 	view    atomic.Pointer[stateView]
 	mu      sync.Mutex
-	changed chan struct{} // closed, and replaced, by the next publication
+	changed chan struct{} // the next publication closes and replaces it
 }
 
 func newPublishedState(log *zap.Logger) *publishedState {
@@ -51,14 +51,14 @@
 // load returns the newest view.
 func (s *publishedState) load() *stateView { return s.view.Load() }
 
-// nextChange returns a channel that the next publication closes. To miss no publication, call it before load.
+// nextChange returns a channel that the next publication closes. Callers call it before load, so that they miss no publication.
 func (s *publishedState) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// publish makes what the replica knows visible to all handlers. The driver alone calls it.
+// publish makes the replica's current state visible to all handlers. After the server's start only the driver calls it.
 func (s *publishedState) publish(node *replica.Replica) {
 	view := newStateView(node)
 	s.logChanges(s.view.Load(), view)
@@ -69,7 +69,7 @@
 	s.changed = make(chan struct{})
 }
 
-// logChanges logs new versions, except those that existed when the process started.
+// logChanges logs versions that were committed or activated between two views. Versions that were loaded at startup are not logged.
 func (s *publishedState) logChanges(before, after *stateView) {
 	if before == nil {
 		return
--- a/internal/controlserver/version_stream.go
+++ b/internal/controlserver/version_stream.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	maxStreams        = 4096
-	keepAliveInterval = time.Second     // of a stream: a router treats a silent one as broken
-	streamWriteLimit  = 5 * time.Second // for a router that reads nothing
-	keepAliveComment  = ":\n\n"
+	maxStreams         = 4096
+	keepAliveInterval  = time.Second     // routers treat a stream without any data as broken
+	streamWriteTimeout = 5 * time.Second // disconnects a router that does not read
+	keepAliveComment   = ":\n\n"
 )
 
-// handleVersionStream sends versions as they are committed and activated, and a comment each second.
+// handleVersionStream streams versions as server-sent events when they are committed and activated, and a comment after each
+// keepAliveInterval.
 func (s *Server) handleVersionStream(w http.ResponseWriter, r *http.Request) {
 	defer s.streams.Add(-1)
 	if s.streams.Add(1) > maxStreams {
@@ -42,7 +43,7 @@
 	cursor := streamCursor{known: known}
 	text := keepAliveComment
 	for text != "" {
-		controller.SetWriteDeadline(time.Now().Add(streamWriteLimit))
+		controller.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
 		if _, err := io.WriteString(w, text); err != nil {
 			return
 		}
@@ -55,7 +56,7 @@
 
 var errInvalidLastEventID = errors.New(controlapi.LastEventIDHeader + ": not a number")
 
-// lastEventID is the number of the newest version that the follower knows, 0 if it names none.
+// lastEventID returns the number of the newest version that the follower knows, or 0 if the request has no such header.
 func lastEventID(r *http.Request) (uint64, error) {
 	text := r.Header.Get(controlapi.LastEventIDHeader)
 	if text == "" {
@@ -68,7 +69,8 @@
 	return number, nil
 }
 
-// awaitEvents returns the next encoded events of a stream, or a comment once keepAlive ticks; "" when ctx ends.
+// awaitEvents waits for the next events of a stream and returns them encoded. It returns a comment if keepAlive ticks first, and "" if ctx
+// ends first.
 func (s *Server) awaitEvents(ctx context.Context, cursor *streamCursor, keepAlive <-chan time.Time) string {
 	for {
 		changed := s.state.nextChange()
@@ -85,13 +87,13 @@
 	}
 }
 
-// streamCursor records what one follower of the stream has been sent.
+// streamCursor records what one follower of the stream already has.
 type streamCursor struct {
 	known     uint64 // number of the newest version
-	activated uint64
+	activated uint64 // number of the newest activated version
 }
 
-// advance returns the events that bring the follower up to the register, "" if there are none.
+// advance returns the encoded events that bring the follower up to date with the register, or "" if there are none.
 func (c *streamCursor) advance(register *configregister.Register) string {
 	var text strings.Builder
 	for _, version := range register.UpdatesAfter(c.known) {
@@ -106,12 +108,12 @@
 	return text.String()
 }
 
-// versionEvent is the event of a version, or without one that of an activation.
+// versionEvent returns the event of a version, or, if version is nil, that of an activation.
 func versionEvent(register *configregister.Register, version *configversion.Version) controlapi.VersionEvent {
 	return controlapi.VersionEvent{Lineage: register.Lineage, Activated: register.Activated, Version: version}
 }
 
-// formatEvent writes a server-sent event; an id of 0 is left out.
+// formatEvent encodes a server-sent event. It omits an id of 0.
 func formatEvent(id uint64, event controlapi.VersionEvent) string {
 	raw, err := json.Marshal(event)
 	if err != nil {
--- a/internal/controlserver/version_stream_test.go
+++ b/internal/controlserver/version_stream_test.go
@@ -9,7 +9,7 @@
 	"bankledge/internal/configversion"
 )
 
-// A follower is sent the activated version and its successor unless it knows them, then each activation once.
+// A follower receives the activated version and its successor, unless it knows them, and then each activation once.
 func TestStreamCursor(t *testing.T) {
 	register := func(newest, activated uint64) *configregister.Register {
 		register := &configregister.Register{Lineage: "l", Activated: activated}
@@ -35,14 +35,14 @@
 		{"no version", streamCursor{}, 0, 0, ""},
 		{"first version", streamCursor{}, 1, 0, event(1, 0)},
 		{"activation", streamCursor{known: 1}, 1, 1, event(0, 1)},
-		{"known already", streamCursor{known: 1, activated: 1}, 1, 1, ""},
-		{"older versions left out", streamCursor{}, 5, 4, event(4, 4) + event(5, 4)},
-		{"follower of the version before", streamCursor{known: 4, activated: 4}, 5, 4, event(5, 4)},
+		{"already known", streamCursor{known: 1, activated: 1}, 1, 1, ""},
+		{"older versions omitted", streamCursor{}, 5, 4, event(4, 4) + event(5, 4)},
+		{"follower that knows the previous version", streamCursor{known: 4, activated: 4}, 5, 4, event(5, 4)},
 		{"version and activation at once", streamCursor{known: 4, activated: 3}, 5, 5, event(5, 5)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.want, c.cursor.advance(register(c.newest, c.active)))
-			assert.Empty(t, c.cursor.advance(register(c.newest, c.active)), "once")
+			assert.Empty(t, c.cursor.advance(register(c.newest, c.active)), "each event is sent once")
 		})
 	}
 }
