--- a/internal/controlapi/api.go
+++ b/internal/controlapi/api.go
@@ -1,5 +1,5 @@
-// Package controlapi defines the HTTP interface of the control group: paths, headers and the JSON messages that its processes, the
-// operators' client and the routers exchange. It imports neither the replica nor its storage, so a router can use it. Renewals and
+// Package controlapi defines the HTTP interface of the control group: the paths, headers and JSON messages that its processes, the
+// operators' client and the routers exchange. It imports neither the replica nor its storage, so that routers can import it. Renewals and
 // their replies are defined in package lease, proposals and their outcomes in package configregister.
 package controlapi
 
@@ -8,7 +8,7 @@
 	"bankledge/internal/lease"
 )
 
-// Paths that routers and operators use, on a process's client address.
+// Paths for routers and operators, served on a process's client address.
 const (
 	RenewalPath       = "/v1/term"            // POST lease.Renewal, answered with lease.Reply
 	VersionStreamPath = "/v1/versions/events" // GET, a stream of VersionEvent as server-sent events
@@ -18,22 +18,22 @@
 	StatusPath        = "/v1/status"          // GET Status
 )
 
-// PeerMessagesPath is where a process receives the messages of the replicated log, on its peer address: each message is a protobuf
-// prefixed by its length as a varint. The response to an accepted batch is 204.
+// PeerMessagesPath is the path on a process's peer address to which other processes POST messages of the replicated log. The body is a
+// sequence of protobuf messages, each prefixed by its length as a varint. The response to an accepted batch is 204.
 const PeerMessagesPath = "/v1/messages"
 
 // Headers.
 const (
-	// LineageHeader names the lineage of the group that a peer's messages belong to; empty before the group is founded.
+	// LineageHeader is the lineage of the group that sends messages of the replicated log; empty before the group is founded.
 	LineageHeader = "X-Bankledge-Lineage"
 	// LastEventIDHeader is the number of the newest version that the follower of a stream knows.
 	LastEventIDHeader = "Last-Event-ID"
 )
 
-// MaxReplyBytes bounds a lease.Reply.
+// MaxReplyBytes bounds the encoding of a lease.Reply.
 const MaxReplyBytes = 4 << 10
 
-// VersionEvent is an event of the stream of configuration versions.
+// VersionEvent is an event of the stream of configuration versions: a committed version or an activation.
 type VersionEvent struct {
 	Lineage   string                 `json:"lineage"`
 	Activated uint64                 `json:"settled"`           // all versions up to this number are in force
@@ -44,30 +44,30 @@
 type Member struct {
 	Peer   string `json:"peer"`   // address for the other processes
 	Client string `json:"client"` // address for routers and operators
-	Voter  bool   `json:"votes"`  // false: a learner, until it has caught up
+	Voter  bool   `json:"votes"`  // false: a learner, which becomes a voter once it has caught up
 }
 
 // Status is the state of the group as one process knows it.
 type Status struct {
-	ID                     uint64            `json:"id"`     // of the process that answers
-	IsLeader               bool              `json:"leads"`  // confirmed by a quorum for this answer
-	Leader                 uint64            `json:"leader"` // 0: none is known
+	ID                     uint64            `json:"id"`     // of the responding process
+	IsLeader               bool              `json:"leads"`  // confirmed by a quorum for this response
+	Leader                 uint64            `json:"leader"` // id of the leader; 0: unknown
 	Term                   uint64            `json:"term"`   // of the replicated log
 	Lineage                string            `json:"lineage"`
-	NewestVersion          uint64            `json:"newest"`  // 0: there is none
+	NewestVersion          uint64            `json:"newest"`  // number of the newest version; 0: there is none
 	Activated              uint64            `json:"settled"` // all versions up to this number are in force
 	NewestHash             string            `json:"hash"`
 	MaxContradictionMillis int64             `json:"t_ms"`
 	StorageBytes           uint64            `json:"disk_bytes"`
 	Members                map[uint64]Member `json:"members"`
 	Sessions               []lease.Session   `json:"sessions"`        // null unless IsLeader
-	Error                  string            `json:"error,omitempty"` // why it can't prove that it is the leader
+	Error                  string            `json:"error,omitempty"` // why the process can't prove that it is the leader; empty if IsLeader
 }
 
-// MembershipChange adds a process to the group, or removes one.
+// MembershipChange is a request to add a process to the group or to remove one.
 type MembershipChange struct {
 	MemberID uint64 `json:"id"`
-	Member   Member `json:"member"` // to add; Voter is ignored
+	Member   Member `json:"member"` // of a process to add; Voter is ignored
 	Remove   bool   `json:"remove"`
 }
 
--- a/internal/controlclient/config.go
+++ b/internal/controlclient/config.go
@@ -19,24 +19,25 @@
 	defaultMaxRemovedShare = 0.34
 )
 
-// Config is a router's control file: where the control group is, and the durations that the router and the group have in common. A
-// field that is missing or 0 has its default.
+// Config is a router's control file: the addresses of the control group and the durations of the lease protocol, which have to be those
+// of the group. A field that is missing or 0 has its default.
 type Config struct {
-	Addresses           []string `json:"addresses"` // of the group's processes, for routers
-	Lineage             string   `json:"lineage"`   // the only one to follow; "": the first one that is received
+	Addresses           []string `json:"addresses"` // client addresses of the group's processes
+	Lineage             string   `json:"lineage"`   // lineage to follow; "": the first one that is received
 	LeaseMillis         int64    `json:"term_ms"`
 	RenewIntervalMillis int64    `json:"renew_ms"`
 	ReplyTimeoutMillis  int64    `json:"answer_ms"`
 	MaxBatchMillis      int64    `json:"batch_ms"`
 	MaxPauseMillis      int64    `json:"pause_ms"`
-	MaxClockDrift       float64  `json:"drift"`     // fraction: 0.01 is one percent
-	MaxRemovedShare     float64  `json:"most_gone"` // fraction of the engines that one version may remove
+	MaxClockDrift       float64  `json:"drift"`     // as a fraction: 0.01 is one percent
+	MaxRemovedShare     float64  `json:"most_gone"` // largest fraction of the engines that one version may remove
 }
 
-// publishedNames are the names of types in the texts of decoding errors, which go to standard error.
+// publishedNames replaces Go type names in the texts of decoding errors, which are printed on standard error, by names that stay the same
+// when the types are renamed.
 var publishedNames = strings.NewReplacer("controlclient.Config", "steer.File", "field Config.", "field File.")
 
-// LoadConfig reads a control file, which is JSON. An error names the field.
+// LoadConfig reads and validates a control file in JSON. The error names the invalid field.
 func LoadConfig(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +53,8 @@
 	return config, nil
 }
 
-// LeaseDurations returns the durations on which the router and the group have to agree.
+// LeaseDurations returns the durations of the lease protocol. The router and the group have to use the same lease duration and clock
+// drift.
 func (c *Config) LeaseDurations() lease.Durations {
 	durations := lease.DefaultDurations()
 	setMillis(&durations.LeaseDuration, c.LeaseMillis)
@@ -66,14 +68,14 @@
 	return durations
 }
 
-// setMillis sets a duration unless the file leaves it at its default.
+// setMillis sets a duration unless millis is 0, which selects the default.
 func setMillis(duration *time.Duration, millis int64) {
 	if millis != 0 {
 		*duration = time.Duration(millis) * time.Millisecond
 	}
 }
 
-// Guards returns the guards by which this router checks versions, in addition to the group.
+// Guards returns the guards with which this router checks versions, in addition to the checks of the group.
 func (c *Config) Guards() configversion.Guards {
 	if c.MaxRemovedShare == 0 {
 		return configversion.Guards{MaxRemovedShare: defaultMaxRemovedShare}
@@ -91,7 +93,7 @@
 			return fmt.Errorf("addresses: %w", err)
 		}
 	}
-	if !(c.MaxRemovedShare >= 0 && c.MaxRemovedShare <= 1) { // in this form so that NaN is rejected
+	if !(c.MaxRemovedShare >= 0 && c.MaxRemovedShare <= 1) { // negated so that NaN is rejected, too
 		return errors.New("most_gone: not from 0 to 1")
 	}
 	return c.LeaseDurations().Validate()
--- a/internal/controlclient/config_test.go
+++ b/internal/controlclient/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The valid contents of a router's control file, and the errors of invalid ones.
+// LoadConfig accepts valid control files and names the invalid field of others.
 func TestLoadConfig(t *testing.T) {
 	const addresses = `"addresses": ["127.0.0.1:7201"]`
 	for text, want := range map[string]string{
--- a/internal/controlclient/renewal.go
+++ b/internal/controlclient/renewal.go
@@ -17,13 +17,13 @@
 	"bankledge/internal/logevent"
 )
 
-// idleProbe is the timeout of the read that checks that an idle connection has no unexpected data.
-const idleProbe = 50 * time.Microsecond
+// idleProbeTimeout bounds the read that checks whether an idle connection has been closed or has received unexpected data.
+const idleProbeTimeout = 50 * time.Microsecond
 
-// errOtherRenewal is returned for a reply whose sequence number is that of another renewal.
-var errOtherRenewal = errors.New("the answer to another renewal")
+// errSequenceMismatch is returned for a reply whose sequence number is not that of the renewal.
+var errSequenceMismatch = errors.New("reply has the sequence number of another renewal")
 
-// renew sends a renewal and delivers its reply, or lease.RenewalFailed.
+// renew sends a renewal and delivers its reply, or lease.RenewalFailed if there is no valid reply.
 func (t *Transport) renew(ctx context.Context, renewal lease.SendRenewal) {
 	reply, err := t.exchangeRenewal(ctx, renewal)
 	if err != nil {
@@ -34,14 +34,15 @@
 	t.deliver(lease.ReplyReceived{Reply: reply})
 }
 
-// exchangeRenewal sends a renewal, on the idle connection if there is one, and waits for its reply until replyDeadline.
+// exchangeRenewal sends a renewal, on the idle connection if there is one, and waits for its reply. It fails if the reply is not complete
+// within renewalTimeout.
 func (t *Transport) exchangeRenewal(ctx context.Context, renewal lease.SendRenewal) (lease.Reply, error) {
 	address := t.address(renewal.AddressIndex)
 	request, err := renewalRequest(address, renewal.Renewal)
 	if err != nil {
 		return lease.Reply{}, err
 	}
-	deadline := time.Now().Add(t.replyDeadline)
+	deadline := time.Now().Add(t.renewalTimeout)
 	conn, err := t.connect(ctx, address)
 	if err != nil {
 		return lease.Reply{}, err
@@ -61,12 +62,12 @@
 	if err != nil {
 		return nil, err
 	}
-	const form = "POST " + controlapi.RenewalPath + " HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
-	return fmt.Appendf(nil, form, address, len(body), body), nil
+	const format = "POST " + controlapi.RenewalPath + " HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
+	return fmt.Appendf(nil, format, address, len(body), body), nil
 }
 
-// exchange writes a request and reads the reply to the renewal with this sequence number. The connection is reusable if it stays open
-// and no further data has been received on it.
+// exchange writes a request and reads the reply, which must have this sequence number. The connection is reusable if the group keeps it
+// open and has sent nothing after the reply.
 func exchange(conn net.Conn, request []byte, seq uint64) (reply lease.Reply, reusable bool, err error) {
 	if _, err := conn.Write(request); err != nil {
 		return reply, false, err
@@ -83,12 +84,13 @@
 		return reply, false, err
 	}
 	if reply.Seq != seq {
-		return reply, false, errOtherRenewal
+		return reply, false, errSequenceMismatch
 	}
 	return reply, !header.Close && !reader.Buffered(), nil
 }
 
-// connect returns the idle connection, if it is to this address and still usable, or a new one.
+// connect returns the idle connection if it is to this address and still usable. Otherwise it closes the idle connection and opens a new
+// one.
 func (t *Transport) connect(ctx context.Context, address string) (net.Conn, error) {
 	select {
 	case conn := <-t.idleConnection:
@@ -101,7 +103,7 @@
 	return dial(ctx, address)
 }
 
-// storeIdle makes a connection the idle one. It returns false, and does not close the connection, if there is one already.
+// storeIdle keeps a connection as the idle one. If there already is one, it returns false, and the caller has to close the connection.
 func (t *Transport) storeIdle(conn net.Conn) bool {
 	conn.SetDeadline(time.Time{})
 	select {
@@ -112,9 +114,9 @@
 	}
 }
 
-// isIdle reports whether a connection is still open and has nothing to read.
+// isIdle reports whether a connection is still open and has no unread data.
 func isIdle(conn net.Conn) bool {
-	conn.SetReadDeadline(time.Now().Add(idleProbe))
+	conn.SetReadDeadline(time.Now().Add(idleProbeTimeout))
 	n, err := conn.Read(make([]byte, 1))
 	var timeout net.Error
 	return n == 0 && errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/controlclient/transport.go
+++ b/internal/controlclient/transport.go
@@ -1,5 +1,6 @@
-// Package controlclient connects a router to the control group: it sends the renewals and follows the stream of configuration versions
-// that the router's side of the leases (lease.Client) requests, and hands it the results as events. It makes no decisions of its own.
+// Package controlclient connects a router to the control group. It executes the actions of the router's part of the lease protocol
+// (lease.Client): it sends renewals, follows the stream of configuration versions, and delivers the results as events. It makes no
+// decisions of its own.
 package controlclient
 
 import (
@@ -16,44 +17,48 @@
 )
 
 const (
-	connectTimeout   = 500 * time.Millisecond
-	maxRenewals      = 4  // that may wait for replies at the same time
-	maxQueuedActions = 16 // renewals that Run has not started yet
+	connectTimeout     = 500 * time.Millisecond
+	maxPendingRenewals = 4  // renewals that may wait for replies at the same time
+	maxQueuedRenewals  = 16 // renewals that Run has not started yet
 )
 
-// statusError is returned for a response of the group that is not 200.
+// statusError is returned for a response of the group whose HTTP status is not 200.
 type statusError struct{ status int }
 
-func (e *statusError) Error() string { return fmt.Sprintf("the group answered %d", e.status) }
+func (e *statusError) Error() string {
+	return fmt.Sprintf("the control group responded with HTTP status %d", e.status)
+}
 
-// Transport carries out the actions of a lease.Client. Its connections and goroutines belong to Run.
+// Transport executes the actions of a lease.Client. Run owns all its goroutines and connections, except for the idle connection, which
+// Close closes.
 type Transport struct {
-	addresses     []string
-	replyDeadline time.Duration // after which the reply to a renewal no longer counts
-	deliver       func(lease.ClientEvent)
-	log           *zap.Logger
+	addresses      []string
+	renewalTimeout time.Duration // a later reply to a renewal is useless, as the lease would have expired
+	deliver        func(lease.ClientEvent)
+	log            *zap.Logger
 
 	renewals       chan lease.SendRenewal
-	reopenings     chan lease.ReopenStream // buffers one; a newer action replaces it
-	calls          sync.WaitGroup
-	idleConnection chan net.Conn // for the next renewal
+	reopenings     chan lease.ReopenStream // holds at most one action; a newer one replaces it
+	goroutines     sync.WaitGroup          // started by Run
+	idleConnection chan net.Conn           // holds at most one connection, which the next renewal uses
 }
 
-// NewTransport returns a transport to the group's processes at these addresses. It hands events to deliver, which must not block and
-// is called by several goroutines. Nothing is sent before Run is called.
+// NewTransport returns a transport to the group's processes at these addresses. It passes events to deliver, which must not block and is
+// called by several goroutines concurrently. Nothing is sent until Run is called.
 func NewTransport(addresses []string, durations lease.Durations, deliver func(lease.ClientEvent), log *zap.Logger) *Transport {
 	return &Transport{
 		addresses:      addresses,
-		replyDeadline:  durations.ClientLease(),
+		renewalTimeout: durations.ClientLease(),
 		deliver:        deliver,
 		log:            log,
-		renewals:       make(chan lease.SendRenewal, maxQueuedActions),
+		renewals:       make(chan lease.SendRenewal, maxQueuedRenewals),
 		reopenings:     make(chan lease.ReopenStream, 1),
 		idleConnection: make(chan net.Conn, 1),
 	}
 }
 
-// Execute starts an action; it never blocks. A renewal that finds the queue full is dropped, as if it had been lost on the network.
+// Execute queues an action for Run, or logs a message; it never blocks. If the queue is full, a renewal is dropped; the lease client
+// treats it as lost on the network.
 func (t *Transport) Execute(action lease.ClientAction) {
 	switch action := action.(type) {
 	case lease.SendRenewal:
@@ -79,12 +84,12 @@
 	}
 }
 
-// Run sends renewals and follows one stream at a time until ctx ends. It returns when all its goroutines have ended.
+// Run sends renewals and follows one stream at a time until ctx is cancelled. It returns after all its goroutines have ended.
 func (t *Transport) Run(ctx context.Context) error {
-	defer t.calls.Wait()
+	defer t.goroutines.Wait()
 	closeStream := context.CancelFunc(func() {})
 	defer func() { closeStream() }()
-	slots := make(chan struct{}, maxRenewals)
+	slots := make(chan struct{}, maxPendingRenewals)
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,16 +100,16 @@
 			closeStream()
 			streamCtx, cancel := context.WithCancel(ctx)
 			closeStream = cancel
-			t.calls.Go(func() { t.followStream(streamCtx, reopening) })
+			t.goroutines.Go(func() { t.followStream(streamCtx, reopening) })
 		}
 	}
 }
 
-// startRenewal sends a renewal in a goroutine of its own if one of the slots is free.
+// startRenewal sends a renewal in a new goroutine. If all slots are taken, the renewal fails at once.
 func (t *Transport) startRenewal(ctx context.Context, slots chan struct{}, renewal lease.SendRenewal) {
 	select {
 	case slots <- struct{}{}:
-		t.calls.Go(func() {
+		t.goroutines.Go(func() {
 			defer func() { <-slots }()
 			t.renew(ctx, renewal)
 		})
@@ -113,7 +118,7 @@
 	}
 }
 
-// Close closes the idle connection. It is called after Run has returned.
+// Close closes the idle connection. It must be called only after Run has returned.
 func (t *Transport) Close() {
 	select {
 	case conn := <-t.idleConnection:
@@ -122,7 +127,7 @@
 	}
 }
 
-// address maps an address index of the lease client, which may exceed the number of addresses, to an address.
+// address returns the address for an address index of the lease client, which may exceed the number of addresses.
 func (t *Transport) address(index int) string { return t.addresses[index%len(t.addresses)] }
 
 // dial connects to a process of the group.
--- a/internal/controlclient/transport_test.go
+++ b/internal/controlclient/transport_test.go
@@ -21,7 +21,7 @@
 	"bankledge/internal/rules"
 )
 
-// groupConn is one connection at the group's end.
+// groupConn is the group's end of a connection.
 type groupConn struct {
 	t *testing.T
 	net.Conn
@@ -37,7 +37,7 @@
 	return &groupConn{t, conn, bufio.NewReader(conn)}
 }
 
-// request reads a request, byte for byte.
+// request reads a request and returns its bytes, with the group's address replaced by a placeholder.
 func (c *groupConn) request() string {
 	c.t.Helper()
 	var head strings.Builder
@@ -59,7 +59,7 @@
 	return strings.ReplaceAll(head.String()+string(raw), c.LocalAddr().String(), "<group>")
 }
 
-func (c *groupConn) answer(text string) {
+func (c *groupConn) respond(text string) {
 	c.t.Helper()
 	_, err := c.Write([]byte(text))
 	require.NoError(c.t, err)
@@ -69,14 +69,14 @@
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// fixture runs a transport to two addresses, of which only the second one has a listener.
+// fixture is a running transport with two addresses, of which only the second one has a listener.
 type fixture struct {
 	transport *Transport
 	group     net.Listener
 	events    chan lease.ClientEvent
 }
 
-// newFixture starts a transport, which is stopped at the end of the test; no goroutine may be left then.
+// newFixture starts a transport, which is stopped at the end of the test. The test fails if the transport leaks a goroutine.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	leakOption := goleak.IgnoreCurrent()
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	events := make(chan lease.ClientEvent, 100)
 	durations := lease.DefaultDurations()
-	durations.LeaseDuration = time.Minute // the time that replies may take
+	durations.LeaseDuration = time.Minute // long, so that replies do not time out
 	transport := NewTransport([]string{"127.0.0.1:1", group.Addr().String()}, durations, func(e lease.ClientEvent) { events <- e }, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
@@ -99,7 +99,7 @@
 	return &fixture{transport: transport, group: group, events: events}
 }
 
-// The bytes of a renewal, and the events that the transport delivers for valid, invalid and missing replies.
+// Compares the bytes of a renewal, and the events that the transport delivers for valid, invalid and missing replies.
 func TestTransportRenewalWire(t *testing.T) {
 	f := newFixture(t)
 	renewal := lease.Renewal{Name: "router-a", Incarnation: "i1", Seq: 7, Lineage: "abc", KnownVersion: 3, KnownHash: "h", DurationsKey: "term 2s, drift 0.01", RemainingMillis: 900, LastMessage: "a word"}
@@ -109,7 +109,7 @@
 	want := fmt.Sprintf("POST /v1/term HTTP/1.1\r\nHost: <group>\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	assert.Equal(t, want, renewals.request())
 	reply := `{"seq":7,"granted":true,"lineage":"abc","newest":3,"settled":2,"refused":"","leader":""}`
-	renewals.answer(fmt.Sprintf("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(reply), reply))
+	renewals.respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(reply), reply))
 	assert.Equal(t, lease.ReplyReceived{Reply: lease.Reply{Seq: 7, Granted: true, Lineage: "abc", Newest: 3, Activated: 2}}, <-f.events)
 	for _, invalid := range []string{
 		response("200 OK", `{"seq":6,"granted":true}`), response("503 Service Unavailable", "this process is busy, or ends\n"), response("200 OK", "{"), "no HTTP\r\n\r\n",
@@ -117,21 +117,21 @@
 		f.transport.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 1})
 		renewals = accept(t, f.group)
 		assert.Equal(t, want, renewals.request())
-		renewals.answer(invalid)
+		renewals.respond(invalid)
 		assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-f.events, invalid)
 	}
 	f.transport.Execute(lease.SendRenewal{Renewal: renewal, AddressIndex: 0})
 	assert.Equal(t, lease.RenewalFailed{Seq: 7}, <-f.events, "no listener")
 }
 
-// The bytes that open a stream of versions, and the events that the transport delivers for its content and its end. The transport has
-// an idle connection of a renewal by then, which the stream does not use.
+// Compares the bytes that open a stream of versions, and the events that the transport delivers for its content and its end. An earlier
+// renewal has left an idle connection, which the stream does not use.
 func TestTransportStreamWire(t *testing.T) {
 	f := newFixture(t)
 	f.transport.Execute(lease.SendRenewal{Renewal: lease.Renewal{Seq: 1}, AddressIndex: 1})
 	renewals := accept(t, f.group)
 	renewals.request()
-	renewals.answer(response("200 OK", `{"seq":1}`))
+	renewals.respond(response("200 OK", `{"seq":1}`))
 	assert.Equal(t, lease.ReplyReceived{Reply: lease.Reply{Seq: 1}}, <-f.events)
 
 	f.transport.Execute(lease.ReopenStream{AddressIndex: 3, AfterVersion: 12})
@@ -140,11 +140,11 @@
 	r := &rules.Rules{Routers: 2}
 	require.NoError(t, r.Validate())
 	v := configversion.New(nil, "abc", r, nil, "a note")
-	stream.answer("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\nid: 1\ndata: {\"lineage\":\"abc\",\"settled\":0,\"version\":" + string(v.Encode()) + "}\n\n")
+	stream.respond("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\nid: 1\ndata: {\"lineage\":\"abc\",\"settled\":0,\"version\":" + string(v.Encode()) + "}\n\n")
 	assert.Equal(t, lease.VersionReceived{Version: v}, <-f.events)
-	stream.answer("data: {\"lineage\":\"abc\",\"settled\":1}\n\n")
+	stream.respond("data: {\"lineage\":\"abc\",\"settled\":1}\n\n")
 	assert.Equal(t, lease.VersionActivated{Lineage: "abc", Number: 1}, <-f.events)
-	stream.answer("data: {\"version\":{\"number\":1}}\n\n")
+	stream.respond("data: {\"version\":{\"number\":1}}\n\n")
 	invalid, ok := (<-f.events).(lease.InvalidVersionReceived)
 	require.True(t, ok)
 	assert.EqualError(t, invalid.Err, "version: lineage: missing")
@@ -152,11 +152,11 @@
 	f.transport.Execute(lease.ReopenStream{AddressIndex: 1})
 	stream = accept(t, f.group)
 	assert.Contains(t, stream.request(), "Last-Event-ID: 0\r\n")
-	stream.answer(response("503 Service Unavailable", "too many streams\n"))
+	stream.respond(response("503 Service Unavailable", "too many streams\n"))
 	assert.Equal(t, lease.StreamLost{}, <-f.events)
 }
 
-// The idle connection serves the next renewal.
+// Renewals reuse the idle connection.
 func TestTransportKeepsConnection(t *testing.T) {
 	group, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -178,7 +178,7 @@
 			conn = accept(t, group)
 		}
 		conn.request()
-		conn.answer(response("200 OK", fmt.Sprintf(`{"seq":%d}`, seq)))
+		conn.respond(response("200 OK", fmt.Sprintf(`{"seq":%d}`, seq)))
 		assert.Equal(t, lease.ReplyReceived{Reply: lease.Reply{Seq: seq}}, <-events)
 	}
 }
--- a/internal/controlclient/version_stream.go
+++ b/internal/controlclient/version_stream.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// streamSilence is how long a stream may deliver no byte until it is treated as broken: the group sends a comment each second.
-	streamSilence = 2500 * time.Millisecond
+	// streamIdleTimeout is how long a stream may deliver no data before it is treated as broken. The group sends a comment each second.
+	streamIdleTimeout = 2500 * time.Millisecond
 
-	// maxEventBytes bounds an event: a version of the maximum size, and the other fields.
+	// maxEventBytes bounds an event, which holds at most a version of the maximum size and the other fields.
 	maxEventBytes = configversion.MaxEncodedBytes + 4<<10
 )
 
-// followStream follows the stream of versions until it ends, and then delivers lease.StreamLost, unless ctx ended it.
+// followStream follows the stream of versions until it ends, and then delivers lease.StreamLost unless ctx has been cancelled.
 func (t *Transport) followStream(ctx context.Context, reopening lease.ReopenStream) {
 	address := t.address(reopening.AddressIndex)
 	err := t.readStream(ctx, address, reopening.AfterVersion)
@@ -38,7 +38,7 @@
 	t.deliver(lease.StreamLost{})
 }
 
-// readStream opens the stream after a version and delivers its events. It never returns nil.
+// readStream opens the stream of the versions after the given one and delivers its events. It never returns nil.
 func (t *Transport) readStream(ctx context.Context, address string, after uint64) error {
 	conn, err := dial(ctx, address)
 	if err != nil {
@@ -47,12 +47,12 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	conn.SetDeadline(time.Now().Add(streamSilence))
-	const form = "GET " + controlapi.VersionStreamPath + " HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\n" + controlapi.LastEventIDHeader + ": %d\r\n\r\n"
-	if _, err := fmt.Fprintf(conn, form, address, after); err != nil {
+	conn.SetDeadline(time.Now().Add(streamIdleTimeout))
+	const format = "GET " + controlapi.VersionStreamPath + " HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\n" + controlapi.LastEventIDHeader + ": %d\r\n\r\n"
+	if _, err := fmt.Fprintf(conn, format, address, after); err != nil {
 		return err
 	}
-	reader := http1.NewReader(silenceLimitedConn{conn})
+	reader := http1.NewReader(idleTimeoutConn{conn})
 	header, err := reader.ReadHeader()
 	if err != nil {
 		return err
@@ -64,8 +64,8 @@
 	return sse.Read(reader.BodyReader(header), maxEventBytes, handler)
 }
 
-// deliverEvent delivers an event of the stream. One that can't be read is delivered as invalid and ends the stream; the next stream
-// delivers it again.
+// deliverEvent delivers an event of the stream. An event that can't be decoded is delivered as lease.InvalidVersionReceived and ends the
+// stream; the group sends it again on the next stream.
 func (t *Transport) deliverEvent(ctx context.Context, event sse.Event) error {
 	clientEvent, err := decodeVersionEvent([]byte(event.Data))
 	if ctx.Err() != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// decodeVersionEvent decodes a controlapi.VersionEvent, whose version is checked as strictly as any.
+// decodeVersionEvent decodes a controlapi.VersionEvent and validates its version.
 func decodeVersionEvent(data []byte) (lease.ClientEvent, error) {
 	var event struct {
 		Lineage   string          `json:"lineage"`
@@ -99,10 +99,10 @@
 	return lease.VersionReceived{Version: version, Activated: event.Activated}, nil
 }
 
-// silenceLimitedConn is a connection whose reads fail when no data is received for streamSilence.
-type silenceLimitedConn struct{ net.Conn }
+// idleTimeoutConn is a connection whose reads fail if no data is received for streamIdleTimeout.
+type idleTimeoutConn struct{ net.Conn }
 
-func (c silenceLimitedConn) Read(p []byte) (int, error) {
-	c.SetReadDeadline(time.Now().Add(streamSilence))
+func (c idleTimeoutConn) Read(p []byte) (int, error) {
+	c.SetReadDeadline(time.Now().Add(streamIdleTimeout))
 	return c.Conn.Read(p)
 }
