--- a/cmd/bankledge-control/group_test.go
+++ b/cmd/bankledge-control/group_test.go
@@ -27,7 +27,7 @@
 	pollInterval  = 20 * time.Millisecond
 )
 
-// testGroup is a control group whose processes run the built program, in a folder of its own.
+// testGroup is a control group whose processes run the built program in a temporary directory.
 type testGroup struct {
 	t         *testing.T
 	dir       string
@@ -36,7 +36,7 @@
 	logs      map[int]*bytes.Buffer // standard error of each process
 }
 
-// newTestGroup returns a group whose processes have addresses and do not run yet.
+// newTestGroup returns a group whose processes have addresses and have not been started.
 func newTestGroup(t *testing.T, members int) *testGroup {
 	t.Helper()
 	g := &testGroup{t: t, dir: t.TempDir(), members: map[string]controlserver.Member{}, processes: map[int]*exec.Cmd{}, logs: map[int]*bytes.Buffer{}}
@@ -66,14 +66,14 @@
 }
 
 // writeSettings writes the settings of a process, with a short lease duration and frequent snapshots, and returns the path.
-func (g *testGroup) writeSettings(id int, joins bool) string {
+func (g *testGroup) writeSettings(id int, joining bool) string {
 	g.t.Helper()
 	own := g.members[fmt.Sprint(id)]
 	settings := controlserver.Settings{
 		ID:                    uint64(id),
 		DataDir:               fmt.Sprint("d", id),
 		Members:               g.members,
-		Joining:               joins,
+		Joining:               joining,
 		LeaseMillis:           400,
 		RenewIntervalMillis:   60,
 		ReplyTimeoutMillis:    60,
@@ -84,7 +84,7 @@
 		MaxRemovedShare:       0.5,
 		CompactionInterval:    20,
 	}
-	if joins {
+	if joining {
 		settings.Members = maps.Clone(g.members)
 		delete(settings.Members, fmt.Sprint(id))
 		settings.PeerAddress = own.Peer
@@ -102,7 +102,7 @@
 	return path
 }
 
-// writeRules writes a file of rules with three active engines and further fields, and returns the path.
+// writeRules writes a file of rules with three active engines and the given additional fields, and returns the path.
 func (g *testGroup) writeRules(name, more string) string {
 	g.t.Helper()
 	const base = `{routers: 2, cold_multiple: 2, engines: {a: {phase: 'active', address: 'h:1'}, b: {phase: 'active', address: 'h:2'}, c: {phase: 'active', address: 'h:3'}}}`
@@ -121,15 +121,15 @@
 	g.run(id, exec.Command(program, "serve", g.writeSettings(id, true)))
 }
 
-// startWithFileLimit starts a process whose files can't grow beyond a limit in blocks of 512 bytes.
+// startWithFileLimit starts a process with a limit on the size of its files, in blocks of 512 bytes.
 func (g *testGroup) startWithFileLimit(id, blocks int) {
 	g.t.Helper()
 	script := fmt.Sprintf(`ulimit -f %d; exec "$0" serve "$1"`, blocks)
 	g.run(id, exec.Command("sh", "-c", script, program, g.writeSettings(id, false)))
 }
 
-// startWith starts a process with the given content of its settings file.
-func (g *testGroup) startWith(id int, settings string) {
+// startWithSettings starts a process whose settings file has the given contents.
+func (g *testGroup) startWithSettings(id int, settings string) {
 	g.t.Helper()
 	g.run(id, exec.Command(program, "serve", g.writeFile(fmt.Sprintf("s%d.jsonnet", id), settings)))
 }
@@ -142,7 +142,7 @@
 	g.processes[id] = process
 }
 
-// stop sends a process a signal, and returns how it ended.
+// stop sends a signal to a process and returns the error of waiting for its exit.
 func (g *testGroup) stop(id int, signal syscall.Signal) error {
 	g.t.Helper()
 	process := g.processes[id]
@@ -151,7 +151,7 @@
 	return process.Wait()
 }
 
-// awaitExit waits until a process has ended by itself, and returns its exit code.
+// awaitExit waits until a process exits by itself and returns its exit code. It kills the process after exitTimeout.
 func (g *testGroup) awaitExit(id int) int {
 	process := g.processes[id]
 	timer := time.AfterFunc(exitTimeout, func() { process.Process.Kill() })
@@ -171,7 +171,7 @@
 	return g.commandAt(exitCode, addresses, args...)
 }
 
-// commandAt runs a command against some addresses and returns its output.
+// commandAt runs a command against the given addresses and returns its output.
 func (g *testGroup) commandAt(exitCode int, addresses []string, args ...string) string {
 	g.t.Helper()
 	command := exec.Command(program, args...)
--- a/cmd/bankledge-control/main.go
+++ b/cmd/bankledge-control/main.go
@@ -1,5 +1,6 @@
-// Bankledge-control is the control service: a group of one, three or five processes that replicates numbered versions of the rules and
-// engine lists, so that no two routers act on contradicting ones for longer than a stated time. The other commands are for operators.
+// Bankledge-control is the control service. Its serve command runs one process of a group of one, three or five, which replicates numbered
+// versions of the rules and engine lists and bounds the time for which two routers can act on contradicting versions. The other commands
+// are for operators.
 package main
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commands is the command line: kong takes the names of commands, arguments and flags from the fields.
+// commands defines the command line. Kong derives the names of commands, arguments and flags from the field names.
 type commands struct {
 	Serve    serveCommand        `cmd:"" help:"Serve as one process of the group, until SIGTERM."`
 	Check    checkCommand        `cmd:"" help:"Check settings, and print T: how long two routers can act on contradicting rules."`
@@ -26,7 +27,7 @@
 func main() {
 	parsed := kong.Parse(&commands{},
 		kong.Name("bankledge-control"),
-		kong.Description("Rules and lists on which routers agree within a stated time."),
+		kong.Description("Control service: versions of the rules and engine lists that routers apply."),
 		kong.BindTo(context.Background(), (*context.Context)(nil)))
 	if err := parsed.Run(); err != nil {
 		printError(err)
--- a/cmd/bankledge-control/main_test.go
+++ b/cmd/bankledge-control/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// program is the built program, for all tests.
+// program is the path of the built program, which all tests run.
 var program string
 
 func TestMain(m *testing.M) {
--- a/cmd/bankledge-control/members.go
+++ b/cmd/bankledge-control/members.go
@@ -19,7 +19,7 @@
 	JSON bool `help:"Write them as JSON."`
 }
 
-// Run lists the processes.
+// Run lists the processes of the group.
 func (c *listMembersCommand) Run(ctx context.Context) error {
 	status, err := c.client().Status(ctx)
 	if err != nil {
@@ -40,7 +40,7 @@
 	Client string `arg:"" help:"Its address for routers and operators."`
 }
 
-// Run adds a process.
+// Run adds a process to the group.
 func (c *addMemberCommand) Run(ctx context.Context) error {
 	member := controlapi.Member{Peer: c.Peer, Client: c.Client}
 	return c.client().ChangeMembership(ctx, controlapi.MembershipChange{MemberID: c.ID, Member: member})
@@ -51,7 +51,7 @@
 	ID uint64 `arg:"" help:"Its id."`
 }
 
-// Run removes a process.
+// Run removes a process from the group.
 func (c *removeMemberCommand) Run(ctx context.Context) error {
 	return c.client().ChangeMembership(ctx, controlapi.MembershipChange{MemberID: c.ID, Remove: true})
 }
--- a/cmd/bankledge-control/operations_test.go
+++ b/cmd/bankledge-control/operations_test.go
@@ -14,8 +14,8 @@
 	"bankledge/internal/controlapi"
 )
 
-// The operators' commands: one process with versions, guards and a rollback; then three, one of which is killed, loses its disk and is
-// replaced.
+// Runs the operators' commands against a group of three: proposals, guards and a rollback, and then the replacement of a process that was
+// killed and has lost its data. The group must keep its versions and its quorum.
 func TestOperators(t *testing.T) {
 	g := newTestGroup(t, 3)
 	for id := 1; id <= 3; id++ {
@@ -43,10 +43,10 @@
 	g.command(0, "members", "add", "4", g.members["4"].Peer, g.members["4"].Client)
 	g.startJoining(4)
 	g.awaitStatus(func(s controlapi.Status) bool { return s.Members[4].Voter })
-	for i := range 30 { // past a snapshot
+	for i := range 30 { // enough to make the log be replaced by a snapshot
 		g.command(0, "propose", g.writeRules("more", fmt.Sprintf("cold_multiple: 3, further_free: %d", i+1)), "--wait")
 	}
-	assert.Error(t, g.stop(1, syscall.SIGKILL)) // the group keeps its quorum by the new member
+	assert.Error(t, g.stop(1, syscall.SIGKILL)) // with the new member, the group keeps its quorum
 	g.awaitLeader()
 	assert.Contains(t, g.command(0, "propose", g.writeRules("last", "cold_multiple: 9"), "--wait"), "version 35")
 	g.start(1)
@@ -57,7 +57,7 @@
 	g.awaitStatus(func(s controlapi.Status) bool { return s.IsLeader && s.NewestVersion == 35 && s.Activated == 35 })
 }
 
-// A process whose disk is full, or whose files were changed, stops serving and logs the reason; the others continue.
+// A process whose disk is full, or whose stored data is corrupt, exits and logs the reason; the other processes continue.
 func TestStorageFaults(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.start(1)
@@ -67,7 +67,7 @@
 	for i := range 40 {
 		g.command(0, "propose", g.writeRules("more", fmt.Sprintf("further_free: %d", i+1)), "--wait")
 	}
-	assert.Positive(t, g.awaitExit(3), "it ends, and not as if nothing were")
+	assert.Positive(t, g.awaitExit(3), "the process exits with an error")
 	assert.Contains(t, g.logs[3].String(), "log")
 	g.command(0, "propose", g.writeRules("more", "further_free: 99"), "--wait")
 	assert.Error(t, g.stop(2, syscall.SIGKILL))
@@ -78,7 +78,7 @@
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		require.NoError(t, err)
-		if data := len(bytes.TrimRight(raw, "\x00")); data > 100 { // the rest was set aside
+		if data := len(bytes.TrimRight(raw, "\x00")); data > 100 { // the trailing zeros are preallocated space
 			raw[data/3] ^= 0xff
 			require.NoError(t, os.WriteFile(file, raw, 0o600))
 			changed = true
--- a/cmd/bankledge-control/propose.go
+++ b/cmd/bankledge-control/propose.go
@@ -15,7 +15,7 @@
 	"bankledge/internal/rules"
 )
 
-// groupFlags say where the control group is.
+// groupFlags are the flags of the commands that send requests to the control group.
 type groupFlags struct {
 	At     []string      `env:"BANKLEDGE_CONTROL" default:"127.0.0.1:7200" help:"Addresses of the group's processes for routers and operators."`
 	Within time.Duration `default:"20s" help:"How long to try."`
@@ -32,7 +32,7 @@
 	JSON  bool     `help:"Write the outcome as JSON."`
 }
 
-// Run proposes a version.
+// Run proposes the rules of a file as a new version.
 func (c *proposeCommand) Run(ctx context.Context) error {
 	proposed, err := readRules(c.File)
 	if err != nil {
@@ -50,15 +50,14 @@
 	JSON   bool     `help:"Write the outcome as JSON."`
 }
 
-// Run proposes an earlier version's rules.
+// Run proposes the rules of an earlier version as a new version.
 func (c *rollbackCommand) Run(ctx context.Context) error {
 	note := fmt.Sprintf("rollback to %d", c.Number)
 	entry := configregister.Entry{Kind: configregister.EntryRollback, Number: c.Number, ForcedGuards: c.Force, Note: note}
 	return propose(ctx, c.client(), entry, c.Wait, c.JSON)
 }
 
-// propose sends a proposal with a new id, which makes its retries idempotent, and prints its
-// outcome.
+// propose sends a proposal with a new id, which makes its retries idempotent, and prints the outcome.
 func propose(ctx context.Context, client *adminclient.Client, entry configregister.Entry, wait, asJSON bool) error {
 	entry.ID = newProposalID()
 	outcome, err := client.Propose(ctx, entry)
@@ -88,7 +87,7 @@
 	return hex.EncodeToString(id[:])
 }
 
-// readRules reads a file of rules, Jsonnet or JSON, and checks them.
+// readRules reads and validates a file of rules in Jsonnet or JSON.
 func readRules(path string) (*rules.Rules, error) {
 	var raw json.RawMessage
 	if err := controlserver.EvaluateJsonnet(path, &raw); err != nil {
--- a/cmd/bankledge-control/recordings_test.go
+++ b/cmd/bankledge-control/recordings_test.go
@@ -19,13 +19,13 @@
 	"bankledge/internal/controlapi"
 )
 
-// startSingle starts one process alone with a lease duration of two seconds, enough for all exchanges that need a valid lease.
+// startSingle starts a group of one process. Its lease duration of two seconds is long enough for all exchanges that need a valid lease.
 func startSingle(t *testing.T, g *testGroup, recording *transcript) (client, peer string) {
 	client = g.members["1"].Client
 	peer = g.members["1"].Peer
 	recording.addresses[client] = "<client>"
 	recording.addresses[peer] = "<peer>"
-	g.startWith(1, fmt.Sprintf(`{id: 1, dir: 'd1', peer: %q, client: %q, most_gone: 0.5, term_ms: 2000, heartbeat_ms: 20, election_ms: 100}`, peer, client))
+	g.startWithSettings(1, fmt.Sprintf(`{id: 1, dir: 'd1', peer: %q, client: %q, most_gone: 0.5, term_ms: 2000, heartbeat_ms: 20, election_ms: 100}`, peer, client))
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", client)
 		if err != nil {
@@ -44,8 +44,8 @@
 	return fmt.Sprintf(`{"kind":"propose","id":%q,"rules":{"routers":2,"cold_multiple":2%s}}`, id, more)
 }
 
-// The exchanges of a router and an operator with one process: paths, statuses, headers, fields and the texts of errors. Each part depends
-// on the ones before it.
+// Compares the exchanges of a router and an operator with a process, including paths, statuses, headers, fields and error texts, with the
+// recording. Each part depends on the parts before it.
 func TestClientTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	client, _ := startSingle(t, g, recording)
@@ -64,13 +64,12 @@
 	recording.compare("client.txt")
 }
 
-// renewal returns a renewal of router-a with further fields.
+// renewal returns a renewal of router-a with additional fields.
 func renewal(known, hash, more string) string {
 	return fmt.Sprintf(`{"name":"router-a","incarnation":"i1","seq":7,"known":%s,"hash":%q,"spans":"term 2s, drift 0.01"%s}`, known, hash, more)
 }
 
-// recordRollout records two versions from the proposal to the activation, with a router that holds a lease, and returns the hash of the
-// second one.
+// recordRollout records two versions from proposal to activation while a router holds a lease, and returns the hash of the second version.
 func recordRollout(t *testing.T, recording *transcript, client string) string {
 	t.Helper()
 	recording.recordExchange(client, "GET /v1/status", "")
@@ -105,7 +104,7 @@
 	recording.recordExchangeWithHeaders(client, "GET /v1/versions/events", "Last-Event-ID: x\r\n", "")
 }
 
-// recordRejectedRenewals records the replies to renewals that are invalid, or that this group can't grant; hash is that of version 2.
+// recordRejectedRenewals records the replies to renewals that are invalid or that this group can't grant. hash is the hash of version 2.
 func recordRejectedRenewals(recording *transcript, client, hash string) {
 	long := strings.Repeat("x", 201)
 	for _, body := range []string{
@@ -117,7 +116,7 @@
 	}
 }
 
-// recordRejectedProposals records proposals that can't be read, that a guard rejects, and duplicate ids.
+// recordRejectedProposals records proposals that can't be decoded, that are invalid, that a guard rejects, or whose id is a duplicate.
 func recordRejectedProposals(recording *transcript, client string) {
 	long := strings.Repeat("x", 201)
 	for _, body := range []string{
@@ -150,7 +149,7 @@
 	}
 }
 
-// recordMembershipChanges records rejected changes, and a process that is added and removed again.
+// recordMembershipChanges records rejected changes, and the addition and removal of a process.
 func recordMembershipChanges(t *testing.T, recording *transcript, client string) {
 	t.Helper()
 	for _, body := range []string{
@@ -159,12 +158,12 @@
 	} {
 		recording.recordExchange(client, "POST /v1/members", body)
 	}
-	awaitBody(t, recording, client, "GET /v1/status", `"settled":3`) // when the router's lease ends, which it has not renewed
+	awaitBody(t, recording, client, "GET /v1/status", `"settled":3`) // after the router's lease, which is no longer renewed, has expired
 	recording.recordExchange(client, "GET /v1/status", "")
 	recording.recordExchange(client, "POST /v1/members", `{"id":2,"remove":true}`)
 }
 
-// The exchanges between two processes of a group, in both directions.
+// Compares the exchanges between two processes of a group, in both directions, with the recording.
 func TestPeerTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	_, peer := startSingle(t, g, recording)
@@ -181,7 +180,7 @@
 	defer other.Close()
 	recording.addresses[other.Addr().String()] = "<other>"
 	own, client := freeAddress(t), freeAddress(t)
-	g.startWith(2, fmt.Sprintf(`{id: 1, dir: 'd2', members: {'1': {peer: %q, client: %q}, '2': {peer: %q, client: '127.0.0.1:1'}}, heartbeat_ms: 20, election_ms: 100}`,
+	g.startWithSettings(2, fmt.Sprintf(`{id: 1, dir: 'd2', members: {'1': {peer: %q, client: %q}, '2': {peer: %q, client: '127.0.0.1:1'}}, heartbeat_ms: 20, election_ms: 100}`,
 		own, client, other.Addr()))
 	conn, err := other.Accept()
 	require.NoError(t, err)
@@ -198,7 +197,7 @@
 	recording.compare("peer.txt")
 }
 
-// startThree starts a group of three, and returns the ids of its leader and of the two followers. Election timeouts are long, so that the
+// startThree starts a group of three and returns the ids of its leader and of the two followers. The election timeout is long, so that the
 // leader does not change on a busy machine.
 func startThree(t *testing.T, g *testGroup, recording *transcript) (leader, follower, third int) {
 	t.Helper()
@@ -209,7 +208,7 @@
 	}
 	for id := 1; id <= 3; id++ {
 		const form = `{id: %d, dir: 'd%d', members: {%s}, term_ms: 400, renew_ms: 60, answer_ms: 60, heartbeat_ms: 50, election_ms: 2000}`
-		g.startWith(id, fmt.Sprintf(form, id, id, members))
+		g.startWithSettings(id, fmt.Sprintf(form, id, id, members))
 	}
 	g.awaitStatus(func(status controlapi.Status) bool { return status.IsLeader && status.Lineage != "" })
 	leader = int(g.status().Leader)
@@ -223,7 +222,8 @@
 	return leader, follower, third
 }
 
-// The answers of a follower in a group of three, and of the same process after the other two were killed.
+// Compares the responses of a follower in a group of three, and of the same process after the other two have been killed, with the
+// recording.
 func TestFollowerTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 3), newTranscript(t)
 	leader, follower, third := startThree(t, g, recording)
@@ -237,7 +237,7 @@
 	_, status := recording.exchange(address, "GET /v1/status", "", "")
 	status = strings.Replace(status, fmt.Sprintf(`"id":%d,`, follower), `"id":<follower>,`, 1)
 	status = strings.Replace(status, fmt.Sprintf(`"leader":%d,`, leader), `"leader":<leader>,`, 1)
-	recording.appendLine("%s", regexp.MustCompile(`"members":\{.*\}\},`).ReplaceAllString(status, "")) // whose order is by id
+	recording.appendLine("%s", regexp.MustCompile(`"members":\{.*\}\},`).ReplaceAllString(status, "")) // the members are ordered by id, and the leader's id varies
 	recording.recordExchange(address, "POST /v1/term", `{"incarnation":"i","seq":3,"name":"router-a"}`)
 	recording.recordExchange(address, "POST /v1/proposals", proposal("p2", `,"cold_multiple":7`))
 	recording.recordExchange(address, "POST /v1/members", `{"id":9,"remove":true}`)
@@ -254,7 +254,7 @@
 	recording.compare("follower.txt")
 }
 
-// awaitBody repeats a request until its response holds a text.
+// awaitBody repeats a request until the body of its response contains a text.
 func awaitBody(t *testing.T, recording *transcript, address, request, text string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -263,7 +263,7 @@
 	}, statusTimeout, pollInterval)
 }
 
-// The commands of operators: their output, errors and exit codes.
+// Compares the output, errors and exit codes of the operators' commands with the recording.
 func TestCommandTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	client, _ := startSingle(t, g, recording)
@@ -313,7 +313,7 @@
 	recording.compare("commands.txt")
 }
 
-// The settings of a process and of a router, field by field: accepted values, and the errors of rejected ones.
+// Compares what the check and router commands print for valid and invalid values of each field of the settings files with the recording.
 func TestSettingsTranscript(t *testing.T) {
 	g, recording := newTestGroup(t, 1), newTranscript(t)
 	run := func(command, shown, text string) {
--- a/cmd/bankledge-control/router_config.go
+++ b/cmd/bankledge-control/router_config.go
@@ -12,7 +12,8 @@
 	Template string `arg:"" help:"The operator's file for routers, Jsonnet (deploy/control.jsonnet)."`
 }
 
-// Run writes the file that a router reads, so that a router need not evaluate templates.
+// Run evaluates and validates the template and prints the control file that a router reads. Routers read JSON only, so that they need not
+// evaluate templates.
 func (c *routerConfigCommand) Run() error {
 	var config controlclient.Config
 	if err := controlserver.EvaluateJsonnet(c.Template, &config); err != nil {
--- a/cmd/bankledge-control/serve.go
+++ b/cmd/bankledge-control/serve.go
@@ -19,7 +19,7 @@
 	Level    zapcore.Level `env:"LB_LOG_LEVEL" default:"info" help:"Lowest level of the log lines: debug, info, warn, error."`
 }
 
-// Run serves until SIGTERM or an interrupt. It returns an error when the storage fails.
+// Run serves until the process receives SIGTERM or an interrupt. It returns an error if the storage fails.
 func (c *serveCommand) Run(ctx context.Context) error {
 	settings, err := controlserver.LoadSettings(c.Settings)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return server.Run(ctx)
 }
 
-// newLogger writes JSON lines to standard error.
+// newLogger returns a logger that writes JSON lines to standard error.
 func newLogger(level zapcore.Level) *zap.Logger {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -46,7 +46,7 @@
 	Settings string `arg:"" help:"Settings, Jsonnet or JSON."`
 }
 
-// Run validates the settings and prints the bounds that follow from them.
+// Run validates the settings and prints the bounds that they imply.
 func (c *checkCommand) Run() error {
 	settings, err := controlserver.LoadSettings(c.Settings)
 	if err != nil {
@@ -57,10 +57,10 @@
 	quorum := members/2 + 1
 	fmt.Printf("%s: fit to serve as process %d of %d, for routers on %s\n", c.Settings, settings.ID, members, settings.ClientAddress)
 	fmt.Printf("T = %v: no two routers act on contradicting rules for longer, whatever fails\n", durations.MaxContradiction())
-	fmt.Printf("  term %v + longest batch %v + longest pause that a router cannot see %v\n", durations.LeaseDuration, durations.MaxBatch, durations.MaxPause)
-	fmt.Printf("  clocks may drift by %v: a router holds a term for %v of its clock, the group owes it %v of its own\n",
+	fmt.Printf("  term %v + longest batch %v + longest pause that a router does not detect %v\n", durations.LeaseDuration, durations.MaxBatch, durations.MaxPause)
+	fmt.Printf("  clocks may drift by %v: a term lasts %v on the router's clock and %v on the group's clock\n",
 		durations.MaxClockDrift, durations.ClientLease(), durations.CoordinatorLease())
 	fmt.Printf("a version is in force everywhere within %v of its commit, if no leader changes meanwhile\n", durations.MaxActivation().Round(time.Millisecond))
-	fmt.Printf("the group goes on while %d of %d processes live\n", quorum, members)
+	fmt.Printf("the group stays available while %d of %d processes run\n", quorum, members)
 	return nil
 }
--- a/cmd/bankledge-control/status.go
+++ b/cmd/bankledge-control/status.go
@@ -25,7 +25,7 @@
 	JSON  bool `help:"Write it as JSON, a line each time."`
 }
 
-// Run prints the status of the group, once or until it is stopped. With --watch it continues when the group does not answer.
+// Run prints the status of the group, with --watch each second until the command is stopped. With --watch it prints errors and continues.
 func (c *statusCommand) Run(ctx context.Context) error {
 	if !c.Watch {
 		return c.print(ctx)
@@ -59,19 +59,19 @@
 
 func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0) }
 
-// writeStatus prints a status as tables of the processes and of the routers.
+// writeStatus prints a status: a table of the group's processes and, on the leader, a table of the routers.
 func writeStatus(status *controlapi.Status) {
 	table := newTable()
 	defer table.Flush()
 	if !status.IsLeader {
-		fmt.Fprintf(table, "NO LEADER: %s. Versions can't change; routers without a term go on, on the cautious side.\n", status.Error)
+		fmt.Fprintf(table, "NO LEADER: %s. Versions can't change; routers without a term apply the stricter of the versions they know.\n", status.Error)
 	}
 	fmt.Fprintf(table, "lineage %s\tnewest version %d\tin force %d\tT %v\n", status.Lineage, status.NewestVersion, status.Activated, milliseconds(status.MaxContradictionMillis))
 	writeMembers(table, status)
 	if !status.IsLeader {
 		return
 	}
-	fmt.Fprintln(table, "router\tversion\tterm\theard ago\tlast word")
+	fmt.Fprintln(table, "router\tversion\tterm\tsince renewal\tlast message")
 	for _, session := range status.Sessions {
 		writeSession(table, session)
 	}
@@ -87,7 +87,7 @@
 }
 
 func writeSession(table io.Writer, session lease.Session) {
-	term := "none: it acts on the cautious side"
+	term := "none: applies the stricter rules"
 	if session.RemainingMillis > 0 {
 		term = milliseconds(session.RemainingMillis).String()
 	}
--- a/cmd/bankledge-control/transcript_test.go
+++ b/cmd/bankledge-control/transcript_test.go
@@ -18,15 +18,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the recordings under testdata anew instead of comparing with them")
+var update = flag.Bool("update", false, "overwrite the recordings under testdata instead of comparing with them")
 
-// transcript records exchanges with a control group and compares them, byte for byte except for what differs from run to run, with a file
-// under testdata.
+// transcript records exchanges with a control group and compares them with a file under testdata. Values that differ from run to run are
+// replaced by placeholders; everything else is compared byte for byte.
 type transcript struct {
 	t         *testing.T
 	text      strings.Builder
-	addresses map[string]string // address -> its name in the recording
-	tokens    map[string]string // hash, lineage or id -> its name in the recording
+	addresses map[string]string // address -> its placeholder in the recording
+	tokens    map[string]string // hash, lineage or id -> its placeholder in the recording
 }
 
 func newTranscript(t *testing.T) *transcript {
@@ -35,7 +35,7 @@
 
 var (
 	hexToken = regexp.MustCompile(`\b([0-9a-f]{64}|[0-9a-f]{32}|[0-9a-f]{16}|[0-9a-f]{12})\b`)
-	// encoding/json's errors about a value of the wrong type contain Go type names, which are not part of the wire format.
+	// encoding/json's errors about a value of the wrong type contain names of Go types, which the recordings do not compare.
 	goType   = regexp.MustCompile(`(Go value of type |of type |Go struct field )[\w.\[\]*]*?\b[A-Z]\w*`)
 	variable = regexp.MustCompile(`"(disk_bytes|left|ago|term)":\d+`)
 	date     = regexp.MustCompile(`(?m)^Date: .*$`)
@@ -45,7 +45,7 @@
 	protobuf = regexp.MustCompile("proto:[ \u00a0]")
 )
 
-// normalize replaces what differs from run to run by names that stay the same within the recording.
+// normalize replaces values that differ from run to run by placeholders; equal values have the same placeholder throughout the recording.
 func (r *transcript) normalize(text string) string {
 	for address, name := range r.addresses {
 		text = strings.ReplaceAll(text, address, name)
@@ -56,7 +56,7 @@
 		}
 		return r.tokens[token]
 	})
-	if variable.MatchString(text) || protobuf.MatchString(text) { // protobuf has one of two kinds of space, by the build
+	if variable.MatchString(text) || protobuf.MatchString(text) { // protobuf's error texts contain one of two kinds of space, depending on the build
 		text = length.ReplaceAllString(text, "Content-Length: <length>")
 	}
 	text = variable.ReplaceAllString(text, `"$1":<number>`)
@@ -70,7 +70,7 @@
 	r.text.WriteString(r.normalize(fmt.Sprintf(format, args...)) + "\n")
 }
 
-// compare ends the recording and compares it with the file.
+// compare compares the recording with the file, or overwrites the file if -update is set.
 func (r *transcript) compare(name string) {
 	r.t.Helper()
 	path := filepath.Join("testdata", name)
@@ -88,7 +88,7 @@
 	}
 }
 
-// connection is one HTTP connection whose responses are read as raw bytes.
+// connection is an HTTP connection whose responses are read as raw bytes.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
@@ -113,7 +113,7 @@
 	return c, strings.ReplaceAll(head.String(), "\r\n", "\n")
 }
 
-// exchange sends a request and returns the response, with its head unchanged.
+// exchange sends a request and returns the head and the body of the response, without replacing any values.
 func (r *transcript) exchange(address, request, headers, body string) (head, response string) {
 	r.t.Helper()
 	conn, head := r.send(address, request, headers, body)
@@ -145,7 +145,7 @@
 	return response
 }
 
-// stream records the head of a stream of versions and its first bytes; next records its next event.
+// stream records the head and the first line of a stream of versions. The returned function records its next event.
 func (r *transcript) stream(address, after string) (next func()) {
 	r.t.Helper()
 	headers := ""
@@ -173,7 +173,7 @@
 	}
 }
 
-// command records the output of a command, its standard error last, and its exit code.
+// command records the combined output of a command and its exit code.
 func (r *transcript) command(g *testGroup, code int, at []string, args ...string) {
 	r.t.Helper()
 	g.t.Setenv("COLUMNS", "80")
--- a/cmd/bankledge-control/versions.go
+++ b/cmd/bankledge-control/versions.go
@@ -12,7 +12,7 @@
 	"bankledge/internal/rules"
 )
 
-// shownHashLength is how many digits of a version's hash the list shows.
+// shownHashLength is the number of leading digits of a version's hash that the list shows.
 const shownHashLength = 12
 
 type diffCommand struct {
@@ -21,7 +21,7 @@
 	To   string `arg:"" name:"b" help:"The same."`
 }
 
-// Run prints the fields that differ, and whether each becomes looser or tighter.
+// Run prints the fields that differ, and whether each one becomes looser or tighter.
 func (c *diffCommand) Run(ctx context.Context) error {
 	from, err := c.rules(ctx, c.From)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// rules returns the rules of a version, if the argument is a number, or else of a file.
+// rules returns the rules of a version if the argument is a number, and otherwise those of the file at that path.
 func (c *diffCommand) rules(ctx context.Context, numberOrPath string) (*rules.Rules, error) {
 	number, err := strconv.ParseUint(numberOrPath, 10, 64)
 	if err != nil {
@@ -53,7 +53,7 @@
 	JSON bool `help:"Write the versions as JSON."`
 }
 
-// Run lists the versions that the group still has.
+// Run lists the versions that the group still stores.
 func (c *logCommand) Run(ctx context.Context) error {
 	list, err := c.client().Versions(ctx)
 	if err != nil {
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,5 +1,5 @@
-// Package adminclient is the operators' HTTP client of a control group: it finds the leader among the group's processes and retries
-// unanswered requests until a timeout.
+// Package adminclient is the operators' HTTP client of a control group. It finds the leader among the group's processes and retries failed
+// requests until a timeout.
 package adminclient
 
 import (
@@ -21,7 +21,7 @@
 	requestTimeout   = 10 * time.Second       // of one attempt at one address
 	retryInterval    = 100 * time.Millisecond // between two rounds over all addresses
 	activationPoll   = 20 * time.Millisecond  // between two polls of the status in AwaitActivated
-	maxStatusTimeout = 3 * time.Second        // so that Status returns soon, also without a leader
+	maxStatusTimeout = 3 * time.Second        // limits the wait of Status for a leader
 	maxResponseBytes = 64 << 20
 )
 
@@ -30,10 +30,10 @@
 	addresses []string
 	timeout   time.Duration
 	http      *http.Client
-	next      int // index of the address to try first: the one that answered last
+	next      int // index, modulo the number of addresses, of the address to try first: the one that served the last call
 }
 
-// New returns a client of the group at these addresses; each of its calls retries for as long as timeout.
+// New returns a client of the group at these addresses. Each call retries until timeout has elapsed.
 func New(addresses []string, timeout time.Duration) *Client {
 	return &Client{
 		addresses: addresses,
@@ -42,9 +42,9 @@
 	}
 }
 
-// Propose proposes a configuration version and returns its outcome, which holds its number. The entry's id makes it idempotent: however
-// often it is sent, it counts once. While an earlier version is being rolled out the proposal is retried. The error is a *RejectedError
-// or an *UnavailableError.
+// Propose proposes a configuration version and returns the outcome, which holds the version's number. The entry's id makes the proposal
+// idempotent: the group applies it once, however often it is sent. The proposal is retried while an earlier version is being rolled out.
+// The error is a *RejectedError or an *UnavailableError.
 func (c *Client) Propose(ctx context.Context, entry configregister.Entry) (configregister.Outcome, error) {
 	return call(ctx, c, http.MethodPost, controlapi.ProposalsPath, entry, outcomeError)
 }
@@ -55,12 +55,13 @@
 	return err
 }
 
-// Status returns the leader's status, or, without a leader in time, that of a process that can't prove that it is the leader.
+// Status returns the leader's status. If no process proves to be the leader within the timeout, or within maxStatusTimeout if that is
+// shorter, it returns the status of one that answered.
 func (c *Client) Status(ctx context.Context) (*controlapi.Status, error) {
-	impatient := *c
-	impatient.timeout = min(c.timeout, maxStatusTimeout)
+	statusClient := *c
+	statusClient.timeout = min(c.timeout, maxStatusTimeout)
 	var follower *controlapi.Status
-	status, err := call(ctx, &impatient, http.MethodGet, controlapi.StatusPath, nil, func(status controlapi.Status) error {
+	status, err := call(ctx, &statusClient, http.MethodGet, controlapi.StatusPath, nil, func(status controlapi.Status) error {
 		if status.IsLeader {
 			return nil
 		}
@@ -73,13 +74,13 @@
 	return &status, err
 }
 
-// Versions lists the versions that the group has.
+// Versions returns the versions that the group still stores.
 func (c *Client) Versions(ctx context.Context) (*controlapi.VersionList, error) {
 	list, err := call(ctx, c, http.MethodGet, controlapi.VersionsPath, nil, func(controlapi.VersionList) error { return nil })
 	return &list, err
 }
 
-// VersionRules returns the rules of one version. The error wraps ErrVersionNotKept if the group does not have it.
+// VersionRules returns the rules of one version. The error wraps ErrVersionNotFound if the group does not store it.
 func (c *Client) VersionRules(ctx context.Context, number uint64) (*rules.Rules, error) {
 	list, err := c.Versions(ctx)
 	if err != nil {
@@ -90,10 +91,11 @@
 			return version.Rules, nil
 		}
 	}
-	return nil, fmt.Errorf("version %d is %w", number, ErrVersionNotKept)
+	return nil, fmt.Errorf("version %d is %w", number, ErrVersionNotFound)
 }
 
-// AwaitActivated waits until a version is in force. The error wraps ErrVersionNotActive if it is not in time.
+// AwaitActivated waits until a version is in force. The error wraps ErrVersionNotActive if that takes longer than the
+// client's timeout.
 func (c *Client) AwaitActivated(ctx context.Context, number uint64) error {
 	deadline := time.Now().Add(c.timeout)
 	for {
@@ -110,7 +112,8 @@
 	}
 }
 
-// call sends a request to one address after the other, until accept returns nil for a response or the error is final.
+// call sends a request to each address in turn until accept returns nil for a response, a retry would return the same error, or the timeout
+// has elapsed. It tries each address at least once.
 func call[T any](ctx context.Context, c *Client, method, path string, request any, accept func(T) error) (response T, err error) {
 	deadline := time.Now().Add(c.timeout)
 	var body []byte
@@ -142,7 +145,8 @@
 	}
 }
 
-// attempt sends a request once. errNotLeader means that another process has to be tried.
+// attempt sends a request once. It returns errNotLeader for any status other than 200, 400 and 409, so that the caller tries another
+// process.
 func attempt[T any](ctx context.Context, c *Client, method, address, path string, body []byte) (response T, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -176,7 +180,7 @@
 	return unavailable
 }
 
-// sleep waits, or returns the error of a context that ends before.
+// sleep waits for d, or returns the context's error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -20,7 +20,7 @@
 
 const testTimeout = 10 * time.Second
 
-// serve answers with the responses in turn, repeating the last one, and counts the requests.
+// serve starts a server that sends the responses in turn, repeats the last one, and counts the requests.
 func serve(t *testing.T, responses ...response) (address string, requests *atomic.Int64) {
 	t.Helper()
 	requests = new(atomic.Int64)
@@ -60,9 +60,9 @@
 		{name: "not the leader yet", responses: []response{{421, `{"id":"a","number":0,"error":"this process does not lead the group"}`}, {200, `{"id":"a","number":7}`}}, number: 7, requests: 2},
 		{name: "busy", responses: []response{{503, "this process is busy, or ends\n"}, {200, `{"id":"a","number":7}`}}, number: 7, requests: 2},
 		{name: "rollout in progress", responses: []response{{409, `{"id":"a","number":0,"error":"version 6 is still spreading"}`}, {200, `{"id":"a","number":7}`}}, number: 7, requests: 2},
-		{name: "half a response", responses: []response{{200, `{"id":`}, {200, `{"id":"a","number":7}`}}, number: 7, requests: 2},
-		{name: "rollout in progress, by its code", responses: []response{{409, `{"id":"a","number":0,"error":"wait","code":"rollout_in_progress"}`}, {200, `{"id":"a","number":7}`}}, number: 7, requests: 2},
-		{name: "a text that holds the words", responses: []response{{409, `{"id":"a","number":0,"error":"rules: json: unknown field \"still spreading\""}`}}, requests: 1, message: `rules: json: unknown field "still spreading"`},
+		{name: "truncated response", responses: []response{{200, `{"id":`}, {200, `{"id":"a","number":7}`}}, number: 7, requests: 2},
+		{name: "rollout in progress, reported by code", responses: []response{{409, `{"id":"a","number":0,"error":"wait","code":"rollout_in_progress"}`}, {200, `{"id":"a","number":7}`}}, number: 7, requests: 2},
+		{name: "rejection whose text contains the words of a rollout in progress", responses: []response{{409, `{"id":"a","number":0,"error":"rules: json: unknown field \"still spreading\""}`}}, requests: 1, message: `rules: json: unknown field "still spreading"`},
 		{name: "guard", responses: []response{{409, `{"id":"a","number":0,"error":"no engine is active"}`}}, requests: 1, message: "no engine is active"},
 		{name: "bad request", responses: []response{{400, "unexpected EOF\n"}}, requests: 1, message: "unexpected EOF"},
 	} {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Each address is tried in turn; the one that answered is tried first the next time.
+// The client tries each address in turn, and starts the next call with the one that succeeded last.
 func TestFindsLeader(t *testing.T) {
 	follower, followerRequests := serve(t, response{421, "{}"})
 	leader, leaderRequests := serve(t, response{200, `{"id":"a","number":7}`})
@@ -95,7 +95,7 @@
 	assert.Equal(t, int64(2), leaderRequests.Load())
 }
 
-// A group that does not answer in time is reported with the last error of each address.
+// If no process serves the request before the timeout, the error holds the last error of each address.
 func TestUnavailable(t *testing.T) {
 	follower, _ := serve(t, response{421, "{}"})
 	rollout, _ := serve(t, response{409, `{"error":"version 6 is still spreading"}`})
@@ -108,7 +108,7 @@
 	assert.ErrorIs(t, err, errNotLeader)
 	assert.ErrorIs(t, err, configregister.ErrRolloutInProgress)
 	assert.True(t, strings.HasPrefix(err.Error(), "the group does not answer: "+closed+": "), err.Error())
-	assert.True(t, strings.HasSuffix(err.Error(), follower+": this process does not lead; "+rollout+": version 6 is still spreading"), err.Error())
+	assert.True(t, strings.HasSuffix(err.Error(), follower+": not the leader, or not available; "+rollout+": version 6 is still spreading"), err.Error())
 }
 
 func TestCancelled(t *testing.T) {
@@ -126,7 +126,7 @@
 	return string(raw)
 }
 
-// The leader's status is preferred; without a leader a follower's is returned.
+// Status returns the leader's status, or a follower's if there is no leader.
 func TestStatus(t *testing.T) {
 	follower, _ := serve(t, response{200, encode(t, controlapi.Status{ID: 1, Error: "this process does not lead the group"})})
 	leader, _ := serve(t, response{200, encode(t, controlapi.Status{ID: 2, IsLeader: true})})
@@ -149,8 +149,8 @@
 	require.NoError(t, err)
 	assert.Equal(t, 3, rules.Routers)
 	_, err = client.VersionRules(t.Context(), 2)
-	assert.ErrorIs(t, err, ErrVersionNotKept)
-	assert.EqualError(t, err, "version 2 is not kept")
+	assert.ErrorIs(t, err, ErrVersionNotFound)
+	assert.EqualError(t, err, "version 2 is unknown or no longer stored")
 }
 
 func TestAwaitActivated(t *testing.T) {
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -10,19 +10,20 @@
 )
 
 var (
-	// ErrVersionNotKept is returned for a version that the group does not have or has dropped.
-	ErrVersionNotKept = errors.New("not kept")
-	// ErrVersionNotActive is returned when a version does not come into force in time.
+	// ErrVersionNotFound is returned for a version that the group has never had or no longer stores.
+	ErrVersionNotFound = errors.New("unknown or no longer stored")
+	// ErrVersionNotActive is returned when a version does not come into force before the timeout.
 	ErrVersionNotActive = errors.New("not in force yet: see status")
 )
 
-// errNotLeader means that another process has to be tried.
-var errNotLeader = errors.New("this process does not lead")
+// errNotLeader is the error of an attempt at a process that is not the leader or can't serve the request at the moment. The client then
+// tries another process.
+var errNotLeader = errors.New("not the leader, or not available")
 
-// RejectedError is returned for a request that the group rejected, with the group's reason as its text.
+// RejectedError is returned for a request that the group rejected. Its text is the group's reason.
 type RejectedError struct {
 	Message string
-	Cause   error // configregister.ErrRolloutInProgress: a retry may succeed; nil: it would be rejected again
+	Cause   error // configregister.ErrRolloutInProgress: a retry may succeed; nil: a retry would be rejected again
 }
 
 func (e *RejectedError) Error() string { return e.Message }
@@ -30,10 +31,11 @@
 // Unwrap returns the cause, if it is known.
 func (e *RejectedError) Unwrap() error { return e.Cause }
 
-// rolloutText is the error of a proposal that has to wait, as a group sends it that knows no codes yet.
+// rolloutText matches the error of a proposal that has to wait for the rollout of an earlier version, as sent by a group of an older release
+// that does not set Outcome.Code.
 var rolloutText = regexp.MustCompile(`^version [0-9]+ is still spreading$`)
 
-// outcomeError returns the error of an outcome; nil on success.
+// outcomeError returns the error of an outcome, or nil if the outcome is a success.
 func outcomeError(outcome configregister.Outcome) error {
 	switch {
 	case outcome.Error == "":
@@ -51,7 +53,7 @@
 	return errors.As(err, &rejected) && !errors.Is(err, configregister.ErrRolloutInProgress)
 }
 
-// AddressError is the error of the last attempt at one address.
+// AddressError is the error of the last attempt at an address.
 type AddressError struct {
 	Address string
 	Err     error
@@ -62,9 +64,9 @@
 // Unwrap returns the error without the address.
 func (e AddressError) Unwrap() error { return e.Err }
 
-// UnavailableError is returned when no process answered for the group in time.
+// UnavailableError is returned when no process of the group served the request before the timeout.
 type UnavailableError struct {
-	Addresses []AddressError // in the order in which the client was given them
+	Addresses []AddressError // in the order of the client's addresses
 }
 
 func (e *UnavailableError) Error() string {
