--- a/cmd/bankledge-control/group_test.go
+++ b/cmd/bankledge-control/group_test.go
@@ -68,7 +68,7 @@
 // writeSettings writes the settings of a process, with a short lease duration and frequent snapshots, and returns the path.
 func (g *testGroup) writeSettings(id int, joining bool) string {
 	g.t.Helper()
-	own := g.members[fmt.Sprint(id)]
+	ownMember := g.members[fmt.Sprint(id)]
 	settings := controlserver.Settings{
 		ID:                    uint64(id),
 		DataDir:               fmt.Sprint("d", id),
@@ -87,8 +87,8 @@
 	if joining {
 		settings.Members = maps.Clone(g.members)
 		delete(settings.Members, fmt.Sprint(id))
-		settings.PeerAddress = own.Peer
-		settings.ClientAddress = own.Client
+		settings.PeerAddress = ownMember.Peer
+		settings.ClientAddress = ownMember.Client
 	}
 	raw, err := json.Marshal(settings)
 	require.NoError(g.t, err)
--- a/internal/controlapi/api.go
+++ b/internal/controlapi/api.go
@@ -10,12 +10,12 @@
 
 // Paths for routers and operators, served on a process's client address.
 const (
-	RenewalPath       = "/v1/term"            // POST lease.Renewal, answered with lease.Reply
-	VersionStreamPath = "/v1/versions/events" // GET, a stream of VersionEvent as server-sent events
-	VersionsPath      = "/v1/versions"        // GET VersionList
-	ProposalsPath     = "/v1/proposals"       // POST configregister.Entry, answered with configregister.Outcome
-	MembersPath       = "/v1/members"         // POST MembershipChange, answered with configregister.Outcome
-	StatusPath        = "/v1/status"          // GET Status
+	RenewalPath       = "/v1/term"            // POST lease.Renewal; response: lease.Reply
+	VersionStreamPath = "/v1/versions/events" // GET; response: a stream of VersionEvent as server-sent events
+	VersionsPath      = "/v1/versions"        // GET; response: VersionList
+	ProposalsPath     = "/v1/proposals"       // POST configregister.Entry; response: configregister.Outcome
+	MembersPath       = "/v1/members"         // POST MembershipChange; response: configregister.Outcome
+	StatusPath        = "/v1/status"          // GET; response: Status
 )
 
 // PeerMessagesPath is the path on a process's peer address to which other processes POST messages of the replicated log. The body is a
--- a/internal/controlserver/operator_api.go
+++ b/internal/controlserver/operator_api.go
@@ -46,8 +46,8 @@
 func (s *Server) respondWithOutcome(w http.ResponseWriter, r *http.Request, newEvent func(callID uint64) replica.Event) {
 	ctx, cancel := context.WithTimeout(r.Context(), outcomeTimeout)
 	defer cancel()
-	answer, err := s.mailbox.call(ctx, newEvent)
-	result, ok := answer.(lease.SendOutcome)
+	action, err := s.mailbox.call(ctx, newEvent)
+	result, ok := action.(lease.SendOutcome)
 	if err != nil || !ok {
 		http.Error(w, errBusy.Error(), http.StatusServiceUnavailable)
 		return
@@ -78,11 +78,11 @@
 func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
-	answer, err := s.mailbox.call(ctx, func(callID uint64) replica.Event {
+	action, err := s.mailbox.call(ctx, func(callID uint64) replica.Event {
 		return replica.LeaseRequest{Event: lease.LeadershipCheckRequested{CallID: callID}}
 	})
 	status := s.localStatus()
-	confirmation, ok := answer.(lease.SendOutcome)
+	confirmation, ok := action.(lease.SendOutcome)
 	switch {
 	case err != nil || !ok:
 		status.Error = "it can't prove that it leads: " + errBusy.Error()
--- a/internal/controlserver/renewal_api.go
+++ b/internal/controlserver/renewal_api.go
@@ -19,10 +19,10 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), s.durations.LeaseDuration) // a lease granted later would already have expired
 	defer cancel()
-	answer, err := s.mailbox.call(ctx, func(callID uint64) replica.Event {
+	action, err := s.mailbox.call(ctx, func(callID uint64) replica.Event {
 		return replica.LeaseRequest{Event: lease.RenewalReceived{CallID: callID, Renewal: renewal}}
 	})
-	reply, ok := answer.(lease.SendReply)
+	reply, ok := action.(lease.SendReply)
 	if err != nil || !ok {
 		http.Error(w, errBusy.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/controlserver/settings.go
+++ b/internal/controlserver/settings.go
@@ -17,7 +17,8 @@
 	"bankledge/internal/settings"
 )
 
-// Settings are the contents of a process's settings file. A field that is missing or 0 has its default.
+// Settings are the contents of a process's settings file. A field that is missing or 0 has its default, except that a drift of 0 is used as
+// it is.
 type Settings struct {
 	ID                    uint64            `json:"id"`
 	DataDir               string            `json:"dir"`     // of the replicated log; a relative path is relative to the directory of the settings file
@@ -122,8 +123,8 @@
 	}
 }
 
-// LeaseDurations returns the durations of the lease protocol. Routers and the group have to use the same
-// lease duration and clock drift.
+// LeaseDurations returns the durations of the lease protocol. Routers and the group have to use the same lease duration and
+// clock drift.
 func (s *Settings) LeaseDurations() lease.Durations {
 	return lease.Durations{
 		LeaseDuration: milliseconds(s.LeaseMillis),
@@ -137,8 +138,8 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// ReplicaSettings returns the settings of the replica, without a lineage, a seed and a logger, which the caller sets. The error names the
-// invalid field.
+// ReplicaSettings returns the settings of the replica with a placeholder lineage and without a seed and a logger; the caller sets these
+// three. The error names the invalid field.
 func (s *Settings) ReplicaSettings() (replica.Settings, error) {
 	result := replica.Settings{
 		LeaseDurations:     s.LeaseDurations(),
