--- a/internal/classify/choose_workload.go
+++ b/internal/classify/choose_workload.go
@@ -10,54 +10,59 @@
 )
 
 const (
-	minFingerprintRuns = 12  // of a fingerprint under all labels, to decide by them
-	maxRunSpread       = 1.3 // standard deviation of logarithms: runs that vary more decide nothing
+	// minFingerprintRuns is how many runs of a fingerprint, under all labels, are needed to choose a workload by them.
+	minFingerprintRuns = 12
+	// maxRunTimeSpread is the largest standard deviation of the logarithms of a fingerprint's run times with which the
+	// run times are still used to choose a workload.
+	maxRunTimeSpread = 1.3
 
-	// minLikelihoodRatio is the log likelihood ratio for another workload above which it is chosen: 55 to 1.
-	minLikelihoodRatio = 4.0
-	// doubtRuns is added to the number of runs in the denominator, so that few runs weigh little.
-	doubtRuns = 3.0
-	// labelMajority is the ratio of runs with another label to runs with the declared one from which the other label prevails.
+	// minLogLikelihoodRatio is the log likelihood ratio of another workload to the declared one above which the other
+	// workload is chosen. 4 is a likelihood ratio of 55 to 1.
+	minLogLikelihoodRatio = 4.0
+	// priorRuns reduces the weight of few runs: n runs weigh n/(n+priorRuns).
+	priorRuns = 3.0
+	// labelMajority is the ratio of a fingerprint's runs with another label to its runs with the declared label from which
+	// most clients are assumed to use the other label.
 	labelMajority = 4.0
-	// maxLabelRatio is the largest log likelihood ratio that the labels of most clients add.
-	maxLabelRatio = 3.0
-	// keyLookupDoubt is subtracted from a heavier workload's log likelihood ratio for statements that select rows by a key.
-	keyLookupDoubt = 3.0
-	// maxOwnRuns bounds the weight of the last runs with one label, in runs.
-	maxOwnRuns = 4 * fingerprint.RecentRuns
+	// maxLabelBonus is the most that is added to a workload's log likelihood ratio because other clients use its label.
+	maxLabelBonus = 3.0
+	// keyLookupPenalty is subtracted from the log likelihood ratio of a heavier workload if the statement selects rows by
+	// a key.
+	keyLookupPenalty = 3.0
+	// maxLabelRuns is the largest number of runs by which the recent runs with one label are weighted.
+	maxLabelRuns = 4 * fingerprint.MaxRecentRuns
 
-	// The confidence if the text is certain, for writes and bulk loads, and if nothing is known.
-	textConfidence    = 0.99
-	writeConfidence   = 0.9
-	unknownConfidence = 0.5
+	textConfidence    = 0.99 // the text contradicts the label
+	writeConfidence   = 0.9  // the label of a write or a bulk load is accepted
+	unknownConfidence = 0.5  // nothing is known about the statement
 )
 
-// choice is the workload that a statement is treated as, with the reason.
+// choice is the workload that a statement is treated as, with the reason and the confidence.
 type choice struct {
 	workload   decision.WorkloadID
 	reason     Reason
 	confidence float64 // 0 to 1
 }
 
-// chooseWorkload decides by the text where that is certain, then by the fingerprint's runs, then by the structure of
-// the text.
+// chooseWorkload chooses the workload that a statement is treated as: by the text if it contradicts the label or
+// writes, else by the fingerprint's runs if there are enough of them, else by the structure of the text.
 func (c *Classifier) chooseWorkload(now time.Duration, observation *Observation, statement *sqltext.Statement) choice {
 	if chosen, certain := c.chooseByText(observation.declared, statement); certain {
 		return chosen
 	}
 	record := observation.record
-	ownRuns := record.RunTimesOf(int(observation.declared))
-	if ownRuns != nil && ownRuns.Full() && record.Runs(now) >= fingerprint.RecentRuns/2 {
-		return c.chooseByOwnRuns(observation, ownRuns, statement)
+	labelRuns := record.RunTimesOf(int(observation.declared))
+	if labelRuns != nil && labelRuns.Full() && record.DecayedRuns(now) >= fingerprint.MaxRecentRuns/2 {
+		return c.chooseByLabelRuns(observation, labelRuns, statement)
 	}
-	if runs := record.Runs(now); runs >= minFingerprintRuns {
+	if runs := record.DecayedRuns(now); runs >= minFingerprintRuns {
 		return c.chooseByAllRuns(observation, runs, statement)
 	}
 	return c.chooseByStructure(observation)
 }
 
-// chooseByText decides about statements whose text contradicts the label, and about bulk loads and writes, whose
-// label is otherwise accepted.
+// chooseByText chooses a workload if the text contradicts the label, and accepts the label of any other bulk load or
+// write. It returns false for all other statements.
 func (c *Classifier) chooseByText(declared decision.WorkloadID, statement *sqltext.Statement) (chosen choice, certain bool) {
 	bulkLoad := c.workloads[declared].BulkLoad
 	switch {
@@ -77,42 +82,42 @@
 	return choice{}, false
 }
 
-// chooseByOwnRuns decides by the fingerprint's last runs with the declared label.
-func (c *Classifier) chooseByOwnRuns(observation *Observation, ownRuns *fingerprint.RecentRunTimes, statement *sqltext.Statement) choice {
-	if ownRuns.Spread() > maxRunSpread {
+// chooseByLabelRuns chooses a workload by the fingerprint's recent runs with the declared label.
+func (c *Classifier) chooseByLabelRuns(observation *Observation, labelRuns *fingerprint.RecentRunTimes, statement *sqltext.Statement) choice {
+	if labelRuns.Spread() > maxRunTimeSpread {
 		return choice{observation.declared, ReasonInconsistentRuns, 0}
 	}
 	evidence := runEvidence{
 		reason: ReasonLabelRunsMatchOther,
-		median: ownRuns.Median(),
-		count:  float64(min(ownRuns.N(), maxOwnRuns)),
+		median: labelRuns.Median(),
+		count:  float64(min(labelRuns.N(), maxLabelRuns)),
 	}
-	allRuns := observation.record.Run.N()
-	if float64(ownRuns.N()) > labelMajority/(labelMajority+1)*allRuns { // nearly all runs had this label
-		evidence.median = observation.record.Run.Quantile(0.5)
+	allRuns := observation.record.RunTime.N()
+	if float64(labelRuns.N()) > labelMajority/(labelMajority+1)*allRuns { // most runs had this label
+		evidence.median = observation.record.RunTime.Quantile(0.5)
 		evidence.count = allRuns
 	}
-	evidence.high = max(evidence.median, ownRuns.High())
+	evidence.high = max(evidence.median, labelRuns.SecondHighest())
 	return c.chooseByRuns(observation, evidence, statement)
 }
 
-// chooseByAllRuns decides by the fingerprint's runs under all labels.
+// chooseByAllRuns chooses a workload by the fingerprint's runs under all labels.
 func (c *Classifier) chooseByAllRuns(observation *Observation, runs float64, statement *sqltext.Statement) choice {
 	declared := observation.declared
 	record := observation.record
-	if record.Run.Spread() > maxRunSpread {
+	if record.RunTime.Spread() > maxRunTimeSpread {
 		return choice{declared, ReasonInconsistentRuns, 0}
 	}
-	claimedRun := observation.claimedRun * math.Exp(c.workloads[declared].claimBias())
-	if record.Ratio.N() >= fingerprint.RecentRuns { // corrected by this fingerprint's ratio of runs to claims
-		claimedRun = observation.claimedRun * math.Exp(record.Ratio.Quantile(0.5))
+	estimatedRunTime := observation.estimatedRunTime * math.Exp(c.workloads[declared].estimateBias())
+	if record.EstimateRatio.N() >= fingerprint.MaxRecentRuns { // this fingerprint's own ratio of run time to estimate
+		estimatedRunTime = observation.estimatedRunTime * math.Exp(record.EstimateRatio.Quantile(0.5))
 	}
 	evidence := runEvidence{
-		reason:     ReasonRunsMatchOther,
-		median:     record.Run.Quantile(0.5),
-		high:       record.Run.Quantile(0.8),
-		count:      runs,
-		claimedRun: claimedRun,
+		reason:           ReasonRunsMatchOther,
+		median:           record.RunTime.Quantile(0.5),
+		high:             record.RunTime.Quantile(0.8),
+		count:            runs,
+		estimatedRunTime: estimatedRunTime,
 	}
 	chosen := c.chooseByRuns(observation, evidence, statement)
 	if chosen.workload != declared && c.labelEvidence[declared][chosen.workload].labelsAreReliable() {
@@ -121,7 +126,7 @@
 	return chosen
 }
 
-// chooseByStructure decides about a statement whose fingerprint has too few runs.
+// chooseByStructure chooses a workload by the structure of the text if the fingerprint has too few runs.
 func (c *Classifier) chooseByStructure(observation *Observation) choice {
 	declared := observation.declared
 	suggested := observation.byStructure
@@ -135,68 +140,73 @@
 	return choice{suggested, ReasonTextStructure, evidence.structureConfidence()}
 }
 
-// runEvidence summarises a fingerprint's runs. Median and high are natural logarithms of seconds.
+// runEvidence summarises a fingerprint's runs. The fields median and high are natural logarithms of seconds: high is
+// about the 80th percentile.
 type runEvidence struct {
-	reason       Reason // given if another workload is chosen
-	median, high float64
-	count        float64 // runs
-	claimedRun   float64 // seconds; 0: none
+	reason           Reason // returned if another workload is chosen
+	median, high     float64
+	count            float64 // of runs
+	estimatedRunTime float64 // in seconds, from the client's estimate; 0: none
 }
 
-// chooseByRuns compares a fingerprint's runs with those of the workloads' fingerprints, by likelihood. A lighter
-// workload than the declared one is chosen only if the label's own runs are light, or if the claimed work is no more
-// than the lighter workload's, since clients gain nothing by claiming more. Nearly all runs have to be light, not half.
+// chooseByRuns compares a fingerprint's run times with those of each workload's fingerprints by a likelihood ratio test.
+//
+// A lighter workload than the declared one is chosen only if the runs with the declared label are light, or if the
+// client's estimate is closer to the lighter workload too: a client gains nothing by an estimate that is too high.
+// Unless most clients use the lighter label, it is compared with the high run time and not with the median, so that
+// nearly all runs have to be light and not only half of them.
 func (c *Classifier) chooseByRuns(observation *Observation, evidence runEvidence, statement *sqltext.Statement) choice {
 	declared := observation.declared
-	declaredMedian, declaredSpread, known := c.workloads[declared].typicalRuns()
+	declaredMedian, declaredSpread, known := c.workloads[declared].runTimeStats()
 	if !known {
 		return choice{declared, ReasonUnknownFingerprint, unknownConfidence}
 	}
 	underAllLabels := evidence.reason == ReasonRunsMatchOther
 	best := declared
-	bestRatio := 0.0
+	bestLogRatio := 0.0
 	for i, w := range c.workloads {
 		candidate := decision.WorkloadID(i)
-		median, spread, known := w.typicalRuns()
+		median, spread, known := w.runTimeStats()
 		if w.BulkLoad || !known || candidate == declared {
 			continue
 		}
 		lighter := median < declaredMedian
-		labelRatio := labelledRuns(observation.record, i) / labelledRuns(observation.record, int(declared))
-		run := evidence.median
+		labelRatio := runsWithLabel(observation.record, i) / runsWithLabel(observation.record, int(declared))
+		runTime := evidence.median
 		if lighter && labelRatio < labelMajority {
-			run = evidence.high
+			runTime = evidence.high
 		}
-		if (run-declaredMedian)*(median-declaredMedian) <= 0 { // the runs differ from the declared workload in the other direction
+		if (runTime-declaredMedian)*(median-declaredMedian) <= 0 { // they lie on different sides of the declared median
 			continue
 		}
-		if lighter && underAllLabels && evidence.claimedRun > 0 && math.Log(evidence.claimedRun) > (declaredMedian+median)/2 {
+		if lighter && underAllLabels && evidence.estimatedRunTime > 0 && math.Log(evidence.estimatedRunTime) > (declaredMedian+median)/2 {
 			continue
 		}
-		fromDeclared := (run - declaredMedian) / declaredSpread
-		fromCandidate := (run - median) / spread
-		ratio := (fromDeclared*fromDeclared-fromCandidate*fromCandidate)/2 + math.Log(declaredSpread/spread)
-		picksByKey := statement.KeyEqual > 0 && !statement.Grouped
-		if median > declaredMedian && picksByKey && underAllLabels {
-			ratio -= keyLookupDoubt
+		deviationFromDeclared := (runTime - declaredMedian) / declaredSpread
+		deviationFromCandidate := (runTime - median) / spread
+		logRatio := (deviationFromDeclared*deviationFromDeclared-deviationFromCandidate*deviationFromCandidate)/2 + math.Log(declaredSpread/spread)
+		selectsByKey := statement.EqualityConditions > 0 && !statement.Grouped
+		if median > declaredMedian && selectsByKey && underAllLabels {
+			logRatio -= keyLookupPenalty
 		}
-		ratio *= evidence.count / (evidence.count + doubtRuns)
-		if ratio > 1 { // the label of most clients adds weight only if the runs agree
-			ratio += min(maxLabelRatio, max(0, 2*math.Log(labelRatio)))
+		logRatio *= evidence.count / (evidence.count + priorRuns)
+		if logRatio > 1 { // other clients' labels add weight only if the run times agree with them
+			logRatio += min(maxLabelBonus, max(0, 2*math.Log(labelRatio)))
 		}
-		if ratio > bestRatio {
+		if logRatio > bestLogRatio {
 			best = candidate
-			bestRatio = ratio
+			bestLogRatio = logRatio
 		}
 	}
-	if bestRatio > minLikelihoodRatio {
-		return choice{best, evidence.reason, 1 / (1 + math.Exp(minLikelihoodRatio-bestRatio))}
+	if bestLogRatio > minLogLikelihoodRatio {
+		return choice{best, evidence.reason, 1 / (1 + math.Exp(minLogLikelihoodRatio-bestLogRatio))}
 	}
-	return choice{declared, ReasonRunsMatchLabel, evidence.count / (evidence.count + doubtRuns)}
+	return choice{declared, ReasonRunsMatchLabel, evidence.count / (evidence.count + priorRuns)}
 }
 
-// labelledRuns returns how many runs of a fingerprint had a workload's label, plus one.
-func labelledRuns(record *fingerprint.Record, workload int) float64 {
+// runsWithLabel returns the number of a fingerprint's runs that were declared as a workload, plus one: the result is
+// used in ratios, as dividend and divisor.
+func runsWithLabel(record *fingerprint.Record, workload int) float64 {
 	runs := record.RunTimesOf(workload)
 	if runs == nil {
 		return 1
--- a/internal/classify/classifier.go
+++ b/internal/classify/classifier.go
@@ -1,14 +1,16 @@
-// Package classify decides how a statement is treated: as which workload, its expected work and memory, and the table
-// groups that it names. It weighs the declared workload (the label), the structure of the text (package sqltext) and how
-// statements with the same fingerprint have run (package fingerprint).
+// Package classify determines the workload that a statement is treated as, its expected work and memory, and the table
+// groups that it names. It combines the declared workload (the label), the structure of the text (package sqltext) and
+// the run times of earlier statements with the same fingerprint (package fingerprint).
 //
-// Classify is called for a statement that arrives, and RecordEnd when an attempt of it has ended. The package is pure: no
-// I/O, no clock, no goroutines. It rejects nothing and loosens no rule: effect, order, placement, timeout and quotas stay
-// those of the declared workload, but a statement that writes is not idempotent under any label.
+// The router calls Classify when a statement arrives, and RecordEnd when one of its attempts has ended. The package does
+// no I/O, reads no clock and starts no goroutines. It rejects no statement and relaxes no rule: effect, order, placement,
+// timeout and quotas remain those of the declared workload, except that a statement that writes is never idempotent,
+// whatever its label.
 //
-// It learns only from ends of attempts, not from claims such as an estimate. Taking a light statement for a heavy one
-// delays that statement; taking a heavy one for a light one stalls an engine for all clients. So the label stands in
-// case of doubt, and only statements with a history of light runs are treated as lighter than declared.
+// The statistics are updated only when attempts end, never by what clients declare, such as estimates. A light statement
+// that is treated as heavy is itself delayed; a heavy one that is treated as light stalls an engine for all clients.
+// Therefore the label is kept if the evidence is weak, and a statement is treated as lighter than declared only if its
+// fingerprint has a history of light runs.
 package classify
 
 import (
@@ -20,54 +22,54 @@
 	"bankledge/internal/sqltext"
 )
 
-// Classification is how a statement is treated. Work and MemoryMB are 0 where the declared figure stands.
+// Classification describes how a statement is treated. If Work or MemoryMB is 0, the declared value applies.
 type Classification struct {
 	Workload     decision.WorkloadID
 	Reason       Reason
 	Confidence   float64       // 0 to 1, that Workload is right
-	Work         time.Duration // on one thread
+	Work         time.Duration // expected execution time on one thread
 	MemoryMB     float64
-	Writes       bool // also if the label is a reading workload's
+	Writes       bool // by the text, whatever the label is
 	Tables       decision.TableGroup
 	LockedTables decision.TableGroup   // written; NoGroup: none
-	OtherTables  []decision.TableGroup // named beside Tables
+	OtherTables  []decision.TableGroup // named in addition to Tables
 }
 
-// Observation is the input of RecordEnd about a statement that was classified.
+// Observation holds what RecordEnd needs to know about a statement that was classified.
 type Observation struct {
-	fingerprint uint64
-	record      *fingerprint.Record // nil: none was found
-	declared    decision.WorkloadID
-	treatedAs   decision.WorkloadID
-	byStructure decision.WorkloadID // what the structure alone suggests; the declared one if nothing
-	expectedRun float64             // seconds, as engines run now
-	estimate    float64             // seconds on one thread, as declared; 0: none
-	claimedRun  float64             // seconds, the run that follows from the estimate
-	memoryMB    float64             // as declared
+	fingerprint      uint64
+	record           *fingerprint.Record // nil if the fingerprint has none
+	declared         decision.WorkloadID
+	treatedAs        decision.WorkloadID
+	byStructure      decision.WorkloadID // the workload that the structure of the text suggests, or the declared one
+	expectedRunTime  float64             // in seconds, including the delay that slow engines add
+	estimate         float64             // declared work in seconds on one thread; 0: none
+	estimatedRunTime float64             // in seconds, the estimate divided by the workload's threads
+	memoryMB         float64             // declared memory
 }
 
-// Reclassification is a change of workload.
+// Reclassification is a pair of workloads: the declared one, and the one that a statement is treated as instead.
 type Reclassification struct {
 	Declared, TreatedAs decision.WorkloadID
 }
 
-// Counts are the numbers of decisions since the start.
+// Counts holds the numbers of classifications since the classifier was created.
 type Counts struct {
-	Hits, Misses        int64 // fingerprints known and unknown
+	Hits, Misses        int64 // lookups of fingerprints with and without a record
 	ByReason            [NumReasons]int64
 	Reclassified        map[Reclassification]int64
-	ChangedFingerprints int64 // fingerprints whose behaviour has changed
+	ChangedFingerprints int64 // how often a fingerprint's run times were found to have changed
 }
 
-// Classifier classifies statements and learns from their ends. It is not safe for concurrent use.
+// Classifier classifies statements and updates its statistics when their attempts end. It is not safe for concurrent use.
 type Classifier struct {
 	workloads     []*workload
-	labelEvidence [][]labelEvidence // by declared workload and another one
+	labelEvidence [][]labelEvidence // by declared workload, then by the workload that it is compared with
 	fingerprints  *fingerprint.Cache
 	counts        Counts
 }
 
-// New returns a classifier for workloads whose records of fingerprints use at most fingerprintBytes of memory.
+// New returns a classifier for the given workloads. Its fingerprint records use about fingerprintBytes of memory at most.
 func New(workloads []decision.Workload, fingerprintBytes int64) *Classifier {
 	c := &Classifier{
 		fingerprints: fingerprint.NewCache(fingerprintBytes),
@@ -80,15 +82,15 @@
 	return c
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counts; the map in them is the classifier's own.
 func (c *Classifier) Counts() Counts {
 	counts := c.counts
 	counts.Hits, counts.Misses = c.fingerprints.Counts()
 	return counts
 }
 
-// Classify classifies a statement that arrives now, declared as a workload with estimates of its work on one thread and
-// of its memory (0: none). It fills in the observation, for RecordEnd.
+// Classify classifies a statement that arrives now. The client declares its workload and estimates its work on one
+// thread and its memory (0: no estimate). Classify overwrites the observation, which the caller passes to RecordEnd.
 func (c *Classifier) Classify(now time.Duration, declared decision.WorkloadID, estimate time.Duration, memoryMB float64,
 	statement *sqltext.Statement, observation *Observation) Classification {
 	classified := Classification{
@@ -98,12 +100,12 @@
 	}
 	classified.OtherTables = otherTables(statement, classified.Tables)
 	*observation = Observation{
-		fingerprint: statement.Fingerprint,
-		declared:    declared,
-		memoryMB:    memoryMB,
-		estimate:    estimate.Seconds(),
-		claimedRun:  estimate.Seconds() / c.workloads[declared].threads,
-		byStructure: c.workloadByStructure(declared, statement),
+		fingerprint:      statement.Fingerprint,
+		declared:         declared,
+		memoryMB:         memoryMB,
+		estimate:         estimate.Seconds(),
+		estimatedRunTime: estimate.Seconds() / c.workloads[declared].threads,
+		byStructure:      c.workloadByStructure(declared, statement),
 	}
 	if statement.Fingerprint != 0 {
 		observation.record = c.fingerprints.Lookup(statement.Fingerprint)
@@ -116,7 +118,7 @@
 	classified.Reason = chosen.reason
 	classified.Confidence = chosen.confidence
 	observation.treatedAs = chosen.workload
-	observation.claimedRun = observation.estimate / c.workloads[chosen.workload].threads
+	observation.estimatedRunTime = observation.estimate / c.workloads[chosen.workload].threads
 	classified.Work = c.expectedWork(now, observation)
 	classified.MemoryMB = c.expectedMemory(observation)
 	c.count(chosen, declared)
@@ -130,7 +132,7 @@
 	}
 }
 
-// otherTables returns the table groups that a statement names beside its primary one, the written ones first.
+// otherTables returns the table groups that a statement names in addition to its primary one, the written ones first.
 func otherTables(statement *sqltext.Statement, primary decision.TableGroup) []decision.TableGroup {
 	var others []decision.TableGroup
 	for _, groups := range []*sqltext.Groups{&statement.Written, &statement.Read} {
--- a/internal/classify/expected_work.go
+++ b/internal/classify/expected_work.go
@@ -8,25 +8,29 @@
 )
 
 const (
-	// minCorrection is the difference of logarithms from the declared figure up to which that one stands.
+	// minCorrection is the difference of logarithms between an expected and a declared value up to which the declared one
+	// is kept.
 	minCorrection = 0.4
-	// initialClaimSpread is the assumed spread of the ratio of runs to claims while none is known.
-	initialClaimSpread = 0.5
-	// minRunSpread and minRatioSpread are the least spreads of a fingerprint's runs and of its runs over claims.
-	minRunSpread   = 0.1
-	minRatioSpread = 0.05
-	// minWorkRuns is how many runs of a fingerprint have to be known to expect other work than is declared.
+	// initialEstimateSpread is the assumed spread of the ratio of run time to estimate while the fingerprint has too few
+	// ratios to compute it.
+	initialEstimateSpread = 0.5
+	// minRunTimeSpread and minRatioSpread are lower bounds of the spreads of a fingerprint's run times and of its ratios of
+	// run time to estimate.
+	minRunTimeSpread = 0.1
+	minRatioSpread   = 0.05
+	// minWorkRuns is the number of a fingerprint's runs from which its median run time is used for the expected work.
 	minWorkRuns = 2
-	// maxClaimExcess bounds how much larger than the known runs a claim counts, as a logarithm: claims are not trusted.
-	maxClaimExcess = 1
+	// maxEstimateExcess is how far an estimate may lie outside the range of a fingerprint's run times, as a logarithm. An
+	// estimate that lies further outside is reduced or increased to the bound, since clients' estimates are not trusted.
+	maxEstimateExcess = 1
 
-	minMemoryRuns   = 8
-	maxMemoryFactor = 4.0 // times the declared memory
+	minMemoryRuns   = 8   // runs with known memory from which the declared memory is corrected
+	maxMemoryFactor = 4.0 // largest factor by which the declared memory is multiplied
 
 	maxExpectedSeconds = 24 * 3600
 )
 
-// weightedMean is a mean of logarithms, each weighted by the inverse of its variance.
+// weightedMean is a mean of logarithms in which each value is weighted by the inverse of its variance.
 type weightedMean struct{ sum, weight float64 }
 
 func (m *weightedMean) add(value, spread float64) {
@@ -34,73 +38,74 @@
 	m.weight += 1 / (spread * spread)
 }
 
-// expectedWork returns the expected work on one thread; 0: the declared work. It sets the observation's expected run, a
-// mean of the workload's usual run, the fingerprint's median and the corrected claim, each weighted by the inverse of
-// its variance. The work is the run without the delay that slow engines add to all runs. The declared work stands if
-// the result is close to it, or if too few runs are known.
+// expectedWork returns the expected work on one thread, or 0 if the declared work is kept. It also sets the observation's
+// expected run time. The work is that run time, without the delay that slow engines add to all statements, multiplied by
+// the workload's threads. The declared work is kept if the result is close to it or if too few runs are known.
 func (c *Classifier) expectedWork(now time.Duration, observation *Observation) time.Duration {
 	w := c.workloads[observation.treatedAs]
-	runs := observation.record.Runs(now)
-	claimBias := w.claimBias()
-	observation.expectedRun = c.expectedRun(runs, claimBias, observation)
-	run := observation.expectedRun * math.Exp(-claimBias)
+	runs := observation.record.DecayedRuns(now)
+	estimateBias := w.estimateBias()
+	observation.expectedRunTime = c.expectedRunTime(runs, estimateBias, observation)
+	runTime := observation.expectedRunTime * math.Exp(-estimateBias)
 	sameLabel := observation.treatedAs == observation.declared
 	switch {
 	case sameLabel && runs < minWorkRuns:
 		return 0
-	case runs < minWorkRuns: // only the structure is known: the larger of the claimed and the usual run
-		return secondsToDuration(max(observation.claimedRun, w.usualRun()*math.Exp(-claimBias)) * w.threads)
-	case sameLabel && observation.claimedRun > 0 &&
-		(math.Abs(math.Log(run/observation.claimedRun)) < minCorrection || runs < minFingerprintRuns):
+	case runs < minWorkRuns: // reclassified with too few runs: the larger of the estimated and the typical run time
+		return secondsToDuration(max(observation.estimatedRunTime, w.typicalRunTime()*math.Exp(-estimateBias)) * w.threads)
+	case sameLabel && observation.estimatedRunTime > 0 &&
+		(math.Abs(math.Log(runTime/observation.estimatedRunTime)) < minCorrection || runs < minFingerprintRuns):
 		return 0
 	}
-	return secondsToDuration(run * w.threads)
+	return secondsToDuration(runTime * w.threads)
 }
 
-// expectedRun returns the expected run in seconds, as engines run now.
-func (c *Classifier) expectedRun(runs, claimBias float64, observation *Observation) float64 {
+// expectedRunTime returns the expected run time in seconds, including the delay that slow engines add. It is the mean of
+// the workload's median run time, the fingerprint's median run time and the corrected estimate, as far as they are known,
+// each weighted by the inverse of its variance.
+func (c *Classifier) expectedRunTime(runs, estimateBias float64, observation *Observation) float64 {
 	w := c.workloads[observation.treatedAs]
 	record := observation.record
 	var mean weightedMean
-	if w.runs.N() >= minWorkloadRuns {
-		mean.add(w.runs.Quantile(0.5), max(minSpread, w.runs.Spread()))
+	if w.runTimes.N() >= minWorkloadRuns {
+		mean.add(w.runTimes.Quantile(0.5), max(minSpread, w.runTimes.Spread()))
 	}
 	if runs >= minWorkRuns {
-		mean.add(record.Run.Quantile(0.5), math.Hypot(max(minRunSpread, record.Run.Spread()), 1/math.Sqrt(runs)))
+		mean.add(record.RunTime.Quantile(0.5), math.Hypot(max(minRunTimeSpread, record.RunTime.Spread()), 1/math.Sqrt(runs)))
 	}
-	if observation.claimedRun > 0 {
-		bias := claimBias
-		spread := initialClaimSpread
-		if record != nil && record.Ratio.N() >= fingerprint.RecentRuns {
-			bias = record.Ratio.Quantile(0.5)
-			spread = max(minRatioSpread, record.Ratio.Spread())
+	if observation.estimatedRunTime > 0 {
+		bias := estimateBias
+		spread := initialEstimateSpread
+		if record != nil && record.EstimateRatio.N() >= fingerprint.MaxRecentRuns {
+			bias = record.EstimateRatio.Quantile(0.5)
+			spread = max(minRatioSpread, record.EstimateRatio.Spread())
 		}
-		claim := math.Log(observation.claimedRun) + bias
+		correctedEstimate := math.Log(observation.estimatedRunTime) + bias
 		if runs >= minFingerprintRuns {
-			claim = min(max(claim, record.Run.Quantile(0.1)-maxClaimExcess), record.Run.Quantile(0.9)+maxClaimExcess)
+			correctedEstimate = min(max(correctedEstimate, record.RunTime.Quantile(0.1)-maxEstimateExcess), record.RunTime.Quantile(0.9)+maxEstimateExcess)
 		}
-		mean.add(claim, spread)
+		mean.add(correctedEstimate, spread)
 	}
 	if mean.weight > 0 {
 		return math.Exp(mean.sum / mean.weight)
 	}
-	return w.usualRun()
+	return w.typicalRunTime()
 }
 
-// expectedMemory returns the memory in MB that a statement is expected to need, if that is more than it declares; 0:
-// the declared memory.
+// expectedMemory returns the memory in MB that a statement is expected to need if that is more than the declared memory,
+// otherwise 0.
 func (c *Classifier) expectedMemory(observation *Observation) float64 {
 	need := observation.memoryMB
 	record := observation.record
-	if record != nil && need > 0 && record.Memory.N() >= minMemoryRuns {
-		factor := math.Exp(record.Memory.Quantile(0.75))
+	if record != nil && need > 0 && record.MemoryRatio.N() >= minMemoryRuns {
+		factor := math.Exp(record.MemoryRatio.Quantile(0.75))
 		if factor > math.Exp(minCorrection) {
 			need *= min(factor, maxMemoryFactor)
 		}
 	}
 	w := c.workloads[observation.treatedAs]
-	if observation.treatedAs != observation.declared && w.memory.N() >= minWorkloadRuns {
-		need = max(need, math.Exp(w.memory.Quantile(0.5)))
+	if observation.treatedAs != observation.declared && w.neededMemory.N() >= minWorkloadRuns {
+		need = max(need, math.Exp(w.neededMemory.Quantile(0.5)))
 	}
 	if need == observation.memoryMB {
 		return 0
--- a/internal/classify/mix_test.go
+++ b/internal/classify/mix_test.go
@@ -62,8 +62,8 @@
 		run.countWorkload(item, classified)
 		run.measureWork(item, classified, i > statements/10)
 		if learns { // engines are up to twice as slow for a while, and noisy
-			slowness := 1.5 + 0.5*math.Sin(float64(i)/3000)
-			took := item.Work.Seconds() / run.classifier.workloads[item.Actual].threads * slowness * math.Exp(0.15*run.random.NormFloat64())
+			slowdown := 1.5 + 0.5*math.Sin(float64(i)/3000)
+			took := item.Work.Seconds() / run.classifier.workloads[item.Actual].threads * slowdown * math.Exp(0.15*run.random.NormFloat64())
 			run.classifier.RecordEnd(now, observation, time.Duration(took*float64(time.Second)), true, 0)
 		}
 	}
--- a/internal/classify/reason.go
+++ b/internal/classify/reason.go
@@ -1,21 +1,21 @@
 package classify
 
-// Reason is why a statement is classified as it is.
+// Reason is why a statement is treated as a workload.
 type Reason int
 
-// The reasons. Up to ReasonRunsMatchLabel the declared workload stands.
+// The reasons up to ReasonRunsMatchLabel keep the declared workload; the others choose another one.
 const (
-	ReasonUnknownFingerprint  Reason = iota // the fingerprint is new or was seen too seldom
-	ReasonTextTooLarge                      // the text exceeds what the analyser reads
-	ReasonInconsistentRuns                  // runs of the fingerprint vary too much
-	ReasonLabelMoreReliable                 // labels predict runs better than fingerprints or structure here
-	ReasonRunsMatchLabel                    // runs of the fingerprint are as the declared workload's are
-	ReasonBulkWrite                         // many rows are written under the label of a workload that reads
-	ReasonReadOnly                          // nothing is written under the label of a bulk load
-	ReasonTextStructure                     // the text is built like a heavy statement, and its fingerprint is unknown
-	ReasonRunsMatchOther                    // runs of the fingerprint are as another workload's are
-	ReasonLabelRunsMatchOther               // runs of the fingerprint with this label are as another workload's are
-	NumReasons
+	ReasonUnknownFingerprint  Reason = iota // the fingerprint is new or has too few runs
+	ReasonTextTooLarge                      // the text is longer than the analyser reads
+	ReasonInconsistentRuns                  // the fingerprint's run times vary too much
+	ReasonLabelMoreReliable                 // labels predict run times better than fingerprints or structure
+	ReasonRunsMatchLabel                    // the run times match the declared workload
+	ReasonBulkWrite                         // the text writes many rows, but the declared workload is no bulk load
+	ReasonReadOnly                          // the text writes nothing, but the declared workload is a bulk load
+	ReasonTextStructure                     // too few runs, and the text has the structure of a heavy statement
+	ReasonRunsMatchOther                    // the run times under all labels match another workload
+	ReasonLabelRunsMatchOther               // the run times under the declared label match another workload
+	NumReasons                              // the number of reasons
 )
 
 var reasonTexts = [...]string{
--- a/internal/classify/workload.go
+++ b/internal/classify/workload.go
@@ -8,73 +8,76 @@
 )
 
 const (
-	minWorkloadRuns = 30 // of a workload, to know how it runs
-	minFingerprints = 5  // of a workload, to know how their medians vary
+	minWorkloadRuns = 30 // runs of a workload from which its median run time is used
+	minFingerprints = 5  // medians of a workload's fingerprints from which their own median and spread are used
 
-	// Natural logarithms: the spread of the medians of a workload's fingerprints.
-	minSpread     = 0.4 // lower bound, since few fingerprints are a weak measure
-	initialSpread = 0.8 // while too few fingerprints are known
+	// The spread of the medians of a workload's fingerprints, as natural logarithms.
+	minSpread     = 0.4 // lower bound, since the spread of few fingerprints is unreliable
+	initialSpread = 0.8 // assumed while the workload has fewer than minFingerprints medians
 
-	// maxClaimSpread is the spread of the ratio of runs to claims up to which all clients seem to claim by the same measure.
-	maxClaimSpread = 0.8
+	// maxEstimateSpread is the spread of the ratio of run time to estimate below which the clients' estimates are
+	// consistent enough to compute a common bias.
+	maxEstimateSpread = 0.8
 
-	// initialRunDivisor: the latency objective divided by this is the usual run, while no runs are known.
-	initialRunDivisor = 4
+	// initialRunTimeDivisor divides the latency objective to get the typical run time while too few runs are known.
+	initialRunTimeDivisor = 4
 )
 
-// workload holds the settings and the statistics of one workload.
+// workload holds the settings and statistics of a workload.
 type workload struct {
 	decision.Workload
-	threads  float64
-	slowness float64            // how much slower than usual its known fingerprints run now, the median; tends to 1
-	runs     fingerprint.Sketch // of its statements, logarithms of seconds
-	ratio    fingerprint.Sketch // of runs over claims, logarithms
-	medians  fingerprint.Sketch // of its fingerprints' runs
-	memory   fingerprint.Sketch // logarithms of MB
+	threads            float64
+	slowdown           float64            // estimated median of run time over the fingerprint's median at present; decays to 1
+	runTimes           fingerprint.Sketch // of its statements, as logarithms of seconds
+	estimateRatio      fingerprint.Sketch // of run time over estimated run time, as logarithms
+	fingerprintMedians fingerprint.Sketch // medians of its fingerprints' run times, as logarithms of seconds
+	neededMemory       fingerprint.Sketch // as logarithms of MB
 }
 
 func newWorkload(declared decision.Workload) *workload {
-	return &workload{Workload: declared, slowness: 1, threads: float64(max(1, declared.Threads))}
+	return &workload{Workload: declared, slowdown: 1, threads: float64(max(1, declared.Threads))}
 }
 
-// typicalRuns returns the median and the spread of the medians of the workload's fingerprints; false until enough is
-// known.
-func (w *workload) typicalRuns() (median, spread float64, known bool) {
-	if w.runs.N() < minWorkloadRuns {
+// runTimeStats returns the median and the spread of the median run times of the workload's fingerprints, as logarithms
+// of seconds. It returns false until there are minWorkloadRuns runs.
+func (w *workload) runTimeStats() (median, spread float64, known bool) {
+	if w.runTimes.N() < minWorkloadRuns {
 		return 0, 0, false
 	}
-	if w.medians.N() < minFingerprints {
-		return w.runs.Quantile(0.5), initialSpread, true
+	if w.fingerprintMedians.N() < minFingerprints {
+		return w.runTimes.Quantile(0.5), initialSpread, true
 	}
-	return w.medians.Quantile(0.5), max(minSpread, w.medians.Spread()), true
+	return w.fingerprintMedians.Quantile(0.5), max(minSpread, w.fingerprintMedians.Spread()), true
 }
 
-// claimBias returns the median ratio of the workload's runs to claims, as a logarithm: engines may be slower than claims
-// assume, which is no property of a single fingerprint. It is 0 if the ratios vary too much to be a measure.
-func (w *workload) claimBias() float64 {
-	if w.ratio.N() >= minWorkloadRuns && w.ratio.Spread() < maxClaimSpread {
-		return w.ratio.Quantile(0.5)
+// estimateBias returns the median ratio of run time to estimated run time over the whole workload, as a logarithm. The
+// engines may be slower than the clients' estimates assume, which affects all fingerprints alike. The bias is 0 if there
+// are too few ratios or if they vary too much.
+func (w *workload) estimateBias() float64 {
+	if w.estimateRatio.N() >= minWorkloadRuns && w.estimateRatio.Spread() < maxEstimateSpread {
+		return w.estimateRatio.Quantile(0.5)
 	}
 	return 0
 }
 
-// usualRun returns how long a statement of the workload runs, in seconds.
-func (w *workload) usualRun() float64 {
-	if w.runs.N() >= minWorkloadRuns {
-		return math.Exp(w.runs.Quantile(0.5))
+// typicalRunTime returns the median run time of the workload's statements in seconds, or one derived from the latency
+// objective while too few runs are known.
+func (w *workload) typicalRunTime() float64 {
+	if w.runTimes.N() >= minWorkloadRuns {
+		return math.Exp(w.runTimes.Quantile(0.5))
 	}
-	return w.LatencyObjective.Seconds() / initialRunDivisor
+	return w.LatencyObjective.Seconds() / initialRunTimeDivisor
 }
 
 func (w *workload) objectiveSeconds() float64 { return w.LatencyObjective.Seconds() }
 
-// readingWorkloads returns the lightest and the heaviest workload that are no bulk loads; false if no two differ. They are
-// compared by their runs, or by their latency objectives while the runs of one are unknown: a measured run and an
-// assumed one are not comparable.
+// readingWorkloads returns the lightest and the heaviest of the workloads that are no bulk loads, and false if these are
+// the same. Workloads are compared by their median run times, or all by their latency objectives while one of them has
+// too few runs, because a measured and an assumed run time are not comparable.
 func (c *Classifier) readingWorkloads() (lightest, heaviest decision.WorkloadID, differ bool) {
-	weight := (*workload).usualRun
+	weight := (*workload).typicalRunTime
 	for _, w := range c.workloads {
-		if !w.BulkLoad && w.runs.N() < minWorkloadRuns {
+		if !w.BulkLoad && w.runTimes.N() < minWorkloadRuns {
 			weight = (*workload).objectiveSeconds
 		}
 	}
@@ -96,7 +99,7 @@
 	return lightest, heaviest, lightest != heaviest
 }
 
-// onlyBulkLoad returns the workload that is a bulk load; false if there is none or more than one.
+// onlyBulkLoad returns the only workload that is a bulk load, and false if there is none or more than one.
 func (c *Classifier) onlyBulkLoad() (id decision.WorkloadID, found bool) {
 	for i, w := range c.workloads {
 		if !w.BulkLoad {
--- a/internal/fingerprint/cache.go
+++ b/internal/fingerprint/cache.go
@@ -1,9 +1,9 @@
-// Package fingerprint remembers how statements of one fingerprint have run: how long, how that compares with their
-// estimates, what memory they needed, and how each declared workload fared among them. A fingerprint is a hash of a
+// Package fingerprint records run times and needed memory of statements by fingerprint: how long they ran, in all and by
+// declared workload, and how run time and memory compare with the clients' estimates. A fingerprint is a hash of a
 // statement's normalized text (package sqltext), the same for texts that differ only in literals.
 //
-// It learns only from ends of attempts. The records are bounded in bytes, and fingerprints seen once do not evict frequent ones. The
-// package makes no decisions and has no clock.
+// Records are updated only when attempts end. A cache bounds the memory of all records; in it, fingerprints seen once do
+// not evict frequent ones. The package makes no decisions and reads no clock.
 package fingerprint
 
 import (
@@ -13,13 +13,13 @@
 )
 
 const (
-	// RecordBytes is the memory of one record with all its parts and its place in the cache, at most.
+	// RecordBytes is an upper bound of the memory of one record, including all its parts and its cache entry.
 	RecordBytes = 2300
 
 	minCacheSize = 16 // records
 
-	// frequencySamplesPerRecord times the cache's size is the number of accesses after which the cache halves the
-	// access frequencies that decide about eviction.
+	// frequencySamplesPerRecord times the cache's size is the number of accesses after which the cache halves the access
+	// frequencies by which it selects the records to evict.
 	frequencySamplesPerRecord = 10
 )
 
@@ -29,10 +29,10 @@
 	lfu    *tinylfu.T
 	hits   int64
 	misses int64
-	key    [8]byte // buffer for the key of the latest fingerprint
+	key    [8]byte // buffer for the key of the last fingerprint looked up
 }
 
-// NewCache returns a cache of at most maxBytes, but of at least a few records.
+// NewCache returns a cache that uses at most maxBytes, but has capacity for at least minCacheSize records.
 func NewCache(maxBytes int64) *Cache {
 	size := max(minCacheSize, int(maxBytes/RecordBytes))
 	return &Cache{size: size, lfu: tinylfu.New(size, frequencySamplesPerRecord*size)}
@@ -44,7 +44,7 @@
 // Counts returns how often Lookup found a record, and how often not.
 func (c *Cache) Counts() (hits, misses int64) { return c.hits, c.misses }
 
-// Lookup notes that a statement with a fingerprint has arrived, and returns the fingerprint's record, or nil.
+// Lookup returns the record of an arrived statement's fingerprint, or nil, and counts the access.
 func (c *Cache) Lookup(fingerprint uint64) *Record {
 	record := c.get(fingerprint)
 	if record == nil {
@@ -55,8 +55,8 @@
 	return record
 }
 
-// RecordFor returns the record of a fingerprint of which a run has ended, a new one if necessary. A new one is stored
-// only if its fingerprint is looked up more often than the one that it would evict.
+// RecordFor returns the record of a fingerprint, a new one if the cache has none. If the cache is full, it stores a new
+// record only if its fingerprint has been looked up more often than the one that would be evicted.
 func (c *Cache) RecordFor(fingerprint uint64) *Record {
 	if record := c.get(fingerprint); record != nil {
 		return record
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -125,7 +125,7 @@
 		c.Lookup(fingerprint)
 		rec := c.RecordFor(fingerprint)
 		rec.AddRun(0, r.IntN(3), math.Exp(r.NormFloat64()), 1)
-		rec.Memory.Add(r.NormFloat64())
+		rec.MemoryRatio.Add(r.NormFloat64())
 	}
 	each := float64(heapBytes()-before) / float64(c.Size())
 	t.Logf("%.0f bytes a fingerprint", each)
@@ -154,7 +154,7 @@
 func TestRecord(t *testing.T) {
 	t.Run("nothing is known of none", func(t *testing.T) {
 		var r *Record
-		assert.Zero(t, r.Runs(0))
+		assert.Zero(t, r.DecayedRuns(0))
 		assert.Nil(t, r.RunTimesOf(0))
 		assert.Nil(t, (&Record{}).RunTimesOf(3))
 	})
@@ -181,8 +181,8 @@
 				}
 				if c.factor == 8 || c.factor == 0.1 {
 					require.NotZero(t, noticed, c.name)
-					require.LessOrEqual(t, noticed, RecentRuns, c.name)
-					require.InDelta(t, math.Log(c.factor), rec.Run.Quantile(0.5), 0.5, "what was before is forgotten")
+					require.LessOrEqual(t, noticed, MaxRecentRuns, c.name)
+					require.InDelta(t, math.Log(c.factor), rec.RunTime.Quantile(0.5), 0.5, "what was before is forgotten")
 				} else {
 					require.Zero(t, noticed, c.name)
 				}
@@ -194,14 +194,14 @@
 		for range 16 {
 			rec.AddRun(time.Hour, 0, 1, 0)
 		}
-		assert.Equal(t, []float64{16, 8, 4}, []float64{rec.Runs(time.Hour), rec.Runs(2 * time.Hour), rec.Runs(3 * time.Hour)})
+		assert.Equal(t, []float64{16, 8, 4}, []float64{rec.DecayedRuns(time.Hour), rec.DecayedRuns(2 * time.Hour), rec.DecayedRuns(3 * time.Hour)})
 	})
 	t.Run("workloads beyond those told apart teach the fingerprint all the same", func(t *testing.T) {
 		rec := &Record{}
 		rec.AddRun(0, maxWorkloads, 1, 1)
 		rec.AddRun(0, 1<<30, math.Inf(1), 0)
 		assert.Nil(t, rec.RunTimesOf(maxWorkloads))
-		assert.Equal(t, 1.0, rec.Run.N())
+		assert.Equal(t, 1.0, rec.RunTime.N())
 	})
 }
 
--- a/internal/fingerprint/record.go
+++ b/internal/fingerprint/record.go
@@ -6,37 +6,39 @@
 )
 
 const (
-	// knowledgeHalfLife is the time without a run after which a record's runs count half.
-	knowledgeHalfLife = time.Hour
+	// runCountHalfLife is the time without a run after which DecayedRuns returns half as many runs.
+	runCountHalfLife = time.Hour
 
-	// minChange is the least difference between medians that counts as a change of behaviour: a factor of 2.
-	minChange = 0.7 // natural logarithm
+	// minMedianChange is how far recent run times have to differ from the earlier median to count as a change, as a
+	// natural logarithm: a factor of 2.
+	minMedianChange = 0.7
 
-	// maxWorkloads is how many declared workloads have run times of their own in a record.
+	// maxWorkloads is the number of declared workloads whose run times a record stores separately.
 	maxWorkloads = 16
 
-	minRunSeconds = 1.0 / 1000 / 1000 // shorter runs count as this long
+	minRunSeconds = 1.0 / 1000 / 1000 // shorter runs are recorded as this long
 )
 
-// Record is the history of one fingerprint's statements. All values are natural logarithms. The zero value is empty, and
-// so is nil for the methods that read.
+// Record is the history of one fingerprint's statements. All values are natural logarithms. The zero value is an empty
+// record; RunTimesOf and DecayedRuns treat nil as one, too.
 type Record struct {
-	Run          Sketch // seconds, on an idle engine
-	Ratio        Sketch // run over the declared estimate
-	Memory       Sketch // memory needed over the declared estimate
-	LabelCounted bool   // package classify has counted it as evidence about labels
+	RunTime              Sketch // seconds, at the engines' usual speed
+	EstimateRatio        Sketch // run time over the run time estimated by the client
+	MemoryRatio          Sketch // needed memory over the declared memory
+	LabelEvidenceCounted bool   // set by package classify, to count each fingerprint once
 
 	lastRun    time.Duration
-	recent     RecentRunTimes   // of all workloads
+	recent     RecentRunTimes   // under all workloads
 	byWorkload []RecentRunTimes // by declared workload
-	// Percentiles of all runs, of up to 9 and of up to 18 runs ago: recent changes do not affect them.
-	previous, beforePrevious bounds
+	// Percentiles of all runs as they were up to 9 and 10 to 18 runs ago. The older ones precede all recent runs, so that
+	// recent changes do not affect them.
+	previous, beforePrevious snapshot
 }
 
-// bounds are percentiles of a number of runs.
-type bounds struct{ p10, median, p90, count float64 }
+// snapshot holds percentiles of run times and the number of runs that they were computed from.
+type snapshot struct{ p10, median, p90, count float64 }
 
-// RunTimesOf returns the last runs of statements declared as a workload; nil if there are none.
+// RunTimesOf returns the recent run times of statements declared as a workload, or nil if there are none.
 func (r *Record) RunTimesOf(workload int) *RecentRunTimes {
 	if r == nil || workload >= len(r.byWorkload) || r.byWorkload[workload].added == 0 {
 		return nil
@@ -44,34 +46,34 @@
 	return &r.byWorkload[workload]
 }
 
-// Runs returns how many runs the record counts for at a time: half as many for each hour since the last one.
-func (r *Record) Runs(now time.Duration) float64 {
+// DecayedRuns returns the number of runs, halved for each runCountHalfLife since the last one.
+func (r *Record) DecayedRuns(now time.Duration) float64 {
 	if r == nil {
 		return 0
 	}
-	return r.Run.N() * math.Exp2(-float64(max(0, now-r.lastRun))/float64(knowledgeHalfLife))
+	return r.RunTime.N() * math.Exp2(-float64(max(0, now-r.lastRun))/float64(runCountHalfLife))
 }
 
-// AddRun adds a run of a statement declared as a workload: its duration and its estimate in seconds (0: none). It
-// reports whether the fingerprint's behaviour has changed: eight of its last nine runs lie on one side of nearly all
-// runs before. The earlier runs are dropped then.
+// AddRun adds a run of a statement declared as a workload, with its duration and its estimated run time in seconds
+// (0: no estimate). It reports whether the fingerprint's run times have changed: eight of the last nine are clearly
+// slower, or faster, than nearly all earlier ones. If so, it resets the record and keeps only the last nine run times.
 func (r *Record) AddRun(now time.Duration, workload int, seconds, estimate float64) (changed bool) {
 	value := math.Log(max(seconds, minRunSeconds))
 	r.lastRun = now
 	r.addToWorkload(workload, value)
-	if r.recent.N()%RecentRuns == 0 {
+	if r.recent.N()%MaxRecentRuns == 0 {
 		r.beforePrevious = r.previous
-		r.previous = bounds{p10: r.Run.Quantile(0.1), median: r.Run.Quantile(0.5), p90: r.Run.Quantile(0.9), count: r.Run.N()}
+		r.previous = snapshot{p10: r.RunTime.Quantile(0.1), median: r.RunTime.Quantile(0.5), p90: r.RunTime.Quantile(0.9), count: r.RunTime.N()}
 	}
-	r.Run.Add(value)
+	r.RunTime.Add(value)
 	if estimate > 0 {
-		r.Ratio.Add(value - math.Log(estimate))
+		r.EstimateRatio.Add(value - math.Log(estimate))
 	}
 	r.recent.Add(value)
 	if !r.hasChanged() {
 		return false
 	}
-	r.forgetAllButRecent()
+	r.dropEarlierRuns()
 	return true
 }
 
@@ -87,19 +89,19 @@
 
 func (r *Record) hasChanged() bool {
 	before := r.beforePrevious
-	if !r.recent.Full() || before.count < RecentRuns {
+	if !r.recent.Full() || before.count < MaxRecentRuns {
 		return false
 	}
 	sorted, _ := r.recent.sorted()
-	slower := float64(sorted[1]) > max(before.p90, before.median+minChange)
-	faster := float64(sorted[RecentRuns-2]) < min(before.p10, before.median-minChange)
+	slower := float64(sorted[1]) > max(before.p90, before.median+minMedianChange)
+	faster := float64(sorted[MaxRecentRuns-2]) < min(before.p10, before.median-minMedianChange)
 	return slower || faster
 }
 
-func (r *Record) forgetAllButRecent() {
+func (r *Record) dropEarlierRuns() {
 	sorted, _ := r.recent.sorted()
 	*r = Record{lastRun: r.lastRun}
 	for _, value := range sorted {
-		r.Run.Add(float64(value))
+		r.RunTime.Add(float64(value))
 	}
 }
--- a/internal/fingerprint/sketch.go
+++ b/internal/fingerprint/sketch.go
@@ -9,20 +9,20 @@
 const (
 	sketchBins = 12
 
-	// generationSize is the number of values after which a sketch's older generation is dropped.
+	// generationSize is the number of values in the younger generation at which it replaces the older one.
 	generationSize = 48
 
-	// spreadDeviations is the distance between the 10th and the 90th percentile of a normal distribution, in standard
+	// p10ToP90StdDevs is the distance from the 10th to the 90th percentile of a normal distribution in standard
 	// deviations.
-	spreadDeviations = 2.563
+	p10ToP90StdDevs = 2.563
 )
 
-// percentiles are those that Quantile returns.
+// percentiles are the fractions that Quantile accepts.
 var percentiles = [...]float64{0.1, 0.5, 0.75, 0.8, 0.9}
 
-// Sketch is a distribution of natural logarithms: two generations of a streaming histogram, of which the older is
-// dropped when the younger is full. The percentiles are computed when a value is added, since they are read far more
-// often. The zero value is empty.
+// Sketch approximates a distribution of natural logarithms by two generations of a streaming histogram: when the younger
+// is full, it replaces the older. Percentiles are computed when a value is added, since they are read far more often.
+// The zero value is empty.
 type Sketch struct {
 	younger, older *gohistogram.NumericHistogram
 	count          float64
@@ -58,19 +58,19 @@
 	}
 }
 
-// N returns the number of values in the sketch.
+// N returns the number of values in both generations.
 func (s *Sketch) N() float64 { return s.count }
 
-// Quantile returns the value below which a share of the values lies; 0 if there are none. It panics unless the share is
-// one of percentiles.
-func (s *Sketch) Quantile(share float64) float64 {
+// Quantile returns the value below which a fraction of the values lies, or 0 if there are none. It panics if the fraction
+// is not in percentiles.
+func (s *Sketch) Quantile(fraction float64) float64 {
 	for i, percentile := range percentiles {
-		if percentile == share {
+		if percentile == fraction {
 			return float64(s.quantiles[i])
 		}
 	}
-	panic("fingerprint: a percentile that is not kept")
+	panic("fingerprint: Quantile called with a fraction that is not in percentiles")
 }
 
 // Spread returns the standard deviation of a normal distribution with the same 10th and 90th percentiles.
-func (s *Sketch) Spread() float64 { return (s.Quantile(0.9) - s.Quantile(0.1)) / spreadDeviations }
+func (s *Sketch) Spread() float64 { return (s.Quantile(0.9) - s.Quantile(0.1)) / p10ToP90StdDevs }
--- a/internal/sqltext/analyser.go
+++ b/internal/sqltext/analyser.go
@@ -1,14 +1,14 @@
-// Package sqltext reads a statement's text once and describes it: its kind, the table groups that it reads and writes,
-// its structure, and its fingerprint, which is the same for texts that differ only in literals, case, white space and
-// comments.
+// Package sqltext analyses the text of a statement in one pass. The result is the statement's kind, the table groups that
+// it reads and writes, its structure, and its fingerprint, which is the same for texts that differ only in literals, case,
+// white space and comments.
 //
-// It follows no single dialect, never fails and does not allocate: tokens that it cannot interpret are skipped, and an
-// unexpected token changes little in the result. A table group's number and its exceptions are the protocol's; all else follows the SQL standard
-// and the manuals of T-SQL, PostgreSQL and MySQL.
+// The analysis follows no single SQL dialect, never fails and does not allocate: it skips tokens that it cannot interpret,
+// and an unexpected token changes little in the result. How a table group's number is read from a schema's name, with the
+// exceptions, is defined by the router's protocol; everything else follows the SQL standard and the manuals of T-SQL,
+// PostgreSQL and MySQL.
 //
-// Three layers work on one pass: the scanner cuts the text into tokens (scanner.go), each token is added to the
-// normalized text and interpreted where it stands (tokens.go), and keywords change what is expected next
-// (keyword_rules.go).
+// The pass has three layers: the scanner splits the text into tokens (scanner.go), each token is added to the normalized
+// text and interpreted in its context (tokens.go), and keywords determine what is expected next (keyword_rules.go).
 package sqltext
 
 import (
@@ -18,12 +18,13 @@
 )
 
 const (
-	// MaxAnalysedBytes is how many bytes of a text are read. At the 100 MB a second that the slowest texts are read
-	// with, that takes 160 µs.
+	// MaxAnalysedBytes is the number of bytes of a text that are read. The slowest texts are read at 100 MB a second, so
+	// that this many bytes take 160 µs.
 	MaxAnalysedBytes = 16 << 10
 
-	// maxBrackets is how many levels of brackets have a state of their own; deeper ones are only counted.
-	maxBrackets = 48
+	// maxBracketDepth is the number of nesting levels of brackets that have a state of their own; deeper brackets are only
+	// counted.
+	maxBracketDepth = 48
 )
 
 // clause is the clause of a statement that is being read.
@@ -41,18 +42,18 @@
 	clauseValues
 )
 
-// choosesRows reports whether conditions there choose rows.
-func (c clause) choosesRows() bool { return c == clauseWhere || c == clauseOn }
+// filtersRows reports whether the conditions in the clause filter rows.
+func (c clause) filtersRows() bool { return c == clauseWhere || c == clauseOn }
 
-// bracket is the state of an open bracket, or of the statement itself.
+// bracket is the state of an open bracket, or of the statement outside all brackets.
 type bracket struct {
 	clause         clause
-	hasVerb        bool // contains a statement of its own
-	inList         bool
-	isWindow       bool  // OVER (...)
-	truncateAt     int32 // where the normalized text is truncated at the closing bracket; 0: nowhere
+	hasVerb        bool  // the verb of its statement was read
+	inList         bool  // IN (...)
+	isWindowSpec   bool  // OVER (...)
+	truncateAt     int32 // length to which the closing bracket truncates the normalized text; 0: it does not
 	subselectDepth int32
-	valueRows      int32 // of this VALUES
+	valueRows      int32 // rows of the VALUES clause directly in this bracket
 }
 
 // token is the kind of a token.
@@ -71,62 +72,63 @@
 	tokenStar
 )
 
-// tableUse is how a table is used whose name is expected next.
+// tableUse is how a statement uses the table whose name is expected next.
 type tableUse uint8
 
 const (
-	useNone tableUse = iota // no table's name is expected
+	useNone tableUse = iota // no table name is expected
 	useRead
 	useWrite
 )
 
-// Analyser analyses texts one after another and reuses its memory. It is not safe for concurrent use. The zero value is
+// Analyser analyses one text after another and reuses its memory. It is not safe for concurrent use. The zero value is
 // ready for use.
 type Analyser struct {
 	state
 	normalized []byte
-	brackets   [maxBrackets]bracket // those up to depth are in use
+	brackets   [maxBracketDepth]bracket // in use up to depth
 }
 
-// state is the intermediate state of the analysis of a text.
+// state is the state of the analysis of one text.
 type state struct {
 	result Statement
-	depth  int // of brackets; may exceed maxBrackets
+	depth  int // nesting depth of brackets; may exceed maxBracketDepth
 
-	last, previous token   // the last two tokens
-	lastKeyword    keyword // the last token's, if it is a keyword
+	last, previous token   // the last token and the one before it
+	lastKeyword    keyword // the last keyword; valid if last is tokenKeyword
 	verb           keyword // of the current statement
-	pendingVerb    keyword // INSERT, UPDATE or DELETE, which the next token makes a verb
-	inCTEs         bool    // among the CTEs at the statement's start
+	pendingVerb    keyword // INSERT, UPDATE or DELETE, if the next token decides whether it is a verb
+	inCTEs         bool    // in the WITH clause before the statement's verb
 	tableUse       tableUse
-	signBefore     bool // the last operator is the sign of a number
+	lastIsSign     bool // the last operator is the sign of a number
 
-	nameStart, nameEnd int  // the last name, in the normalized text
-	isQualifier        bool // a dot follows the last name
-	isQualified        bool // the last name stands behind a dot itself
+	nameStart, nameEnd int  // the last name's position in the normalized text
+	isQualifier        bool // the last name is followed by a dot
+	isQualified        bool // the last name is preceded by a dot
 	schemaGroupFound   bool // FirstSchemaGroup is set
 
-	inTableName                  bool
+	inTableName                  bool // the last tokens are components of a table name
 	tableIsWritten               bool
 	tableIsTemporary             bool
-	tableComponents              int
-	schemaStart, schemaEnd       int // the qualifier before the last component of a table's name, in the normalized text
-	componentStart, componentEnd int // the last component of a table's name
-
-	leftOfEqual         token // where rows are chosen
-	previousLeftOfEqual token // the same before the last name
-	limitExpected       bool  // the next token is the number of a limit
-	tokenCount          int   // of the current statement
-	copyMayWrite        bool  // COPY: a later token decides whether the table is written
-	temporary           bool  // CREATE TEMPORARY and the like
-	wroteBeforeVerb     bool  // Writes before the current verb
+	tableComponents              int // number of components of the table name
+	schemaStart, schemaEnd       int // the component before the last, in the normalized text
+	componentStart, componentEnd int // the last component
+
+	leftOfEqual          token // the left operand of the last =, in clauses that filter rows
+	previousLeftOfEqual  token // leftOfEqual before the last name
+	limitExpected        bool  // the next number is a row limit
+	tokenCount           int   // of the current statement
+	copyDirectionUnknown bool  // COPY: FROM or TO, which decides whether the table is written, was not read yet
+	createsTemporary     bool  // CREATE TEMPORARY, SELECT INTO TEMPORARY
+	wroteBeforeVerb      bool  // value of Writes before the current verb
 }
 
-// NormalizedText returns the text last analysed with ? for literals, without further literals of lists and further rows
-// of VALUES, names in lower case and one blank between tokens. It is valid until the next call of Analyse.
+// NormalizedText returns the normalized form of the text analysed last: literals are replaced by ?, IN lists are reduced
+// to one literal and VALUES to one row, names are in lower case, and tokens are separated by one space. It is valid until
+// the next call of Analyse.
 func (a *Analyser) NormalizedText() []byte { return a.normalized }
 
-// Analyse describes a text.
+// Analyse analyses a text and returns its description.
 func (a *Analyser) Analyse(text []byte) Statement {
 	truncated := len(text) > MaxAnalysedBytes
 	if truncated {
@@ -145,7 +147,7 @@
 
 func (a *Analyser) reset(textBytes int) {
 	a.normalized = a.normalized[:0]
-	maxNormalized := 2*textBytes + 16 // a blank or a mark for each byte at most
+	maxNormalized := 2*textBytes + 16 // at most one added space or prefix for each byte
 	if cap(a.normalized) < maxNormalized {
 		a.normalized = make([]byte, 0, maxNormalized+maxNormalized/2)
 	}
@@ -154,10 +156,10 @@
 	a.brackets[0] = bracket{}
 }
 
-// trimNormalized removes blanks and semicolons at the end.
+// trimNormalized removes trailing spaces and semicolons.
 func (a *Analyser) trimNormalized() {
 	a.normalized = bytes.TrimRight(a.normalized, " ;")
 }
 
-// bracket returns the innermost bracket with a state of its own.
-func (a *Analyser) bracket() *bracket { return &a.brackets[min(a.depth, maxBrackets-1)] }
+// bracket returns the state of the innermost bracket that has one.
+func (a *Analyser) bracket() *bracket { return &a.brackets[min(a.depth, maxBracketDepth-1)] }
--- a/internal/sqltext/byte_classes.go
+++ b/internal/sqltext/byte_classes.go
@@ -1,11 +1,11 @@
 package sqltext
 
-// byteClass is the kind of token that a byte begins.
+// byteClass is the class of a byte by the kind of token that begins with it.
 type byteClass uint8
 
 const (
 	classOperator byteClass = iota
-	classBlank
+	classSpace              // white space and other bytes up to it
 	className
 	classDigit
 	classQuote
@@ -21,14 +21,15 @@
 	classClose
 	classSemicolon
 	classEqual
-	classLess // also >
-	classMark // @, # and :
+	classLess   // also >
+	classPrefix // @, # and :, which may precede a name
 )
 
 var (
 	// foldedNameByte maps the bytes of names to lower case, and all others to 0.
 	foldedNameByte [256]byte
-	classOf        [256]byteClass
+	// classOf maps each byte to its class.
+	classOf [256]byteClass
 )
 
 var punctuation = map[byte]byteClass{
@@ -48,9 +49,9 @@
 	'=':  classEqual,
 	'<':  classLess,
 	'>':  classLess,
-	'@':  classMark,
-	'#':  classMark,
-	':':  classMark,
+	'@':  classPrefix,
+	'#':  classPrefix,
+	':':  classPrefix,
 }
 
 func init() {
@@ -59,7 +60,7 @@
 		c := byte(i)
 		switch {
 		case c <= ' ':
-			classOf[c] = classBlank
+			classOf[c] = classSpace
 		case isDigit(c):
 			classOf[c] = classDigit
 			foldedNameByte[c] = c
--- a/internal/sqltext/keyword_rules.go
+++ b/internal/sqltext/keyword_rules.go
@@ -1,6 +1,7 @@
 package sqltext
 
-var kindOfVerb = [kwPlain + 1]Kind{
+// kindOfVerb maps keywords that are verbs to kinds of statements.
+var kindOfVerb = [kwReserved + 1]Kind{
 	kwSelect:   Select,
 	kwExec:     Call,
 	kwDDL:      DDL,
@@ -14,23 +15,23 @@
 	kwLoad:     Copy,
 }
 
-// startVerb starts a statement, or a part of one, with its verb.
+// startVerb starts a statement, or a statement in another one, with its verb.
 func (a *Analyser) startVerb(verb keyword) {
 	if a.verb == kwNone || verb != kwSelect && a.depth == 0 {
 		a.verb = verb
 	}
-	here := a.bracket()
-	here.hasVerb = true
-	here.clause = clauseNone
-	here.inList = false
+	current := a.bracket()
+	current.hasVerb = true
+	current.clause = clauseNone
+	current.inList = false
 	kind := kindOfVerb[verb]
 	a.result.Kind = max(a.result.Kind, kind)
-	if kind >= DDL && kind != Copy { // until its table proves to be temporary
-		a.noteWrite()
+	if kind >= DDL && kind != Copy { // undone when its table proves to be temporary
+		a.recordWrite()
 	}
 }
 
-func (a *Analyser) noteWrite() {
+func (a *Analyser) recordWrite() {
 	a.wroteBeforeVerb = a.result.Writes
 	a.result.Writes = true
 }
@@ -45,17 +46,17 @@
 	a.tableUse = useRead
 }
 
-// atStatementStart reports whether the next token is a statement's first one.
-func (a *Analyser) atStatementStart() bool { return a.tokenCount == 0 || a.isBehind(kwBegin) }
+// atStatementStart reports whether the current token is the first one of a statement.
+func (a *Analyser) atStatementStart() bool { return a.tokenCount == 0 || a.follows(kwBegin) }
 
-// isBehind reports whether the last token is a keyword.
-func (a *Analyser) isBehind(word keyword) bool {
+// follows reports whether the current token follows a certain keyword.
+func (a *Analyser) follows(word keyword) bool {
 	return a.last == tokenKeyword && a.lastKeyword == word
 }
 
-// applyKeyword interprets a possible keyword in its context; false: it is a name there.
+// applyKeyword interprets a possible keyword in its context. It returns false if the word is a name there.
 func (a *Analyser) applyKeyword(word keyword) bool {
-	if a.pendingVerb != kwNone && endsPendingVerb(word) {
+	if a.pendingVerb != kwNone && cancelsPendingVerb(word) {
 		a.pendingVerb = kwNone
 	}
 	switch word {
@@ -75,7 +76,7 @@
 	case kwOrder:
 		a.applyOrder()
 	case kwUnion:
-		a.result.SetOps++
+		a.result.SetOperators++
 		a.enterClause(clauseNone)
 	case kwValues:
 		a.enterClause(clauseValues)
@@ -105,26 +106,26 @@
 			a.result.Distinct = true
 		}
 	case kwBetween:
-		if a.bracket().clause.choosesRows() {
-			a.result.Ranges++
+		if a.bracket().clause.filtersRows() {
+			a.result.RangeConditions++
 		}
 	case kwCopy, kwBulk, kwLoad, kwTruncate, kwDDL, kwExec:
 		return a.applyFirstVerb(word)
 	case kwTo:
-		a.copyMayWrite = false
+		a.copyDirectionUnknown = false
 	case kwTable:
 		return a.applyTable()
 	case kwTemporary:
 		return a.applyTemporary()
-	case kwBeforeTable, kwPlain:
-	case kwAggregate, kwIn, kwFor, kwBegin, kwNoVerbNext:
-		return a.tableUse == useNone // otherwise a table of that name
+	case kwBeforeTable, kwReserved:
+	case kwAggregate, kwIn, kwFor, kwBegin, kwSuppressesVerb:
+		return a.tableUse == useNone // otherwise it is a table's name
 	}
 	return true
 }
 
-// endsPendingVerb reports whether a keyword shows that INSERT, UPDATE or DELETE before it was no verb.
-func endsPendingVerb(word keyword) bool {
+// cancelsPendingVerb reports whether a keyword shows that the INSERT, UPDATE or DELETE before it is not a verb.
+func cancelsPendingVerb(word keyword) bool {
 	switch word {
 	case kwInto, kwFrom, kwBeforeTable, kwTable, kwTop:
 		return false
@@ -133,14 +134,14 @@
 }
 
 func (a *Analyser) applySelect() {
-	here := a.bracket()
-	ofCTE := a.inCTEs && a.depth == 1
-	if !here.hasVerb && a.depth > 0 && !ofCTE {
-		here.subselectDepth++
+	current := a.bracket()
+	isCTEBody := a.inCTEs && a.depth == 1
+	if !current.hasVerb && a.depth > 0 && !isCTEBody {
+		current.subselectDepth++
 		a.result.Subselects++
-		a.result.Depth = max(a.result.Depth, here.subselectDepth)
+		a.result.SubselectDepth = max(a.result.SubselectDepth, current.subselectDepth)
 	}
-	if here.inList { // IN (SELECT ...) is no list
+	if current.inList { // IN (SELECT ...) is not a list
 		a.result.InLists--
 	}
 	a.inCTEs = a.inCTEs && a.depth > 0
@@ -149,74 +150,74 @@
 }
 
 func (a *Analyser) applyFrom() {
-	here := a.bracket()
+	current := a.bracket()
 	switch {
-	case a.isBehind(kwDistinct): // IS DISTINCT FROM
+	case a.follows(kwDistinct): // IS DISTINCT FROM
 	case a.pendingVerb == kwDelete:
 		a.startVerb(kwDelete)
-		here.clause = clauseFrom
+		current.clause = clauseFrom
 		a.tableUse = useWrite
 		a.pendingVerb = kwNone
-	case a.copyMayWrite && a.depth == 0: // COPY t FROM
-		a.copyMayWrite = false
+	case a.copyDirectionUnknown && a.depth == 0: // COPY t FROM
+		a.copyDirectionUnknown = false
 		a.result.Writes = true
 		if a.result.Read.count > 0 {
 			a.result.Written.add(a.result.Read.groups[0])
 			a.result.Read = Groups{}
 		}
-	case a.verb == kwBulk || a.verb == kwCopy && !here.hasVerb: // from a file
-	case here.hasVerb || a.depth == 0 && a.verb == kwNone || a.depth >= maxBrackets:
+	case a.verb == kwBulk || a.verb == kwCopy && !current.hasVerb: // the source is a file
+	case current.hasVerb || a.depth == 0 && a.verb == kwNone || a.depth >= maxBracketDepth:
 		a.expectTableToRead()
 	}
 }
 
 func (a *Analyser) applyOn() {
-	here := a.bracket()
+	current := a.bracket()
 	switch {
-	case a.verb == kwDDL && here.clause == clauseNone: // CREATE INDEX i ON t
+	case a.verb == kwDDL && current.clause == clauseNone: // CREATE INDEX i ON t
 		a.tableUse = useWrite
-	case here.clause == clauseValues: // ON CONFLICT, ON DUPLICATE KEY
-		here.clause = clauseSet
+	case current.clause == clauseValues: // ON CONFLICT, ON DUPLICATE KEY
+		current.clause = clauseSet
 	default:
 		a.enterClause(clauseOn)
 	}
 }
 
 func (a *Analyser) applyGroup() {
-	here := a.bracket()
-	if here.hasVerb || a.depth == 0 {
+	current := a.bracket()
+	if current.hasVerb || a.depth == 0 {
 		a.result.Grouped = true
 	}
-	here.clause = clauseGroup
+	current.clause = clauseGroup
 }
 
 func (a *Analyser) applyOrder() {
-	here := a.bracket()
-	if !here.isWindow && (here.hasVerb || a.depth == 0) {
+	current := a.bracket()
+	if !current.isWindowSpec && (current.hasVerb || a.depth == 0) {
 		a.result.Ordered = true
 	}
-	here.clause = clauseOrder
+	current.clause = clauseOrder
 }
 
 func (a *Analyser) applyInto() {
-	ofMerge := a.verb == kwMerge && a.result.Tables == 0
+	isMergeTarget := a.verb == kwMerge && a.result.Tables == 0
 	switch {
 	case a.pendingVerb == kwInsert:
 		a.startVerb(kwInsert)
 		a.tableUse = useWrite
-	case ofMerge || a.verb == kwCopy || a.verb == kwLoad:
+	case isMergeTarget || a.verb == kwCopy || a.verb == kwLoad:
 		a.tableUse = useWrite
 	case a.bracket().clause == clauseSelect: // SELECT ... INTO a table
 		a.tableUse = useWrite
-		a.noteWrite()
+		a.recordWrite()
 		a.result.Kind = max(a.result.Kind, Insert)
 	}
 	a.pendingVerb = kwNone
 }
 
-// applyRowVerb interprets INSERT, UPDATE and DELETE, which are verbs depending on the next token.
+// applyRowVerb interprets INSERT, UPDATE and DELETE. Whether they are verbs depends on the last and the next token.
 func (a *Analyser) applyRowVerb(verb keyword) bool {
-	if a.isBehind(kwNoVerbNext) || a.isBehind(kwFor) || a.isBehind(kwOn) {
+	if a.follows(kwSuppressesVerb) || a.follows(kwFor) || a.follows(kwOn) {
 		if a.lastKeyword == kwFor && verb == kwUpdate {
 			a.result.ForUpdate = true
 		}
@@ -252,9 +253,9 @@
 }
 
 func (a *Analyser) applySet() {
-	here := a.bracket()
-	if here.clause != clauseWhere || a.verb == kwUpdate {
-		here.clause = clauseSet
+	current := a.bracket()
+	if current.clause != clauseWhere || a.verb == kwUpdate {
+		current.clause = clauseSet
 	}
 	a.tableUse = useNone
 }
@@ -282,7 +283,7 @@
 	return true
 }
 
-// applyFirstVerb interprets keywords that are verbs only at the start of a statement.
+// applyFirstVerb interprets a keyword that is a verb only at the start of a statement.
 func (a *Analyser) applyFirstVerb(verb keyword) bool {
 	if !a.atStatementStart() {
 		return false
@@ -291,7 +292,7 @@
 	switch verb {
 	case kwCopy:
 		a.tableUse = useRead
-		a.copyMayWrite = true
+		a.copyDirectionUnknown = true
 		a.bracket().hasVerb = false
 	case kwTruncate:
 		a.tableUse = useWrite
@@ -311,11 +312,11 @@
 }
 
 func (a *Analyser) applyTemporary() bool {
-	createsByInto := a.tableUse == useWrite && a.verb == kwSelect
-	if a.verb != kwDDL && !createsByInto {
+	isSelectInto := a.tableUse == useWrite && a.verb == kwSelect
+	if a.verb != kwDDL && !isSelectInto {
 		return false
 	}
-	a.temporary = true
+	a.createsTemporary = true
 	a.result.Writes = a.wroteBeforeVerb
 	return true
 }
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -1,6 +1,6 @@
 package sqltext
 
-// keyword is a group of words with the same meaning.
+// keyword is a keyword, or a group of keywords that are interpreted alike.
 type keyword uint8
 
 const (
@@ -44,67 +44,68 @@
 	kwExec
 	kwTemporary
 	kwBegin
-	kwBeforeTable // may stand before a table's name: IF, EXISTS, ONLY
-	kwNoVerbNext  // before UPDATE or DELETE it makes these no verbs: THEN, DO, KEY, OR, AFTER, OF
-	kwPlain       // any other keyword that cannot be a name: AND, OR, NOT, NULL
+	kwBeforeTable    // may precede a table name: IF, EXISTS, ONLY
+	kwSuppressesVerb // an INSERT, UPDATE or DELETE after it is not a verb: THEN, DO, KEY, OR, AFTER, OF
+	kwReserved       // any other keyword that cannot be a name: AND, NOT, NULL
 )
 
-// keywordTexts are the words of each keyword, in lower case.
+// keywordTexts lists the words of each keyword in lower case.
 var keywordTexts = map[keyword][]string{
-	kwSelect:      {"select"},
-	kwFrom:        {"from"},
-	kwWhere:       {"where"},
-	kwJoin:        {"join"},
-	kwOn:          {"on"},
-	kwGroup:       {"group"},
-	kwOrder:       {"order"},
-	kwHaving:      {"having"},
-	kwUnion:       {"union", "intersect", "except"},
-	kwIn:          {"in"},
-	kwValues:      {"values"},
-	kwInto:        {"into"},
-	kwInsert:      {"insert", "replace"},
-	kwUpdate:      {"update"},
-	kwDelete:      {"delete"},
-	kwMerge:       {"merge"},
-	kwUsing:       {"using"},
-	kwSet:         {"set"},
-	kwWith:        {"with"},
-	kwAs:          {"as"},
-	kwTop:         {"top"},
-	kwLimit:       {"limit"},
-	kwFetch:       {"fetch"},
-	kwOver:        {"over"},
-	kwDistinct:    {"distinct"},
-	kwFor:         {"for"},
-	kwBetween:     {"between", "like", "ilike"},
-	kwApply:       {"apply"},
-	kwAggregate:   {"count", "sum", "avg", "min", "max", "stddev", "variance", "string_agg", "array_agg", "listagg", "group_concat", "count_big", "percentile_cont", "percentile_disc", "median", "corr"},
-	kwCopy:        {"copy"},
-	kwTo:          {"to"},
-	kwBulk:        {"bulk"},
-	kwLoad:        {"load"},
-	kwTruncate:    {"truncate"},
-	kwDDL:         {"create", "alter", "drop"},
-	kwTable:       {"table", "view"},
-	kwExec:        {"exec", "execute", "call"},
-	kwTemporary:   {"temporary", "temp"},
-	kwBegin:       {"begin", "explain", "analyze", "else"},
-	kwBeforeTable: {"if", "exists", "only", "lateral", "ignore", "overwrite", "low_priority"},
-	kwNoVerbNext:  {"then", "do", "key", "or", "after", "of", "instead"},
-	kwPlain:       {"and", "not", "null", "is", "case", "when", "end", "by", "left", "right", "inner", "outer", "full", "cross", "partition", "all", "any", "asc", "desc"},
+	kwSelect:         {"select"},
+	kwFrom:           {"from"},
+	kwWhere:          {"where"},
+	kwJoin:           {"join"},
+	kwOn:             {"on"},
+	kwGroup:          {"group"},
+	kwOrder:          {"order"},
+	kwHaving:         {"having"},
+	kwUnion:          {"union", "intersect", "except"},
+	kwIn:             {"in"},
+	kwValues:         {"values"},
+	kwInto:           {"into"},
+	kwInsert:         {"insert", "replace"},
+	kwUpdate:         {"update"},
+	kwDelete:         {"delete"},
+	kwMerge:          {"merge"},
+	kwUsing:          {"using"},
+	kwSet:            {"set"},
+	kwWith:           {"with"},
+	kwAs:             {"as"},
+	kwTop:            {"top"},
+	kwLimit:          {"limit"},
+	kwFetch:          {"fetch"},
+	kwOver:           {"over"},
+	kwDistinct:       {"distinct"},
+	kwFor:            {"for"},
+	kwBetween:        {"between", "like", "ilike"},
+	kwApply:          {"apply"},
+	kwAggregate:      {"count", "sum", "avg", "min", "max", "stddev", "variance", "string_agg", "array_agg", "listagg", "group_concat", "count_big", "percentile_cont", "percentile_disc", "median", "corr"},
+	kwCopy:           {"copy"},
+	kwTo:             {"to"},
+	kwBulk:           {"bulk"},
+	kwLoad:           {"load"},
+	kwTruncate:       {"truncate"},
+	kwDDL:            {"create", "alter", "drop"},
+	kwTable:          {"table", "view"},
+	kwExec:           {"exec", "execute", "call"},
+	kwTemporary:      {"temporary", "temp"},
+	kwBegin:          {"begin", "explain", "analyze", "else"},
+	kwBeforeTable:    {"if", "exists", "only", "lateral", "ignore", "overwrite", "low_priority"},
+	kwSuppressesVerb: {"then", "do", "key", "or", "after", "of", "instead"},
+	kwReserved:       {"and", "not", "null", "is", "case", "when", "end", "by", "left", "right", "inner", "outer", "full", "cross", "partition", "all", "any", "asc", "desc"},
 }
 
-// keywordTableBits is the binary logarithm of the hash table's size.
+// keywordTableBits is the binary logarithm of the size of keywordTable.
 const keywordTableBits = 9
 
 var (
-	// keywordTable holds the keywords in an open hash table.
+	// keywordTable is a hash table of the keywords with open addressing and linear probing.
 	keywordTable [1 << keywordTableBits]struct {
 		text    string
 		keyword keyword
 	}
-	// keywordLengths has a bit set for each length of the keywords with a first letter: it rules out most names without a lookup.
+	// keywordLengths maps a first letter to a bit set of the lengths of the keywords that begin with it. Most names are
+	// ruled out by it, without a lookup in keywordTable.
 	keywordLengths [256]uint32
 )
 
@@ -120,24 +121,24 @@
 	for keyword, texts := range keywordTexts {
 		for _, text := range texts {
 			keywordLengths[text[0]] |= 1 << len(text)
-			at := keywordHash([]byte(text))
-			for keywordTable[at].text != "" {
-				at = (at + 1) % uint32(len(keywordTable))
+			slot := keywordHash([]byte(text))
+			for keywordTable[slot].text != "" {
+				slot = (slot + 1) % uint32(len(keywordTable))
 			}
-			keywordTable[at].text = text
-			keywordTable[at].keyword = keyword
+			keywordTable[slot].text = text
+			keywordTable[slot].keyword = keyword
 		}
 	}
 }
 
-// lookUpKeyword returns the keyword of a word in lower case, or kwNone.
+// lookUpKeyword returns the keyword that a word in lower case is, or kwNone.
 func lookUpKeyword(word []byte) keyword {
-	const maxLength = 31 // the bits of keywordLengths
+	const maxLength = 31 // highest bit of keywordLengths
 	if len(word) > maxLength || keywordLengths[word[0]]&(1<<len(word)) == 0 {
 		return kwNone
 	}
-	for at := keywordHash(word); ; at = (at + 1) % uint32(len(keywordTable)) {
-		entry := &keywordTable[at]
+	for slot := keywordHash(word); ; slot = (slot + 1) % uint32(len(keywordTable)) {
+		entry := &keywordTable[slot]
 		if entry.text == string(word) {
 			return entry.keyword
 		}
--- a/internal/sqltext/recorded_test.go
+++ b/internal/sqltext/recorded_test.go
@@ -48,7 +48,7 @@
 func hashAnalysis(sum io.Writer, analyser *Analyser, text []byte) {
 	s := analyser.Analyse(text)
 	fmt.Fprintln(sum, int(s.Kind), s.Writes, s.Truncated, s.Unterminated, s.Read.Slice(), s.Written.Slice(), s.FirstSchemaGroup, s.ForUpdate, s.Grouped, s.Windowed, s.Ordered, s.Distinct, s.Limited)
-	fmt.Fprintln(sum, s.Limit, s.Statements, s.Tables, s.Joins, s.SetOps, s.CTEs, s.Subselects, s.Depth, s.Aggregates, s.KeyEqual, s.Ranges, s.InLists, s.InItems, s.Rows, s.Fingerprint)
+	fmt.Fprintln(sum, s.Limit, s.Statements, s.Tables, s.Joins, s.SetOperators, s.CTEs, s.Subselects, s.SubselectDepth, s.Aggregates, s.EqualityConditions, s.RangeConditions, s.InLists, s.InListItems, s.Rows, s.Fingerprint)
 	fmt.Fprintln(sum, s.LockedGroup(), s.PrimaryGroup(), string(analyser.NormalizedText()))
 }
 
--- a/internal/sqltext/scanner.go
+++ b/internal/sqltext/scanner.go
@@ -2,17 +2,17 @@
 
 import "bytes"
 
-// scan cuts a text into tokens; white space and comments are skipped. The scan methods take the position at which a
-// token begins and return the position behind it.
+// scan splits a text into tokens and skips white space and comments. The scan methods take the position at which a token
+// begins and return the position after it.
 func (a *Analyser) scan(text []byte) {
 	for i := 0; i < len(text); {
 		c := text[i]
 		switch classOf[c] {
-		case classBlank:
+		case classSpace:
 			i++
 		case className:
 			i = a.scanName(text, i)
-			if i < len(text) && text[i] == ' ' { // the usual case, without another round of the loop
+			if i < len(text) && text[i] == ' ' { // the usual case; saves an iteration
 				i++
 			}
 		case classDigit:
@@ -56,8 +56,8 @@
 		case classLess:
 			a.addLess(c, i+1 < len(text) && text[i+1] == '>')
 			i++
-		case classMark:
-			i = a.scanMarkedName(text, i)
+		case classPrefix:
+			i = a.scanPrefixedName(text, i)
 		default:
 			a.addOtherOperator(c)
 			i++
@@ -65,29 +65,29 @@
 	}
 }
 
-// isCompoundWithEqual reports whether a byte forms one operator with the = behind it: <=, >=, != and :=.
+// isCompoundWithEqual reports whether a byte forms one operator with the = after it: <=, >=, != and :=.
 func isCompoundWithEqual(c byte) bool { return classOf[c] == classLess || c == '!' || c == ':' }
 
-// scanName reads a name or keyword, folding it into the normalized text.
+// scanName reads a name or keyword and adds it in lower case to the normalized text.
 func (a *Analyser) scanName(text []byte, i int) int {
 	a.startName()
 	start := len(a.normalized)
 	end := start
-	target := a.normalized[:cap(a.normalized)]
-	for ; i < len(text) && end < len(target); i++ {
+	buffer := a.normalized[:cap(a.normalized)]
+	for ; i < len(text) && end < len(buffer); i++ {
 		folded := foldedNameByte[text[i]]
 		if folded == 0 {
 			break
 		}
-		target[end] = folded
+		buffer[end] = folded
 		end++
 	}
-	a.normalized = target[:end]
+	a.normalized = buffer[:end]
 	a.endName(start, 0, false)
 	return i
 }
 
-// scanNumberLiteral reads a number with fraction and exponent.
+// scanNumberLiteral reads a number, with its fraction and exponent.
 func (a *Analyser) scanNumberLiteral(text []byte, i int) int {
 	start := i
 	for i++; i < len(text); i++ {
@@ -104,15 +104,15 @@
 	return i
 }
 
-// isExponentSign reports whether a sign inside a number belongs to its exponent.
+// isExponentSign reports whether the byte at i, in a number that begins at start, is the sign of its exponent.
 func isExponentSign(text []byte, start, i int) bool {
 	isSign := text[i] == '-' || text[i] == '+'
 	return isSign && text[i-1]|0x20 == 'e' && i+1 < len(text) && isDigit(text[i+1]) && text[start]|0x20 != 'x'
 }
 
-// readLimit takes a limit's digits, up to the first other byte.
+// readLimit sets Limit to the leading digits of a number.
 func (a *Analyser) readLimit(number []byte) {
-	const maxLimit = 1 << 40 // no digit is added above it
+	const maxLimit = 1 << 40 // no digits are added to a larger value
 	for _, c := range number {
 		if !isDigit(c) || a.result.Limit > maxLimit {
 			return
@@ -121,12 +121,12 @@
 	}
 }
 
-// scanString reads '...', where a doubled quote stands for one, and in E'...' a backslash escapes.
+// scanString reads a string '...'. A doubled quote represents one quote; in E'...', a backslash escapes the next byte.
 func (a *Analyser) scanString(text []byte, i int) int {
 	isPrefixed := i > 0 && (i == 1 || !isNameByte(text[i-2])) && a.last != tokenNone && isNameByte(text[i-1]) && !isDigit(text[i-1])
 	escapes := isPrefixed && text[i-1]|0x20 == 'e'
 	if isPrefixed {
-		a.takeBackStringPrefix()
+		a.removeStringPrefix()
 	}
 	i++
 	for {
@@ -153,8 +153,9 @@
 	return i
 }
 
-// takeBackStringPrefix removes a name of one letter right before a string, which is the string's prefix: N'...', E'...'.
-func (a *Analyser) takeBackStringPrefix() {
+// removeStringPrefix removes the last name, one letter directly before a string that is the string's prefix: N'...',
+// E'...'.
+func (a *Analyser) removeStringPrefix() {
 	a.normalized = bytes.TrimRight(a.normalized[:len(a.normalized)-1], " ")
 	a.inTableName = a.inTableName && a.last != tokenName
 	a.last = a.previous
@@ -162,7 +163,7 @@
 	a.leftOfEqual = a.previousLeftOfEqual
 }
 
-// scanQuotedName reads "..." and `...`.
+// scanQuotedName reads a name in double quotes or backticks.
 func (a *Analyser) scanQuotedName(text []byte, i int) int {
 	start := i + 1
 	end := a.endOfQuotedName(text, start, text[i])
@@ -174,7 +175,7 @@
 	return end
 }
 
-// endOfQuotedName returns the position behind the closing quote; beyond the text if there is none.
+// endOfQuotedName returns the position after the closing quote, or len(text)+1 if there is none.
 func (a *Analyser) endOfQuotedName(text []byte, i int, quote byte) int {
 	for {
 		length := bytes.IndexByte(text[i:], quote)
@@ -186,11 +187,11 @@
 		if i == len(text) || text[i] != quote {
 			return i
 		}
-		i++ // a doubled quote stands for one
+		i++ // a doubled quote represents one quote
 	}
 }
 
-// scanSquareBracket reads a T-SQL name, or a subscript or array right behind a name.
+// scanSquareBracket reads a T-SQL name in square brackets, or a subscript or array directly after a name or bracket.
 func (a *Analyser) scanSquareBracket(text []byte, i int) int {
 	isSubscript := i > 0 && (isNameByte(text[i-1]) || text[i-1] == ']' || text[i-1] == ')')
 	start := i + 1
@@ -207,7 +208,7 @@
 	return min(start+length+1, len(text))
 }
 
-// scanDollar reads $mark$...$mark$, a parameter such as $1, or a name.
+// scanDollar reads a dollar-quoted string $tag$...$tag$, a parameter such as $1, or a name.
 func (a *Analyser) scanDollar(text []byte, i int) int {
 	if end := endOfDollarString(text, i); end > 0 {
 		if end > len(text) {
@@ -226,28 +227,28 @@
 	return i
 }
 
-// endOfDollarString returns the position behind a string $mark$...$mark$: beyond the text if it is not terminated, 0 if
-// there is none.
+// endOfDollarString returns the position after a dollar-quoted string $tag$...$tag$, len(text)+1 if it is not terminated,
+// or 0 if there is none.
 func endOfDollarString(text []byte, i int) int {
-	markEnd := i + 1
-	for markEnd < len(text) && isNameByte(text[markEnd]) && text[markEnd] != '$' {
-		markEnd++
+	tagEnd := i + 1
+	for tagEnd < len(text) && isNameByte(text[tagEnd]) && text[tagEnd] != '$' {
+		tagEnd++
 	}
-	if markEnd == len(text) || text[markEnd] != '$' {
+	if tagEnd == len(text) || text[tagEnd] != '$' {
 		return 0
 	}
-	if markEnd > i+1 && isDigit(text[i+1]) {
+	if tagEnd > i+1 && isDigit(text[i+1]) {
 		return 0
 	}
-	mark := text[i : markEnd+1]
-	length := bytes.Index(text[markEnd+1:], mark)
+	tag := text[i : tagEnd+1]
+	length := bytes.Index(text[tagEnd+1:], tag)
 	if length < 0 {
 		return len(text) + 1
 	}
-	return markEnd + 1 + length + len(mark)
+	return tagEnd + 1 + length + len(tag)
 }
 
-// scanDash reads a line comment or a minus.
+// scanDash skips a line comment or reads a minus.
 func (a *Analyser) scanDash(text []byte, i int) int {
 	if i+1 < len(text) && text[i+1] == '-' {
 		length := bytes.IndexByte(text[i:], '\n')
@@ -256,12 +257,12 @@
 		}
 		return i + length + 1
 	}
-	a.noteSign()
+	a.detectSign()
 	a.addOperator('-')
 	return i + 1
 }
 
-// scanSlash reads a block comment or a division.
+// scanSlash skips a block comment or reads a division operator.
 func (a *Analyser) scanSlash(text []byte, i int) int {
 	if i+1 < len(text) && text[i+1] == '*' {
 		return a.scanBlockComment(text, i)
@@ -270,14 +271,14 @@
 	return i + 1
 }
 
-// scanBlockComment skips a block comment and those inside it.
+// scanBlockComment skips a block comment and the comments nested in it.
 func (a *Analyser) scanBlockComment(text []byte, i int) int {
-	const window = 64 // bytes searched at a time
+	const chunkBytes = 64 // bytes searched at a time
 	depth := 0
 	for i < len(text) {
-		next := bytes.IndexAny(text[i:min(len(text), i+window)], "*/")
+		next := bytes.IndexAny(text[i:min(len(text), i+chunkBytes)], "*/")
 		if next < 0 {
-			i = min(len(text), i+window)
+			i = min(len(text), i+chunkBytes)
 			continue
 		}
 		i += next
@@ -301,30 +302,31 @@
 	return i
 }
 
-// scanMarkedName reads @variable, #temporary, :parameter and ::type.
-func (a *Analyser) scanMarkedName(text []byte, i int) int {
-	mark := text[i]
-	if mark == ':' && i+1 < len(text) && text[i+1] == ':' {
+// scanPrefixedName reads @variable, #temporary, :parameter and the operator of ::type. Prefixes without a name are
+// operators.
+func (a *Analyser) scanPrefixedName(text []byte, i int) int {
+	prefix := text[i]
+	if prefix == ':' && i+1 < len(text) && text[i+1] == ':' {
 		a.addOperator(':')
 		a.addOperator(':')
 		return i + 2
 	}
-	marksStart := i
-	for i < len(text) && text[i] == mark {
+	prefixStart := i
+	for i < len(text) && text[i] == prefix {
 		i++
 	}
 	if i == len(text) || !isNameByte(text[i]) {
-		for range i - marksStart {
-			a.addOperator(mark)
+		for range i - prefixStart {
+			a.addOperator(prefix)
 		}
 		return i
 	}
 	start := i
 	for i++; i < len(text) && isNameByte(text[i]); i++ {
 	}
-	isTable := mark == '#' || a.tableUse != useNone // a temporary table or a table variable
+	isTable := prefix == '#' || a.tableUse != useNone // a temporary table or a table variable
 	if isTable {
-		a.addQuotedName(text[start:i], mark)
+		a.addQuotedName(text[start:i], prefix)
 	} else {
 		a.addParameter()
 	}
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -3,13 +3,14 @@
 // NoGroup is the table group of a statement that names none.
 const NoGroup = -1
 
-// MaxTableGroups is the maximum number of table groups that are recorded as read, and as written, by one statement.
+// MaxTableGroups is the maximum number of table groups that are recorded as read by one statement, and as written.
 const MaxTableGroups = 8
 
-// Kind is the kind of a statement; of a batch, or of a statement that contains others, the heaviest, in this order.
+// Kind is the kind of a statement. A batch, or a statement that contains others, has the last of their kinds in the order
+// of the constants, which are ordered by weight.
 type Kind uint8
 
-// The kinds.
+// The kinds of statements.
 const (
 	Other Kind = iota
 	Select
@@ -43,10 +44,10 @@
 	groups [MaxTableGroups]int64
 }
 
-// Slice returns the set's groups; it shares the set's memory.
+// Slice returns the groups in the set. The slice shares the set's memory.
 func (g *Groups) Slice() []int64 { return g.groups[:g.count] }
 
-// add adds a group; one beyond MaxTableGroups is ignored.
+// add adds a group, unless the set contains it or is full.
 func (g *Groups) add(group int64) {
 	for _, known := range g.groups[:g.count] {
 		if known == group {
@@ -59,38 +60,38 @@
 	}
 }
 
-// Statement describes a text. Counts are over the whole text.
+// Statement is the description of a text. Its counts cover all statements of the text.
 type Statement struct {
 	Kind         Kind
-	Writes       bool // something that outlives the session, as far as can be seen
+	Writes       bool // it seems to change something that outlives the session
 	Truncated    bool // longer than MaxAnalysedBytes: the rest was not read, and Fingerprint is 0
-	Unterminated bool // ends inside a string, a quoted name or a comment
+	Unterminated bool // the text ends inside a string, a quoted name or a comment
 
 	Read, Written    Groups
-	FirstSchemaGroup int64 // of the first schema with a group, as the protocol reads schemas
+	FirstSchemaGroup int64 // of the first name that the protocol takes for a schema with a group
 
 	ForUpdate, Grouped, Windowed, Ordered, Distinct, Limited bool
 
-	Limit      int64 // where Limited by a number; else 0
-	Statements int32 // of a batch
-	Tables     int32 // named where a table stands
-	Joins      int32 // also commas between tables, and APPLY
-	SetOps     int32 // UNION, INTERSECT, EXCEPT
-	CTEs       int32
-	Subselects int32
-	Depth      int32 // of sub-selects
-	Aggregates int32
-	KeyEqual   int32 // a column equal to a literal or parameter, where rows are chosen
-	Ranges     int32 // <, >, BETWEEN, LIKE there
-	InLists    int32
-	InItems    int32
-	Rows       int32 // of VALUES
+	Limit              int64 // number of rows if Limited by a literal number, else 0
+	Statements         int32 // number of statements in the batch
+	Tables             int32 // table names where a table is expected
+	Joins              int32 // JOIN, APPLY and commas between tables
+	SetOperators       int32 // UNION, INTERSECT, EXCEPT
+	CTEs               int32
+	Subselects         int32
+	SubselectDepth     int32 // largest nesting depth of sub-selects
+	Aggregates         int32
+	EqualityConditions int32 // column = literal or parameter, in clauses that filter rows
+	RangeConditions    int32 // <, >, BETWEEN and LIKE, in clauses that filter rows
+	InLists            int32 // IN (...), except for sub-selects
+	InListItems        int32 // literals in these
+	Rows               int32 // of VALUES
 
 	Fingerprint uint64 // xxhash of the normalized text; 0: unknown
 }
 
-// LockedGroup returns the table group that the statement writes, which a bulk load locks while it runs; NoGroup if none
-// is known.
+// LockedGroup returns the first table group that the statement writes, which a bulk load locks while it runs, or NoGroup
+// if none is known.
 func (s *Statement) LockedGroup() int64 {
 	if s.Written.count > 0 {
 		return s.Written.groups[0]
@@ -98,15 +99,15 @@
 	return NoGroup
 }
 
-// PrimaryGroup returns the statement's table group: the one written, else the first one read, else that of the first
-// schema.
+// PrimaryGroup returns the statement's table group: the first one written, else the first one read, else, if no table was
+// recognized, that of the first schema.
 func (s *Statement) PrimaryGroup() int64 {
 	switch {
 	case s.Written.count > 0:
 		return s.Written.groups[0]
 	case s.Read.count > 0:
 		return s.Read.groups[0]
-	case s.Tables > 0: // the name that looked like a schema with a group is none
+	case s.Tables > 0: // FirstSchemaGroup is then not from a table's schema
 		return NoGroup
 	}
 	return s.FirstSchemaGroup
--- a/internal/sqltext/tokens.go
+++ b/internal/sqltext/tokens.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// The methods here add one token to the normalized text and interpret it where it stands.
+// The methods in this file add a token to the normalized text and interpret it in its context.
 
 func (a *Analyser) addToken(t token) {
 	a.previous = a.last
@@ -10,8 +10,8 @@
 	a.tokenCount++
 }
 
-// addBlank separates tokens, but not around a dot.
-func (a *Analyser) addBlank() {
+// addSpace separates the next token from the last one by a space, except after a dot.
+func (a *Analyser) addSpace() {
 	if len(a.normalized) > 0 && a.last != tokenDot {
 		a.normalized = append(a.normalized, ' ')
 	}
@@ -20,21 +20,21 @@
 func (a *Analyser) addOperator(c byte) {
 	a.endTableName()
 	a.pendingVerb = kwNone
-	if !a.signBefore {
+	if !a.lastIsSign {
 		a.leftOfEqual = tokenNone
 	}
-	a.addBlank()
+	a.addSpace()
 	a.normalized = append(a.normalized, c)
 	a.nameEnd = a.nameStart
 	a.addToken(tokenOperator)
 }
 
-// addOtherOperator adds an operator that needs no interpretation, a sign, or a parameter ?.
+// addOtherOperator adds a plus, which may be a sign, a parameter ?, or an operator without further meaning.
 func (a *Analyser) addOtherOperator(c byte) {
-	a.signBefore = false
+	a.lastIsSign = false
 	switch c {
 	case '+':
-		a.noteSign()
+		a.detectSign()
 		a.addOperator(c)
 	case '?':
 		a.addLiteral()
@@ -43,63 +43,64 @@
 	}
 }
 
-// addLess adds < or >, the first of which may begin <>.
-func (a *Analyser) addLess(c byte, beforeGreater bool) {
-	isUnequal := c == '<' && beforeGreater
-	if a.bracket().clause.choosesRows() && a.last != tokenOperator && !isUnequal {
-		a.result.Ranges++
+// addLess adds < or >. A < that is followed by > is the operator <>, which is no range condition.
+func (a *Analyser) addLess(c byte, followedByGreater bool) {
+	isUnequal := c == '<' && followedByGreater
+	if a.bracket().clause.filtersRows() && a.last != tokenOperator && !isUnequal {
+		a.result.RangeConditions++
 	}
 	a.addOperator(c)
 }
 
-// noteSign records whether a - or + is the sign of the number behind it: it is if no operand precedes it.
-func (a *Analyser) noteSign() {
-	a.signBefore = a.last != tokenName && a.last != tokenLiteral && a.last != tokenClose
+// detectSign records whether a - or + is the sign of the next number, which it is if it does not follow an operand.
+func (a *Analyser) detectSign() {
+	a.lastIsSign = a.last != tokenName && a.last != tokenLiteral && a.last != tokenClose
 }
 
 // addLiteral adds any literal or parameter.
 func (a *Analyser) addLiteral() {
 	a.endTableName()
-	a.takeBackSign()
+	a.removeSign()
 	if a.leftOfEqual == tokenName && a.last == tokenOperator {
-		a.result.KeyEqual++
+		a.result.EqualityConditions++
 	}
 	a.leftOfEqual = tokenNone
 	a.pendingVerb = kwNone
 	a.nameEnd = a.nameStart
 	a.limitExpected = false
 	if a.bracket().inList {
-		a.result.InItems++
-		isFurther := a.last == tokenComma && a.previous == tokenLiteral && len(a.normalized) > len(" ,")
-		if isFurther { // a list's literals count as one
+		a.result.InListItems++
+		isRepeated := a.last == tokenComma && a.previous == tokenLiteral && len(a.normalized) > len(" ,")
+		if isRepeated { // the normalized text contains one literal of a list
 			a.normalized = a.normalized[:len(a.normalized)-len(" ,")]
 			a.last = tokenLiteral
 			a.previous = tokenOpen
 			return
 		}
 	}
-	a.addBlank()
+	a.addSpace()
 	a.normalized = append(a.normalized, '?')
 	a.addToken(tokenLiteral)
 }
 
-// takeBackSign removes the sign of the number that follows from the normalized text.
-func (a *Analyser) takeBackSign() {
-	if a.signBefore && a.last == tokenOperator && len(a.normalized) > 0 {
+// removeSign removes the sign of a number, which is about to be added, from the normalized text.
+func (a *Analyser) removeSign() {
+	if a.lastIsSign && a.last == tokenOperator && len(a.normalized) > 0 {
 		a.normalized = a.normalized[:len(a.normalized)-1]
 		a.normalized = bytes.TrimSuffix(a.normalized, []byte(" "))
 		a.last = a.previous
 	}
-	a.signBefore = false
+	a.lastIsSign = false
 }
 
-// addParameter adds a literal. It follows the protocol's reading of schemas, for which a parameter is a name; the literal clears the name
-// before it, which may be a schema's.
+// addParameter adds a parameter, which the normalized text represents like a literal. By the protocol's rules for
+// schemas, though, a parameter is a name: a name and a dot before it are a schema, which is recorded here because adding
+// a literal discards the name.
 func (a *Analyser) addParameter() {
 	if a.isQualifier && !a.isQualified {
-		a.noteSchema()
+		a.recordSchemaGroup()
 	}
-	if a.last == tokenDot && a.inTableName { // the table itself is named by the parameter
+	if a.last == tokenDot && a.inTableName { // the parameter is the table's name
 		a.tableComponents++
 		a.schemaStart = a.componentStart
 		a.schemaEnd = a.componentEnd
@@ -109,8 +110,8 @@
 	a.isQualified = false
 }
 
-// noteSchema records the table group of the name before a dot, if it is the first schema with a group.
-func (a *Analyser) noteSchema() {
+// recordSchemaGroup records the table group of the last name, a schema, if it is the first one with a group.
+func (a *Analyser) recordSchemaGroup() {
 	group := groupOfSchema(a.normalized[a.nameStart:a.nameEnd])
 	if group != NoGroup && !a.schemaGroupFound {
 		a.schemaGroupFound = true
@@ -118,11 +119,11 @@
 	}
 }
 
-// addQuotedName adds a name that was quoted, or that stood behind a mark (0: none).
-func (a *Analyser) addQuotedName(text []byte, mark byte) {
+// addQuotedName adds a name that is quoted or has a prefix (0: none).
+func (a *Analyser) addQuotedName(text []byte, prefix byte) {
 	a.startName()
-	if mark != 0 {
-		a.normalized = append(a.normalized, mark)
+	if prefix != 0 {
+		a.normalized = append(a.normalized, prefix)
 	}
 	start := len(a.normalized)
 	a.normalized = append(a.normalized, text...)
@@ -131,22 +132,22 @@
 			a.normalized[start+i] = folded
 		}
 	}
-	a.endName(start, mark, true)
+	a.endName(start, prefix, true)
 }
 
-// startName interprets the schema before a name.
+// startName starts a name or keyword, and interprets the schema before it.
 func (a *Analyser) startName() {
 	isQualified := a.last == tokenDot && a.isQualifier
 	if isQualified && !a.isQualified && !a.schemaGroupFound {
-		a.noteSchema()
+		a.recordSchemaGroup()
 	}
 	a.isQualified = isQualified
 	a.isQualifier = false
-	a.addBlank()
+	a.addSpace()
 }
 
-// endName interprets the name or keyword that begins at a position of the normalized text and ends with it.
-func (a *Analyser) endName(start int, mark byte, quoted bool) {
+// endName interprets the name or keyword that extends from start to the end of the normalized text.
+func (a *Analyser) endName(start int, prefix byte, quoted bool) {
 	a.nameStart = start
 	a.nameEnd = len(a.normalized)
 	if a.last == tokenDot {
@@ -168,17 +169,17 @@
 	}
 	a.pendingVerb = kwNone
 	if a.tableUse != useNone {
-		a.startTableName(mark)
+		a.startTableName(prefix)
 	}
 	if a.leftOfEqual == tokenLiteral && a.last == tokenOperator {
-		a.result.KeyEqual++
+		a.result.EqualityConditions++
 	}
 	a.previousLeftOfEqual = a.leftOfEqual
 	a.leftOfEqual = tokenNone
 	a.addToken(tokenName)
 }
 
-// addNameComponent adds a name behind a dot.
+// addNameComponent adds a name after a dot.
 func (a *Analyser) addNameComponent() {
 	if a.inTableName {
 		a.tableComponents++
@@ -190,18 +191,18 @@
 	a.addToken(tokenName)
 }
 
-// startTableName records the last name as the first component of a table's name.
-func (a *Analyser) startTableName(mark byte) {
+// startTableName records the last name as the first component of a table name.
+func (a *Analyser) startTableName(prefix byte) {
 	a.inTableName = true
 	a.tableIsWritten = a.tableUse == useWrite
-	a.tableIsTemporary = mark != 0 || a.temporary
+	a.tableIsTemporary = prefix != 0 || a.createsTemporary
 	a.tableComponents = 1
 	a.tableUse = useNone
 	a.componentStart = a.nameStart
 	a.componentEnd = a.nameEnd
 }
 
-// endTableName counts the table whose name was being read, if there is one.
+// endTableName ends the table name that is being read, if there is one, and counts the table.
 func (a *Analyser) endTableName() {
 	if a.inTableName {
 		a.countTable()
@@ -228,12 +229,12 @@
 	}
 }
 
-// groupOfSchema returns the number behind the last underscore of a schema's name in lower case; NoGroup if there is none
-// or it exceeds an int64. The staging schema has no group.
+// groupOfSchema returns the number after the last underscore of a schema's name in lower case, or NoGroup if there is no
+// number or if it exceeds an int64. The staging schema has no group, even if a number follows its name.
 func groupOfSchema(schema []byte) int64 {
 	const (
 		maxInt64  = 1<<63 - 1
-		safeBound = (maxInt64 - 9) / 10 // up to it, any digit can be added
+		safeBound = (maxInt64 - 9) / 10 // up to this value, any digit can be appended
 	)
 	underscore := bytes.LastIndexByte(schema, '_')
 	if underscore <= 0 || string(schema[:underscore]) == "staging" || underscore == len(schema)-1 {
@@ -254,15 +255,15 @@
 }
 
 func (a *Analyser) addDot() {
-	behindName := (a.last == tokenName || a.last == tokenKeyword) && a.nameEnd > a.nameStart
-	a.isQualifier = behindName || a.last == tokenDot && a.isQualifier
+	afterName := (a.last == tokenName || a.last == tokenKeyword) && a.nameEnd > a.nameStart
+	a.isQualifier = afterName || a.last == tokenDot && a.isQualifier
 	a.normalized = append(a.normalized, '.')
 	a.addToken(tokenDot)
 }
 
 func (a *Analyser) addStar() {
 	if a.last == tokenDot && a.isQualifier && !a.isQualified {
-		a.noteSchema()
+		a.recordSchemaGroup()
 	}
 	a.addOperator('*')
 	a.last = tokenStar
@@ -283,7 +284,7 @@
 
 func (a *Analyser) openBracket() {
 	a.endTableName()
-	opened := a.interpretBracket()
+	opened := a.newBracket()
 	if a.tableUse == useWrite || a.tableUse == useRead && opened.clause != clauseFrom {
 		a.tableUse = useNone
 	}
@@ -292,32 +293,32 @@
 	a.last = tokenOpen
 	a.limitExpected = limitExpected
 	a.depth++
-	if a.depth < maxBrackets {
+	if a.depth < maxBracketDepth {
 		a.brackets[a.depth] = opened
 	}
 }
 
-// interpretBracket returns the state of a bracket that opens here.
-func (a *Analyser) interpretBracket() bracket {
+// newBracket returns the state of the bracket that the next token opens.
+func (a *Analyser) newBracket() bracket {
 	enclosing := a.bracket()
 	opened := bracket{subselectDepth: enclosing.subselectDepth}
-	behindKeyword := a.last == tokenKeyword
+	afterKeyword := a.last == tokenKeyword
 	switch {
-	case behindKeyword && a.lastKeyword == kwIn:
+	case afterKeyword && a.lastKeyword == kwIn:
 		opened.inList = true
 		a.result.InLists++
-	case behindKeyword && a.lastKeyword == kwAggregate:
+	case afterKeyword && a.lastKeyword == kwAggregate:
 		a.result.Aggregates++
-	case behindKeyword && a.lastKeyword == kwOver:
-		opened.isWindow = true
+	case afterKeyword && a.lastKeyword == kwOver:
+		opened.isWindowSpec = true
 	case a.tableUse == useRead: // FROM (a JOIN b ...), FROM (SELECT ...)
 		opened.clause = clauseFrom
-	case enclosing.clause.choosesRows() && a.last != tokenName: // WHERE (a = 1 AND ...)
+	case enclosing.clause.filtersRows() && a.last != tokenName: // WHERE (a = 1 AND ...)
 		opened.clause = clauseWhere
 	case enclosing.clause == clauseValues && !enclosing.inList:
 		a.result.Rows++
 		enclosing.valueRows++
-		if enclosing.valueRows > 1 && a.last == tokenComma { // only the first row is in the normalized text
+		if enclosing.valueRows > 1 && a.last == tokenComma { // the normalized text contains only the first row
 			opened.truncateAt = int32(len(a.normalized) - len(" ,"))
 		}
 	}
@@ -329,7 +330,7 @@
 	a.tableUse = useNone
 	truncateAt := int32(0)
 	if a.depth > 0 {
-		if a.depth < maxBrackets {
+		if a.depth < maxBracketDepth {
 			truncateAt = a.brackets[a.depth].truncateAt
 		}
 		a.depth--
@@ -341,15 +342,15 @@
 	}
 }
 
-// addEqual adds =; compound: it ends an operator such as <=.
+// addEqual adds =. If compound is set, it is the end of an operator such as <=.
 func (a *Analyser) addEqual(compound bool) {
 	left := a.last
-	if left == tokenKeyword && (a.lastKeyword == kwNoVerbNext || a.lastKeyword == kwAggregate) { // a column named key or count
+	if left == tokenKeyword && (a.lastKeyword == kwSuppressesVerb || a.lastKeyword == kwAggregate) { // probably a column named key or count
 		left = tokenName
 	}
-	a.signBefore = false
+	a.lastIsSign = false
 	a.addOperator('=')
-	if a.bracket().clause.choosesRows() && !compound && (left == tokenName || left == tokenLiteral) {
+	if a.bracket().clause.filtersRows() && !compound && (left == tokenName || left == tokenLiteral) {
 		a.leftOfEqual = left
 	}
 }
@@ -362,7 +363,7 @@
 	a.nameEnd = a.nameStart
 }
 
-// endStatement ends one statement of a batch, or the last.
+// endStatement ends a statement: one of a batch, or the only one.
 func (a *Analyser) endStatement() {
 	a.endTableName()
 	changesRows := a.verb == kwUpdate || a.verb == kwDelete
@@ -380,9 +381,9 @@
 	a.tableUse = useNone
 	a.lastKeyword = kwNone
 	a.tokenCount = 0
-	a.temporary = false
-	a.copyMayWrite = false
+	a.createsTemporary = false
+	a.copyDirectionUnknown = false
 	a.leftOfEqual = tokenNone
 	a.limitExpected = false
-	a.signBefore = false
+	a.lastIsSign = false
 }
