--- a/internal/classify/choose_workload.go
+++ b/internal/classify/choose_workload.go
@@ -93,7 +93,7 @@
 		count:  float64(min(labelRuns.N(), maxLabelRuns)),
 	}
 	allRuns := observation.record.RunTime.N()
-	if float64(labelRuns.N()) > labelMajority/(labelMajority+1)*allRuns { // most runs had this label
+	if float64(labelRuns.N()) > labelMajority/(labelMajority+1)*allRuns { // more than four of five runs had this label
 		evidence.median = observation.record.RunTime.Quantile(0.5)
 		evidence.count = allRuns
 	}
--- a/internal/classify/classifier.go
+++ b/internal/classify/classifier.go
@@ -24,15 +24,15 @@
 
 // Classification describes how a statement is treated. If Work or MemoryMB is 0, the declared value applies.
 type Classification struct {
-	Workload     decision.WorkloadID
-	Reason       Reason
-	Confidence   float64       // 0 to 1, that Workload is right
-	Work         time.Duration // expected execution time on one thread
-	MemoryMB     float64
-	Writes       bool // by the text, whatever the label is
-	Tables       decision.TableGroup
-	LockedTables decision.TableGroup   // written; NoGroup: none
-	OtherTables  []decision.TableGroup // named in addition to Tables
+	Workload          decision.WorkloadID
+	Reason            Reason
+	Confidence        float64               // that Workload is right, 0 to 1
+	Work              time.Duration         // expected execution time on one thread
+	MemoryMB          float64               // expected memory
+	Writes            bool                  // by the text, whatever the label is
+	PrimaryTableGroup decision.TableGroup   // the primary table group; sqltext.NoGroup: none
+	LockedTableGroup  decision.TableGroup   // written by the statement; sqltext.NoGroup: none
+	OtherTables       []decision.TableGroup // named in addition to PrimaryTableGroup
 }
 
 // Observation holds what RecordEnd needs to know about a statement that was classified.
@@ -94,11 +94,11 @@
 func (c *Classifier) Classify(now time.Duration, declared decision.WorkloadID, estimate time.Duration, memoryMB float64,
 	statement *sqltext.Statement, observation *Observation) Classification {
 	classified := Classification{
-		Writes:       statement.Writes,
-		Tables:       decision.TableGroup(statement.PrimaryGroup()),
-		LockedTables: decision.TableGroup(statement.LockedGroup()),
+		Writes:            statement.Writes,
+		PrimaryTableGroup: decision.TableGroup(statement.PrimaryGroup()),
+		LockedTableGroup:  decision.TableGroup(statement.LockedGroup()),
 	}
-	classified.OtherTables = otherTables(statement, classified.Tables)
+	classified.OtherTables = otherTables(statement, classified.PrimaryTableGroup)
 	*observation = Observation{
 		fingerprint:      statement.Fingerprint,
 		declared:         declared,
--- a/internal/classify/label_evidence.go
+++ b/internal/classify/label_evidence.go
@@ -15,8 +15,8 @@
 	// which the two count as different.
 	minLabelGap = 0.9
 
-	// maxRefutedShare is the ratio of refuted to confirmed fingerprints above which the structure is ignored.
-	maxRefutedShare = 0.25
+	// maxRefutedRatio is the ratio of refuted to confirmed fingerprints above which the structure is ignored.
+	maxRefutedRatio = 0.25
 )
 
 // labelEvidence counts the fingerprints that are evidence for or against a declared workload compared with another one.
@@ -33,10 +33,11 @@
 
 // structureMisleads reports whether run times have refuted the workload that the structure suggests too often.
 func (e labelEvidence) structureMisleads() bool {
-	return e.structureRefuted >= minEvidence && float64(e.structureRefuted) > maxRefutedShare*float64(e.structureConfirmed)
+	return e.structureRefuted >= minEvidence && float64(e.structureRefuted) > maxRefutedRatio*float64(e.structureConfirmed)
 }
 
-// structureConfidence returns the confidence in the workload that the structure suggests, from 0 to 1.
+// structureConfidence returns the confidence in the workload that the structure suggests, from 0 to 1. Without evidence,
+// it is 0.9.
 func (e labelEvidence) structureConfidence() float64 {
 	return float64(e.structureConfirmed+9) / float64(e.structureConfirmed+e.structureRefuted+10)
 }
--- a/internal/classify/record_end.go
+++ b/internal/classify/record_end.go
@@ -18,8 +18,8 @@
 )
 
 // RecordEnd records the end of an attempt that ran for elapsed. For an attempt that did not complete, elapsed is only a
-// lower bound of the run time, and is recorded only if it is much longer than expected. missingMB is the additional
-// memory in MB that the engine reported to need; 0: none.
+// lower bound of the run time, and is recorded only if it is much longer than expected. missingMB is the memory
+// in MB that the engine reported as missing; 0: none.
 func (c *Classifier) RecordEnd(now time.Duration, observation *Observation, elapsed time.Duration, completed bool, missingMB float64) {
 	if observation.fingerprint == 0 || elapsed <= 0 {
 		return
--- a/internal/classify/recorded_test.go
+++ b/internal/classify/recorded_test.go
@@ -30,7 +30,7 @@
 		statement := analyser.Analyse(item.Text)
 		observation := new(Observation)
 		classified := classifier.Classify(now, item.Declared, item.Estimate, item.MemoryMB, &statement, observation)
-		fmt.Fprintln(hash, classified.Workload, int(classified.Reason), math.Float64bits(classified.Confidence), int64(classified.Work), math.Float64bits(classified.MemoryMB), classified.Writes, classified.Tables, classified.LockedTables, classified.OtherTables)
+		fmt.Fprintln(hash, classified.Workload, int(classified.Reason), math.Float64bits(classified.Confidence), int64(classified.Work), math.Float64bits(classified.MemoryMB), classified.Writes, classified.PrimaryTableGroup, classified.LockedTableGroup, classified.OtherTables)
 		if i%10_000 > 8_000 && i%3 == 0 { // some statements take longer than before
 			item.Work *= 6
 		}
--- a/internal/sqltext/tokens.go
+++ b/internal/sqltext/tokens.go
@@ -93,9 +93,9 @@
 	a.lastIsSign = false
 }
 
-// addParameter adds a parameter, which the normalized text represents like a literal. By the protocol's rules for
-// schemas, though, a parameter is a name: a name and a dot before it are a schema, which is recorded here because adding
-// a literal discards the name.
+// addParameter adds a parameter, which is a literal in the normalized text. By the protocol's rules for schemas, a
+// parameter is a name, so that a name and a dot before it may be a schema. Its group is recorded here, because adding a
+// literal discards the name.
 func (a *Analyser) addParameter() {
 	if a.isQualifier && !a.isQualified {
 		a.recordSchemaGroup()
