--- a/cmd/bankledge-faultlab/build.go
+++ b/cmd/bankledge-faultlab/build.go
@@ -10,30 +10,30 @@
 	"bankledge/internal/faultlab"
 )
 
-// Packages of the programs, from the project's folder.
+// Package paths of the programs, relative to the repository root.
 const (
 	routerPackage   = "./cmd/bankledge"
 	controlPackage  = "./cmd/bankledge-control"
 	faultlabPackage = "./cmd/bankledge-faultlab"
 )
 
-// BuildError says that a program does not build.
+// BuildError reports that the go command failed to build a program.
 type BuildError struct {
 	Program string
-	Output  string // of the compiler
+	Output  string // of the go command
 	Err     error
 }
 
-// Error names the program and holds what the compiler says.
+// Error names the program and includes the output of the go command.
 func (e *BuildError) Error() string {
-	return fmt.Sprintf("%s does not build: %s", e.Program, strings.TrimSpace(e.Output))
+	return fmt.Sprintf("building %s failed: %s", e.Program, strings.TrimSpace(e.Output))
 }
 
 // Unwrap returns the error of the go command.
 func (e *BuildError) Unwrap() error { return e.Err }
 
-// goBuild builds the program of a package as the file path. program is its name in errors, flags are those of go build. The error is a
-// *BuildError.
+// goBuild builds the program of a package and writes it to path. program is its name in errors, flags are passed to go build. The error
+// is a *BuildError.
 func goBuild(program, path, pkg string, flags ...string) error {
 	args := append([]string{"build"}, flags...)
 	args = append(args, "-o", path, pkg)
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// tempDir makes a temporary folder; remove deletes it.
+// tempDir creates a temporary directory; remove deletes it.
 func tempDir() (dir string, remove func(), err error) {
 	dir, err = os.MkdirTemp("", "bankledge-faultlab")
 	if err != nil {
@@ -53,23 +53,24 @@
 	return dir, func() { os.RemoveAll(dir) }, nil
 }
 
-// buildRouter builds the router, unless a program is named. remove deletes what was built.
-func buildRouter(named string) (path string, remove func(), err error) {
-	if named != "" {
-		return named, func() {}, nil
+// buildRouter returns the path of the given router program, or builds the router if the path is empty. remove deletes what was built.
+func buildRouter(given string) (path string, remove func(), err error) {
+	if given != "" {
+		return given, func() {}, nil
 	}
 	return buildTemp("the router", "bankledge", routerPackage)
 }
 
-// buildControl builds the control service, unless a program is named. remove deletes what was built.
-func buildControl(named string) (path string, remove func(), err error) {
-	if named != "" {
-		return named, func() {}, nil
+// buildControl returns the path of the given control service program, or builds the control service if the path is empty. remove deletes
+// what was built.
+func buildControl(given string) (path string, remove func(), err error) {
+	if given != "" {
+		return given, func() {}, nil
 	}
 	return buildTemp("the control service", "bankledge-control", controlPackage)
 }
 
-// buildTemp builds a program in a temporary folder.
+// buildTemp builds a program in a temporary directory.
 func buildTemp(program, file, pkg string) (path string, remove func(), err error) {
 	dir, remove, err := tempDir()
 	if err != nil {
@@ -83,7 +84,7 @@
 	return path, remove, nil
 }
 
-// buildFleet builds the router, with some source edits, and the control service.
+// buildFleet builds the router from sources with the given edits, and the control service without edits.
 func buildFleet(edits []edit) (o faultlab.Options, remove func(), err error) {
 	router, removeRouter, err := buildEdited("the router", routerPackage, edits)
 	if err != nil {
--- a/cmd/bankledge-faultlab/compare_cmd.go
+++ b/cmd/bankledge-faultlab/compare_cmd.go
@@ -7,70 +7,70 @@
 	"bankledge/internal/faultlab"
 )
 
-// runCmd plays drawn schedules with one router.
+// runCmd runs scenarios that are generated from seeds, with one build of the router.
 type runCmd struct {
-	common
-	seeds
+	fleetFlags
+	seedFlags
 	Table  string `help:"File for the figures, Parquet." type:"path"`
 	Charts string `help:"Folder for charts, PNG." type:"path"`
 }
 
-// Run plays schedules one after the other.
+// Run runs the scenarios one after the other.
 func (r *runCmd) Run() error {
-	c := comparison{common: &r.common, programs: []string{r.Router}, table: r.Table, charts: r.Charts}
-	return c.run(r.schedules())
+	c := comparison{fleetFlags: &r.fleetFlags, programs: []string{r.Router}, table: r.Table, charts: r.Charts}
+	return c.run(r.scenarios())
 }
 
-// compareCmd plays drawn schedules with several builds of the router.
+// compareCmd runs scenarios that are generated from seeds, with several builds of the router.
 type compareCmd struct {
-	common
-	seeds
+	fleetFlags
+	seedFlags
 	Programs []string `arg:"" help:"Programs of the router to compare, NAME=PATH." `
 	Table    string   `help:"File for the figures, Parquet." type:"path"`
 	Charts   string   `help:"Folder for charts, PNG." type:"path"`
 }
 
-// Run plays each schedule with each program in turn.
+// Run runs each scenario with each program in turn.
 func (c *compareCmd) Run() error {
-	x := comparison{common: &c.common, programs: c.Programs, table: c.Table, charts: c.Charts}
-	return x.run(c.schedules())
+	x := comparison{fleetFlags: &c.fleetFlags, programs: c.Programs, table: c.Table, charts: c.Charts}
+	return x.run(c.scenarios())
 }
 
-// replayCmd plays a schedule from a file.
+// replayCmd runs a scenario from a file.
 type replayCmd struct {
-	common
+	fleetFlags
 	File  string `arg:"" help:"The schedule, Jsonnet or JSON." type:"path"`
 	Times int    `default:"1" help:"How often."`
 }
 
-// Run plays a schedule from a file.
+// Run runs the scenario as often as the flags say.
 func (r *replayCmd) Run() error {
 	s, err := faultlab.LoadScenario(r.File)
 	if err != nil {
 		return err
 	}
-	var schedules []*faultlab.Scenario
+	var scenarios []*faultlab.Scenario
 	for range r.Times {
-		schedules = append(schedules, s)
+		scenarios = append(scenarios, s)
 	}
-	c := comparison{common: &r.common, programs: []string{r.Router}}
-	return c.run(schedules)
+	c := comparison{fleetFlags: &r.fleetFlags, programs: []string{r.Router}}
+	return c.run(scenarios)
 }
 
-// comparison plays schedules with one or more programs of the router.
+// comparison runs scenarios with one or more builds of the router.
 type comparison struct {
-	*common
-	programs []string // NAME=PATH, or PATH; empty: it is built
-	table    string   // Parquet file for the metrics; empty: none
-	charts   string   // folder for charts; empty: none
+	*fleetFlags
+	programs []string // NAME=PATH, or PATH; an empty entry means that the router is built
+	table    string   // Parquet file for the metrics; empty means none
+	charts   string   // directory for charts; empty means none
 }
 
-// labelledProgram is a program of the router with its name in reports.
+// labelledProgram is a build of the router with its name in reports.
 type labelledProgram struct{ label, path string }
 
-// run plays each schedule with each program in turn, and reports.
-func (c *comparison) run(schedules []*faultlab.Scenario) error {
-	ctx, cancel := interrupted()
+// run runs each scenario with each program in turn, and writes the report, the table and the charts.
+func (c *comparison) run(scenarios []*faultlab.Scenario) error {
+	ctx, cancel := interruptContext()
 	defer cancel()
 	var programs []labelledProgram
 	for _, p := range c.programs {
@@ -86,7 +86,7 @@
 		defer remove()
 		programs = append(programs, labelledProgram{label: label, path: built})
 	}
-	outcomes, err := c.playAll(ctx, programs, schedules)
+	outcomes, err := c.runAll(ctx, programs, scenarios)
 	if err != nil {
 		return err
 	}
@@ -103,10 +103,10 @@
 	return c.report(outcomes)
 }
 
-func (c *comparison) playAll(ctx context.Context, programs []labelledProgram, schedules []*faultlab.Scenario) (outcomes []faultlab.Outcome, err error) {
-	for _, s := range schedules {
+func (c *comparison) runAll(ctx context.Context, programs []labelledProgram, scenarios []*faultlab.Scenario) (outcomes []faultlab.Outcome, err error) {
+	for _, s := range scenarios {
 		for _, p := range programs {
-			o, err := c.play(ctx, p.path, p.label, s)
+			o, err := c.runScenario(ctx, p.path, p.label, s)
 			if err != nil {
 				return nil, err
 			}
--- a/cmd/bankledge-faultlab/control_benchmark_cmd.go
+++ b/cmd/bankledge-faultlab/control_benchmark_cmd.go
@@ -9,7 +9,7 @@
 	"bankledge/internal/faultlab"
 )
 
-// controlBenchmarkCmd measures the control service.
+// controlBenchmarkCmd measures the control service with real processes of the service, and the client sides of many routers in this process.
 type controlBenchmarkCmd struct {
 	Control string        `help:"The control service's program; built from the folder that this is called in if empty." type:"path"`
 	Members int           `default:"3" help:"Processes of the group."`
@@ -19,7 +19,7 @@
 	JSON    bool          `help:"Write the figures as JSON."`
 }
 
-// Run measures once.
+// Run runs the benchmark once and prints its results.
 func (c *controlBenchmarkCmd) Run() error {
 	dir, removeDir, err := tempDir()
 	if err != nil {
@@ -31,7 +31,7 @@
 		return err
 	}
 	defer removeProgram()
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	benchmark := faultlab.ControlBenchmark{
 		Program:         program,
@@ -53,11 +53,11 @@
 }
 
 func (c *controlBenchmarkCmd) print(m faultlab.ControlMetrics) {
-	fmt.Printf("%d routers, a group of %d, %d versions\n", m.Routers, c.Members, m.Versions)
-	fmt.Printf("from propose to its number: p50 %v, p99 %v\n", m.CommitP50, m.CommitP99)
-	fmt.Printf("until a router acts on it in force: p50 %v, p99 %v; until the last one does: p50 %v, p99 %v\n", m.ApplyP50, m.ApplyP99, m.ConvergeP50, m.ConvergeP99)
-	fmt.Printf("the leader takes %.3f of a core idle, %.3f with a version each %v; %.0f MB resident\n", m.IdleCPU, m.BusyCPU, c.Every, m.ResidentMB)
-	fmt.Printf("bytes a second and router, read and written by the group's calls: %.0f idle, %.0f with versions\n", m.IdleBytes, m.BusyBytes)
-	fmt.Printf("leader killed: no proposal for %v, %.2f of the routers had a term then\n", m.Outage.Round(time.Millisecond), m.LeasedDuringOutage)
-	fmt.Printf("all processes killed and started again once no router had a term: all have one %v later\n", m.RecoveryTime.Round(time.Millisecond))
+	fmt.Printf("%d routers, a control group of %d processes, %d versions\n", m.Routers, c.Members, m.Versions)
+	fmt.Printf("from proposal to commit: p50 %v, p99 %v\n", m.CommitP50, m.CommitP99)
+	fmt.Printf("from proposal until a router applies the activated version: p50 %v, p99 %v; until the last router does: p50 %v, p99 %v\n", m.ApplyP50, m.ApplyP99, m.ConvergeP50, m.ConvergeP99)
+	fmt.Printf("CPU of the leader: %.3f cores idle, %.3f cores with one version every %v; %.0f MB resident\n", m.IdleCPU, m.BusyCPU, c.Every, m.ResidentMB)
+	fmt.Printf("bytes per second and router that the group reads and writes: %.0f idle, %.0f with versions\n", m.IdleBytes, m.BusyBytes)
+	fmt.Printf("leader killed: no proposal accepted for %v, %.2f of the routers held a lease then\n", m.Outage.Round(time.Millisecond), m.LeasedDuringOutage)
+	fmt.Printf("all processes killed and restarted once no router held a lease: all routers held one %v later\n", m.RecoveryTime.Round(time.Millisecond))
 }
--- a/cmd/bankledge-faultlab/group_cmd.go
+++ b/cmd/bankledge-faultlab/group_cmd.go
@@ -16,7 +16,7 @@
 	"bankledge/internal/faultlab"
 )
 
-// groupCmd plays schedules of a control group's faults with real processes.
+// groupCmd runs scenarios with faults of the control group, with real processes.
 type groupCmd struct {
 	From     uint64  `default:"1" help:"First seed."`
 	Count    uint64  `default:"10" help:"Number of schedules."`
@@ -28,7 +28,7 @@
 	JSON     bool    `help:"Write the outcome as JSON."`
 }
 
-// pushEdits make the baseline of the router.
+// pushEdits turn the router into the baseline, which applies each version as soon as it receives it and ignores leases.
 var pushEdits = []edit{
 	{clientVersions, "	if c.activated != nil {\n		restrict(c.activated.Rules)", "	if c.activated != nil && c.pending == nil {\n		restrict(c.activated.Rules)"},
 	{clientVersions, "	if !configuration.Leased || c.activated == nil {", "	if c.activated == nil && c.pending == nil {"},
@@ -36,26 +36,26 @@
 	{clientVersions, "		configuration.Pending = c.pending.Number\n", "		configuration.Activated = c.pending.Number\n"},
 }
 
-// maxPrinted is how many violations are printed.
-const maxPrinted = 10
+// maxPrintedViolations limits the violations that print writes.
+const maxPrintedViolations = 10
 
-// groupSummary is what came of all schedules.
+// groupSummary combines the results of all scenarios.
 type groupSummary struct {
-	Schedules             int           `json:"schedules"`
+	Scenarios             int           `json:"schedules"`
 	LongestContradiction  time.Duration `json:"worst_ns"`
 	Bound                 time.Duration `json:"t_ns"`
-	OverBound             int           `json:"over_in"` // schedules in which two routers contradicted each other for longer
+	OverBound             int           `json:"over_in"` // scenarios in which two routers contradicted each other for longer than Bound
 	LongestEarlyLoosening time.Duration `json:"loosened_ns"`
 	Contradictions        int           `json:"pairs"`
 	Versions              int           `json:"versions"`
-	LeasedShare           float64       `json:"terms"` // the sum, until all are played
+	LeasedShare           float64       `json:"terms"` // the sum over the scenarios until runAll divides it by their number
 	Lost                  int           `json:"lost"`  // statements without an answer, or with two
 	Violations            []string      `json:"breaches"`
 
-	longest plotter.Values // contradiction of each schedule, seconds
+	longest plotter.Values // longest contradiction of each scenario, in seconds
 }
 
-// Run plays them.
+// Run runs the scenarios and prints the summary. The error is errViolations if an auditor found a violation.
 func (c *groupCmd) Run() error {
 	var edits []edit
 	if c.Push {
@@ -66,9 +66,9 @@
 		return err
 	}
 	defer remove()
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
-	summary, err := c.playAll(ctx, options)
+	summary, err := c.runAll(ctx, options)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// playAll plays the schedules, some of them at once.
-func (c *groupCmd) playAll(ctx context.Context, options faultlab.Options) (*groupSummary, error) {
+// runAll runs the scenarios, up to Parallel of them concurrently.
+func (c *groupCmd) runAll(ctx context.Context, options faultlab.Options) (*groupSummary, error) {
 	summary := &groupSummary{Bound: faultlab.GroupDurations.MaxContradiction()}
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
@@ -99,31 +99,31 @@
 	for i := range c.Count {
 		group.Go(func() error {
 			s := faultlab.GenerateGroupScenario(c.From+i, c.Seconds)
-			own := options
+			scenarioOptions := options
 			if c.Logs != "" {
-				own.Dir = filepath.Join(c.Logs, strings.ReplaceAll(s.Name, " ", "-"))
+				scenarioOptions.Dir = filepath.Join(c.Logs, strings.ReplaceAll(s.Name, " ", "-"))
 			}
-			h, err := faultlab.Run(ctx, s, own)
+			history, err := faultlab.Run(ctx, s, scenarioOptions)
 			if err != nil {
 				return fmt.Errorf("%s: %w", s.Name, err)
 			}
-			report := faultlab.CheckConsistency(h)
+			report := faultlab.CheckConsistency(history)
 			mu.Lock()
 			defer mu.Unlock()
 			summary.addReport(s.Name, report)
-			summary.addAudit(s.Name, faultlab.Audit(h))
+			summary.addAudit(s.Name, faultlab.Audit(history))
 			return nil
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	summary.LeasedShare /= float64(max(1, summary.Schedules))
+	summary.LeasedShare /= float64(max(1, summary.Scenarios))
 	return summary, nil
 }
 
-func (s *groupSummary) addReport(schedule string, r faultlab.ConsistencyReport) {
-	s.Schedules++
+func (s *groupSummary) addReport(scenario string, r faultlab.ConsistencyReport) {
+	s.Scenarios++
 	s.LongestContradiction = max(s.LongestContradiction, r.LongestContradiction)
 	s.LongestEarlyLoosening = max(s.LongestEarlyLoosening, r.LongestEarlyLoosening)
 	s.Contradictions += r.Contradictions
@@ -133,32 +133,32 @@
 	overBound := false
 	for _, v := range r.Violations {
 		overBound = overBound || v.Auditor == "contradiction"
-		s.addViolation(schedule, v)
+		s.addViolation(scenario, v)
 	}
 	if overBound {
 		s.OverBound++
 	}
 }
 
-func (s *groupSummary) addAudit(schedule string, violations []faultlab.Violation) {
+func (s *groupSummary) addAudit(scenario string, violations []faultlab.Violation) {
 	for _, v := range violations {
 		if v.Auditor == "answers" {
 			s.Lost++
 		}
 		if faultlab.IsInvariant(v.Auditor) {
-			s.addViolation(schedule, v)
+			s.addViolation(scenario, v)
 		}
 	}
 }
 
-func (s *groupSummary) addViolation(schedule string, v faultlab.Violation) {
-	s.Violations = append(s.Violations, fmt.Sprintf("%s: %s at %v: %s", schedule, v.Auditor, v.At, v.Text))
+func (s *groupSummary) addViolation(scenario string, v faultlab.Violation) {
+	s.Violations = append(s.Violations, fmt.Sprintf("%s: %s at %v: %s", scenario, v.Auditor, v.At, v.Text))
 }
 
 func (s *groupSummary) print() {
-	fmt.Printf("%d schedules: longest contradiction %v (T %v), over T in %d; longest that something loosened early %v; %d pairs, %d versions, terms held %.3f of the time, %d statements lost\n",
-		s.Schedules, s.LongestContradiction, s.Bound, s.OverBound, s.LongestEarlyLoosening, s.Contradictions, s.Versions, s.LeasedShare, s.Lost)
-	for _, v := range s.Violations[:min(maxPrinted, len(s.Violations))] {
+	fmt.Printf("%d scenarios: longest contradiction %v (bound %v), over the bound in %d; longest early loosening %v; %d contradicting pairs, %d versions, leases held %.3f of the time, %d statements lost\n",
+		s.Scenarios, s.LongestContradiction, s.Bound, s.OverBound, s.LongestEarlyLoosening, s.Contradictions, s.Versions, s.LeasedShare, s.Lost)
+	for _, v := range s.Violations[:min(maxPrintedViolations, len(s.Violations))] {
 		fmt.Println("-", v)
 	}
 }
--- a/cmd/bankledge-faultlab/main.go
+++ b/cmd/bankledge-faultlab/main.go
@@ -1,5 +1,5 @@
-// Command bankledge-faultlab starts many processes of the real router on loopback, injects faults into what is between them, and audits
-// what came of it.
+// Command bankledge-faultlab starts many processes of the real router on loopback, injects faults into the processes and the links between
+// them, and checks the recorded history for violations.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"bankledge/internal/faultlab"
 )
 
-// commands are the program's; the names of the fields are those of the commands.
+// commands are the commands of the program; each command has the name of its field.
 type commands struct {
 	Run     runCmd              `cmd:"" help:"Play schedules drawn from seeds, and audit each."`
 	Soak    soakCmd             `cmd:"" help:"Play schedules of many overlapping faults, of hosts and clocks too, and audit each."`
@@ -29,18 +29,18 @@
 	Kinds   kindsCmd            `cmd:"" help:"List the kinds of faults, and the auditors."`
 }
 
-// errViolations has the program end with 1 after it has printed all there is to print.
-var errViolations = errors.New("rules were broken: see above")
+// errViolations makes the program exit with status 1. A command returns it after it has printed all results.
+var errViolations = errors.New("the auditors found the violations that are listed above")
 
-// interrupted returns a context that is done when the program receives SIGINT or SIGTERM.
-func interrupted() (context.Context, context.CancelFunc) {
+// interruptContext returns a context that is cancelled when the program receives SIGINT or SIGTERM.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// kindsCmd lists what a schedule can hold and who judges it.
+// kindsCmd lists the kinds of faults of a scenario, and the auditors that check a run.
 type kindsCmd struct{}
 
-// Run lists what there is.
+// Run prints both lists.
 func (kindsCmd) Run() error {
 	fmt.Println("Faults:")
 	for _, line := range faultlab.FaultKinds() {
@@ -54,7 +54,7 @@
 }
 
 func main() {
-	parsed := kong.Parse(&commands{}, kong.Name("bankledge-faultlab"), kong.Description("Experiments with many processes of the router."))
+	parsed := kong.Parse(&commands{}, kong.Name("bankledge-faultlab"), kong.Description("Runs fault-injection experiments with many processes of the router."))
 	if err := parsed.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "bankledge-faultlab:", err)
 		os.Exit(1)
--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -2,43 +2,45 @@
 
 import "bankledge/internal/faultlab"
 
-// mutant is the router with one guard taken off, by which an auditor is seen to be able to fail.
+// mutant describes a build of the router without one guard. It shows that the auditor detects the lack of that guard.
 type mutant struct {
 	name    string
-	auditor string // that has to find it
+	auditor string // the auditor that has to find a violation
 	edits   []edit
 	faults  []faultlab.Fault
 	load    float64
-	adjust  func(*faultlab.Scenario) // of the schedule; nil: none
+	adjust  func(*faultlab.Scenario) // adjusts the scenario; nil leaves it unchanged
 }
 
-// Factors of the mutants' schedules whose attempts take long, over the usual, and the share of clients that cancel.
+// Factors by which statements run and clients wait for longer than usual in scenarios with long attempts, and the share of clients that
+// cancel.
 const (
-	mutantWork        = 4
-	mutantPatience    = 3
-	mutantCancelShare = 0.2
+	mutantWorkFactor     = 4
+	mutantPatienceFactor = 3
+	mutantCancelShare    = 0.2
 )
 
-// Guards of the decision module that are named in several edits or hold several lines.
+// Source texts of guards of the decision module that several edits use or that span several lines.
 const (
 	deadlineTimer = "m.timers.Schedule(s.answerBy, func() { m.rejectOrAbort(s, decision.ReasonDeadline) })"
 	lostAttempt   = "	case m.now < s.answerBy && m.mayRepeat(s):\n		s.avoid = a.engine\n		m.enqueue(s)\n	default:\n		m.rejectOrAbort(s, decision.ReasonNotRetryable)"
 	repeatGuard   = "s.firstRun == nil || s.idempotency == decision.Idempotent {\n		return true\n	}\n	return s.idempotency == decision.Deduplicated && m.now"
 )
 
-// unlimitedCapacity has engines never full: at this scale the capacity that routers keep free guards cold engines as well as their budget.
+// unlimitedCapacity makes the router treat no engine as full. With so few engines, the capacity that routers keep free protects cold
+// engines as well as their budget does, and so would hide that the guard is missing.
 var unlimitedCapacity = edit{"policy/capacity.go", "	others := m.peerStatementsOn(e)\n	if !m.priorities.isLight(s, m.now)", "	others := 0.0\n	if e != nil {\n		return true\n	}\n	if !m.priorities.isLight(s, m.now)"}
 
-// noDeadlineWatchdog has the router leave open what the decision module has forgotten.
+// noDeadlineWatchdog makes the router leave a request open that the decision module never finishes.
 var noDeadlineWatchdog = edit{"internal/proxy/event_loop.go", "if !req.finished && now.After(req.deadline) {", "if false {"}
 
-// allowRepeats has the decision module take every statement for idempotent; noRepeatCheck has the check at run time do so, too.
+// allowRepeats makes the decision module treat every statement as idempotent; noRepeatCheck disables the check of repeats at run time.
 var (
 	allowRepeats  = edit{"policy/rules.go", "	if " + repeatGuard, "	if true || " + repeatGuard}
 	noRepeatCheck = edit{"internal/invariant/request.go", "	return r.checkRepeat(location, now)", "	return nil"}
 )
 
-// sharedTimeFile keeps when an engine was last sent a request for an attempt.
+// sharedTimeFile is the source file of the time at which the router last sent an engine a request for an attempt.
 const sharedTimeFile = "internal/upstream/shared_time.go"
 
 var (
@@ -54,7 +56,7 @@
 	failingEngines  = []faultlab.Fault{{Kind: "err", At: 2, For: 3, Engines: []int{0, 1}}}
 )
 
-// withClockSteps adds wall clocks of all routers that step there and back while links are cut.
+// withClockSteps adds faults that step the wall clocks of all routers forward and back while links are cut.
 func withClockSteps(faults []faultlab.Fault) []faultlab.Fault {
 	for i := range 10 {
 		amount := 20.0
@@ -66,7 +68,7 @@
 	return faults
 }
 
-// mutants are the guards that can be taken off.
+// mutants lists the removable guards of the router, except those in shutdownMutants.
 var mutants = []mutant{
 	{
 		name:    "a statement's time is not watched",
--- a/cmd/bankledge-faultlab/mutants_cmd.go
+++ b/cmd/bankledge-faultlab/mutants_cmd.go
@@ -9,34 +9,34 @@
 	"bankledge/internal/faultlab"
 )
 
-// mutantsCmd plays routers that lack one guard each, to show that the auditors find what the guards prevent.
+// mutantsCmd runs routers that lack one guard each, to show that the auditors detect what the guards prevent.
 type mutantsCmd struct {
-	common
+	fleetFlags
 	Only  []string `help:"Only those whose names hold one of these words."`
 	Times int      `default:"3" help:"Plays of each until an auditor finds it."`
 }
 
-// Run builds each mutant and plays it until the auditor that has to find it does. It has to be called in the project's folder.
+// Run builds each selected mutant and runs it until its auditor detects it. It has to be called in the repository root.
 func (c *mutantsCmd) Run() error {
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	missed := 0
 	for _, m := range slices.Concat(mutants, shutdownMutants) {
 		if !c.isSelected(m) {
 			continue
 		}
-		finding, err := c.playMutant(ctx, m)
+		finding, err := c.testMutant(ctx, m)
 		if err != nil {
 			return err
 		}
 		if finding == "" {
 			missed++
-			finding = "not found"
+			finding = "not detected"
 		}
 		fmt.Printf("| %s | %s | %s |\n", m.name, m.auditor, finding)
 	}
 	if missed > 0 {
-		return fmt.Errorf("%d mutants were not found", missed)
+		return fmt.Errorf("the auditors did not detect %d mutants", missed)
 	}
 	return nil
 }
@@ -45,16 +45,16 @@
 	return len(c.Only) == 0 || slices.ContainsFunc(c.Only, func(word string) bool { return strings.Contains(m.name, word) })
 }
 
-// playMutant plays a mutant up to Times times, and returns what its auditor found; empty: nothing.
-func (c *mutantsCmd) playMutant(ctx context.Context, m mutant) (finding string, err error) {
+// testMutant runs a mutant up to Times times, and returns the first violation that its auditor found, or "" if there was none.
+func (c *mutantsCmd) testMutant(ctx context.Context, m mutant) (finding string, err error) {
 	program, remove, err := m.build()
 	if err != nil {
 		return "", err
 	}
 	defer remove()
 	for i := range c.Times {
-		s := m.schedule(uint64(i + 1))
-		outcome, err := c.play(ctx, program, "mutant", s)
+		s := m.scenario(uint64(i + 1))
+		outcome, err := c.runScenario(ctx, program, "mutant", s)
 		if err != nil {
 			return "", err
 		}
@@ -67,9 +67,9 @@
 	return "", nil
 }
 
-// schedule returns the schedule of a mutant. Where the auditor judges attempts that take long, statements run for longer than usual and
-// clients wait for longer.
-func (m mutant) schedule(seed uint64) *faultlab.Scenario {
+// scenario returns the scenario of a mutant. For the auditors that check long attempts, statements run for longer than usual and clients
+// wait for longer.
+func (m mutant) scenario(seed uint64) *faultlab.Scenario {
 	s := &faultlab.Scenario{
 		Name:          m.name,
 		Seed:          seed,
@@ -82,8 +82,8 @@
 		Faults:        m.faults,
 	}
 	if m.auditor == "one at a time" || m.auditor == "left" {
-		s.WorkFactor = mutantWork
-		s.PatienceFactor = mutantPatience
+		s.WorkFactor = mutantWorkFactor
+		s.PatienceFactor = mutantPatienceFactor
 		s.CancelShare = mutantCancelShare
 	}
 	if m.adjust != nil {
@@ -92,7 +92,7 @@
 	return s
 }
 
-// build builds the router with the guard taken off.
+// build builds the router without the guard.
 func (m mutant) build() (path string, remove func(), err error) {
 	return buildEdited(m.name, routerPackage, m.edits)
 }
--- a/cmd/bankledge-faultlab/mutants_test.go
+++ b/cmd/bankledge-faultlab/mutants_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A mutant names the guard that it takes off by its source text, so a change of that text has to change the mutant as well.
-// This is seen here without a build; TestMutantsBuild builds them.
+// A mutant identifies the guard that it removes by its source text, so a change of that text has to change the mutant as well.
+// This test finds a mutant that was not changed, without building it; TestMutantsBuild builds all of them.
 func TestMutantEditsApply(t *testing.T) {
 	t.Chdir("../..")
 	for _, m := range slices.Concat(mutants, shutdownMutants) {
 		assertEditsApply(t, m.name, m.edits)
 	}
-	for _, m := range termMutants {
+	for _, m := range leaseMutants {
 		assertEditsApply(t, m.name, m.edits)
 	}
 }
--- a/cmd/bankledge-faultlab/play.go
+++ b/cmd/bankledge-faultlab/scenario_run.go
@@ -14,52 +14,52 @@
 	"bankledge/internal/faultlab"
 )
 
-// progressSteps is how finely the progress of a play is shown.
+// progressSteps is the number of steps of the progress bar of a run.
 const progressSteps = 1000
 
-// common are the flags of all commands that play schedules of a fleet.
-type common struct {
+// fleetFlags are the flags of all commands that run scenarios with a fleet of routers.
+type fleetFlags struct {
 	Router string `help:"The router's program; built from the folder that this is called in if empty." type:"path"`
 	Logs   string `help:"Folder to keep the routers' logs and the histories in." type:"path"`
 	JSON   bool   `help:"Write the outcome as JSON."`
 	Quiet  bool   `help:"Show no progress."`
 }
 
-// seeds are the flags that say which schedules are drawn.
-type seeds struct {
+// seedFlags are the flags that select the seeds from which scenarios are generated.
+type seedFlags struct {
 	From    uint64  `default:"1" help:"First seed."`
 	Count   uint64  `default:"10" help:"Number of schedules."`
 	Seconds float64 `default:"12" help:"Length of each."`
 }
 
-func (s seeds) schedules() (list []*faultlab.Scenario) {
+func (s seedFlags) scenarios() (list []*faultlab.Scenario) {
 	for i := range s.Count {
 		list = append(list, faultlab.GenerateScenario(s.From+i, s.Seconds))
 	}
 	return list
 }
 
-// play plays one schedule, keeps what the flags say, and audits it.
-func (c *common) play(ctx context.Context, program, label string, s *faultlab.Scenario) (faultlab.Outcome, error) {
+// runScenario runs one scenario, saves its history if the flags ask for it, and audits it.
+func (c *fleetFlags) runScenario(ctx context.Context, program, label string, s *faultlab.Scenario) (faultlab.Outcome, error) {
 	options := faultlab.Options{RouterProgram: program}
 	if c.Logs != "" {
 		options.Dir = filepath.Join(c.Logs, label, strings.ReplaceAll(s.Name, " ", "-"))
 	}
 	if !c.Quiet {
 		bar := newProgressBar(s.Name)
-		options.Progress = func(part float64) { bar.Set(int(part * progressSteps)) }
+		options.Progress = func(fraction float64) { bar.Set(int(fraction * progressSteps)) }
 		defer bar.Finish()
 	}
-	h, err := faultlab.Run(ctx, s, options)
+	history, err := faultlab.Run(ctx, s, options)
 	if err != nil {
 		return faultlab.Outcome{}, fmt.Errorf("%s: %w", s.Name, err)
 	}
 	if options.Dir != "" {
-		if err := keep(options.Dir, h); err != nil {
+		if err := saveHistory(options.Dir, history); err != nil {
 			return faultlab.Outcome{}, err
 		}
 	}
-	return faultlab.Outcome{Label: label, Scenario: s, Metrics: faultlab.Measure(h), Violations: faultlab.Audit(h)}, nil
+	return faultlab.Outcome{Label: label, Scenario: s, Metrics: faultlab.Measure(history), Violations: faultlab.Audit(history)}, nil
 }
 
 func newProgressBar(title string) *progressbar.ProgressBar {
@@ -70,15 +70,15 @@
 		progressbar.OptionSetPredictTime(false))
 }
 
-// keep writes a history and its schedule into a folder.
-func keep(dir string, h *faultlab.History) error {
+// saveHistory writes a history and its scenario into a directory.
+func saveHistory(dir string, history *faultlab.History) error {
 	return errors.Join(
-		h.Write(filepath.Join(dir, "history.jsonl")),
-		h.Scenario.Save(filepath.Join(dir, "schedule.json")))
+		history.Write(filepath.Join(dir, "history.jsonl")),
+		history.Scenario.Save(filepath.Join(dir, "schedule.json")))
 }
 
-// report prints outcomes. The error is errViolations where any rule was broken.
-func (c *common) report(outcomes []faultlab.Outcome) error {
+// report prints the outcomes. The error is errViolations if an auditor found a violation.
+func (c *fleetFlags) report(outcomes []faultlab.Outcome) error {
 	if c.JSON {
 		if err := json.NewEncoder(os.Stdout).Encode(outcomes); err != nil {
 			return err
--- a/cmd/bankledge-faultlab/shrink_cmd.go
+++ b/cmd/bankledge-faultlab/shrink_cmd.go
@@ -7,16 +7,16 @@
 	"bankledge/internal/faultlab"
 )
 
-// shrinkCmd cuts down a schedule that fails.
+// shrinkCmd reduces a failing scenario to a minimal one that still fails.
 type shrinkCmd struct {
-	common
+	fleetFlags
 	File    string `arg:"" help:"The schedule that fails." type:"path"`
 	Out     string `arg:"" help:"File for the least one that still does, JSON." type:"path"`
 	Auditor string `help:"Only this auditor's breaches count."`
 	Tries   int    `default:"3" help:"Plays of a smaller schedule before it counts as one that does not fail."`
 }
 
-// Run cuts a schedule down and writes what is left.
+// Run reduces the scenario and writes the result to a file.
 func (r *shrinkCmd) Run() error {
 	s, err := faultlab.LoadScenario(r.File)
 	if err != nil {
@@ -27,21 +27,22 @@
 		return err
 	}
 	defer remove()
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
-	fails := func(s *faultlab.Scenario) bool { return r.fails(ctx, program, s) }
+	fails := func(s *faultlab.Scenario) bool { return r.hasViolation(ctx, program, s) }
 	if !fails(s) {
-		return fmt.Errorf("%s: no rule is broken in %d plays", r.File, r.Tries)
+		return fmt.Errorf("%s: no violation in %d runs", r.File, r.Tries)
 	}
-	least := faultlab.Shrink(s, fails)
-	fmt.Printf("%d of %d faults are left\n", len(least.Faults), len(s.Faults))
-	return least.Save(r.Out)
+	minimal := faultlab.Shrink(s, fails)
+	fmt.Printf("%d of %d faults remain\n", len(minimal.Faults), len(s.Faults))
+	return minimal.Save(r.Out)
 }
 
-// fails plays a schedule up to Tries times and reports whether a rule was broken. A play that does not come about breaks none.
-func (r *shrinkCmd) fails(ctx context.Context, program string, s *faultlab.Scenario) bool {
+// hasViolation runs a scenario up to Tries times and reports whether an auditor found a violation. A run that returns an error counts as
+// one without violations.
+func (r *shrinkCmd) hasViolation(ctx context.Context, program string, s *faultlab.Scenario) bool {
 	for range r.Tries {
-		o, err := r.play(ctx, program, "shrink", s)
+		o, err := r.runScenario(ctx, program, "shrink", s)
 		if err != nil {
 			continue
 		}
--- a/cmd/bankledge-faultlab/shutdown_mutants.go
+++ b/cmd/bankledge-faultlab/shutdown_mutants.go
@@ -2,26 +2,26 @@
 
 import "bankledge/internal/faultlab"
 
-// Schedules of the mutants of shutdowns: five routers are told to end while statements run that take long.
+// Scenarios of the shutdown mutants: five routers receive signals to shut down while long statements run.
 const (
-	retiredAt         = 2.0
-	shutdownWork      = 6
-	crowdedRouter     = 256 // descriptors
-	idleClientsOfEach = 130
+	shutdownAt           = 2.0 // seconds
+	shutdownWorkFactor   = 6
+	limitedDescriptors   = 256 // limit of each router
+	idleClientsPerRouter = 130
 )
 
-// retirements is one shutdown of some routers by so many signals.
-func retirements(signals int) []faultlab.Fault {
-	return []faultlab.Fault{{Kind: "retire", At: retiredAt, Routers: []int{0, 1, 2, 3, 4}, Amount: float64(signals)}}
+// shutdowns returns one fault that sends five routers a series of signals: SIGTERM first, then SIGHUP and SIGTERM in turn.
+func shutdowns(signals int) []faultlab.Fault {
+	return []faultlab.Fault{{Kind: "retire", At: shutdownAt, Routers: []int{0, 1, 2, 3, 4}, Amount: float64(signals)}}
 }
 
-// longStatements has statements run for longer than usual, and clients use connections until the router ends them.
+// longStatements makes statements run for longer than usual, and clients send on connections until the router closes them.
 func longStatements(s *faultlab.Scenario) {
-	s.WorkFactor = shutdownWork
+	s.WorkFactor = shutdownWorkFactor
 	s.UseWhileDraining = true
 }
 
-// shutdownMutants are the guards of shutdowns and of full descriptors.
+// shutdownMutants lists the removable guards of shutdowns and of the descriptor limit.
 var shutdownMutants = []mutant{
 	{
 		name:    "a router that is told to end does not wait for its answers",
@@ -31,7 +31,7 @@
 			old:  "return elapsed > s.endAfter || elapsed > acceptGrace && idle",
 			new:  "return elapsed > s.endAfter || elapsed > acceptGrace",
 		}},
-		faults: retirements(1),
+		faults: shutdowns(1),
 		load:   0.5,
 		adjust: longStatements,
 	},
@@ -43,7 +43,7 @@
 			old:  "	signal.Ignore(syscall.SIGPIPE)\n",
 			new:  "	signal.Ignore(syscall.SIGPIPE)\n	context.AfterFunc(stop, cancel)\n",
 		}},
-		faults: retirements(3),
+		faults: shutdowns(3),
 		load:   0.5,
 		adjust: longStatements,
 	},
@@ -55,7 +55,7 @@
 			old:  "	signal.Notify(reload, syscall.SIGHUP)\n",
 			new:  "",
 		}},
-		faults: retirements(2),
+		faults: shutdowns(2),
 		load:   0.5,
 		adjust: longStatements,
 	},
@@ -67,7 +67,7 @@
 			old:  "	signal.Notify(reload, syscall.SIGHUP)\n",
 			new:  "",
 		}},
-		faults: retirements(1),
+		faults: shutdowns(1),
 		load:   0.5,
 		adjust: func(s *faultlab.Scenario) { s.EarlyReloads = true },
 	},
@@ -79,11 +79,11 @@
 			old:  "case c.ended || len(c.openStreams) > 0 || len(c.queue) > 0 || c.framesInWrite > 0:",
 			new:  "case c.ended:",
 		}},
-		faults: []faultlab.Fault{{Kind: "crowd", At: 1, For: 9, Routers: allRouters, Amount: idleClientsOfEach}},
+		faults: []faultlab.Fault{{Kind: "crowd", At: 1, For: 9, Routers: allRouters, Amount: idleClientsPerRouter}},
 		load:   0.5,
 		adjust: func(s *faultlab.Scenario) {
 			longStatements(s)
-			s.Descriptors = crowdedRouter
+			s.Descriptors = limitedDescriptors
 		},
 	},
 }
--- a/cmd/bankledge-faultlab/soak_cmd.go
+++ b/cmd/bankledge-faultlab/soak_cmd.go
@@ -6,18 +6,18 @@
 	"bankledge/internal/faultlab"
 )
 
-// soakCmd plays schedules of many overlapping faults.
+// soakCmd runs scenarios with many overlapping faults.
 type soakCmd struct {
-	common
+	fleetFlags
 	From    uint64  `default:"1" help:"First seed."`
 	Count   uint64  `default:"10" help:"Number of schedules."`
 	Seconds float64 `default:"20" help:"Length of each."`
 	Plain   bool    `help:"Without shutdowns as operators begin them, short deadlines and crowds: the schedules that seeds gave before there were these."`
 }
 
-// Run plays soaks one after the other. What depends on the machine's speed is not judged.
+// Run runs the scenarios one after the other. It ignores violations of auditors whose result depends on the speed of the machine.
 func (s *soakCmd) Run() error {
-	ctx, cancel := interrupted()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	program, remove, err := buildRouter(s.Router)
 	if err != nil {
@@ -26,11 +26,11 @@
 	defer remove()
 	var outcomes []faultlab.Outcome
 	for seed := s.From; seed < s.From+s.Count; seed++ {
-		schedule := faultlab.GenerateShutdownSoakScenario(seed, s.Seconds)
+		scenario := faultlab.GenerateShutdownSoakScenario(seed, s.Seconds)
 		if s.Plain {
-			schedule = faultlab.GenerateSoakScenario(seed, s.Seconds)
+			scenario = faultlab.GenerateSoakScenario(seed, s.Seconds)
 		}
-		o, err := s.play(ctx, program, "soak", schedule)
+		o, err := s.runScenario(ctx, program, "soak", scenario)
 		if err != nil {
 			return err
 		}
--- a/cmd/bankledge-faultlab/source_edit.go
+++ b/cmd/bankledge-faultlab/source_edit.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// edit replaces a text that stands exactly once in a source file.
+// edit replaces a text that occurs exactly once in a source file.
 type edit struct{ file, old, new string }
 
-// editedSources returns the text of each file that the edits name, with the edits applied; the key is the file's path. It
-// fails where an edit's old text does not stand exactly once.
+// editedSources returns the text of each file that the edits change, by the file's path. It returns an error if the old text of an edit
+// does not occur exactly once.
 func editedSources(name string, edits []edit) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, e := range edits {
@@ -24,15 +24,15 @@
 			texts[e.file] = string(text)
 		}
 		if n := strings.Count(texts[e.file], e.old); n != 1 {
-			return nil, fmt.Errorf("%s: the guard stands %d times in %s", name, n, e.file)
+			return nil, fmt.Errorf("%s: the text to replace must occur once, but occurs %d times in %s", name, n, e.file)
 		}
 		texts[e.file] = strings.Replace(texts[e.file], e.old, e.new, 1)
 	}
 	return texts, nil
 }
 
-// buildEdited builds a program from edited sources; the files themselves stay as they are. name is the program's in errors. remove deletes
-// what was built.
+// buildEdited builds a program from edited sources without changing the source files. name identifies the program in errors. remove
+// deletes what was built.
 func buildEdited(name, pkg string, edits []edit) (path string, remove func(), err error) {
 	dir, remove, err := tempDir()
 	if err != nil {
@@ -50,7 +50,7 @@
 	return path, remove, nil
 }
 
-// writeOverlay writes edited sources into a folder, and the file for go build -overlay that names them.
+// writeOverlay writes the edited sources into a directory, and the file for go build -overlay that maps the source files to them.
 func writeOverlay(dir, name string, edits []edit) (path string, err error) {
 	texts, err := editedSources(name, edits)
 	if err != nil {
--- a/cmd/bankledge-faultlab/terms.go
+++ b/cmd/bankledge-faultlab/terms.go
@@ -1,5 +1,6 @@
 package main
 
+// Source files that the edits of leaseMutants change.
 const (
 	clientRenewals      = "internal/lease/client_renewal.go"
 	clientVersions      = "internal/lease/client_versions.go"
@@ -13,8 +14,8 @@
 	replicaLog          = "internal/replica/log.go"
 )
 
-// termMutants are guards of the state machines, each taken off alone.
-var termMutants = []struct {
+// leaseMutants lists the guards of the control group's and the lease client's state machines; each mutant lacks one of them.
+var leaseMutants = []struct {
 	name  string
 	edits []edit
 }{
--- a/cmd/bankledge-faultlab/terms_cmd.go
+++ b/cmd/bankledge-faultlab/terms_cmd.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -19,7 +18,7 @@
 	"bankledge/internal/simulation"
 )
 
-// termsCmd plays the state machines of the control group and of the routers' leases under a simulated clock.
+// termsCmd simulates the state machines of the control group and of the routers' lease clients under a simulated clock.
 type termsCmd struct {
 	From    uint64 `default:"0" help:"First seed."`
 	Count   uint64 `default:"1000" help:"Number of schedules."`
@@ -33,35 +32,35 @@
 	JSON    bool   `help:"Write the outcome as JSON."`
 }
 
-// maxSimulatedRouters is the largest number of routers of a schedule.
+// maxSimulatedRouters is the largest number of routers of a simulation.
 const maxSimulatedRouters = 1000
 
-// simulationSummary is what came of all schedules.
+// simulationSummary combines the results of all simulations.
 type simulationSummary struct {
-	Schedules            uint64        `json:"schedules"`
-	Violated             uint64        `json:"broken"` // schedules
+	Simulations          uint64        `json:"schedules"`
+	Violated             uint64        `json:"broken"` // simulations with a violation
 	FirstViolation       string        `json:"first"`
 	LongestContradiction time.Duration `json:"worst_ns"`
 	Bound                time.Duration `json:"bound_ns"`
-	OverBound            uint64        `json:"over_in"` // schedules
+	OverBound            uint64        `json:"over_in"` // simulations with a contradiction that was longer than Bound
 	Contradictions       int           `json:"pairs"`
 	Versions             uint64        `json:"versions"`
-	LeaseShare           float64       `json:"terms"`        // of the routers' time; the sum, until all are played
-	ConvergenceMS        int64         `json:"most_late_ms"` // longest, from the first quiet moment until all act on the newest version
+	LeaseShare           float64       `json:"terms"`        // of the routers' time; the sum over the simulations until runAll divides it by their number
+	ConvergenceMS        int64         `json:"most_late_ms"` // longest time from the end of the faults until all routers acted on the newest version
 
-	longest plotter.Values // contradiction of each schedule, seconds
-	took    time.Duration  // by the wall clock
+	longest plotter.Values // longest contradiction of each simulation, in seconds
+	took    time.Duration  // in real time
 }
 
-// Run plays them, as many at once as there are cores.
+// Run runs the simulations, as many concurrently as there are cores.
 func (c *termsCmd) Run() error {
 	if c.Mutants {
-		return c.playMutants()
+		return c.testMutants()
 	}
 	if c.Count == 0 || c.Routers < 1 || c.Routers > maxSimulatedRouters {
-		return errors.New("count, routers: not above 0, or over 1,000 routers")
+		return fmt.Errorf("invalid --count %d or --routers %d: the count must be at least 1, the number of routers from 1 to %d", c.Count, c.Routers, maxSimulatedRouters)
 	}
-	summary, err := c.play()
+	summary, err := c.runAll()
 	if err != nil {
 		return err
 	}
@@ -78,13 +77,13 @@
 		summary.print(c.Routers)
 	}
 	if summary.Violated > 0 {
-		return fmt.Errorf("rules were broken in %d schedules: %s", summary.Violated, summary.FirstViolation)
+		return fmt.Errorf("the auditor found violations in %d simulations, first: %s", summary.Violated, summary.FirstViolation)
 	}
 	return nil
 }
 
-// play plays the schedules in batches, so that it can end at the first violation.
-func (c *termsCmd) play() (*simulationSummary, error) {
+// runAll runs the simulations in batches, so that it can stop after the first violation.
+func (c *termsCmd) runAll() (*simulationSummary, error) {
 	durations := simulation.OptionsForSeed(0, c.Routers).LeaseDurations
 	summary := &simulationSummary{Bound: simulation.ContradictionBound(durations)}
 	began := time.Now()
@@ -93,7 +92,7 @@
 		if c.Stop && summary.Violated > 0 {
 			break
 		}
-		results, err := c.playBatch(from, min(batch, c.From+c.Count-from))
+		results, err := c.runBatch(from, min(batch, c.From+c.Count-from))
 		if err != nil {
 			return nil, err
 		}
@@ -102,12 +101,12 @@
 		}
 	}
 	summary.took = time.Since(began)
-	summary.LeaseShare /= float64(max(1, summary.Schedules))
+	summary.LeaseShare /= float64(max(1, summary.Simulations))
 	return summary, nil
 }
 
-// playBatch plays the schedules of some seeds, and returns their results in order.
-func (c *termsCmd) playBatch(from, count uint64) ([]simulation.Result, error) {
+// runBatch runs the simulations of count seeds, starting at from, and returns their results in the order of the seeds.
+func (c *termsCmd) runBatch(from, count uint64) ([]simulation.Result, error) {
 	results := make([]simulation.Result, count)
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
@@ -127,7 +126,7 @@
 }
 
 func (s *simulationSummary) add(r simulation.Result) {
-	s.Schedules++
+	s.Simulations++
 	s.LongestContradiction = max(s.LongestContradiction, r.LongestContradiction)
 	s.Contradictions += r.Contradictions
 	s.Versions += r.Versions
@@ -148,8 +147,8 @@
 }
 
 func (s *simulationSummary) print(routers int) {
-	fmt.Printf("%d schedules of %d routers in %v: longest contradiction %v (bound %v), over it in %d; %d pairs of versions contradicted each other; %d versions; terms held %.3f of the time; latest convergence %d ms\n",
-		s.Schedules, routers, s.took.Round(time.Millisecond), s.LongestContradiction, s.Bound, s.OverBound, s.Contradictions, s.Versions, s.LeaseShare, s.ConvergenceMS)
+	fmt.Printf("%d simulations of %d routers in %v: longest contradiction %v (bound %v), over the bound in %d; %d contradicting pairs; %d versions; leases held %.3f of the time; longest convergence %d ms\n",
+		s.Simulations, routers, s.took.Round(time.Millisecond), s.LongestContradiction, s.Bound, s.OverBound, s.Contradictions, s.Versions, s.LeaseShare, s.ConvergenceMS)
 }
 
 // Sizes of the chart of contradictions.
@@ -159,12 +158,12 @@
 	contradictionChartBins   = 60
 )
 
-// writeContradictionChart draws how the longest contradictions of the schedules, in seconds, are spread, beside the bound.
+// writeContradictionChart draws a histogram of the longest contradictions of the runs, in seconds, and marks the bound.
 func writeContradictionChart(path string, longest plotter.Values, bound time.Duration) error {
 	p := plot.New()
-	p.Title.Text = "longest contradiction of a schedule"
+	p.Title.Text = "longest contradiction of a run"
 	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = "schedules"
+	p.Y.Label.Text = "runs"
 	histogram, err := plotter.NewHist(longest, contradictionChartBins)
 	if err != nil {
 		return err
@@ -181,10 +180,10 @@
 	return p.Save(contradictionChartWidth, contradictionChartHeight, path)
 }
 
-// playMutants builds this program with each guard of termMutants taken off, and plays until an auditor finds it.
-func (c *termsCmd) playMutants() error {
+// testMutants builds this program without each guard of leaseMutants in turn, and runs simulations until the auditor finds a violation.
+func (c *termsCmd) testMutants() error {
 	missed := 0
-	for _, m := range termMutants {
+	for _, m := range leaseMutants {
 		if !strings.Contains(m.name, c.Only) {
 			continue
 		}
@@ -197,22 +196,22 @@
 		remove()
 		if summary.FirstViolation == "" {
 			missed++
-			summary.FirstViolation = fmt.Sprintf("not found in %d schedules", summary.Schedules)
+			summary.FirstViolation = fmt.Sprintf("not detected in %d simulations", summary.Simulations)
 		}
 		fmt.Printf("| %s | %s | %v |\n", m.name, summary.FirstViolation, time.Since(began).Round(time.Second/10))
 	}
 	if missed > 0 {
-		return fmt.Errorf("%d of %d mutants were not found", missed, len(termMutants))
+		return fmt.Errorf("the auditor did not detect %d of %d mutants", missed, len(leaseMutants))
 	}
 	return nil
 }
 
-// runMutant runs a built mutant. A program that breaks down counts as found.
+// runMutant runs the program of a mutant. A program that exits without a summary counts as detected.
 func (c *termsCmd) runMutant(program string) (summary simulationSummary) {
 	out, err := exec.Command(program, "terms", "--stop", "--json", "--count", strconv.FormatUint(c.Count, 10),
 		"--from", strconv.FormatUint(c.From, 10), "--routers", strconv.Itoa(c.Routers)).Output()
 	if json.Unmarshal(out, &summary) != nil {
-		summary.FirstViolation = "the program broke down: " + fmt.Sprint(err)
+		summary.FirstViolation = "the program wrote no summary: " + fmt.Sprint(err)
 	}
 	return summary
 }
