--- a/internal/simulation/auditor.go
+++ b/internal/simulation/auditor.go
@@ -8,13 +8,13 @@
 	"bankledge/internal/configversion"
 )
 
-// maxViolations bounds the recorded violations of one simulation.
+// maxViolations limits the recorded violations of one simulation.
 const maxViolations = 20
 
-// Violation is a guarantee of the design that did not hold.
+// Violation reports that a guarantee of the design did not hold.
 type Violation struct {
-	Auditor string        // which check found it
-	At      time.Duration // true time
+	Auditor string        // name of the check that found it
+	At      time.Duration // simulated time
 	Detail  string
 }
 
@@ -41,11 +41,11 @@
 	}
 }
 
-// versionAudit checks that a number stands for one version, and that each version follows the one before it.
+// versionAudit checks that no two versions have the same number, and that each version contains the hash of the previous version.
 type versionAudit struct {
 	byNumber     map[uint64]*configversion.Version
 	newest       uint64
-	lastObserved time.Duration // when the group last sent a new one
+	lastObserved time.Duration // when the group last sent a version that no router had been sent before
 }
 
 // observeVersion checks a version that the group sends.
@@ -53,7 +53,7 @@
 	known := a.versions.byNumber[version.Number]
 	if known != nil {
 		if known.Hash != version.Hash {
-			a.report("versions", s.now, "two versions %d", version.Number)
+			a.report("versions", s.now, "two different versions have the number %d", version.Number)
 		}
 		return
 	}
@@ -62,15 +62,15 @@
 	a.versions.lastObserved = s.now
 	previous := a.versions.byNumber[version.Number-1]
 	if previous != nil && version.PreviousHash != previous.Hash {
-		a.report("versions", s.now, "version %d does not follow on %d", version.Number, version.Number-1)
+		a.report("versions", s.now, "version %d does not contain the hash of version %d", version.Number, version.Number-1)
 	}
 }
 
-// leaseAudit measures how many of the running routers hold a lease, and when all act on the newest version.
+// leaseAudit measures the share of running routers that hold a lease, and when all routers apply the newest version.
 type leaseAudit struct {
 	samples          int
 	shareSum         float64       // of the samples
-	lastNotConverged time.Duration // last sample at which not all routers acted on the newest version alone
+	lastNotConverged time.Duration // last sample at which not all running routers applied only the newest version, with a lease
 }
 
 // share is the mean share of running routers that held a lease.
@@ -81,18 +81,18 @@
 	return a.shareSum / float64(a.samples)
 }
 
-// leaseWarmUp is how long the routers have for their first lease.
+// leaseWarmUp is the time that the routers have to obtain their first lease.
 const leaseWarmUp = 2 * time.Second
 
-// compareRouters samples, at one moment, what all running routers act on.
+// compareRouters takes a sample of what all running routers apply, and checks it.
 func (a *auditor) compareRouters(s *simulation) {
 	sample := sampleRouters(s)
 	if s.now > leaseWarmUp && sample.running > 0 {
 		a.leases.samples++
 		a.leases.shareSum += float64(sample.leased) / float64(sample.running)
 	}
-	onNewest := actingBasis{activated: a.versions.newest, leased: true}
-	if len(sample.bases) != 1 || sample.bases[0] != onNewest {
+	onNewest := appliedConfiguration{activated: a.versions.newest, leased: true}
+	if len(sample.configurations) != 1 || sample.configurations[0] != onNewest {
 		a.leases.lastNotConverged = s.now
 	}
 	a.checkContradictions(s, sample)
@@ -102,7 +102,7 @@
 func (a *auditor) observeAcknowledgement(s *simulation, outcome configregister.Outcome) {
 	first, repeated := a.operations.acknowledged[outcome.ID]
 	if repeated && first.Number != outcome.Number {
-		a.report("acknowledged", s.now, "proposal %s got %d and %d", outcome.ID, first.Number, outcome.Number)
+		a.report("acknowledged", s.now, "proposal %s was acknowledged as version %d and as version %d", outcome.ID, first.Number, outcome.Number)
 	}
 	if !repeated {
 		a.operations.addWrite(outcome.Number, a.operations.proposed[outcome.ID], s.now)
@@ -110,7 +110,7 @@
 	a.operations.acknowledged[outcome.ID] = outcome
 }
 
-// checkAcknowledged checks at the end that no acknowledged version is lost.
+// checkAcknowledged checks at the end of the simulation that no acknowledged version is lost.
 func (a *auditor) checkAcknowledged(s *simulation) {
 	newestStored := uint64(0)
 	for _, process := range s.processes {
@@ -120,7 +120,7 @@
 	}
 	for id, outcome := range a.operations.acknowledged {
 		if outcome.Number > newestStored {
-			a.report("acknowledged", s.now, "proposal %s was acknowledged as version %d, and nobody has it", id, outcome.Number)
+			a.report("acknowledged", s.now, "proposal %s was acknowledged as version %d, but no running process has stored it", id, outcome.Number)
 		}
 	}
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,7 +12,8 @@
 	maxSavesToCrash   = 3
 )
 
-// faults are the kinds of faults of hosts and links; one that is listed twice is twice as likely. Each schedules one fault at start.
+// faults lists the kinds of faults of hosts and links; a kind that is listed twice is twice as likely. Each function schedules one fault
+// that begins at start.
 var faults = [...]func(s *simulation, start, duration time.Duration){
 	(*simulation).isolateRouter,
 	(*simulation).isolateRouter,
@@ -25,7 +26,7 @@
 	(*simulation).restartRouter,
 }
 
-// scheduleFaults chooses faults, their targets and times at random. After faultsEnd nothing fails.
+// scheduleFaults chooses faults, their targets and times at random. All faults end by faultsEnd.
 func (s *simulation) scheduleFaults() {
 	faultsEnd := s.faultsEnd()
 	if s.oneIn(3) {
@@ -50,24 +51,26 @@
 	return s.processes[s.random.IntN(len(s.processes))]
 }
 
-// direction is which way a link between two hosts is cut.
+// direction selects which of the two links between two hosts is cut.
 type direction int
 
 const (
-	onlyThere direction = iota
-	onlyBack
-	bothWays
-	directions // number of directions
+	forwardOnly direction = iota
+	reverseOnly
+	bothDirections
+	directionCount
 )
 
-func (s *simulation) randomDirection() direction { return direction(s.random.IntN(int(directions))) }
+func (s *simulation) randomDirection() direction {
+	return direction(s.random.IntN(int(directionCount)))
+}
 
-// cutBetween cuts the links between two hosts for a while.
+// cutBetween cuts the links between two hosts for a duration.
 func (s *simulation) cutBetween(start, duration time.Duration, a, b int, cut direction) {
-	if cut != onlyBack {
+	if cut != reverseOnly {
 		s.scheduleCut(start, duration, link{a, b})
 	}
-	if cut != onlyThere {
+	if cut != forwardOnly {
 		s.scheduleCut(start, duration, link{b, a})
 	}
 }
@@ -90,7 +93,7 @@
 	}
 }
 
-// partitionGroup cuts the group in two parts, with routers on either side and on both.
+// partitionGroup cuts the links between two parts of the group. At random each router reaches only one part, or both.
 func (s *simulation) partitionGroup(start, duration time.Duration) {
 	half := s.Processes / 2
 	for _, minority := range s.processes[:half] {
@@ -107,7 +110,7 @@
 			unreachable = s.processes[half:]
 		}
 		for _, process := range unreachable {
-			s.cutBetween(start, duration, router.id, process.id, bothWays)
+			s.cutBetween(start, duration, router.id, process.id, bothDirections)
 		}
 	}
 }
@@ -140,7 +143,7 @@
 	})
 }
 
-// crashProcess kills a process at one of its next saves, or immediately.
+// crashProcess kills a process, either at start or at one of its next saves after start, and restarts it.
 func (s *simulation) crashProcess(start, duration time.Duration) {
 	process := s.randomProcess()
 	saves := s.random.IntN(maxSavesToCrash + 1)
@@ -174,7 +177,7 @@
 	})
 }
 
-// restartRouter kills a router, which restarts under the same name without any state.
+// restartRouter kills a router and restarts it under the same name, without any state.
 func (s *simulation) restartRouter(start, duration time.Duration) {
 	router := s.randomRouter()
 	s.at(start, func() {
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// logLines matches the lines of a trace with messages that a router logs, whose wording may change.
+// logLines matches the trace lines of messages that a router logs, whose wording may change.
 var logLines = regexp.MustCompile(`(?m)^ *[0-9.]+ router \d+: .*\n`)
 
 // recordedHistories are hashes of the simulations of commit 05e118f: each line of the trace except the log lines, then the results.
@@ -20,11 +20,11 @@
 	"8b60b4a0f9c69cb9", "67f9a2b0a7265211", "b0b2cfc217a6fc28", "e0651cd1a0de9a07", "c91eff911b1a6ac4", "ddb4fc52703423c5",
 }
 
-func writeFigures(w io.Writer, r Result) {
+func writeResults(w io.Writer, r Result) {
 	fmt.Fprintln(w, r.Versions, r.Activated, int64(r.LongestContradiction), r.OverBound, r.Contradictions, r.LeaseShare, int64(r.ConvergenceDelay), r.Converged)
 }
 
-// Each seed gives the same history as at commit 05e118f: elections, what each router acts on and when, faults, results.
+// Each seed gives the same history as at commit 05e118f: elections, what each router applies and when, faults, results.
 func TestRecordedHistories(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -35,9 +35,9 @@
 			sum := fnv.New64a()
 			sum.Write(logLines.ReplaceAll(trace.Bytes(), nil))
 			fmt.Fprint(sum, len(r.Violations), " ")
-			writeFigures(sum, r)
+			writeResults(sum, r)
 			o.PlainPush = true
-			writeFigures(sum, Run(o, nil))
+			writeResults(sum, Run(o, nil))
 			assert.Equal(t, recordedHistories[seed], fmt.Sprintf("%016x", sum.Sum64()))
 		})
 	}
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// minTimerDelay makes the simulated time advance although a host's deadline has already passed.
+// minTimerDelay is the shortest delay of a timer. It makes the simulated time advance even if a host's deadline has already passed.
 const minTimerDelay = 100 * time.Microsecond
 
-// clock is a host's monotonic clock: it runs a little fast or slow, and started some time ago.
+// clock is a host's monotonic clock: its rate differs slightly from that of the simulated time, and it starts at a random offset.
 type clock struct {
 	rate   float64
 	offset time.Duration
@@ -20,38 +20,39 @@
 	}
 }
 
-// at is the reading of the clock at a true time.
-func (c clock) at(trueTime time.Duration) time.Duration {
-	return c.offset + time.Duration(float64(trueTime)*c.rate)
+// reading returns what the clock shows at a simulated time.
+func (c clock) reading(simulatedTime time.Duration) time.Duration {
+	return c.offset + time.Duration(float64(simulatedTime)*c.rate)
 }
 
-// trueTime is the true time of a reading of the clock.
-func (c clock) trueTime(shown time.Duration) time.Duration {
-	return time.Duration(float64(shown-c.offset)/c.rate) + 1
+// simulatedTime returns the simulated time of a reading of the clock.
+func (c clock) simulatedTime(reading time.Duration) time.Duration {
+	return time.Duration(float64(reading-c.offset)/c.rate) + 1
 }
 
-// host is the common part of the group's processes and the routers: a clock, and the state of being paused, killed or restarted.
+// host is the common part of the group's processes and the routers: a clock, and whether the host runs, is paused or has been killed.
 type host struct {
 	sim             *simulation
 	id              int
 	clock           clock
 	up              bool
 	paused          bool
-	incarnation     int      // counts the starts
-	deferred        []func() // events received while it was paused
-	timerGeneration int      // a timer of an earlier generation was replaced
+	incarnation     int      // number of starts
+	deferred        []func() // events that arrived while the host was paused
+	timerGeneration int      // incremented by each setTimer; timers of earlier generations are ignored
 }
 
 func (s *simulation) newHost(id int) host {
 	return host{sim: s, id: id, clock: s.newClock()}
 }
 
-// now is the time by the host's own clock.
-func (h *host) now() time.Duration { return h.clock.at(h.sim.now) }
+// now returns the reading of the host's own clock.
+func (h *host) now() time.Duration { return h.clock.reading(h.sim.now) }
 
 func (h *host) isRunning() bool { return h.up && !h.paused }
 
-// deliver runs an event of an incarnation: at once, when a paused host is resumed, or never if the incarnation has ended.
+// deliver runs an event for an incarnation of the host: immediately, or after a paused host is resumed. It drops the event if that
+// incarnation no longer runs.
 func (h *host) deliver(incarnation int, event func()) {
 	switch {
 	case !h.up || incarnation != h.incarnation:
@@ -81,12 +82,12 @@
 	h.deferred = nil
 }
 
-// setTimer runs an event when the host's clock shows a time. It replaces the timer that was set before.
-func (h *host) setTimer(shown time.Duration, event func()) {
+// setTimer runs an event when the host's clock reaches a reading. It replaces the previous timer.
+func (h *host) setTimer(reading time.Duration, event func()) {
 	h.timerGeneration++
 	generation := h.timerGeneration
 	incarnation := h.incarnation
-	when := max(h.clock.trueTime(shown), h.sim.now+minTimerDelay)
+	when := max(h.clock.simulatedTime(reading), h.sim.now+minTimerDelay)
 	h.sim.at(when, func() {
 		if h.timerGeneration == generation {
 			h.deliver(incarnation, event)
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	maxOperations      = 6000
-	checkedReadOdds    = 4 // one in this many reads is checked
-	linearizableWithin = 20 * time.Second
+	maxOperations          = 6000
+	checkedReadOdds        = 4 // one in this many reads is checked
+	linearizabilityTimeout = 20 * time.Second
 )
 
-// operationAudit collects the reads and writes of the newest version's number, which have to be linearizable: a write is a proposal
-// that was acknowledged, a read the reply to a renewal.
+// operationAudit collects the reads and writes of the newest version's number, which have to be linearizable. A write is a proposal that
+// was acknowledged; a read is the reply to a renewal.
 type operationAudit struct {
 	operations   []porcupine.Operation
-	proposed     map[string]time.Duration          // when a proposal was sent first, by its id
+	proposed     map[string]time.Duration          // when each proposal was first sent, by the proposal's id
 	acknowledged map[string]configregister.Outcome // by the proposal's id
 	renewals     map[renewalKey]time.Duration
 }
 
-// renewalKey identifies a renewal that was sent.
+// renewalKey identifies a renewal that a router sent.
 type renewalKey struct {
 	incarnation string
 	sequence    uint64
@@ -38,15 +38,15 @@
 	}
 }
 
-// notWritten is the input of a read; that of a write is its number.
-const notWritten = uint64(0)
+// readInput is the input of a read in the model; the input of a write is the number of its version.
+const readInput = uint64(0)
 
 func (o *operationAudit) addWrite(number uint64, called, returned time.Duration) {
 	o.add(number, number, called, returned)
 }
 
 func (o *operationAudit) addRead(number uint64, called, returned time.Duration) {
-	o.add(notWritten, number, called, returned)
+	o.add(readInput, number, called, returned)
 }
 
 func (o *operationAudit) add(input, output uint64, called, returned time.Duration) {
@@ -70,7 +70,7 @@
 	a.operations.renewals[renewalKey{renewal.Incarnation, renewal.Seq}] = s.now
 }
 
-// observeReply records a random part of the replies as reads.
+// observeReply records a random sample of the replies as reads.
 func (a *auditor) observeReply(s *simulation, router *routerHost, reply lease.Reply) {
 	audit := &a.operations
 	key := renewalKey{router.leaseIncarnation(), reply.Seq}
@@ -84,7 +84,7 @@
 	}
 }
 
-// addUnacknowledged adds the versions that were written but whose outcome no operator received: such a write may have happened at any time.
+// addUnacknowledged adds the versions that were written but whose outcome no operator received. Such a write may have happened at any time.
 func (o *operationAudit) addUnacknowledged(newest uint64, end time.Duration) {
 	acknowledged := map[uint64]bool{}
 	for _, outcome := range o.acknowledged {
@@ -97,11 +97,11 @@
 	}
 }
 
-// checkLinearizable reports a violation if no order of the operations explains the observed results. A check that takes too long counts
-// as passed.
+// checkLinearizable reports a violation if no order of the operations explains the observed results. A check that exceeds
+// linearizabilityTimeout counts as passed.
 func (a *auditor) checkLinearizable(s *simulation) {
 	operations := a.operations.operations
-	if porcupine.CheckOperationsTimeout(versionCounter, operations, linearizableWithin) == porcupine.Illegal {
+	if porcupine.CheckOperationsTimeout(versionCounter, operations, linearizabilityTimeout) == porcupine.Illegal {
 		a.report("linearizable", s.now, "no order of %d reads and writes explains the observed results", len(operations))
 	}
 }
@@ -111,7 +111,7 @@
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		current, written, read := state.(uint64), input.(uint64), output.(uint64)
-		if written != notWritten {
+		if written != readInput {
 			return written == current+1, written
 		}
 		return read == current, current
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -4,28 +4,29 @@
 
 const (
 	minMessageDelay       = 200 * time.Microsecond
-	maxMessageDelay       = time.Millisecond // without the network's extra delay
+	maxMessageDelay       = time.Millisecond // without maxExtraDelay
 	maxRedeliveryDelay    = 2 * time.Millisecond
 	maxDuplicateDelay     = 300 * time.Millisecond
 	retransmitOdds        = 2   // one in this many messages on a cut link is delivered once it is restored; the others are lost
 	duplicateDeliveryOdds = 200 // one in this many messages is delivered twice
 )
 
-// link is one direction between two hosts, by their ids.
+// link is one direction between two hosts, given by their ids.
 type link struct{ from, to int }
 
 // network holds the state of the links.
 type network struct {
 	cut           map[link]bool
 	retransmits   map[link][]func() // messages that were sent on a cut link and are delivered once it is restored
-	maxExtraDelay time.Duration     // of each message
+	maxExtraDelay time.Duration     // of each message, in addition to maxMessageDelay
 }
 
 func newNetwork() network {
 	return network{cut: map[link]bool{}, retransmits: map[link][]func(){}}
 }
 
-// send delivers a message after a delay, unless the link is cut then. At random a message is delivered twice.
+// send delivers a message after a random delay. If the link is cut by then, the message is lost or delivered once the link is restored. At
+// random a message is delivered twice.
 func (s *simulation) send(from, to int, deliver func()) {
 	over := link{from, to}
 	s.after(s.uniform(minMessageDelay, maxMessageDelay+s.network.maxExtraDelay), func() {
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -33,21 +33,21 @@
 type processHost struct {
 	host
 	replica         *replica.Replica
-	disk            consensus.PersistentState // synced data
+	disk            consensus.PersistentState // data that survives a crash
 	savesUntilCrash int                       // 0: no crash is scheduled
 	lastCallID      uint64
 	calls           map[uint64]call
 	streams         map[int]*stream // by router id
 }
 
-// call is a call that waits for its answer.
+// call is a request to the replica that has no answer yet.
 type call struct {
-	router      *routerHost // that renews its lease; nil for an operator
+	router      *routerHost // the router that renews its lease; nil for an operator
 	incarnation int         // of the router
 	onOutcome   func(configregister.Outcome)
 }
 
-// stream pushes versions to a router.
+// stream is the state of pushing versions to a router.
 type stream struct {
 	router        *routerHost
 	incarnation   int    // of the router
@@ -91,7 +91,7 @@
 		return
 	}
 	p.replica = started
-	p.carryOut(actions)
+	p.execute(actions)
 	p.resetTimer()
 }
 
@@ -102,26 +102,26 @@
 }
 
 func (p *processHost) step(event replica.Event) {
-	p.carryOut(p.replica.Step(p.now(), event))
+	p.execute(p.replica.Step(p.now(), event))
 	p.resetTimer()
 }
 
-// call hands the replica a call, and records the caller for its answer.
+// call passes a request to the replica and records the caller, to which the answer is sent.
 func (p *processHost) call(caller call, event func(callID uint64) lease.CoordinatorEvent) {
 	p.lastCallID++
 	p.calls[p.lastCallID] = caller
 	p.step(replica.LeaseRequest{Event: event(p.lastCallID)})
 }
 
-// takeCall removes and returns an answered call; it returns the zero value for a call to an earlier incarnation.
+// takeCall removes and returns the call that is answered. It returns the zero value if an earlier incarnation received the call.
 func (p *processHost) takeCall(callID uint64) call {
 	caller := p.calls[callID]
 	delete(p.calls, callID)
 	return caller
 }
 
-// carryOut carries out the replica's actions in order, until the process crashes.
-func (p *processHost) carryOut(actions []replica.Action) {
+// execute executes the replica's actions in order and stops if the process crashes.
+func (p *processHost) execute(actions []replica.Action) {
 	for _, action := range actions {
 		if !p.up {
 			return
@@ -129,7 +129,7 @@
 		switch action := action.(type) {
 		case replica.Persist:
 			p.save(action.State)
-			p.countDownToCrash()
+			p.crashIfDue()
 		case replica.SendMessage:
 			p.sendMessage(action.Message)
 		case replica.LeaseResponse:
@@ -164,8 +164,8 @@
 	}
 }
 
-// countDownToCrash kills the process at the save for which its crash is scheduled, and schedules its restart.
-func (p *processHost) countDownToCrash() {
+// crashIfDue kills the process after the save for which its crash is scheduled, and schedules its restart.
+func (p *processHost) crashIfDue() {
 	if p.savesUntilCrash == 0 {
 		return
 	}
@@ -208,15 +208,15 @@
 	})
 }
 
-// pushAll sends new versions and activations to the routers that follow the stream of this process.
+// pushAll sends new versions and activations to the routers that read the stream of this process.
 func (p *processHost) pushAll() {
 	for _, routerID := range slices.Sorted(maps.Keys(p.streams)) {
 		p.push(p.streams[routerID])
 	}
 }
 
-// push sends a router the versions and the activation that it has not been sent yet. At random a version is lost, so that the next
-// one arrives after a gap.
+// push sends a router the versions and the activation that it has not been sent yet. At random a version is lost, which leaves a gap
+// before the next one.
 func (p *processHost) push(to *stream) {
 	register := p.replica.Register()
 	for _, version := range register.UpdatesAfter(to.sentVersion) {
--- a/internal/simulation/proposals.go
+++ b/internal/simulation/proposals.go
@@ -15,13 +15,13 @@
 	firstProposalAt     = 600 * time.Millisecond
 	proposalRetryDelay  = 1500 * time.Millisecond
 	maxProposalRetries  = 12
-	proposalGracePeriod = 2 * time.Second // after faultsEnd, for retries
+	proposalGracePeriod = 2 * time.Second // time for retries after faultsEnd
 )
 
 // proposalIntervals are the mean times between two proposals; each simulation uses one of them.
 var proposalIntervals = []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second}
 
-// forcedGuards are the guards that operators override, so that all rules can be proposed.
+// forcedGuards lists the guards that operators override, so that the group accepts all proposed rules.
 var forcedGuards = []string{
 	configversion.GuardShareOfEngines,
 	configversion.GuardFloor,
@@ -32,15 +32,15 @@
 // faultsEnd is when faults and new proposals end, so that the routers can converge.
 func (s *simulation) faultsEnd() time.Duration { return s.SimulatedTime * 6 / 10 }
 
-// proposal is one change that an operator wants.
+// proposal is one change that an operator proposes.
 type proposal struct {
 	entry    configregister.Entry
-	proposed time.Duration // when it was sent first
+	proposed time.Duration // when it was first sent
 	retries  int
-	done     bool // it has its outcome, or was retried
+	done     bool // the operator received the outcome or sent a retry
 }
 
-// scheduleProposals has operators propose versions that tighten, loosen, or do both.
+// scheduleProposals makes operators propose versions that tighten rules, loosen rules, or do both.
 func (s *simulation) scheduleProposals() {
 	current := initialRules(s.Routers)
 	s.lastEngineID = initialEngines - 1
@@ -112,7 +112,7 @@
 	}
 }
 
-// changeEngine moves one engine to its next phase: from missing to active under a new address, to leaving, to missing.
+// changeEngine moves one engine to its next phase: from missing to active at a new address, to draining, to missing.
 func (s *simulation) changeEngine(engines map[string]rules.Engine) {
 	name := engineName(s.random.IntN(initialEngines))
 	engine, listed := engines[name]
@@ -159,7 +159,7 @@
 	}
 }
 
-// leaderOrAny is the process that leads, or a random one.
+// leaderOrAny returns a running process that considers itself the leader, or a random process if there is none.
 func (s *simulation) leaderOrAny() *processHost {
 	chosen := s.processes[s.random.IntN(s.Processes)]
 	for _, process := range s.processes {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// maxConvergenceDelay is the time that routers have to act on a new version: one written later than this before the end is not checked.
+// maxConvergenceDelay is the time that routers have to apply a new version. If the group first sends a version within this time before
+// the end, the simulation does not check convergence.
 const maxConvergenceDelay = 2 * time.Second
 
 // Result is what the auditor found in one simulation.
@@ -10,17 +11,17 @@
 	Seed                 uint64
 	Violations           []Violation
 	Digest               uint64        // of the history
-	Versions             uint64        // that were written
-	Activated            uint64        // newest version in force at the end
-	LongestContradiction time.Duration // for which routers acted on contradicting rules
+	Versions             uint64        // number of written versions
+	Activated            uint64        // newest activated version at the end
+	LongestContradiction time.Duration // longest time for which routers applied contradicting rules
 	OverBound            int           // contradictions that were longer than ContradictionBound
-	Contradictions       int           // distinct pairs of an acting basis and a version that it contradicts
+	Contradictions       int           // distinct pairs of an applied configuration and a version that it contradicts
 	LeaseShare           float64       // mean share of the running routers that held a lease
-	ConvergenceDelay     time.Duration // from the end of the faults until all acted on the newest version
-	Converged            bool          // all acted on the newest version at the end
+	ConvergenceDelay     time.Duration // from the end of the faults until all routers applied the newest version
+	Converged            bool          // all routers applied the newest version at the end
 }
 
-// result runs the checks at the end and returns what the audit found.
+// result runs the checks at the end of the simulation and returns all results.
 func (a *auditor) result(s *simulation) Result {
 	r := Result{
 		Seed:                 s.Seed,
@@ -54,15 +55,15 @@
 	return r
 }
 
-// converged reports whether all routers acted on the newest version at the last sample, or need not yet because it is too new.
+// converged reports whether all routers applied the newest version at the last sample, or are not required to because it is too new.
 func (a *auditor) converged(s *simulation) bool {
 	return a.leases.lastNotConverged < s.now-auditInterval || a.versions.lastObserved >= s.now-maxConvergenceDelay
 }
 
-// checkConvergence reports a violation if the routers have not converged by the end, long after the last fault.
+// checkConvergence reports a violation if the routers have not converged by the end, although the faults ended long before.
 func (a *auditor) checkConvergence(s *simulation, converged bool) {
 	stillWriting := a.versions.lastObserved >= s.now-maxConvergenceDelay
 	if !converged && !s.PlainPush && !stillWriting {
-		a.report("convergence", s.now, "nothing has failed for %v, and not all act on version %d", s.SimulatedTime-s.faultsEnd(), a.versions.newest)
+		a.report("convergence", s.now, "%v after the end of the faults, not all routers apply version %d", s.SimulatedTime-s.faultsEnd(), a.versions.newest)
 	}
 }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -11,22 +11,22 @@
 
 const (
 	streamCheckInterval = 250 * time.Millisecond
-	// A router closes a stream that was silent at this many checks in a row.
+	// maxSilentStreamChecks is the number of consecutive checks with a silent stream after which the router closes the stream.
 	maxSilentStreamChecks = 4
 	connectTimeout        = 300 * time.Millisecond
 )
 
-// routerHost runs one router's side: its lease client, and the rules that it acts on.
+// routerHost runs one router: its lease client, and the rules that it applies.
 type routerHost struct {
 	host
-	client   *lease.Client
-	acting   *rules.Rules
-	basis    actingBasis            // of acting
-	received *configversion.Version // newest one, with plain push
-	followed *processHost           // whose stream of versions it reads
+	client       *lease.Client
+	rules        *rules.Rules           // that the router applies
+	applied      appliedConfiguration   // from which the rules were computed
+	received     *configversion.Version // newest version, with plain push only
+	streamSource *processHost           // whose stream of versions the router reads
 }
 
-// localRules are the rules of a router's own settings: the most restrictive ones.
+// localRules returns the rules of a router's own settings, which are the most restrictive ones.
 func localRules(routers int) *rules.Rules {
 	r := &rules.Rules{
 		Routers:                  routers,
@@ -49,21 +49,21 @@
 	r.up = true
 	r.client = lease.NewClient(lease.ClientSettings{
 		Durations:    r.sim.LeaseDurations,
-		Name:         fmt.Sprint("r", (r.id-firstRouterID)/2), // two routers share each name, as by mistake
+		Name:         fmt.Sprint("r", (r.id-firstRouterID)/2), // two routers share each name, as after a configuration mistake
 		Incarnation:  r.leaseIncarnation(),
 		LocalRules:   localRules(r.sim.Routers),
 		Guards:       configversion.Guards{MaxRemovedShare: 1},
 		AddressCount: r.sim.Processes,
 		Seed:         r.sim.Seed*4096 + uint64(r.id*8+r.incarnation),
 	})
-	r.acting = localRules(r.sim.Routers)
-	r.basis = actingBasis{starting: true}
+	r.rules = localRules(r.sim.Routers)
+	r.applied = appliedConfiguration{starting: true}
 	r.received = nil
-	r.followed = nil
+	r.streamSource = nil
 	r.step(lease.ClientTick{})
 }
 
-// leaseIncarnation is the id of this incarnation in renewals.
+// leaseIncarnation returns the id of this incarnation in renewals.
 func (r *routerHost) leaseIncarnation() string { return fmt.Sprintf("%d.%d", r.id, r.incarnation) }
 
 func (r *routerHost) receiveVersion(raw []byte, activated uint64) {
@@ -73,44 +73,44 @@
 		return
 	}
 	if r.sim.PlainPush {
-		r.applyAtOnce(version)
+		r.applyImmediately(version)
 		return
 	}
 	r.step(lease.VersionReceived{Version: version, Activated: activated})
 }
 
-// applyAtOnce is the baseline without leases.
-func (r *routerHost) applyAtOnce(version *configversion.Version) {
+// applyImmediately applies a version on arrival: the baseline without leases.
+func (r *routerHost) applyImmediately(version *configversion.Version) {
 	if r.received != nil && version.Number <= r.received.Number {
 		return
 	}
 	r.received = version
-	r.acting = version.Rules
-	r.basis = actingBasis{activated: version.Number, leased: true}
+	r.rules = version.Rules
+	r.applied = appliedConfiguration{activated: version.Number, leased: true}
 }
 
 func (r *routerHost) step(event lease.ClientEvent) {
 	if r.sim.PlainPush {
 		_, lost := event.(lease.StreamLost)
-		if lost || r.followed == nil {
+		if lost || r.streamSource == nil {
 			r.openStream(r.sim.random.IntN(r.sim.Processes), 0)
 		}
 		return
 	}
 	for _, action := range r.client.Step(r.now(), event) {
-		r.carryOut(action)
+		r.execute(action)
 	}
 	r.setTimer(r.client.NextDeadline(), func() { r.step(lease.ClientTick{}) })
 }
 
-func (r *routerHost) carryOut(action lease.ClientAction) {
+func (r *routerHost) execute(action lease.ClientAction) {
 	switch action := action.(type) {
 	case lease.SendRenewal:
 		r.sendRenewal(r.sim.processes[action.AddressIndex], action.Renewal)
 	case lease.ApplyRules:
 		configuration := action.Configuration
-		r.acting = action.Rules
-		r.basis = actingBasis{activated: configuration.Activated, pending: configuration.Pending, leased: configuration.Leased}
+		r.rules = action.Rules
+		r.applied = appliedConfiguration{activated: configuration.Activated, pending: configuration.Pending, leased: configuration.Leased}
 		r.sim.record("router %d acts on settled %d, pending %d, term %t", r.id, configuration.Activated, configuration.Pending, configuration.Leased)
 	case lease.ReopenStream:
 		r.openStream(action.AddressIndex, action.AfterVersion)
@@ -131,7 +131,7 @@
 	})
 }
 
-// checkLeaseExpiry is the check of the lease before a batch of decisions.
+// checkLeaseExpiry checks the lease, as a router does before each batch of decisions.
 func (r *routerHost) checkLeaseExpiry() {
 	if !r.isRunning() || r.sim.PlainPush {
 		return
@@ -142,15 +142,15 @@
 	}
 }
 
-// openStream has the router follow the versions at a process, in place of the stream that it read before. The process pushes until
-// either side ends.
+// openStream makes the router read the versions from a process instead of from its previous stream. The process pushes versions until the
+// router or the process stops.
 func (r *routerHost) openStream(addressIndex int, afterVersion uint64) {
 	process := r.sim.processes[addressIndex]
 	incarnation := r.incarnation
-	if r.followed != nil {
-		delete(r.followed.streams, r.id)
+	if r.streamSource != nil {
+		delete(r.streamSource.streams, r.id)
 	}
-	r.followed = process
+	r.streamSource = process
 	if !process.up || r.sim.network.cut[link{r.id, process.id}] {
 		r.sim.after(connectTimeout, func() { r.loseStream(incarnation) })
 		return
@@ -170,12 +170,12 @@
 	r.deliver(incarnation, func() { r.step(lease.StreamLost{}) })
 }
 
-// watchStream ends a stream whose process has crashed, or that was silent for too many checks.
+// watchStream closes a stream if its process has crashed or has been silent at maxSilentStreamChecks consecutive checks.
 func (r *routerHost) watchStream(process *processHost, serving, incarnation int) {
 	silentChecks := 0
 	var check func()
 	check = func() {
-		if r.followed != process || r.incarnation != incarnation || !r.up {
+		if r.streamSource != process || r.incarnation != incarnation || !r.up {
 			return
 		}
 		sameProcess := process.up && process.incarnation == serving
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,6 +1,6 @@
 // Package simulation runs the state machines of the control group (replica) and of the routers (lease.Client) under one simulated
-// clock, on simulated disks and a simulated network, with random faults from a seed. An auditor observes all of them and checks the
-// guarantees of the design. The same seed always gives the same history.
+// clock, on simulated disks and a simulated network, with random faults generated from a seed. An auditor observes all of them and checks
+// the guarantees of the design. The same seed always gives the same history.
 package simulation
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	// auditInterval is the time between two lease checks of the routers, after each of which the auditor compares them.
+	// auditInterval is the time between two lease checks of the routers. After each check the auditor compares the routers.
 	auditInterval = 10 * time.Millisecond
 	// clockDrift is the fraction by which clocks run fast or slow.
 	clockDrift = 0.05
-	// firstRouterID is the host id of the first router; those of the processes start at 0.
+	// firstRouterID is the host id of the first router; the ids of the processes start at 0.
 	firstRouterID = 1000
 
 	maxProcessStartDelay = 100 * time.Millisecond
 	maxRouterStartDelay  = 500 * time.Millisecond
 )
 
-// Options of one simulation.
+// Options configure one simulation.
 type Options struct {
 	Seed           uint64
 	Routers        int
 	Processes      int           // of the control group
-	SimulatedTime  time.Duration // how long it runs
+	SimulatedTime  time.Duration // length of the simulation
 	LeaseDurations lease.Durations
-	PlainPush      bool // baseline: routers act on each version as it arrives, without leases
+	PlainPush      bool // baseline: routers apply each version on arrival, without leases
 	NoFaults       bool
 }
 
@@ -54,15 +54,15 @@
 // simulation is the state of one run.
 type simulation struct {
 	Options
-	now          time.Duration // true time
+	now          time.Duration // simulated time
 	timers       timerqueue.Queue
 	random       *rand.Rand
 	network      network
 	processes    []*processHost
 	routers      []*routerHost
 	auditor      *auditor
-	lastEngineID int       // last id that was used in an engine address
-	trace        io.Writer // nil: none
+	lastEngineID int       // last id used in an engine address
+	trace        io.Writer // receives the history as text; nil for none
 	digest       hash.Hash64
 }
 
@@ -102,7 +102,7 @@
 	return s
 }
 
-// runTimers lets time pass until the end of the simulation.
+// runTimers runs the timers in order, until the end of the simulated time.
 func (s *simulation) runTimers() {
 	end := s.SimulatedTime + 1
 	for {
@@ -115,7 +115,7 @@
 	}
 }
 
-// audit has each router check its lease, as before each batch of decisions, and the auditor compare what the routers act on.
+// audit makes each router check its lease, as before each batch of decisions, and the auditor compare what the routers apply.
 func (s *simulation) audit() {
 	for _, router := range s.routers {
 		router.checkLeaseExpiry()
@@ -130,14 +130,14 @@
 
 func (s *simulation) after(delay time.Duration, do func()) { s.at(s.now+delay, do) }
 
-func (s *simulation) uniform(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Float64()*float64(most-least))
+func (s *simulation) uniform(lower, upper time.Duration) time.Duration {
+	return lower + time.Duration(s.random.Float64()*float64(upper-lower))
 }
 
-// oneIn is true with a chance of one in n.
+// oneIn returns true with a probability of 1/n.
 func (s *simulation) oneIn(n int) bool { return s.random.IntN(n) == 0 }
 
-// record adds a line to the history. Its wording is part of the recorded histories of the tests.
+// record adds a line to the history. The recorded histories of the tests depend on the wording of the lines.
 func (s *simulation) record(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	fmt.Fprintf(s.digest, "%d %s", s.now, line)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -13,18 +13,18 @@
 
 func options(seed uint64) Options { return OptionsForSeed(seed, 6) }
 
-// seedCount is how many seeds are run; TRIALS in the environment runs more.
-func seedCount(usual int) uint64 {
+// seedCount returns the number of seeds to run: the environment variable TRIALS if it is set, else the default.
+func seedCount(byDefault int) uint64 {
 	if n, err := strconv.Atoi(os.Getenv("TRIALS")); err == nil {
 		return uint64(n)
 	}
-	return uint64(usual)
+	return uint64(byDefault)
 }
 
-// runs are the results of one seed, with leases and with the baseline.
+// runs holds the results of one seed, with leases and with the baseline.
 type runs struct{ leases, plainPush Result }
 
-// runSeeds runs the seeds from 0, as many at once as there are cores.
+// runSeeds runs the seeds from 0 up to count, as many concurrently as there are cores.
 func runSeeds(t *testing.T, count uint64) []runs {
 	t.Helper()
 	results := make([]runs, count)
@@ -43,8 +43,9 @@
 	return results
 }
 
-// Whatever fails, no two routers act on contradicting rules for longer than the bound; acknowledged versions are not lost; reads and writes
-// are linearizable; after the last fault all routers converge on the newest version. The baseline, plain push, is known to exceed the bound.
+// Under random faults no two routers apply contradicting rules for longer than the bound, acknowledged versions are not lost, reads and
+// writes are linearizable, and after the last fault all routers converge on the newest version. The baseline, plain push, exceeds the
+// bound, which shows that the auditor detects contradictions.
 func TestSchedules(t *testing.T) {
 	count := seedCount(40)
 	bound := ContradictionBound(options(0).LeaseDurations)
@@ -73,12 +74,12 @@
 		count, leases.LongestContradiction, bound, leases.Contradictions, leases.Versions, leases.LeaseShare, converged,
 		plainPush.LongestContradiction, plainPushOver, plainPush.OverBound, plainPush.Contradictions)
 	assert.LessOrEqual(t, leases.LongestContradiction, bound)
-	assert.Greater(t, leases.Contradictions, int(count), "there were contradictions to bound")
-	assert.Greater(t, plainPush.LongestContradiction, bound, "the baseline exceeds the bound: the auditor can fail")
+	assert.Greater(t, leases.Contradictions, int(count), "the routers contradicted each other at times")
+	assert.Greater(t, plainPush.LongestContradiction, bound, "the baseline exceeds the bound, which the auditor detects")
 	assert.Equal(t, int(count), converged)
 }
 
-// Two runs of one seed give the same history.
+// Two runs of one seed give the same result, which includes the digest of the history.
 func TestDeterministic(t *testing.T) {
 	for seed := range uint64(12) {
 		assert.Equal(t, Run(options(seed), nil), Run(options(seed), nil), "seed %d", seed)
