--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -10,41 +10,41 @@
 	"bankledge/internal/downstream"
 )
 
-// readyPoll is the time between two questions of AwaitReady.
-const readyPoll = 5 * time.Millisecond
+// readyPollInterval is the time between two readiness queries of AwaitReady.
+const readyPollInterval = 5 * time.Millisecond
 
 // Answer is the final answer of a statement.
 type Answer struct {
 	Code downstream.Code
 	Body string
-	Took time.Duration // since the statement was sent; 0: it was not
-	Err  error         // the connection ended first, or the statement could not be sent; the code is not set
+	Took time.Duration // since the statement was sent; 0 if it was not sent
+	Err  error         // the connection ended before the answer, or the statement could not be sent; Code is not set then
 }
 
-// Client is a connection that has many statements open at once.
+// Client is a connection of a client to a router. Many statements can be in flight on it concurrently.
 type Client struct {
-	OnDuplicate func(stream uint32) // called for a second answer; nil: nobody listens
-	// UseWhileDraining has the connection not count as ended when the router takes no new statements. It is set before the first one.
+	OnDuplicate func(stream uint32) // called for each answer after the first one of a stream, unless it is nil
+	// UseWhileDraining makes Ended ignore that the router accepts no new statements. It has to be set before the first statement.
 	UseWhileDraining bool
 
 	conn  net.Conn
 	ended chan struct{}
 
 	mu        sync.Mutex
-	stream    uint32 // the last one used
+	stream    uint32 // last stream id used
 	open      map[uint32]*request
 	cancelled map[uint32]bool // streams whose answer may still be in flight
 	err       error
-	goingAway bool // the router takes no new statements
+	goingAway bool // the router accepts no new statements on the connection
 }
 
-// request is what waits for an answer.
+// request is a frame that has no answer yet.
 type request struct {
 	sentAt time.Time
 	answer chan Answer
 }
 
-// Dial connects to a router. Close ends the connection.
+// Dial connects to a router. Close closes the connection.
 func Dial(address string) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -60,13 +60,13 @@
 	return c, nil
 }
 
-// Close ends the connection and waits until nothing of it is left.
+// Close closes the connection and waits until its reader has returned.
 func (c *Client) Close() {
 	c.conn.Close()
 	<-c.ended
 }
 
-// Ended reports whether the connection has ended, or the router takes no new statements on it.
+// Ended reports whether the connection has ended, or the router accepts no new statements on it.
 func (c *Client) Ended() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// fail answers all that is open with an error.
+// fail answers all open requests with an error.
 func (c *Client) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,18 +116,18 @@
 	}
 }
 
-// Send sends a statement; its answer comes through the channel.
+// Send sends a statement. The channel receives its answer.
 func (c *Client) Send(fields map[string]string, text string) <-chan Answer {
 	_, answer := c.Open(fields, text)
 	return answer
 }
 
-// Open is Send, and returns the statement's stream as well.
+// Open sends a statement and returns its stream. The channel receives its answer.
 func (c *Client) Open(fields map[string]string, text string) (stream uint32, answer <-chan Answer) {
 	return c.send(frameStatement, Payload(fields, text))
 }
 
-// Cancel tells the router that nobody waits for a stream any more. No answer comes through its channel.
+// Cancel cancels the statement on a stream. Its channel receives no answer afterwards.
 func (c *Client) Cancel(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,7 +136,7 @@
 	}
 	delete(c.open, stream)
 	c.cancelled[stream] = true
-	c.conn.Write(Frame(frameCancel, stream, "")) // a broken connection says as much to the router
+	c.conn.Write(Frame(frameCancel, stream, "")) // the error is ignored: the router treats a broken connection as a cancellation, too
 }
 
 func (c *Client) send(kind byte, payload string) (stream uint32, answer <-chan Answer) {
@@ -156,12 +156,12 @@
 	return c.stream, r.answer
 }
 
-// ReadinessQuery returns the frame that asks whether the router is ready.
+// ReadinessQuery returns the frame that asks the router whether it is ready.
 func ReadinessQuery() []byte { return Frame(frameReady, 1, "\x00") }
 
-// AwaitReady asks the router until it is ready. The error is that of the connection, or that the patience is over.
-func (c *Client) AwaitReady(patience time.Duration) error {
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(readyPoll) {
+// AwaitReady polls the router until it is ready. It returns an error if the connection fails or the timeout expires.
+func (c *Client) AwaitReady(timeout time.Duration) error {
+	for began := time.Now(); time.Since(began) < timeout; time.Sleep(readyPollInterval) {
 		_, answer := c.send(frameReady, "\x00")
 		a := <-answer
 		if a.Err != nil {
@@ -171,5 +171,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("not ready after %v", patience)
+	return fmt.Errorf("the router is not ready after %v", timeout)
 }
--- a/internal/fakes/control_feed.go
+++ b/internal/fakes/control_feed.go
@@ -14,15 +14,15 @@
 	maxQueuedIDs    = 100
 )
 
-// ControlFeed is a control feed that sends what it is given.
+// ControlFeed is a control feed that sends the events that a test puts into Events.
 type ControlFeed struct {
 	Server       *httptest.Server
-	Events       chan string // to be sent as they are; "" ends the connection
-	LastEventIDs chan string // Last-Event-ID of each connection
+	Events       chan string // sent unchanged; "" closes the connection
+	LastEventIDs chan string // header Last-Event-ID of each connection
 	closed       chan struct{}
 }
 
-// NewControlFeed starts a feed; it sends nothing but a comment each second until it is given events. Close ends it.
+// NewControlFeed starts a feed. While there are no events, it sends a comment each second. Close stops it.
 func NewControlFeed() *ControlFeed {
 	f := &ControlFeed{
 		Events:       make(chan string, maxQueuedEvents),
@@ -53,14 +53,14 @@
 	}
 }
 
-// Close ends the feed and its connections, also one that a router makes anew meanwhile.
+// Close stops the feed and closes its connections, also those that a router opens in the meantime.
 func (f *ControlFeed) Close() {
 	close(f.closed)
 	f.Server.CloseClientConnections()
 	f.Server.Close()
 }
 
-// Member returns an engine as the control feed's events have it.
+// Member returns the JSON text of an engine in the events of the control feed.
 func Member(id, address, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"k","phase":%q,"size":8}`, id, address, phase)
 }
--- a/internal/fakes/doc.go
+++ b/internal/fakes/doc.go
@@ -1,3 +1,3 @@
-// Package fakes holds what tests and the project's own experiments put in the place of the world outside the router: a mix of statements,
-// engines, a control feed and clients. Nothing of it is part of the router.
+// Package fakes provides replacements of the systems outside the router, for tests and experiments: a mix of statements, engines, a control
+// feed and clients. The router does not use this package.
 package fakes
--- a/internal/fakes/engine_event.go
+++ b/internal/fakes/engine_event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EngineEventKind is a kind of event at a simulated engine.
+// EngineEventKind is the kind of an event at a simulated engine.
 type EngineEventKind string
 
 // Kinds of events.
@@ -10,9 +10,9 @@
 	AttemptStarted   EngineEventKind = "start"
 	AttemptEnded     EngineEventKind = "end"
 	AttemptCancelled EngineEventKind = "cancel"
-	AttemptAbandoned EngineEventKind = "drop" // by the engine, since nobody polled
+	AttemptAbandoned EngineEventKind = "drop" // the engine ended the attempt because the router had not polled it for too long
 	HealthChecked    EngineEventKind = "probe"
-	Collapsed        EngineEventKind = "fell" // a cold engine was sent more than it bears
+	Collapsed        EngineEventKind = "fell" // a cold engine was sent more work than it tolerates, and stopped
 )
 
 // EngineEvent is something that happened at a simulated engine.
@@ -20,7 +20,7 @@
 	Kind     EngineEventKind
 	ID       string // of the statement
 	Workload string
-	Peer     string        // the address that the call came from
-	Work     time.Duration // of a started attempt, on one thread
-	ColdLoad float64       // of a started attempt at a cold engine: work sent in the window over what it bears
+	Peer     string        // address of the caller
+	Work     time.Duration // of a started attempt, in time on one thread
+	ColdLoad float64       // of a started attempt at a cold engine: the work sent in the window, divided by the work that the engine tolerates
 }
--- a/internal/fakes/frame.go
+++ b/internal/fakes/frame.go
@@ -19,9 +19,9 @@
 const (
 	lengthBytes = 4
 	headerBytes = 9 // length, kind and stream
-	// countedHeader are the bytes of the header that the length counts: kind and stream.
+	// countedHeader is the number of header bytes that the length includes: those of kind and stream.
 	countedHeader = headerBytes - lengthBytes
-	answerHeader  = 2 // of an answer's payload: the code, and a byte that the fakes do not read
+	answerHeader  = 2 // bytes at the start of an answer's payload: the code, and a byte that the fakes ignore
 )
 
 // Frame encodes a frame of the clients' protocol.
@@ -52,7 +52,7 @@
 	Body   string // of an answer
 }
 
-// ReadFrame reads a frame. The error is that of the reader; io.ErrUnexpectedEOF: the connection ended within a frame.
+// ReadFrame reads a frame. It returns the error of the reader, which is io.ErrUnexpectedEOF if the connection ended within a frame.
 func ReadFrame(r *bufio.Reader) (ReceivedFrame, error) {
 	header := make([]byte, headerBytes)
 	if _, err := io.ReadFull(r, header); err != nil {
--- a/internal/fakes/full_backlog.go
+++ b/internal/fakes/full_backlog.go
@@ -7,14 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenWithFullBacklog returns a listener at which no connection comes up, since as many wait to be accepted as may, until accept lets
-// them in: the kernel answers what has tried meanwhile at its next try, about a second after the first.
+// ListenWithFullBacklog returns a listener whose backlog is full, so that no further connection is established until accept is called. The
+// kernel then accepts connections that were attempted in the meantime when they are retried, about a second after the first attempt.
 func ListenWithFullBacklog() (listener net.Listener, accept func(), err error) {
 	listener, err = listenWithoutBacklog()
 	if err != nil {
 		return nil, nil, err
 	}
-	waiting, err := net.Dial("tcp", listener.Addr().String()) // the one that may wait
+	waiting, err := net.Dial("tcp", listener.Addr().String()) // fills the backlog
 	if err != nil {
 		return nil, nil, err
 	}
@@ -27,7 +27,7 @@
 	return listener, accept, nil
 }
 
-// listenWithoutBacklog returns a listener on loopback at which one connection may wait.
+// listenWithoutBacklog returns a listener on loopback whose backlog holds one connection.
 func listenWithoutBacklog() (net.Listener, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := unix.Listen(fd, 0); err != nil { // a listener made of a file asks for more
+	if err := unix.Listen(fd, 0); err != nil { // net.FileListener has set a larger backlog
 		return nil, err
 	}
 	return listener, nil
--- a/internal/fakes/mix.go
+++ b/internal/fakes/mix.go
@@ -16,31 +16,31 @@
 type Item struct {
 	Declared decision.WorkloadID
 	Actual   decision.WorkloadID
-	Shape    int           // number of its shape; -1: one that comes once
-	Work     time.Duration // on one thread
-	Estimate time.Duration // of the work, as declared
-	MemoryMB float64       // as declared
+	Shape    int           // index of its shape; -1 for a shape that occurs once
+	Work     time.Duration // time on one thread
+	Estimate time.Duration // of the work, as declared by the client
+	MemoryMB float64       // as declared by the client
 	Text     []byte
 }
 
-// MixOptions say how a mix is made.
+// MixOptions configure a mix.
 type MixOptions struct {
-	Shapes      int     // number of usual ones
-	OneOffs     float64 // share of statements whose shape comes once
-	EstimateOff float64 // factor by which the estimates of each shape are too high or too low; 1: right
-	Mutated     bool    // other names and clauses, so that no shape is as in a mix that is not mutated
-	Bimodal     bool    // every second statement of a shape runs 20 times as long, by its literal
-	Honest      bool    // nothing is mislabelled
-	Lies        bool    // what is mislabelled has estimates to match its label
+	Shapes      int     // number of shapes that occur repeatedly
+	OneOffs     float64 // share of statements whose shape occurs once
+	EstimateOff float64 // factor by which the estimates of each shape are too high or too low; 1 means no systematic error
+	Mutated     bool    // other names and clauses, so that no shape occurs in a mix that is not mutated
+	Bimodal     bool    // half of the statements of each shape run 20 times as long, as if their literals decided the work
+	Honest      bool    // no statement is mislabelled
+	Lies        bool    // mislabelled statements have estimates that match their label
 }
 
-// workloadMix is what a mix makes of a workload. Work is in seconds on one thread.
+// workloadMix describes the statements of one workload in a mix. Work is in seconds on one thread.
 type workloadMix struct {
 	share         float64 // of statements
 	shapeShare    float64 // of shapes
 	medianWork    float64
-	mislabelled   float64             // share of statements, for 5 % of all
-	mislabelledAs decision.WorkloadID // in most cases
+	mislabelled   float64             // share of statements, chosen so that about 5 % of all statements are mislabelled, with the shapes that always are
+	mislabelledAs decision.WorkloadID // workload that most of the mislabelled statements declare
 }
 
 var mixWorkloads = []workloadMix{
@@ -49,46 +49,47 @@
 	PriceLoad: {share: 0.05, shapeShare: 0.08, medianWork: 3.8, mislabelled: 0.1, mislabelledAs: Report},
 }
 
-// Spreads are standard deviations of logarithms.
+// Parameters of a mix. Spreads are standard deviations of logarithms.
 const (
-	shapeSpread       = 0.45 // of the work, between shapes
-	statementSpread   = 0.5  // of the work, within a shape
+	shapeSpread       = 0.45 // of the work of different shapes
+	statementSpread   = 0.5  // of the work of the statements of one shape
 	estimateSpread    = 0.25
 	alwaysMislabelled = 0.06 // share of the shapes of reports
 	zipfExponent      = 0.9
 	bimodalFactor     = 20
 	minEstimateFactor = 1e-3
 
-	// Declared memory: the logarithm of megabytes.
+	// Parameters of the declared memory, as the logarithm of megabytes.
 	memoryBase   = 4
-	memoryByWork = 0.5 // times the logarithm of the work
+	memoryByWork = 0.5 // multiplied by the logarithm of the work
 	memorySpread = 0.3
 
-	mixStream = 7 // of random numbers
+	mixRandomStream = 7 // second seed of the random generator
 )
 
-// Mix makes statements, the same ones for the same seed. The order of its draws is part of what a seed means.
+// Mix generates statements, the same ones for the same seed. The order of the calls of the random generator must not change, since
+// results for a seed depend on it.
 type Mix struct {
-	options   MixOptions
-	random    *rand.Rand
-	shapes    []mixShape
-	pickShape distuv.Categorical
-	normal    distuv.Normal
-	made      int
+	options    MixOptions
+	random     *rand.Rand
+	shapes     []mixShape
+	shapeIndex distuv.Categorical
+	normal     distuv.Normal
+	generated  int
 }
 
-// mixShape is a statement without its literals.
+// mixShape is a statement text without literals, with the properties that its statements share.
 type mixShape struct {
 	workload          decision.WorkloadID
-	text              string // with ? for literals, # for a list of them
+	text              string // with ? for a literal and # for a list of literals
 	logWork           float64
 	estimateFactor    float64
 	alwaysMislabelled bool
 }
 
-// NewMix prepares a mix.
+// NewMix creates a mix with random shapes.
 func NewMix(seed uint64, options MixOptions) *Mix {
-	m := &Mix{options: options, random: rand.New(rand.NewPCG(seed, mixStream))}
+	m := &Mix{options: options, random: rand.New(rand.NewPCG(seed, mixRandomStream))}
 	m.normal = distuv.Normal{Mu: 0, Sigma: 1, Src: m.random}
 	seen := map[string]bool{}
 	var weights []float64
@@ -108,23 +109,23 @@
 			weights = append(weights, mix.share*zipfWeight(rank)/total)
 		}
 	}
-	m.pickShape = distuv.NewCategorical(weights, m.random)
+	m.shapeIndex = distuv.NewCategorical(weights, m.random)
 	return m
 }
 
-// zipfWeight is the weight of the shape of a rank, from 0.
+// zipfWeight returns the weight of the shape with a rank; ranks start at 0.
 func zipfWeight(rank int) float64 { return math.Pow(float64(rank+1), -zipfExponent) }
 
-// Next makes a statement.
+// Next generates a statement.
 func (m *Mix) Next() Item {
-	number := int(m.pickShape.Rand())
+	number := int(m.shapeIndex.Rand())
 	s := m.shapes[number]
 	if m.random.Float64() < m.options.OneOffs {
 		s = m.newShape(s.workload)
-		s.text = strings.Replace(s.text, "{", "", 1) + fmt.Sprintf(" /* */ AND one_%d.x IS NULL", m.made)
+		s.text = strings.Replace(s.text, "{", "", 1) + fmt.Sprintf(" /* */ AND one_%d.x IS NULL", m.generated)
 		number = -1
 	}
-	m.made++
+	m.generated++
 	logWork := s.logWork + statementSpread*m.normal.Rand()
 	if m.options.Bimodal && m.random.IntN(2) == 0 {
 		logWork += math.Log(bimodalFactor)
@@ -137,16 +138,16 @@
 	return item
 }
 
-// estimate draws what a client declares of the work.
+// estimate draws the estimate of the work that the client declares.
 func (m *Mix) estimate(s mixShape, logWork float64) time.Duration {
 	estimate := seconds(math.Exp(logWork+estimateSpread*m.normal.Rand()) * max(s.estimateFactor, minEstimateFactor))
-	if m.options.EstimateOff == 0 { // drawn anew, without a factor
+	if m.options.EstimateOff == 0 { // without a systematic error: drawn again without a factor
 		estimate = seconds(math.Exp(logWork + estimateSpread*m.normal.Rand()))
 	}
 	return estimate
 }
 
-// mislabel declares some statements as another workload.
+// mislabel makes some statements declare another workload than their own.
 func (m *Mix) mislabel(item *Item, s mixShape) {
 	if m.options.Honest {
 		return
--- a/internal/fakes/mix_templates.go
+++ b/internal/fakes/mix_templates.go
@@ -1,7 +1,7 @@
 package fakes
 
-// mixTemplates are the texts of shapes, by workload. {s}, {t}, {c} and {k} stand for a schema, a table, a column and a key; ? for a literal, #
-// for a list of literals.
+// mixTemplates lists the templates of shapes by workload. {s}, {t}, {c} and {k} are placeholders of a schema, a table, a column and a key;
+// ? is a placeholder of a literal, # of a list of literals.
 var mixTemplates = [3][]string{
 	{
 		"SELECT {c}, {c}, {c} FROM {s}.{t} WHERE {k} = ?",
@@ -34,7 +34,7 @@
 	},
 }
 
-// Names that are put into templates.
+// Names that replace the placeholders of templates.
 var (
 	mixSchemas = []string{"sales", "mart", "ops", "lake"}
 	mixTables  = []string{"orders", "stock", "items", "members", "visits", "prices", "lines", "events"}
--- a/internal/fakes/mix_text.go
+++ b/internal/fakes/mix_text.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	schemaNumbers = 13
-	maxListLength = 12
-	literalRange  = 1e6
-	lineBreakOdds = 16 // one in so many spaces becomes a line break
+	schemaNumberCount = 13
+	maxListLength     = 12
+	literalRange      = 1e6
+	lineBreakOdds     = 16 // one in this many spaces becomes a line break
 )
 
-// newShape draws a shape: a template with names put in.
+// newShape draws a shape: a template whose placeholders are replaced with names.
 func (m *Mix) newShape(w decision.WorkloadID) mixShape {
-	text := m.putNames(m.oneOf(mixTemplates[w]))
+	text := m.fillPlaceholders(m.pickOne(mixTemplates[w]))
 	if m.options.Mutated {
-		text = m.moveCondition(text, w)
+		text = m.insertCondition(text, w)
 	}
 	s := mixShape{workload: w, text: text, estimateFactor: m.options.EstimateOff}
 	s.logWork = math.Log(mixWorkloads[w].medianWork) + shapeSpread*m.normal.Rand()
@@ -30,17 +30,17 @@
 	return s
 }
 
-func (m *Mix) oneOf(list []string) string { return list[m.random.IntN(len(list))] }
+func (m *Mix) pickOne(list []string) string { return list[m.random.IntN(len(list))] }
 
-// putNames replaces the placeholders of a template. All names are drawn for each of them.
-func (m *Mix) putNames(text string) string {
-	schema := fmt.Sprintf("%s_%d", m.oneOf(mixSchemas), m.random.IntN(schemaNumbers))
+// fillPlaceholders replaces the placeholders of a template. For each placeholder it draws one name of every kind and uses one of them.
+func (m *Mix) fillPlaceholders(text string) string {
+	schema := fmt.Sprintf("%s_%d", m.pickOne(mixSchemas), m.random.IntN(schemaNumberCount))
 	for {
 		i := strings.IndexByte(text, '{')
 		if i < 0 {
 			return text
 		}
-		names := map[byte]string{'s': schema, 't': m.oneOf(mixTables), 'c': m.oneOf(mixColumns), 'k': m.oneOf(mixKeys)}
+		names := map[byte]string{'s': schema, 't': m.pickOne(mixTables), 'c': m.pickOne(mixColumns), 'k': m.pickOne(mixKeys)}
 		placeholder := text[i+1]
 		name := names[placeholder]
 		if m.options.Mutated && placeholder != 's' {
@@ -50,8 +50,8 @@
 	}
 }
 
-// moveCondition puts another condition before those of every second text that has any.
-func (m *Mix) moveCondition(text string, w decision.WorkloadID) string {
+// insertCondition inserts a condition before the existing ones of a text, for a random half of the texts that have conditions.
+func (m *Mix) insertCondition(text string, w decision.WorkloadID) string {
 	const where = " where "
 	lower := strings.ToLower(text)
 	i := strings.Index(lower, where)
@@ -64,7 +64,7 @@
 	return text[:i] + " /* moved */ WHERE xdeleted IS NULL AND" + text[i+len(where)-1:]
 }
 
-// withLiterals replaces the literals of a shape's text, and breaks some lines.
+// withLiterals replaces the placeholders of a shape's text with literals, and some of its spaces with line breaks.
 func (m *Mix) withLiterals(text string) []byte {
 	var b strings.Builder
 	for i := range len(text) {
--- a/internal/fakes/scripted_engine.go
+++ b/internal/fakes/scripted_engine.go
@@ -11,10 +11,10 @@
 // Step is one answer of a scripted engine.
 type Step func(w http.ResponseWriter, r *http.Request)
 
-// maxUnreadCalls is how many calls an engine takes before anybody reads them from Engine.Calls.
+// maxUnreadCalls is the number of calls that an engine accepts before a test reads them from Engine.Calls.
 const maxUnreadCalls = 1000
 
-// Engine is an engine that answers each call with the next step of its script, the last one again and again.
+// Engine is a scripted engine. It answers each call with the next step of its script and repeats the last step.
 type Engine struct {
 	ID     string
 	Server *httptest.Server
@@ -25,14 +25,15 @@
 	received chan string
 }
 
-// NewEngine starts an engine. The script is by method and what follows /x/ID in the path, for example "GET 0". Close ends it.
+// NewEngine starts an engine. The keys of the script are the method and the part of the path after /x/ID, for example "GET 0". Close stops
+// the engine.
 func NewEngine(id string, script map[string][]Step) *Engine {
 	e := &Engine{ID: id, script: script, received: make(chan string, maxUnreadCalls)}
 	e.Server = httptest.NewServer(e)
 	return e
 }
 
-// Close ends the engine and its connections.
+// Close stops the engine and closes its connections.
 func (e *Engine) Close() {
 	e.Server.CloseClientConnections()
 	e.Server.Close()
@@ -45,9 +46,9 @@
 	e.script = script
 }
 
-// ServeHTTP answers one call. One that the script has no steps for gets the status of an engine that knows nothing of the statement.
+// ServeHTTP answers one call. If the script has no steps for the call, it answers with the status for an unknown statement.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	text, _ := io.ReadAll(r.Body) // of a call that breaks off, what came is recorded
+	text, _ := io.ReadAll(r.Body) // an incomplete text is recorded as well
 	call := r.Method
 	if parts := strings.Split(r.URL.Path, "/"); len(parts) > 3 {
 		call += " " + parts[3]
@@ -61,7 +62,7 @@
 	w.WriteHeader(map[string]int{"DELETE": http.StatusNoContent, "GET 0": http.StatusInternalServerError}[call])
 }
 
-// nextStep records a call and returns its step, or nil.
+// nextStep records a call and returns its step, or nil if the script has none.
 func (e *Engine) nextStep(call string) Step {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,7 +77,7 @@
 	return steps[0]
 }
 
-// CallCount returns how often a call has come.
+// CallCount returns how often the engine has received a call.
 func (e *Engine) CallCount(call string) (count int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,5 +89,5 @@
 	return count
 }
 
-// Calls receives each call as it comes, with its workload and text.
+// Calls returns the channel that receives each call with its workload and text.
 func (e *Engine) Calls() <-chan string { return e.received }
--- a/internal/fakes/simulated_engine_test.go
+++ b/internal/fakes/simulated_engine_test.go
@@ -96,8 +96,8 @@
 		work      string
 		collapses bool
 	}{
-		"what it bears":        {work: "1ms", collapses: false},
-		"more than its window": {work: "1h", collapses: true},
+		"tolerated work": {work: "1ms", collapses: false},
+		"too much work":  {work: "1h", collapses: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := startRecordedEngine(t, cold)
--- a/internal/fakes/simulated_http.go
+++ b/internal/fakes/simulated_http.go
@@ -16,9 +16,9 @@
 	shortResult = "a\tb\tc\n"
 )
 
-// ServeHTTP answers one call: the start, a poll, the cancellation or a page of a statement, or a health check.
+// ServeHTTP answers one call: the start of a statement, a poll, a cancellation, a request for a page, or a health check.
 func (e *SimulatedEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	text, _ := io.ReadAll(r.Body) // of a call that breaks off, what came counts
+	text, _ := io.ReadAll(r.Body) // an incomplete text is used as well
 	parts := strings.Split(r.URL.Path, "/")
 	switch {
 	case r.Method == http.MethodPost:
@@ -45,7 +45,7 @@
 	work, threads := e.cost(workload, text)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account()
+	e.applyElapsedWork()
 	rows := 0
 	if e.Rows != nil {
 		rows = e.Rows(workload)
@@ -58,7 +58,7 @@
 		threads:   float64(threads),
 		rows:      rows,
 		failing:   e.failing,
-		polledAt:  e.accountedAt,
+		polledAt:  e.lastUpdate,
 		done:      make(chan struct{}),
 	}
 	if x.failing {
@@ -69,11 +69,11 @@
 	return x
 }
 
-// cancel ends a statement, if it is there.
+// cancel ends a statement. It does nothing if the statement is unknown.
 func (e *SimulatedEngine) cancel(id, peer string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account()
+	e.applyElapsedWork()
 	if x := e.executions[id]; x != nil {
 		if !x.ended {
 			e.notify(EngineEvent{Kind: AttemptCancelled, ID: id, Workload: x.workload, Peer: peer})
@@ -84,14 +84,14 @@
 	e.advance()
 }
 
-// execution returns nil for a statement that is not there.
+// execution returns the execution of a statement, or nil if the statement is unknown.
 func (e *SimulatedEngine) execution(id string) *execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.executions[id]
 }
 
-// poll answers with the first page of the result, or that there is none yet.
+// poll waits for the result up to pollTimeout, and answers with the first page or with the status that there is no result yet.
 func (e *SimulatedEngine) poll(w http.ResponseWriter, x *execution) {
 	if x == nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -117,8 +117,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x.polls--
-	e.account()
-	x.polledAt = e.accountedAt
+	e.applyElapsedWork()
+	x.polledAt = e.lastUpdate
 	e.advance()
 }
 
@@ -142,22 +142,22 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// progress is the share of the work that is done.
+// progress returns the share of the work that is done.
 func (e *SimulatedEngine) progress(x *execution) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account()
+	e.applyElapsedWork()
 	return max(0, 1-x.remaining/x.totalWork)
 }
 
 func writePage(w http.ResponseWriter, x *execution, number string) {
-	n, _ := strconv.Atoi(number) // the first page for what is no number
+	n, _ := strconv.Atoi(number) // an invalid number means the first page
 	body, _ := x.page(n)
 	w.Header().Set("X-Batch", number)
 	io.WriteString(w, body)
 }
 
-// page returns a page of the result, and how many pages it has.
+// page returns a page of the result and the number of pages.
 func (x *execution) page(n int) (body string, pages int) {
 	if x.rows == 0 {
 		return shortResult, 1
@@ -166,7 +166,7 @@
 	return strings.Repeat(resultRow, rows), (x.rows + rowsPerPage - 1) / rowsPerPage
 }
 
-// gauges is the load report of the engine.
+// gauges returns the load report of the engine.
 func (e *SimulatedEngine) gauges() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fakes/simulated_scheduling.go
+++ b/internal/fakes/simulated_scheduling.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	idleWake      = time.Hour              // when nothing is to happen
-	warmUpStep    = 100 * time.Millisecond // after which the speed of a cold engine is computed again
-	wakeSlack     = time.Millisecond       // so that work is done when the timer fires
-	finishedSlack = 1e-6                   // seconds of work that count as done
-	minWork       = 1e-9                   // seconds
-	keepFinished  = 2 * time.Second        // how long a result can be read
+	maxTimerDelay     = time.Hour              // delay of the timer if nothing is scheduled
+	warmUpStep        = 100 * time.Millisecond // time after which the speed of a cold engine is computed again
+	wakeSlack         = time.Millisecond       // added to the delay of the timer, so that the work is done when it fires
+	finishedTolerance = 1e-6                   // seconds; a statement with at most this much remaining work is finished
+	minWork           = 1e-9                   // seconds
+	resultRetention   = 2 * time.Second        // time for which the engine keeps a result
 )
 
-// account takes off the work done since the last change. The lock is held.
-func (e *SimulatedEngine) account() {
+// applyElapsedWork subtracts the work done since the last call from the remaining work. The caller holds the lock.
+func (e *SimulatedEngine) applyElapsedWork() {
 	now := time.Now()
-	passed := now.Sub(e.accountedAt).Seconds()
+	passed := now.Sub(e.lastUpdate).Seconds()
 	speed := e.threadSpeed()
-	e.accountedAt = now
+	e.lastUpdate = now
 	for _, x := range e.executions {
 		if !x.ended {
 			x.remaining -= passed * x.threads * speed
@@ -24,7 +24,7 @@
 	}
 }
 
-// running returns how many statements run, and their threads.
+// running returns the number of running statements and of their threads.
 func (e *SimulatedEngine) running() (count int, threads float64) {
 	for _, x := range e.executions {
 		if !x.ended {
@@ -35,10 +35,10 @@
 	return count, threads
 }
 
-// threadSpeed is the share of a core that each thread has.
+// threadSpeed returns the share of a core that each thread gets.
 func (e *SimulatedEngine) threadSpeed() float64 {
 	_, threads := e.running()
-	cores := e.Cores * e.warmShare(e.accountedAt)
+	cores := e.Cores * e.warmShare(e.lastUpdate)
 	slowdown := max(1, e.slowdown)
 	if threads <= cores {
 		return 1 / slowdown
@@ -46,13 +46,13 @@
 	return cores / threads / max(1, threads/(cores*e.ThreadsPerCore)) / slowdown
 }
 
-// advance ends statements that have had their work, drops those that nobody polls, and sets the timer to when the next thing happens. Work
-// is accounted, and the lock is held.
+// advance finishes statements without remaining work, drops statements that were not polled in time, and sets the timer to the next such
+// change. The caller has called applyElapsedWork and holds the lock.
 func (e *SimulatedEngine) advance() {
 	e.finishDone()
 	speed := e.threadSpeed()
-	next := min(idleWake, e.abandonUnpolled())
-	if e.warmShare(e.accountedAt) < 1 { // it speeds up meanwhile
+	next := min(maxTimerDelay, e.abandonUnpolled())
+	if e.warmShare(e.lastUpdate) < 1 { // the engine speeds up while it warms up
 		next = min(next, warmUpStep)
 	}
 	running := 0
@@ -68,18 +68,18 @@
 
 func (e *SimulatedEngine) finishDone() {
 	for id, x := range e.executions {
-		if !x.ended && x.remaining <= finishedSlack {
+		if !x.ended && x.remaining <= finishedTolerance {
 			x.ended = true
 			e.notify(EngineEvent{Kind: AttemptEnded, ID: id, Workload: x.workload})
 			close(x.done)
-			time.AfterFunc(keepFinished, func() { e.forget(id, x) })
+			time.AfterFunc(resultRetention, func() { e.removeFinished(id, x) })
 		}
 	}
 }
 
-// abandonUnpolled drops statements that nobody has polled for long, and returns how long until the next one is to be dropped.
+// abandonUnpolled drops statements that were not polled for AbandonAfter, and returns the time until the next one can be dropped.
 func (e *SimulatedEngine) abandonUnpolled() (next time.Duration) {
-	next = idleWake
+	next = maxTimerDelay
 	if e.AbandonAfter == 0 {
 		return next
 	}
@@ -87,8 +87,8 @@
 		if x.ended || x.polls > 0 {
 			continue
 		}
-		next = min(next, x.polledAt.Add(e.AbandonAfter+wakeSlack).Sub(e.accountedAt))
-		if e.accountedAt.Sub(x.polledAt) >= e.AbandonAfter {
+		next = min(next, x.polledAt.Add(e.AbandonAfter+wakeSlack).Sub(e.lastUpdate))
+		if e.lastUpdate.Sub(x.polledAt) >= e.AbandonAfter {
 			x.ended = true
 			delete(e.executions, id)
 			e.notify(EngineEvent{Kind: AttemptAbandoned, ID: id, Workload: x.workload})
@@ -97,16 +97,16 @@
 	return next
 }
 
-// wake is called by the timer.
+// wake updates the state of the engine; the timer calls it.
 func (e *SimulatedEngine) wake() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account()
+	e.applyElapsedWork()
 	e.advance()
 }
 
-// forget removes a finished statement, unless its id has been used again.
-func (e *SimulatedEngine) forget(id string, x *execution) {
+// removeFinished removes a finished statement, unless its id has been reused.
+func (e *SimulatedEngine) removeFinished(id string, x *execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.executions[id] == x {
--- a/internal/fakes/simulated_slowstart.go
+++ b/internal/fakes/simulated_slowstart.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// SlowStart is how an engine starts: with a share of its cores, which grows until it has all of them. Sent more work in a window than so
-// many times what it can do then, it collapses and stays down.
+// SlowStart describes how a cold engine warms up: it starts with a share of its cores, which grows until it has all of them. If the work
+// sent within a window exceeds MaxLoadFactor times the work that its cores can do in that window, the engine collapses and stays down.
 type SlowStart struct {
 	InitialShare  float64
-	MaxLoadFactor float64 // 4: four times what its cores can do in a window
+	MaxLoadFactor float64 // 4 means four times the work that its cores can do in a window
 	WarmUpTime    time.Duration
 	Window        time.Duration
 }
 
-// warmShare is the share of its cores that the engine has.
+// warmShare returns the share of its cores that the engine can use.
 func (e *SimulatedEngine) warmShare(now time.Time) float64 {
 	s := e.SlowStart
 	if s.WarmUpTime == 0 {
@@ -20,8 +20,8 @@
 	return min(1, s.InitialShare+(1-s.InitialShare)*now.Sub(e.started).Seconds()/s.WarmUpTime.Seconds())
 }
 
-// addColdWork accounts work that is sent to a cold engine, and returns what was sent in the window over what it bears; 0: it is warm. The
-// engine collapses when that is above 1.
+// addColdWork records work that is sent to a cold engine, and returns the work sent in the window divided by the work that the engine
+// tolerates, or 0 if the engine is warm. The engine collapses if the result is above 1.
 func (e *SimulatedEngine) addColdWork(work time.Duration) (load float64) {
 	s := e.SlowStart
 	now := time.Now()
--- a/internal/fakes/slow_reader.go
+++ b/internal/fakes/slow_reader.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	smallReceiveBuffer = 4 << 10 // bytes of a slow peer's socket, so that its kernel does not take in what it has not read
+	smallReceiveBuffer = 4 << 10 // bytes; limits the data that the kernel receives before the client reads it
 	slowReadBuffer     = 64 << 10
 	slowReadsPerSecond = 20
 )
 
-// SlowReader is a client that sends its statements at once and reads its answers at a rate.
+// SlowReader is a client that sends its statements immediately and reads its answers at a limited rate.
 type SlowReader struct {
 	conn  net.Conn
-	rate  atomic.Int64 // bytes a second
+	rate  atomic.Int64 // bytes per second
 	ended chan struct{}
 	read  bytes.Buffer
 	took  time.Duration
 }
 
-// DialSlow connects a reader of so many bytes a second; 0: it reads nothing until SetRate says so.
+// DialSlow connects to a router and reads answers at a rate in bytes per second. With a rate of 0 it reads nothing until SetRate is called.
 func DialSlow(address string, rate int64) (*SlowReader, error) {
 	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
@@ -43,7 +43,7 @@
 	return s, nil
 }
 
-// SetRate sets the bytes a second from now on.
+// SetRate changes the rate, in bytes per second.
 func (s *SlowReader) SetRate(rate int64) { s.rate.Store(rate) }
 
 // Send sends a statement on a stream.
@@ -51,16 +51,16 @@
 	return s.Write(Frame(frameStatement, stream, Payload(fields, text)))
 }
 
-// Write sends bytes as they are.
+// Write sends bytes unchanged.
 func (s *SlowReader) Write(b []byte) error {
 	_, err := s.conn.Write(b)
 	return err
 }
 
-// Ended is closed when the router has ended the connection; what had come by then is read to the end first.
+// Ended returns a channel that is closed when the router has closed the connection and all data received before is read.
 func (s *SlowReader) Ended() <-chan struct{} { return s.ended }
 
-// Close ends the connection.
+// Close closes the connection and waits until its reader has returned.
 func (s *SlowReader) Close() {
 	s.conn.Close()
 	<-s.ended
@@ -91,15 +91,15 @@
 	}
 }
 
-// SlowAnswers is what a slow reader has read: answers on streams above 0 that came whole.
+// SlowAnswers summarises the complete answers that a slow reader has read on streams above 0.
 type SlowAnswers struct {
 	ByCode   map[byte]int
 	ByStream map[uint32]int
-	Bytes    int           // without the lengths of the frames
-	Took     time.Duration // how long the connection lasted
+	Bytes    int           // without the length fields of the frames
+	Took     time.Duration // duration of the connection
 }
 
-// Answers returns what was read. It may be called only after Ended is closed.
+// Answers returns a summary of the answers. It may be called only after the channel of Ended is closed.
 func (s *SlowReader) Answers() SlowAnswers {
 	answers := SlowAnswers{ByCode: map[byte]int{}, ByStream: map[uint32]int{}, Took: s.took}
 	b := s.read.Bytes()
--- a/internal/fakes/workloads.go
+++ b/internal/fakes/workloads.go
@@ -6,14 +6,14 @@
 	"bankledge/decision"
 )
 
-// The workloads of a mix, as decision.WorkloadID has them.
+// Workloads of a mix, as values of decision.WorkloadID.
 const (
 	Lookup = iota
 	Report
 	PriceLoad
 )
 
-// Workloads returns the workloads of a mix as a decision module is configured with them.
+// Workloads returns the workloads of a mix in the form in which a decision module is configured.
 func Workloads() []decision.Workload {
 	return []decision.Workload{
 		{
