--- a/cmd/bankledge-faultlab/group_test.go
+++ b/cmd/bankledge-faultlab/group_test.go
@@ -150,7 +150,7 @@
 			got := runGroup(t, o, groupScenario(name, c.versionInterval, c.faults))
 			assert.Greater(t, got.Versions, 5)
 			assert.GreaterOrEqual(t, got.LeasedShare, c.minLeasedShare)
-			assert.NotZero(t, got.Contradictions, "some routers contradicted each other")
+			assert.NotZero(t, got.Contradictions, "no routers contradicted each other, so the scenario does not test the bound")
 		})
 	}
 }
--- a/cmd/bankledge-faultlab/main_test.go
+++ b/cmd/bankledge-faultlab/main_test.go
@@ -48,7 +48,7 @@
 			metrics := faultlab.Measure(history)
 			t.Logf("%d statements, %.3f in time, %v", metrics.Statements, metrics.InTime, s.Faults)
 			assert.Greater(t, metrics.Statements, 100)
-			assert.Greater(t, metrics.InTime, 0.2, "share of statements answered in time")
+			assert.Greater(t, metrics.InTime, 0.2, "the fleet answered too few statements in time")
 			for _, v := range faultlab.Audit(history) {
 				if v.Auditor != "back" {
 					t.Errorf("%s, at %v: %s", v.Auditor, v.At, v.Text)
@@ -116,7 +116,7 @@
 				}
 			}
 			assert.Equal(t, c.killed, killed)
-			assert.Equal(t, c.killed, restarted, "each killed process is restarted and becomes ready")
+			assert.Equal(t, c.killed, restarted, "each killed process has to be restarted and become ready")
 			assert.Equal(t, c.resumed, resumed)
 			assert.Greater(t, faultlab.Measure(history).InTime, 0.2)
 			for _, v := range faultlab.Audit(history) {
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// versionCounter is the sequential specification: a write increases the number by one, to its own; a read returns it.
+// versionCounter is the sequential specification: a write increases the number by one, which gives the number of
+// its version; a read returns the number.
 var versionCounter = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -86,7 +86,7 @@
 	stored.Entries = slices.Clone(p.disk.Entries)
 	started, actions, err := replica.New(p.settings(), stored, p.now())
 	if err != nil {
-		p.sim.auditor.report("start", p.sim.now, "process %d: %v", p.id, err)
+		p.sim.auditor.report("start", p.sim.now, "process %d does not start: %v", p.id, err)
 		p.up = false
 		return
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -74,8 +74,8 @@
 		count, leases.LongestContradiction, bound, leases.Contradictions, leases.Versions, leases.LeaseShare, converged,
 		plainPush.LongestContradiction, plainPushOver, plainPush.OverBound, plainPush.Contradictions)
 	assert.LessOrEqual(t, leases.LongestContradiction, bound)
-	assert.Greater(t, leases.Contradictions, int(count), "the routers contradicted each other at times")
-	assert.Greater(t, plainPush.LongestContradiction, bound, "the baseline exceeds the bound, which the auditor detects")
+	assert.Greater(t, leases.Contradictions, int(count), "too few contradictions to test the bound")
+	assert.Greater(t, plainPush.LongestContradiction, bound, "the baseline has to exceed the bound, or the auditor detects no contradictions")
 	assert.Equal(t, int(count), converged)
 }
 
