--- a/cmd/adapter/instances.go
+++ b/cmd/adapter/instances.go
@@ -10,10 +10,10 @@
 	"bankledge/policy"
 )
 
-// instances holds the modules that run, by the bench's numbers.
+// instances holds the running modules by the simulator's instance numbers.
 type instances map[int]*policy.Module
 
-// handle gives one instance its part of a batch and returns its actions. A panic in the module becomes a Crash.
+// handle passes one instance its inputs of a batch and returns its actions. If the module panics, the last action is a Crash.
 func (m instances) handle(now time.Duration, in simwire.InstanceInputs) (actions []decision.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -35,7 +35,7 @@
 		case input.Stop:
 			flush()
 			delete(m, in.Instance)
-			actions = nil // what a killed instance did in this batch is void
+			actions = nil // a killed instance's actions in this batch are discarded
 		default:
 			events = append(events, input.Event)
 		}
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// The adapter hosts independent instances of the decision module for the bench, which plays simulated days: batches of events
-// on standard input, a reply a line on standard output. It decides nothing.
+// Adapter hosts independent instances of the decision module for the simulator, which runs them through simulated days. It reads a
+// batch of events from each line of standard input and writes the reply as a line to standard output. It makes no decisions.
 package main
 
 import (
--- a/cmd/adapter/serve.go
+++ b/cmd/adapter/serve.go
@@ -9,10 +9,10 @@
 	"bankledge/internal/simwire"
 )
 
-// bufferSize in bytes, of input and output: lines can be megabytes.
+// bufferSize is the size in bytes of the input and output buffers. A line can be several megabytes long.
 const bufferSize = 1 << 20
 
-// serve answers each batch until the input ends. The last line may lack its end.
+// serve replies to each batch until the input ends. The last line may lack its line feed.
 func serve(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -27,7 +27,7 @@
 		if last && len(bytes.TrimSpace(line)) == 0 {
 			return nil
 		}
-		reply, err := answer(decoder, modules, line)
+		reply, err := handleBatch(decoder, modules, line)
 		if err != nil {
 			return err
 		}
@@ -43,18 +43,18 @@
 	}
 }
 
-// answer returns the reply to one line.
-func answer(decoder *simwire.Decoder, modules instances, line []byte) ([]byte, error) {
+// handleBatch decodes the batch of one line, passes it to the instances and returns the encoded reply.
+func handleBatch(decoder *simwire.Decoder, modules instances, line []byte) ([]byte, error) {
 	batch, err := decoder.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
-	answers := make([]simwire.InstanceActions, 0, len(batch.Instances))
+	results := make([]simwire.InstanceActions, 0, len(batch.Instances))
 	for _, inputs := range batch.Instances {
-		answers = append(answers, simwire.InstanceActions{
+		results = append(results, simwire.InstanceActions{
 			Instance: inputs.Instance,
 			Actions:  modules.handle(batch.Now, inputs),
 		})
 	}
-	return simwire.EncodeReply(answers)
+	return simwire.EncodeReply(results)
 }
--- a/cmd/adapter/serve_test.go
+++ b/cmd/adapter/serve_test.go
@@ -29,22 +29,22 @@
 
 func TestServe(t *testing.T) {
 	for _, c := range []struct{ name, in, out, err string }{
-		{"nothing at all", "", "", ""},
+		{"empty input", "", "", ""},
 		{"an empty batch", `{"moment":1,"groups":[]}` + "\n", `{"groups":[]}` + "\n", ""},
 		{"a statement goes to the engine listed", batch(rows, open, known, job), `"engine":"1.2.3.4:1"`, ""},
-		{"a list number is used again within a batch", batch(rows, rows2, open, known, job), `"engine":"9.9.9.9:9"`, ""},
-		{"a last line without its end", batch(open), `"groups"`, ""},
+		{"a list number is reused within a batch", batch(rows, rows2, open, known, job), `"engine":"9.9.9.9:9"`, ""},
+		{"a last line without a line feed", batch(open), `"groups"`, ""},
 		{"stopped and opened again", batch(rows, open, known, job, `{"Down":{}}`, open, known), `"SetTimer"`, ""},
-		{"unknown words of a statement over", batch(rows, open, known, `{"Hangup":{"corr":"t/zz"}}`), `"SetTimer"`, ""},
-		{"no JSON", "so what\n", "", "batch"},
+		{"a cancellation of an unknown statement", batch(rows, open, known, `{"Hangup":{"corr":"t/zz"}}`), `"SetTimer"`, ""},
+		{"not JSON", "so what\n", "", "batch"},
 		{"an unknown event", batch(open, `{"Surprise":{}}`), "", "unknown event"},
-		{"an ill-typed field", batch(open, `{"Hangup":{"corr":5}}`), "", "Hangup"},
+		{"a field of the wrong type", batch(open, `{"Hangup":{"corr":5}}`), "", "Hangup"},
 		{"an unknown field", batch(open, `{"Hangup":{"corr":"t/a","why":1}}`), "", "unknown field"},
 		{"an unknown outcome", batch(open, `{"StatusBack":{"ending":"odd","engine":"e","took":1}}`), "", "unknown word"},
 		{"a list that was never sent", batch(open, known), "", "never sent"},
 		{"an instance never opened", batch(known), "", "never opened"},
 		{"two names in one message", `{"moment":1,"groups":[{"i":0,"input":[{"Down":{},"Timer":{}}]}]}`, "", "not one"},
-		{"no clock", `{"groups":[]}`, "", "moment"},
+		{"no time", `{"groups":[]}`, "", "moment"},
 		{"a report of too many values", batch(open, `{"StatusBack":{"ending":"completed","engine":"e","took":1,`+
 			`"telemetry":[1,2]}}`), "", "report"},
 	} {
--- a/cmd/adapter/transcript_test.go
+++ b/cmd/adapter/transcript_test.go
@@ -13,20 +13,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the recordings in testdata anew")
+var update = flag.Bool("update", false, "rewrite the recordings in testdata instead of comparing with them")
 
-// Three instances with different settings, 311 batches with every kind of event and outcome: the answers are the bytes recorded.
-func TestSessionAnswersAreTheBytesRecorded(t *testing.T) {
+// The replies to a recorded session are compared byte for byte. The session has three instances with different settings and 311 batches
+// with every kind of event and outcome.
+func TestSessionRepliesMatchTheRecording(t *testing.T) {
 	session, err := os.Open("testdata/session.jsonl")
 	require.NoError(t, err)
 	defer session.Close()
 	var out bytes.Buffer
 	require.NoError(t, serve(session, &out))
-	compare(t, "testdata/session.recorded", out.String())
+	compareWithRecording(t, "testdata/session.recorded", out.String())
 }
 
-// badMessages are for an instance that was opened.
-var badMessages = []string{
+// invalidMessages are sent to an open instance.
+var invalidMessages = []string{
 	`{"SnapshotRows":{"rows":[]}}`, `{"SnapshotRows":{"ref":16,"rows":[]}}`, `{"SnapshotRows":{"ref":-1,"rows":[]}}`,
 	`{"SnapshotRows":{"ref":1,"rows":[{"engine":"e","status":"odd"}]}}`, `{"SnapshotRows":{"ref":1,"rows":[{"status":"Ready"}]}}`,
 	`{"SnapshotRows":{"ref":1,"rows":[{"engine":"e","status":"Ready","odd":1}]}}`, `{"SnapshotRows":5}`,
@@ -47,10 +48,10 @@
 	`{"Down":{"odd":1}}`, `{"Down":5}`, `{"Odd":{}}`, `{}`, `5`,
 }
 
-// goTypes are the names of Go types that encoding/json writes into its errors; all else in a message is compared.
+// goTypes matches the names of Go types that encoding/json writes into its errors. They are replaced, and the rest of a message is compared.
 var goTypes = regexp.MustCompile(`(Go struct field )\w*|( of type ).+`)
 
-func TestErrorsOfBadLinesAreAsRecorded(t *testing.T) {
+func TestErrorsOfInvalidLinesMatchTheRecording(t *testing.T) {
 	var lines []string
 	add := func(line, input string) {
 		err := serve(strings.NewReader(input), new(bytes.Buffer))
@@ -62,7 +63,7 @@
 		require.NoError(t, err)
 		lines = append(lines, string(raw))
 	}
-	for _, message := range badMessages {
+	for _, message := range invalidMessages {
 		add(message, batch(rows, open, message)+"\n")
 	}
 	for _, message := range []string{known, job, `{"Down":{}}`, `{"Odd":{}}`, rows} {
@@ -74,11 +75,11 @@
 		`{"moment":1,"groups":[{"i":"1"}]}`} {
 		add(line, line)
 	}
-	compare(t, "testdata/bad_lines.recorded", strings.Join(lines, "\n")+"\n")
+	compareWithRecording(t, "testdata/bad_lines.recorded", strings.Join(lines, "\n")+"\n")
 }
 
-// compare holds text against a recording, line by line, or writes it anew.
-func compare(t *testing.T, path, text string) {
+// compareWithRecording compares a text line by line with a recording, which the update flag first replaces with the text.
+func compareWithRecording(t *testing.T, path, text string) {
 	t.Helper()
 	if *update {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/cmd/bankledge/explain.go
+++ b/cmd/bankledge/explain.go
@@ -28,15 +28,15 @@
 	maxEstimatedMS = 24 * 3600e3
 )
 
-// Why a line cannot be explained.
+// The reasons why a line is invalid.
 var (
-	errBodyMissing = errors.New("body: missing")
-	errBodyNoText  = errors.New("body: not a text")
-	errWork        = errors.New("h: not a time in milliseconds")
-	errMemory      = errors.New("heap_mb: not an amount")
+	errMissingBody   = errors.New("body: missing")
+	errInvalidBody   = errors.New("body: must be valid UTF-8 and not blank")
+	errInvalidWork   = errors.New("h: must be above 0 and at most 24 hours, in milliseconds")
+	errInvalidMemory = errors.New("heap_mb: must be above 0")
 )
 
-// Run prints how the statements of a file are classified. No run of them was seen, so it is their text that counts.
+// Run prints how the statements of a file are classified. The classification uses their text alone, since no earlier run of them is known.
 func (e *explainCommand) Run() error {
 	explainer, err := newExplainer(e.Config)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return explainer.explainLines(in, newLinePrinter(os.Stdout, e.JSON))
 }
 
-// statementLine is one statement to explain, in the protocol's names. A nil field is absent.
+// statementLine is one statement to explain, with the field names of the client protocol. A nil field is absent.
 type statementLine struct {
 	Workload *string  `json:"c"`
 	WorkMS   *float64 `json:"h"`
@@ -68,13 +68,13 @@
 	}
 	switch {
 	case line.Text == nil:
-		return line, errBodyMissing
+		return line, errMissingBody
 	case !utf8.ValidString(*line.Text) || strings.TrimSpace(*line.Text) == "":
-		return line, errBodyNoText
+		return line, errInvalidBody
 	case line.WorkMS != nil && !(*line.WorkMS > 0 && *line.WorkMS <= maxEstimatedMS):
-		return line, errWork
+		return line, errInvalidWork
 	case line.MemoryMB != nil && !(*line.MemoryMB > 0):
-		return line, errMemory
+		return line, errInvalidMemory
 	}
 	return line, nil
 }
@@ -93,14 +93,14 @@
 	return *l.MemoryMB
 }
 
-// explainer classifies statements.
+// explainer analyses statements and, if it has a configuration, classifies them into its workloads.
 type explainer struct {
 	analyser    sqltext.Analyser
-	workloads   []decision.Workload // nil: there is no configuration
+	workloads   []decision.Workload // nil without a configuration
 	workloadIDs map[string]decision.WorkloadID
 }
 
-// newExplainer reads the workloads of a configuration; empty: there is none.
+// newExplainer reads the workloads of a configuration file. An empty name means that there is no configuration.
 func newExplainer(configFile string) (*explainer, error) {
 	x := &explainer{workloadIDs: map[string]decision.WorkloadID{}}
 	if configFile == "" {
@@ -117,8 +117,9 @@
 	return x, nil
 }
 
-// explainLines explains a statement a line. The first line that cannot be used ends it with an error that has its number.
-func (x *explainer) explainLines(in io.Reader, print linePrinter) error {
+// explainLines explains one statement per line and skips blank lines. It stops at the first invalid line with an error that contains the
+// line's number.
+func (x *explainer) explainLines(in io.Reader, printLine linePrinter) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLineBytes)
 	number := 0
@@ -131,7 +132,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if err := print(explained); err != nil {
+		if err := printLine(explained); err != nil {
 			return err
 		}
 	}
@@ -155,17 +156,17 @@
 	if !known {
 		return nil, fmt.Errorf("c: unknown workload %q", *line.Workload)
 	}
-	classifier := classify.New(x.workloads, 0) // a new one for each line: they do not teach each other
-	verdict := classifier.Classify(0, declared, line.work(), line.memoryMB(), &analysis, new(classify.Observation))
-	explained.Workload = &x.workloads[verdict.Workload].Name
-	explained.Reason = verdict.Reason.String()
-	explained.Confidence = verdict.Confidence
-	if verdict.Work > 0 {
-		workMS := float64(verdict.Work) / float64(time.Millisecond)
+	classifier := classify.New(x.workloads, 0) // a new one for each line, so that no line affects how another is classified
+	classification := classifier.Classify(0, declared, line.work(), line.memoryMB(), &analysis, new(classify.Observation))
+	explained.Workload = &x.workloads[classification.Workload].Name
+	explained.Reason = classification.Reason.String()
+	explained.Confidence = classification.Confidence
+	if classification.Work > 0 {
+		workMS := float64(classification.Work) / float64(time.Millisecond)
 		explained.WorkMS = &workMS
 	}
-	if verdict.MemoryMB > 0 {
-		explained.MemoryMB = &verdict.MemoryMB
+	if classification.MemoryMB > 0 {
+		explained.MemoryMB = &classification.MemoryMB
 	}
 	return explained, nil
 }
--- a/cmd/bankledge/explain_test.go
+++ b/cmd/bankledge/explain_test.go
@@ -31,10 +31,10 @@
 		{"too large", config, `{"c":"lookup","body":"select '` + strings.Repeat("x", 20_000) + `'"}`, "", []string{`"workload":"lookup","reason":"large"`, `"shape":""`}},
 		{"no JSON", "", "select 1", "line 1: invalid character", nil},
 		{"no body", "", `{"body":"select 1"}` + "\n" + `{"c":"lookup"}`, "line 2: body: missing", nil},
-		{"an empty body", "", `{"body":" "}`, "line 1: body: not a text", nil},
+		{"an empty body", "", `{"body":" "}`, "line 1: body: must be valid UTF-8 and not blank", nil},
 		{"an unknown workload", config, `{"c":"x","body":"select 1"}`, `line 1: c: unknown workload "x"`, nil},
-		{"work below 0", "", `{"h":-1,"body":"select 1"}`, "line 1: h: not a time", nil},
-		{"memory that is none", "", `{"heap_mb":0,"body":"select 1"}`, "line 1: heap_mb: not an amount", nil},
+		{"work below 0", "", `{"h":-1,"body":"select 1"}`, "line 1: h: must be above 0 and at most 24 hours, in milliseconds", nil},
+		{"memory that is none", "", `{"heap_mb":0,"body":"select 1"}`, "line 1: heap_mb: must be above 0", nil},
 		{"a field of another type", "", `{"h":"1","body":"select 1"}`, "line 1: json", nil},
 		{"a line without end", "", `{"body":"` + strings.Repeat("x", 2*maxLineBytes), "line 1: longer than", nil},
 	} {
--- a/cmd/bankledge/explanation.go
+++ b/cmd/bankledge/explanation.go
@@ -10,7 +10,7 @@
 	"bankledge/internal/sqltext"
 )
 
-// explanation is how a statement is classified. What is not known is null.
+// explanation describes how a statement is classified. Unknown values are null.
 type explanation struct {
 	Declared      *string  `json:"declared"`
 	Workload      *string  `json:"workload"`
@@ -19,7 +19,7 @@
 	GroupsRead    []int64  `json:"groups_read"`
 	GroupsWritten []int64  `json:"groups_written"`
 	LockedGroup   *int64   `json:"holds"`
-	Fingerprint   string   `json:"shape"` // 16 hex digits; empty: none
+	Fingerprint   string   `json:"shape"` // 16 hex digits, or empty if the statement has no fingerprint
 	Normalized    string   `json:"normal"`
 	Joins         int32    `json:"joins"`
 	WorkMS        *float64 `json:"work_ms"`
@@ -27,7 +27,7 @@
 	Confidence    float64  `json:"confidence"`
 }
 
-// newExplanation is what the text of a statement says, before it is compared with any workload.
+// newExplanation returns what the analysis of a statement's text shows, before the statement is compared with the workloads.
 func newExplanation(line *statementLine, analysis *sqltext.Statement, normalized string) *explanation {
 	explained := &explanation{
 		Declared:      line.Workload,
@@ -53,7 +53,7 @@
 	return explained
 }
 
-// String is a line for people.
+// String returns the explanation as one line of text for operators.
 func (e *explanation) String() string {
 	locked := "-"
 	if e.LockedGroup != nil {
@@ -70,7 +70,7 @@
 	return *text
 }
 
-// linePrinter prints one explanation.
+// linePrinter prints one explanation as a line of text or JSON.
 type linePrinter func(*explanation) error
 
 func newLinePrinter(out io.Writer, asJSON bool) linePrinter {
--- a/cmd/bankledge/log.go
+++ b/cmd/bankledge/log.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	maxQueuedLines = 1024                   // more are dropped
-	flushTimeout   = 200 * time.Millisecond // for the last lines at the end
+	maxQueuedLines = 1024                   // further lines are dropped
+	flushTimeout   = 200 * time.Millisecond // limit of the wait for the queued lines at the end of the process
 )
 
-// asyncWriter writes log lines to standard error from a goroutine of its own: a log that nobody reads costs lines,
-// and never holds up the router.
+// asyncWriter writes log lines to standard error from its own goroutine. If nobody reads standard error, log lines are
+// dropped and the router is not blocked.
 type asyncWriter struct {
-	lines chan []byte // nil: the end
+	lines chan []byte // a nil line ends the goroutine
 	done  chan struct{}
 	once  sync.Once
 }
@@ -28,7 +28,7 @@
 	return w
 }
 
-// Write queues a line, or drops it where too many wait. It never fails.
+// Write queues a line, or drops it if the queue is full. It never fails.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -37,7 +37,7 @@
 	return len(line), nil
 }
 
-// Sync does nothing: lines are written as they come.
+// Sync does nothing: the writer's goroutine writes each queued line without buffering.
 func (w *asyncWriter) Sync() error { return nil }
 
 func (w *asyncWriter) run() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// close ends the writer and waits, for a short while, until its last lines are written.
+// close ends the writer and waits up to flushTimeout until the queued lines are written.
 func (w *asyncWriter) close() {
 	w.once.Do(func() {
 		timeout := time.After(flushTimeout)
@@ -65,7 +65,7 @@
 	})
 }
 
-// newLog returns the program's log and a function that writes its last lines.
+// newLog returns the program's logger and a function that writes the queued lines before the process exits.
 func newLog(level zapcore.Level) (log *zap.Logger, flush func()) {
 	writer := newAsyncWriter()
 	encoder := zap.NewProductionEncoderConfig()
--- a/cmd/bankledge/main.go
+++ b/cmd/bankledge/main.go
@@ -1,4 +1,5 @@
-// Bankledge is a query gateway: it decides what runs, on which engine, when, and with how much memory.
+// Bankledge is a query gateway: a router that accepts SQL statements from clients and decides which of them run, on which engine, when, and
+// with how much memory.
 package main
 
 import (
@@ -13,6 +14,7 @@
 	"bankledge/internal/settings"
 )
 
+// commands is the command line: kong derives the names of commands, arguments and flags from the fields.
 type commands struct {
 	Serve   serveCommand   `cmd:"" help:"Serve clients until SIGTERM."`
 	Explain explainCommand `cmd:"" help:"Print how statements are classified."`
@@ -24,7 +26,7 @@
 	File string `arg:"" help:"Configuration, a JSON file."`
 }
 
-// Run reports whether a configuration can be served.
+// Run validates a configuration file. The error names the field that is wrong.
 func (c *checkCommand) Run() error {
 	cfg, err := settings.Load(c.File)
 	if err != nil {
@@ -39,11 +41,11 @@
 
 type versionCommand struct{}
 
-// Run prints the version that the build recorded.
+// Run prints the module version and the Go version from the binary's build information.
 func (versionCommand) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("the build recorded no version")
+		return errors.New("the binary contains no build information")
 	}
 	fmt.Println("bankledge", info.Main.Version, info.GoVersion)
 	return nil
--- a/cmd/bankledge/serve.go
+++ b/cmd/bankledge/serve.go
@@ -23,7 +23,8 @@
 	Level          zapcore.Level `env:"LB_LOG_LEVEL" default:"info" help:"Lowest level of the log lines: debug, info, warn, error."`
 }
 
-// Run serves until SIGTERM or an interrupt. SIGHUP has it read the configuration again, at any time.
+// Run serves clients until SIGTERM or an interrupt starts a graceful shutdown. SIGHUP reloads the configuration and never ends the process,
+// whether it arrives before the router is ready or during a shutdown.
 func (s *serveCommand) Run() error {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -47,7 +48,7 @@
 	return router.Run(stop, reload, s.loadConfig)
 }
 
-// loadConfig reads the configuration, with what the command line or the environment says in its place.
+// loadConfig reads the configuration file and overrides it with the values of flags and environment variables.
 func (s *serveCommand) loadConfig() (*settings.Config, error) {
 	cfg, err := settings.Load(s.Config)
 	if err != nil {
--- a/internal/logevent/events.go
+++ b/internal/logevent/events.go
@@ -1,9 +1,9 @@
 // Package logevent defines the log of the router program in one place: the name of each event, which is a constant text, and the
-// fields that events share, each with one key, one type and one unit. Dashboards and the fault lab read both, and docs/oncall.md
-// lists them.
+// fields that several events share, each with one key, one type and one unit. Dashboards and the fault lab read both, and
+// docs/oncall.md lists them.
 package logevent
 
-// The life of the process.
+// Events of the router process.
 const (
 	SettingsLoaded        = "settings loaded"
 	Serving               = "serving"
@@ -14,13 +14,13 @@
 	WallClockStepped      = "wall clock stepped"
 )
 
-// Figures that are written at a fixed interval.
+// Metrics, which are logged at a fixed interval.
 const (
 	Metrics               = "metrics"
 	ClassificationMetrics = "classification metrics"
 )
 
-// The life of a request.
+// Events of a request.
 const (
 	RequestAdmitted     = "request admitted"
 	RequestInvalid      = "request invalid"
@@ -30,7 +30,7 @@
 	RequestUnanswered   = "request left without an answer" // a defect of the decision module
 )
 
-// The life of an attempt, which is one run of a request at an engine.
+// Events of an attempt, which is one run of a request at an engine.
 const (
 	UpstreamAttemptStarted      = "upstream attempt started"
 	UpstreamAttemptRefused      = "upstream attempt of a finished request not started" // a defect of the decision module
@@ -44,7 +44,7 @@
 	UpstreamCancelAnswered      = "upstream cancel answered"
 )
 
-// The connections of clients.
+// Events of client connections.
 const (
 	ClientConnectionClosed   = "client connection closed"
 	ClientConnectionPanicked = "client connection panicked"
@@ -52,7 +52,7 @@
 	SlowClientDisconnected   = "slow client disconnected"
 )
 
-// The control feed, which brings the endpoint list.
+// Events of the control feed, from which the router receives the endpoint list.
 const (
 	EndpointListChanged       = "endpoint list changed"
 	ControlFeedAddressChanged = "control feed address changed"
@@ -60,7 +60,7 @@
 	ControlFeedEventSkipped   = "control feed event skipped"
 )
 
-// The control group, which brings the configuration versions.
+// Events of the control group, from which the router receives the configuration versions.
 const (
 	ActiveRulesChanged   = "active rules changed"
 	ControlClientMessage = "control client message"
@@ -68,7 +68,7 @@
 	VersionStreamEnded   = "configuration version stream ended"
 )
 
-// The decision module and the checks beside it.
+// Events of the decision module and of the run-time checks of invariants.
 const (
 	DecisionModulePanicked = "decision module panicked"
 	DecisionModuleMessage  = "decision module message"
--- a/internal/logevent/fields_test.go
+++ b/internal/logevent/fields_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// A field of a line that is not written costs no memory.
+// Creating a field allocates no memory, since most lines below the log level are not written.
 func TestFieldsDoNotAllocate(t *testing.T) {
 	var field zap.Field
 	allocations := testing.AllocsPerRun(100, func() {
--- a/internal/simwire/batch.go
+++ b/internal/simwire/batch.go
@@ -11,65 +11,65 @@
 	"bankledge/internal/settings"
 )
 
-// Batch is one line of the wire: what happens at a time, instance by instance.
+// Batch is one line of input: the inputs of each instance at one point in time.
 type Batch struct {
 	Now       time.Duration
 	Instances []InstanceInputs
 }
 
-// InstanceInputs is what one instance gets in a batch, in order.
+// InstanceInputs holds the inputs of one instance in a batch, in order.
 type InstanceInputs struct {
 	Instance int
 	Inputs   []Input
 }
 
-// Input is one thing that happens to an instance: exactly one field is set.
+// Input is one input of an instance. Exactly one field is set.
 type Input struct {
-	Settings *settings.ModuleSettings // the instance starts
-	Stop     bool                     // the instance ends at once
-	Event    decision.Event           // what the module itself takes
+	Settings *settings.ModuleSettings // starts the instance
+	Stop     bool                     // ends the instance at once
+	Event    decision.Event           // is passed to the decision module
 }
 
-// What is wrong with a line, beside what encoding/json finds.
+// The errors of a line, in addition to those of encoding/json.
 var (
-	errTrailingText      = errors.New("text after the value")
-	errIncompleteBatch   = errors.New("batch: moment or groups is missing")
-	errNoInstance        = errors.New("group: i is missing")
-	errNotOpened         = errors.New("the instance was never opened")
-	errUnknownEvent      = errors.New("unknown event")
-	errListNumber        = errors.New("ref is missing or out of range")
-	errNoEngine          = errors.New("a row names no engine")
-	errNoStatement       = errors.New("corr is missing")
-	errIncompleteArrival = errors.New("corr or timeBudget is missing")
-	errTenantNumber      = errors.New("clientGroup is a number other than 0")
-	errTenantType        = errors.New("clientGroup is no name")
+	errTrailingText        = errors.New("text after the value")
+	errIncompleteBatch     = errors.New("batch: moment or groups is missing")
+	errMissingInstance     = errors.New("group: i is missing")
+	errInstanceNotOpen     = errors.New("the instance was never opened")
+	errUnknownEvent        = errors.New("unknown event")
+	errInvalidListRef      = errors.New("ref is missing or out of range")
+	errMissingEngine       = errors.New("a row names no engine")
+	errMissingStatement    = errors.New("corr is missing")
+	errIncompleteArrival   = errors.New("corr or timeBudget is missing")
+	errInvalidTenantNumber = errors.New("clientGroup is a number other than 0")
+	errInvalidTenantType   = errors.New("clientGroup is no name")
 )
 
-// maxListNumber is the highest number of a shared list.
-const maxListNumber = 15
+// maxListRef is the highest number that an endpoint list can have.
+const maxListRef = 15
 
-// Decoder reads batches. It keeps what the wire states once: the numbered lists, which instances share, and the names that
-// each instance has for its workloads and report fields. One goroutine at a time may use it.
+// Decoder decodes batches. It stores what is sent only once: the numbered endpoint lists, which all instances share, and the
+// workload names and report fields of each instance. It is not safe for concurrent use.
 type Decoder struct {
-	lists     map[int][]decision.Endpoint
-	instances map[int]*instance
+	endpointLists map[int][]decision.Endpoint
+	instances     map[int]*instance
 }
 
-// instance is what the decoder knows of an instance that was opened.
+// instance holds what the decoder stores about an open instance.
 type instance struct {
 	workloads    map[string]decision.WorkloadID
 	reportFields []decision.LoadReportField
 }
 
-// NewDecoder returns a decoder that knows no list and no instance.
+// NewDecoder returns a decoder without endpoint lists and instances.
 func NewDecoder() *Decoder {
-	return &Decoder{lists: map[int][]decision.Endpoint{}, instances: map[int]*instance{}}
+	return &Decoder{endpointLists: map[int][]decision.Endpoint{}, instances: map[int]*instance{}}
 }
 
-// message is one message of the wire: its name, and its body under that name.
+// message is one message on the wire. Its only key is the message's name, and the value is the body.
 type message map[string]json.RawMessage
 
-// DecodeBatch decodes one line.
+// DecodeBatch decodes the batch of one line.
 func (d *Decoder) DecodeBatch(line []byte) (*Batch, error) {
 	var in struct {
 		Moment *settings.Microseconds `json:"moment"`
@@ -87,9 +87,9 @@
 	batch := &Batch{Now: in.Moment.Duration()}
 	for _, group := range in.Groups {
 		if group.I == nil {
-			return nil, errNoInstance
+			return nil, errMissingInstance
 		}
-		inputs, err := d.inputs(*group.I, group.Input)
+		inputs, err := d.decodeInputs(*group.I, group.Input)
 		if err != nil {
 			return nil, fmt.Errorf("instance %d: %w", *group.I, err)
 		}
@@ -98,14 +98,14 @@
 	return batch, nil
 }
 
-func (d *Decoder) inputs(id int, messages []message) ([]Input, error) {
+func (d *Decoder) decodeInputs(id int, messages []message) ([]Input, error) {
 	var inputs []Input
 	for _, m := range messages {
 		if len(m) != 1 {
 			return nil, fmt.Errorf("a message has %d names, not one", len(m))
 		}
 		for name, body := range m {
-			input, err := d.input(id, name, body)
+			input, err := d.decodeInput(id, name, body)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", name, err)
 			}
@@ -117,17 +117,17 @@
 	return inputs, nil
 }
 
-// input decodes one message; a shared list is kept and is no input.
-func (d *Decoder) input(id int, name string, body json.RawMessage) (*Input, error) {
+// decodeInput decodes one message. It stores an endpoint list and returns no input for it.
+func (d *Decoder) decodeInput(id int, name string, body json.RawMessage) (*Input, error) {
 	switch name {
 	case "SnapshotRows":
-		return nil, d.keepList(body)
+		return nil, d.storeEndpointList(body)
 	case "OpenInstance":
-		return d.open(id, body)
+		return d.openInstance(id, body)
 	}
 	in := d.instances[id]
 	if in == nil {
-		return nil, errNotOpened
+		return nil, errInstanceNotOpen
 	}
 	if name == "Down" {
 		delete(d.instances, id)
@@ -144,7 +144,7 @@
 	return &Input{Event: event}, nil
 }
 
-// decodeStrictly decodes one value and allows neither unknown fields nor anything after it.
+// decodeStrictly decodes one JSON value. Unknown fields and text after the value are errors.
 func decodeStrictly(raw []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
--- a/internal/simwire/batch_test.go
+++ b/internal/simwire/batch_test.go
@@ -16,7 +16,7 @@
 const snapshot = `{"SnapshotRows":{"ref":2,"rows":[{"engine":"e","locality":"north","sku":"large","cluster":7,` +
 	`"status":"Terminating","share":1.5,"startedAt":3}]}}`
 
-// Each event has all that the wire says of it.
+// Each event contains all values of its message.
 func TestDecodeBatchReadsEachEvent(t *testing.T) {
 	const elapsed = 5 * time.Microsecond
 	report := &decision.LoadReport{}
@@ -58,7 +58,7 @@
 			require.Len(t, batch.Instances, 1)
 			assert.Equal(t, 4, batch.Instances[0].Instance)
 			inputs := batch.Instances[0].Inputs
-			require.Len(t, inputs, 3, "the shared list is no input")
+			require.Len(t, inputs, 3, "an endpoint list is no input")
 			assert.Equal(t, ^uint64(0), inputs[0].Settings.Identity.Seed)
 			assert.Equal(t, Input{Event: c.event}, inputs[1])
 			assert.Equal(t, Input{Stop: true}, inputs[2])
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -9,7 +9,7 @@
 	"bankledge/internal/settings"
 )
 
-var outcomeWords = map[string]decision.Outcome{
+var outcomesByName = map[string]decision.Outcome{
 	"completed":    decision.Completed,
 	"errored":      decision.Errored,
 	"saturated":    decision.Overloaded,
@@ -20,27 +20,27 @@
 	"superseded":   decision.NotSent,
 }
 
-var listKindWords = map[string]decision.ListKind{
+var listKindsByName = map[string]decision.ListKind{
 	"Partial":   decision.ListPartial,
 	"Complete":  decision.ListComplete,
 	"Persisted": decision.ListPersisted,
 	"Error":     decision.ListFailed,
 }
 
-// eventDecoders has a decoder for each event of the module, by the wire's name for it.
+// eventDecoders holds the decoder of each event of the decision module by the event's name on the wire.
 var eventDecoders = map[string]func(*Decoder, *instance, json.RawMessage) (decision.Event, error){
-	"PeersKnown":    (*Decoder).endpointList,
-	"JobIn":         (*Decoder).statementArrived,
-	"HeadReceived":  (*Decoder).responseStarted,
-	"Interim":       (*Decoder).attemptProgress,
-	"ClosedAttempt": (*Decoder).attemptEnded,
-	"Hangup":        (*Decoder).clientCancelled,
-	"Timer":         (*Decoder).timerFired,
-	"StatusBack":    (*Decoder).healthCheckEnded,
-	"Peer":          (*Decoder).peerMessage,
+	"PeersKnown":    (*Decoder).decodeEndpointList,
+	"JobIn":         (*Decoder).decodeStatementArrived,
+	"HeadReceived":  (*Decoder).decodeResponseStarted,
+	"Interim":       (*Decoder).decodeAttemptProgress,
+	"ClosedAttempt": (*Decoder).decodeAttemptEnded,
+	"Hangup":        (*Decoder).decodeClientCancelled,
+	"Timer":         (*Decoder).decodeTimerFired,
+	"StatusBack":    (*Decoder).decodeHealthCheckEnded,
+	"Peer":          (*Decoder).decodePeerMessage,
 }
 
-// attempt names an attempt on the wire, or a statement alone.
+// attempt holds the fields by which a message on the wire identifies an attempt, or a statement alone.
 type attempt struct {
 	Corr   decision.StatementID  `json:"corr"`
 	SeqNo  decision.AttemptID    `json:"seqNo"`
@@ -48,42 +48,42 @@
 	Took   settings.Microseconds `json:"took"`
 }
 
-func (a attempt) check() error {
+func (a attempt) validate() error {
 	if a.Corr == "" {
-		return errNoStatement
+		return errMissingStatement
 	}
 	return nil
 }
 
-// decodeEnding reads how an attempt or a health check ended, and the load report that came with it.
-func (in *instance) decodeEnding(word string, telemetry []*float64) (decision.Outcome, *decision.LoadReport, error) {
-	outcome, err := settings.LookUpWord("ending", word, outcomeWords)
+// decodeOutcome decodes the outcome of an attempt or a health check, and the load report in the same message.
+func (in *instance) decodeOutcome(ending string, telemetry []*float64) (decision.Outcome, *decision.LoadReport, error) {
+	outcome, err := settings.LookUpWord("ending", ending, outcomesByName)
 	if err != nil {
 		return 0, nil, err
 	}
-	report, err := in.loadReport(telemetry)
+	report, err := in.decodeLoadReport(telemetry)
 	return outcome, report, err
 }
 
-// loadReport decodes the figures of a report, in the order of the instance's fields; nil stands for a missing one.
-func (in *instance) loadReport(figures []*float64) (*decision.LoadReport, error) {
-	if figures == nil {
+// decodeLoadReport decodes the values of a load report, which are in the order of the instance's report fields. A nil value is missing.
+func (in *instance) decodeLoadReport(values []*float64) (*decision.LoadReport, error) {
+	if values == nil {
 		return nil, nil
 	}
-	if len(figures) > len(in.reportFields) {
-		return nil, fmt.Errorf("a report of %d values where %d fields are named", len(figures), len(in.reportFields))
+	if len(values) > len(in.reportFields) {
+		return nil, fmt.Errorf("a report of %d values where %d fields are named", len(values), len(in.reportFields))
 	}
 	report := &decision.LoadReport{}
-	for i, figure := range figures {
-		if figure == nil {
+	for i, value := range values {
+		if value == nil {
 			continue
 		}
-		report.Set(in.reportFields[i], *figure)
+		report.Set(in.reportFields[i], *value)
 	}
 	return report, nil
 }
 
-func (d *Decoder) endpointList(_ *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodeEndpointList(_ *instance, body json.RawMessage) (decision.Event, error) {
 	var m struct {
 		Scope string `json:"scope"`
 		Gen   int64  `json:"gen"`
@@ -92,25 +92,25 @@
 	if err := decodeStrictly(body, &m); err != nil {
 		return nil, err
 	}
-	kind, err := settings.LookUpWord("scope", m.Scope, listKindWords)
+	kind, err := settings.LookUpWord("scope", m.Scope, listKindsByName)
 	if err != nil {
 		return nil, err
 	}
 	if kind == decision.ListFailed {
 		return decision.EndpointList{Kind: kind, Version: m.Gen}, nil
 	}
-	endpoints, ok := d.lists[m.Ref]
+	endpoints, ok := d.endpointLists[m.Ref]
 	if !ok {
 		return nil, fmt.Errorf("list %d was never sent", m.Ref)
 	}
 	return decision.EndpointList{Kind: kind, Version: m.Gen, Endpoints: endpoints}, nil
 }
 
-func (d *Decoder) statementArrived(in *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodeStatementArrived(in *instance, body json.RawMessage) (decision.Event, error) {
 	var m struct {
 		Corr        decision.StatementID   `json:"corr"`
 		Kind        string                 `json:"kind"`
-		ClientGroup any                    `json:"clientGroup"` // a name, or 0 where there are none
+		ClientGroup any                    `json:"clientGroup"` // a name, or 0 if there are no client groups
 		Table       decision.Key           `json:"table"`
 		TimeBudget  *settings.Microseconds `json:"timeBudget"`
 		Estimate    settings.Microseconds  `json:"estimate"`
@@ -147,7 +147,7 @@
 	}, nil
 }
 
-// decodeTenant reads a tenant's name; 0 and no value stand for none.
+// decodeTenant decodes a tenant's name. 0, null and an absent value mean that there is no tenant.
 func decodeTenant(value any) (decision.Tenant, error) {
 	switch v := value.(type) {
 	case nil:
@@ -156,14 +156,14 @@
 		return decision.Tenant(v), nil
 	case float64:
 		if v != 0 {
-			return "", errTenantNumber
+			return "", errInvalidTenantNumber
 		}
 		return "", nil
 	}
-	return "", errTenantType
+	return "", errInvalidTenantType
 }
 
-func (d *Decoder) responseStarted(_ *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodeResponseStarted(_ *instance, body json.RawMessage) (decision.Event, error) {
 	var m attempt
 	if err := decodeStrictly(body, &m); err != nil {
 		return nil, err
@@ -173,10 +173,10 @@
 		Attempt:   m.SeqNo,
 		Engine:    m.Engine,
 		Elapsed:   m.Took.Duration(),
-	}, m.check()
+	}, m.validate()
 }
 
-func (d *Decoder) attemptProgress(_ *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodeAttemptProgress(_ *instance, body json.RawMessage) (decision.Event, error) {
 	var m struct {
 		attempt
 		Topic int     `json:"topic"`
@@ -191,10 +191,10 @@
 		Engine:    m.Engine,
 		Kind:      decision.ProgressKind(m.Topic),
 		Value:     m.Value,
-	}, m.check()
+	}, m.validate()
 }
 
-func (d *Decoder) attemptEnded(in *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodeAttemptEnded(in *instance, body json.RawMessage) (decision.Event, error) {
 	var m struct {
 		attempt
 		Ending    string     `json:"ending"`
@@ -205,7 +205,7 @@
 	if err := decodeStrictly(body, &m); err != nil {
 		return nil, err
 	}
-	outcome, report, err := in.decodeEnding(m.Ending, m.Telemetry)
+	outcome, report, err := in.decodeOutcome(m.Ending, m.Telemetry)
 	if err != nil {
 		return nil, err
 	}
@@ -218,18 +218,18 @@
 		Finished:  m.NoMore,
 		Cost:      m.Note,
 		Report:    report,
-	}, m.check()
+	}, m.validate()
 }
 
-func (d *Decoder) clientCancelled(_ *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodeClientCancelled(_ *instance, body json.RawMessage) (decision.Event, error) {
 	var m attempt
 	if err := decodeStrictly(body, &m); err != nil {
 		return nil, err
 	}
-	return decision.ClientCancelled{Statement: m.Corr}, m.check()
+	return decision.ClientCancelled{Statement: m.Corr}, m.validate()
 }
 
-func (d *Decoder) timerFired(_ *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodeTimerFired(_ *instance, body json.RawMessage) (decision.Event, error) {
 	var m struct {
 		Cookie string `json:"cookie"`
 	}
@@ -239,7 +239,7 @@
 	return decision.TimerFired{Token: m.Cookie}, nil
 }
 
-func (d *Decoder) healthCheckEnded(in *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodeHealthCheckEnded(in *instance, body json.RawMessage) (decision.Event, error) {
 	var m struct {
 		Ending    string                `json:"ending"`
 		Engine    decision.EngineID     `json:"engine"`
@@ -249,7 +249,7 @@
 	if err := decodeStrictly(body, &m); err != nil {
 		return nil, err
 	}
-	outcome, report, err := in.decodeEnding(m.Ending, m.Telemetry)
+	outcome, report, err := in.decodeOutcome(m.Ending, m.Telemetry)
 	if err != nil {
 		return nil, err
 	}
@@ -261,7 +261,7 @@
 	}, nil
 }
 
-func (d *Decoder) peerMessage(_ *instance, body json.RawMessage) (decision.Event, error) {
+func (d *Decoder) decodePeerMessage(_ *instance, body json.RawMessage) (decision.Event, error) {
 	var m struct {
 		By      int    `json:"by"`
 		Payload string `json:"payload"`
--- a/internal/simwire/opening.go
+++ b/internal/simwire/opening.go
@@ -9,8 +9,8 @@
 	"bankledge/internal/settings"
 )
 
-// open decodes the message that starts an instance, and keeps its names.
-func (d *Decoder) open(id int, body json.RawMessage) (*Input, error) {
+// openInstance decodes the message that starts an instance, and stores the instance's workload names and report fields.
+func (d *Decoder) openInstance(id int, body json.RawMessage) (*Input, error) {
 	var m struct {
 		RngSeed json.Number     `json:"rngSeed"`
 		Info    json.RawMessage `json:"info"`
@@ -37,7 +37,7 @@
 	return &Input{Settings: module}, nil
 }
 
-// parseSeed reads a seed of 64 bits, which may be written as a signed number.
+// parseSeed parses a 64-bit seed, which may be written as a signed or an unsigned number.
 func parseSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, 10, 64)
 	if err == nil {
@@ -50,14 +50,14 @@
 	return uint64(signed), nil
 }
 
-var engineStateWords = map[string]decision.EngineState{
+var engineStatesByName = map[string]decision.EngineState{
 	"Ready":       decision.Ready,
 	"Terminating": decision.Draining,
 	"Gone":        decision.Removed,
 }
 
-// keepList decodes a numbered list, to which events refer.
-func (d *Decoder) keepList(body json.RawMessage) error {
+// storeEndpointList decodes an endpoint list and stores it under its number, by which events refer to it.
+func (d *Decoder) storeEndpointList(body json.RawMessage) error {
 	var m struct {
 		Ref  *int `json:"ref"`
 		Rows []struct {
@@ -73,17 +73,17 @@
 	if err := decodeStrictly(body, &m); err != nil {
 		return err
 	}
-	if m.Ref == nil || *m.Ref < 0 || *m.Ref > maxListNumber {
-		return errListNumber
+	if m.Ref == nil || *m.Ref < 0 || *m.Ref > maxListRef {
+		return errInvalidListRef
 	}
 	endpoints := make([]decision.Endpoint, 0, len(m.Rows))
 	for _, row := range m.Rows {
-		state, err := settings.LookUpWord("status", row.Status, engineStateWords)
+		state, err := settings.LookUpWord("status", row.Status, engineStatesByName)
 		if err != nil {
 			return err
 		}
 		if row.Engine == "" {
-			return errNoEngine
+			return errMissingEngine
 		}
 		endpoints = append(endpoints, decision.Endpoint{
 			Engine:      row.Engine,
@@ -95,6 +95,6 @@
 			StartedAt:   row.StartedAt.Duration(),
 		})
 	}
-	d.lists[*m.Ref] = endpoints
+	d.endpointLists[*m.Ref] = endpoints
 	return nil
 }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,13 +8,13 @@
 	"bankledge/decision"
 )
 
-// InstanceActions is what one instance answers to its part of a batch.
+// InstanceActions holds the actions that one instance returned for its inputs of a batch.
 type InstanceActions struct {
 	Instance int
 	Actions  []decision.Action
 }
 
-// reply is the line that answers a batch.
+// reply is the line that is sent in reply to a batch.
 type reply struct {
 	Groups []replyGroup `json:"groups"`
 }
@@ -24,8 +24,8 @@
 	Out []outAction `json:"out"`
 }
 
-// outAction is one action on the wire, under its name there: exactly one field is set. The fields of each action stand in the
-// order of their keys.
+// outAction is one action on the wire, under its name there. Exactly one field is set. The fields of each action are in
+// alphabetical order of their keys.
 type outAction struct {
 	Attempt   *outAttempt   `json:"Attempt,omitempty"`
 	Retract   *outRetract   `json:"Retract,omitempty"`
@@ -75,7 +75,7 @@
 		Active bool `json:"active"`
 	}
 	outNotify struct {
-		Dest    any    `json:"dest"` // a router's number, or allPeers
+		Dest    any    `json:"dest"` // the number of a router, or allPeers
 		Payload string `json:"payload"`
 	}
 	outText struct {
@@ -83,18 +83,18 @@
 	}
 )
 
-// allPeers stands for all other routers as the destination of a message.
+// allPeers as the destination of a message means all other routers.
 const allPeers = "all"
 
-// EncodeReply encodes the line that answers a batch. Instances without an action are left out.
-func EncodeReply(answers []InstanceActions) ([]byte, error) {
+// EncodeReply encodes the reply to a batch as one line. Instances without actions are omitted.
+func EncodeReply(results []InstanceActions) ([]byte, error) {
 	out := reply{Groups: []replyGroup{}}
-	for _, answer := range answers {
-		if len(answer.Actions) == 0 {
+	for _, result := range results {
+		if len(result.Actions) == 0 {
 			continue
 		}
-		group := replyGroup{I: answer.Instance}
-		for _, action := range answer.Actions {
+		group := replyGroup{I: result.Instance}
+		for _, action := range result.Actions {
 			encoded, err := encodeAction(action)
 			if err != nil {
 				return nil, err
@@ -136,7 +136,7 @@
 	case decision.Crash:
 		return outAction{Crash: &outText{What: a.Text}}, nil
 	}
-	return outAction{}, fmt.Errorf("action %T has no word on the wire", action)
+	return outAction{}, fmt.Errorf("action type %T has no name on the wire", action)
 }
 
 func encodePeerMessage(a decision.SendToPeers) *outNotify {
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -10,7 +10,7 @@
 	"bankledge/decision"
 )
 
-// Each action's bytes on the wire.
+// Each action is encoded to the expected bytes.
 func TestReplyWritesEachAction(t *testing.T) {
 	for _, c := range []struct {
 		action decision.Action
@@ -44,5 +44,5 @@
 	require.NoError(t, err)
 	assert.Equal(t, `{"groups":[]}`+"\n", string(line))
 	_, err = EncodeReply([]InstanceActions{{Actions: []decision.Action{nil}}})
-	assert.EqualError(t, err, "action <nil> has no word on the wire")
+	assert.EqualError(t, err, "action type <nil> has no name on the wire")
 }
