--- a/cmd/bankledge/commandline_test.go
+++ b/cmd/bankledge/commandline_test.go
@@ -17,15 +17,16 @@
 	"bankledge/internal/fakes"
 )
 
-var update = flag.Bool("update", false, "write the recorded output anew instead of comparing with it")
+var update = flag.Bool("update", false, "rewrite the recorded output instead of comparing with it")
 
-var builtBy = regexp.MustCompile(`^bankledge \S+ go1\.\S+\n$`)
+var versionPattern = regexp.MustCompile(`^bankledge \S+ go1\.\S+\n$`)
 
-// What the commands print and how they end, byte for byte but for the folder of the files and the version of the build.
+// The output and the exit codes of the commands are compared byte for byte with a recording, except for the folder of the files. The output
+// of version, which depends on the build, is compared with a pattern.
 func TestCommandLineOutput(t *testing.T) {
 	dir := t.TempDir()
 	engine := fakes.Member("e", "127.0.0.1:9", "active")
-	good := string(fakes.Config("127.0.0.1:9", patientSettings, 192, 256, engine))
+	good := string(fakes.Config("127.0.0.1:9", longDeadlineSettings, 192, 256, engine))
 	for name, text := range map[string]string{
 		"good.json":      good,
 		"memory.json":    strings.Replace(good, `"memory_mb":192`, `"memory_mb":1`, 1),
@@ -72,5 +73,5 @@
 
 	out, err := exec.Command(builtProgram, "version").Output()
 	require.NoError(t, err)
-	assert.Regexp(t, builtBy, string(out))
+	assert.Regexp(t, versionPattern, string(out))
 }
--- a/cmd/bankledge/delayed_start_test.go
+++ b/cmd/bankledge/delayed_start_test.go
@@ -11,15 +11,16 @@
 	"bankledge/internal/faultlab"
 )
 
-// A link to an engine holds what is sent, as a network that is cut off does, and passes it when it is mended. The request was sent
-// elsewhere meanwhile, since no engine keeps what nobody polls so long: its first start must not come to the engine any more.
+// A blocked link to an engine holds the data that is sent, as a partitioned network does, and delivers it when the link is restored.
+// Meanwhile the router has sent the request to another engine, since no engine keeps an attempt that is not polled for so long. The
+// first start must not reach its engine any more.
 func TestDelayedStartIsNotDelivered(t *testing.T) {
 	cut := faultlab.Impairment{Blocked: true}
 	var engines []*engine
 	var links []*faultlab.Link
 	var members []string
 	for _, id := range []string{"a", "b"} {
-		e := newEngine(t, id, map[string][]step{"POST": {done("one\n")}})
+		e := newEngine(t, id, map[string][]step{"POST": {respondResult("one\n")}})
 		link, err := faultlab.NewLink(e.Server.Listener.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(link.Close)
@@ -28,7 +29,7 @@
 		links = append(links, link)
 		members = append(members, fakes.Member(id, link.Address(), "active"))
 	}
-	r := startRouter(t, smallConfig(newControl(t), patientSettings, members...))
+	r := startRouter(t, smallConfig(newControl(t), longDeadlineSettings, members...))
 	c := dial(t, r)
 	c.send(frameStatement, 1, statement("lookup", 1))
 	holds := func(i int) bool { return links[i].InFlight() > 0 }
@@ -41,6 +42,6 @@
 	c.expect(answer(1, codeCompleted, "one\n"))
 	links[first].Impair(faultlab.Impairment{}, faultlab.Impairment{})
 	require.Eventually(t, func() bool { return !holds(first) }, testTimeout, time.Millisecond)
-	assert.Never(t, func() bool { return engines[first].hasStarted() }, time.Second, 10*time.Millisecond, "the first start came after all")
+	assert.Never(t, func() bool { return engines[first].hasStarted() }, time.Second, 10*time.Millisecond, "the first start was delivered after the link was restored")
 	assert.True(t, engines[second].hasStarted())
 }
--- a/cmd/bankledge/deploy_test.go
+++ b/cmd/bankledge/deploy_test.go
@@ -17,24 +17,24 @@
 	"bankledge/internal/fakes"
 )
 
-const root = "../.." // of the repository, from here
+const repositoryRoot = "../.." // relative to this package
 
-// deployFile is the file by which operators build and run the router.
+// deployFile is the content of deploy/balancer.toml, by which operators build and run the router.
 type deployFile struct {
 	Build, Run, Sim        string
 	Policy, Node, Packages []string
 }
 
-func readDeploy(t *testing.T) (d deployFile) {
+func readDeployFile(t *testing.T) (d deployFile) {
 	t.Helper()
-	_, err := toml.DecodeFile(filepath.Join(root, "deploy/balancer.toml"), &d)
+	_, err := toml.DecodeFile(filepath.Join(repositoryRoot, "deploy/balancer.toml"), &d)
 	require.NoError(t, err)
 	return d
 }
 
-// Operators read and account for the router by the folders that the deploy file names: each package that it is made of
-// is one, and nothing else is.
-func TestDeployNamesTheWholeRouter(t *testing.T) {
+// Operators review and account for the router by the folders and policy files that the deploy file names. It has to name
+// exactly the packages and files that the router consists of.
+func TestDeployFileNamesAllPackages(t *testing.T) {
 	deps, err := exec.Command("go", "list", "-deps", ".").Output()
 	require.NoError(t, err)
 	var parts []string
@@ -43,9 +43,9 @@
 			parts = append(parts, part)
 		}
 	}
-	d := readDeploy(t)
+	d := readDeployFile(t)
 	assert.ElementsMatch(t, parts, d.Node)
-	files, err := filepath.Glob(filepath.Join(root, "policy", "*.go"))
+	files, err := filepath.Glob(filepath.Join(repositoryRoot, "policy", "*.go"))
 	require.NoError(t, err)
 	var decisions []string
 	for _, file := range files {
@@ -56,16 +56,17 @@
 	assert.ElementsMatch(t, decisions, d.Policy)
 }
 
-// Some platforms start the router under a library of their own, preloaded by the C library's linker, and let it start
-// no other program: it has to be one dynamically linked process. Built and run by the deploy file's own lines.
+// Some platforms preload a library of their own into the router through the C library's dynamic linker, and don't let it
+// start other programs, so the router has to be a single dynamically linked process. The test builds and runs it with the
+// commands of the deploy file.
 func TestDeployedRouterIsOneDynamicProcess(t *testing.T) {
-	d := readDeploy(t)
+	d := readDeployFile(t)
 	dir := t.TempDir()
 	for _, part := range []string{"cmd", "decision", "internal", "policy"} {
-		require.NoError(t, os.CopyFS(filepath.Join(dir, part), os.DirFS(filepath.Join(root, part))))
+		require.NoError(t, os.CopyFS(filepath.Join(dir, part), os.DirFS(filepath.Join(repositoryRoot, part))))
 	}
 	for _, file := range []string{"go.mod", "go.sum"} {
-		text, err := os.ReadFile(filepath.Join(root, file))
+		text, err := os.ReadFile(filepath.Join(repositoryRoot, file))
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(filepath.Join(dir, file), text, 0o600))
 	}
@@ -75,10 +76,10 @@
 	require.NoError(t, err, string(out))
 
 	feed := newControl(t)
-	e := newEngine(t, "e", map[string][]step{"POST": {done("one\n")}})
+	e := newEngine(t, "e", map[string][]step{"POST": {respondResult("one\n")}})
 	command := exec.Command("/bin/sh", "-c", d.Run)
 	command.Dir = dir
-	r := startProcess(t, command, patientConfig(feed, e))
+	r := startProcess(t, command, longDeadlineConfig(feed, e))
 	c, err := fakes.Dial(r.address)
 	require.NoError(t, err)
 	defer c.Close()
@@ -87,7 +88,7 @@
 	require.NoError(t, answer.Err)
 	assert.Equal(t, "one\n", answer.Body)
 
-	// The process that was started is the router itself, and has started none.
+	// The started process is the router itself and has no child processes.
 	proc := fmt.Sprintf("/proc/%d", r.cmd.Process.Pid)
 	exe, err := os.Readlink(filepath.Join(proc, "exe"))
 	require.NoError(t, err)
@@ -97,7 +98,7 @@
 	require.NotEmpty(t, tasks)
 	for _, task := range tasks {
 		children, err := os.ReadFile(task)
-		if err == nil { // else a thread that has ended
+		if err == nil { // otherwise the thread has ended
 			assert.Empty(t, strings.TrimSpace(string(children)))
 		}
 	}
@@ -107,7 +108,7 @@
 	libraries, err := file.ImportedLibraries()
 	require.NoError(t, err)
 	assert.True(t, slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }), libraries)
-	assert.True(t, slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }), "no linker named")
+	assert.True(t, slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }), "the binary names no dynamic linker")
 	r.stop(t)
-	r.awaitEnd(t)
+	r.awaitExit(t)
 }
--- a/cmd/bankledge/endpoints_test.go
+++ b/cmd/bankledge/endpoints_test.go
@@ -14,17 +14,18 @@
 	"bankledge/internal/logevent"
 )
 
-// What the control feed lists is used from the next request on, and a connection that ends is made again from the last event.
+// The router uses an endpoint list of the control feed from the next request on. When the feed's connection ends, the router reconnects and
+// resumes after the last event.
 func TestControlFeed(t *testing.T) {
-	one := newEngine(t, "one", map[string][]step{"POST": {done("one\n")}})
-	two := newEngine(t, "two", map[string][]step{"POST": {done("two\n")}})
-	three := newEngine(t, "three", map[string][]step{"POST": {done("three\n")}})
+	one := newEngine(t, "one", map[string][]step{"POST": {respondResult("one\n")}})
+	two := newEngine(t, "two", map[string][]step{"POST": {respondResult("two\n")}})
+	three := newEngine(t, "three", map[string][]step{"POST": {respondResult("three\n")}})
 	f := newControl(t)
-	c := dial(t, startRouter(t, patientConfig(f, one, two)))
+	c := dial(t, startRouter(t, longDeadlineConfig(f, one, two)))
 	assert.Equal(t, "1", <-f.LastEventIDs)
 	f.Events <- "id: 2\ndata: {\"n\":2,\ndata: \"members\":{\"members\":[" + member(one, "leaving") + "]}}\n\n"
 	f.Events <- ""
-	assert.Equal(t, "2", <-f.LastEventIDs, "asks on from the last")
+	assert.Equal(t, "2", <-f.LastEventIDs, "the router resumes after the last event")
 	f.Events <- watchEvent(3, member(two, "left"), member(three, "active"))
 	f.Events <- ""
 	assert.Equal(t, "3", <-f.LastEventIDs)
@@ -33,24 +34,24 @@
 		c.send(frameStatement, n+1, statement("lookup", int(n)))
 		c.expect(answer(n+1, codeCompleted, "three\n"))
 	}
-	assert.Equal(t, before, one.CallCount("POST")+two.CallCount("POST"), "nothing new goes to what drains or is gone")
+	assert.Equal(t, before, one.CallCount("POST")+two.CallCount("POST"), "no new request is sent to a draining or removed engine")
 }
 
-// SIGHUP: the feed is followed at its new place from the number last taken, and nothing else is touched; a file
-// that is not valid changes nothing.
+// On SIGHUP the router follows the control feed at its new address, resumes after the last event and changes nothing
+// else. An invalid file changes nothing.
 func TestReload(t *testing.T) {
 	finish := make(chan struct{})
-	one := newEngine(t, "one", map[string][]step{"POST": {says(202, "")}, "GET 0": {after(finish, done("one\n"))}})
-	two := newEngine(t, "two", map[string][]step{"POST": {done("two\n")}})
-	before, now := newControl(t), newControl(t)
-	r := startRouter(t, patientConfig(before, one))
-	assert.Equal(t, "1", <-before.LastEventIDs)
+	one := newEngine(t, "one", map[string][]step{"POST": {respond(202, "")}, "GET 0": {respondAfter(finish, respondResult("one\n"))}})
+	two := newEngine(t, "two", map[string][]step{"POST": {respondResult("two\n")}})
+	oldFeed, newFeed := newControl(t), newControl(t)
+	r := startRouter(t, longDeadlineConfig(oldFeed, one))
+	assert.Equal(t, "1", <-oldFeed.LastEventIDs)
 	c := dial(t, r)
 	c.send(frameStatement, 1, statement("load", 1))
 	one.await(t, "GET 0")
-	before.Events <- watchEvent(2, member(one, "leaving"))
-	before.Events <- ""
-	assert.Equal(t, "2", <-before.LastEventIDs)
+	oldFeed.Events <- watchEvent(2, member(one, "leaving"))
+	oldFeed.Events <- ""
+	assert.Equal(t, "2", <-oldFeed.LastEventIDs)
 
 	reload := func(path string, edit ...string) {
 		raw, err := os.ReadFile(path)
@@ -58,41 +59,41 @@
 		require.NoError(t, os.WriteFile(r.configFile, []byte(strings.NewReplacer(edit...).Replace(string(raw))), 0o600))
 		r.signal(t, syscall.SIGHUP)
 	}
-	moved := patientConfig(now, one).write(t)
+	moved := longDeadlineConfig(newFeed, one).write(t)
 	reload(moved)
-	assert.Equal(t, "2", <-now.LastEventIDs, "goes on where it was")
+	assert.Equal(t, "2", <-newFeed.LastEventIDs, "the router resumes after the last event")
 	reload(moved, `"seed":"`, `"seed":"x`)
 	require.Eventually(t, func() bool { return r.log.hasEvent(logevent.ConfigurationRejected) }, testTimeout, time.Millisecond)
 	assert.Contains(t, r.log.String(), "seed: ")
-	now.Events <- watchEvent(3, member(two, "active"))
+	newFeed.Events <- watchEvent(3, member(two, "active"))
 	c.send(frameStatement, 2, statement("lookup", 2))
 	c.expect(answer(2, codeCompleted, "two\n")) // queued until the engine was known
 	close(finish)
-	c.expect(answer(1, codeCompleted, "one\n")) // it was open all the while
+	c.expect(answer(1, codeCompleted, "one\n")) // it was open during both reloads
 }
 
-// An engine that accepts no connection is passed over, since nothing ran there.
+// A request whose engine refuses connections is sent to another engine, since it did not run.
 func TestUnreachableEngine(t *testing.T) {
-	one := newEngine(t, "one", map[string][]step{"POST": {done("one\n")}})
-	two := newEngine(t, "two", map[string][]step{"POST": {done("two\n")}})
-	c := dial(t, startRouter(t, patientConfig(newControl(t), one, two)))
+	one := newEngine(t, "one", map[string][]step{"POST": {respondResult("one\n")}})
+	two := newEngine(t, "two", map[string][]step{"POST": {respondResult("two\n")}})
+	c := dial(t, startRouter(t, longDeadlineConfig(newControl(t), one, two)))
 	one.Server.CloseClientConnections()
 	one.Server.Close()
-	for n := range uint32(20) { // also what must not run twice goes elsewhere, since it never ran
+	for n := range uint32(20) { // a non-idempotent request, too, is sent to the other engine, since it never ran
 		c.send(frameStatement, n+1, statement("load", int(n)))
 		c.expect(answer(n+1, codeCompleted, "two\n"))
 	}
 }
 
-// A router that starts makes one connection to see that engines can be reached, not one to each: hundreds that start at once
-// would be a storm of handshakes.
+// A starting router makes one connection to check that engines are reachable, not one to each engine: hundreds of routers that
+// start at once would cause too many handshakes.
 func TestStartMakesOneConnection(t *testing.T) {
 	var engines []*engine
 	for i := range 6 {
 		engines = append(engines, newEngine(t, fmt.Sprintf("e%d", i), nil))
 	}
-	r := startRouter(t, patientConfig(newControl(t), engines...))
+	r := startRouter(t, longDeadlineConfig(newControl(t), engines...))
 	r.stop(t)
-	r.awaitEnd(t)
+	r.awaitExit(t)
 	assert.Contains(t, r.log.String(), `"connections":{"dialled":1,`)
 }
--- a/cmd/bankledge/measurement_test.go
+++ b/cmd/bankledge/measurement_test.go
@@ -18,18 +18,18 @@
 	"bankledge/internal/logevent"
 )
 
-// measuredBinaries are the programs that a measurement compares, such as this version's and an earlier one's. Measurements run by
-// hand only.
+// measuredBinaries returns the router binaries that a measurement compares, such as those of this version and an earlier one.
+// Measurements are run by hand only: without binaries to compare, the test is skipped.
 func measuredBinaries(t *testing.T) []string {
 	t.Helper()
 	binaries := os.Getenv("BANKLEDGE_BINARIES")
 	if binaries == "" {
-		t.Skip("by hand: BANKLEDGE_BINARIES names programs to compare")
+		t.Skip("run by hand: BANKLEDGE_BINARIES lists the binaries to compare")
 	}
 	return strings.Split(binaries, ":")
 }
 
-// Resident memory of the program with 32 MB and 256 descriptors, idle and after 20,000 requests of 300 fingerprints.
+// Measures the resident memory of a router with 32 MB and 256 descriptors, idle and after 20,000 requests of 300 fingerprints.
 func TestResidentMemory(t *testing.T) {
 	for _, binary := range measuredBinaries(t) {
 		measureResidentMemory(t, binary)
@@ -80,7 +80,7 @@
 	slowReaderMeasurement = 16 * time.Second
 )
 
-// Slow readers, each with reports open, beside fast clients.
+// Measures fast clients and the router's memory while many slow readers have reports open.
 func TestManySlowReaders(t *testing.T) {
 	for _, binary := range measuredBinaries(t) {
 		measureSlowReaders(t, binary)
@@ -90,9 +90,9 @@
 func measureSlowReaders(t *testing.T, binary string) {
 	t.Helper()
 	b := startSlowClientFixture(t, binary)
-	alone := make(chan struct{})
-	time.AfterFunc(4*time.Second, func() { close(alone) })
-	calm, _ := b.fast(t, 8, alone)
+	stopBaseline := make(chan struct{})
+	time.AfterFunc(4*time.Second, func() { close(stopBaseline) })
+	baseline, _ := b.runLookups(t, 8, stopBaseline)
 	before := residentMemory(t, b.routerProcess)
 	readers := b.openSlowReaders(t)
 	stop := make(chan struct{})
@@ -103,13 +103,13 @@
 		}
 		close(stop)
 	}()
-	took, others := b.fast(t, 8, stop)
+	took, failures := b.runLookups(t, 8, stop)
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", b.cmd.Process.Pid))
 	require.NoError(t, err)
 	t.Logf("CPU ticks, user and system: %v", strings.Fields(string(stat))[13:15])
-	t.Logf("%s: lookups alone p50 %v p99 %v (%d); beside %d slow readers p50 %v p99 %v (%d), others %v; lines of disconnections %d",
-		filepath.Base(binary), quantile(calm, 0.5), quantile(calm, 0.99), len(calm), slowReaders,
-		quantile(took, 0.5), quantile(took, 0.99), len(took), others, b.log.countEvent(logevent.SlowClientDisconnected))
+	t.Logf("%s: lookups alone p50 %v p99 %v (%d); with %d slow readers p50 %v p99 %v (%d), failures %v; logged disconnections %d",
+		filepath.Base(binary), quantile(baseline, 0.5), quantile(baseline, 0.99), len(baseline), slowReaders,
+		quantile(took, 0.5), quantile(took, 0.99), len(took), failures, b.log.countEvent(logevent.SlowClientDisconnected))
 	t.Logf("resident before %s, peak %d kB; %s", before, peakKB, b.log.lastLine(logevent.Metrics))
 	logSlowReaders(t, readers)
 }
@@ -121,13 +121,13 @@
 		require.NoError(t, err)
 		readers = append(readers, reader)
 		for stream := range uint32(reportsPerSlowReader) {
-			require.NoError(t, reader.Send(stream+1, b.fields("report"), "select a, count(*) from sales_1.b where d > 1 group by a"))
+			require.NoError(t, reader.Send(stream+1, b.statementFields("report"), "select a, count(*) from sales_1.b where d > 1 group by a"))
 		}
 	}
 	return readers
 }
 
-// logSlowReaders reads what is left, whose last frames lie behind what the readers have not read, and logs what they were answered.
+// logSlowReaders lets the readers read the rest of their data, since their last frames come after the unread data, and logs their answers.
 func logSlowReaders(t *testing.T, readers []*fakes.SlowReader) {
 	t.Helper()
 	for _, reader := range readers {
@@ -158,14 +158,14 @@
 		disconnected, len(readers), slowReaderMeasurement, byCode, withAllAnswers)
 }
 
-// quantile is a quantile of sorted durations.
+// quantile returns the q-quantile of sorted durations.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
 var residentLines = regexp.MustCompile(`(?m)^Vm(?:RSS|HWM):.*$`)
 
-// residentMemory is the process's memory now and at its peak, as the kernel tells it.
+// residentMemory returns the process's current and peak resident memory, as the kernel reports them.
 func residentMemory(t *testing.T, r *routerProcess) string {
 	t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
@@ -173,7 +173,7 @@
 	return strings.Join(residentLines.FindAllString(string(status), -1), " ")
 }
 
-// residentKB is the process's resident memory; 0: it has ended.
+// residentKB returns the process's resident memory, or 0 if it has ended.
 func residentKB(r *routerProcess) (kb int64) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	if err != nil {
--- a/cmd/bankledge/monotonic_source_test.go
+++ b/cmd/bankledge/monotonic_source_test.go
@@ -14,13 +14,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Calls that lose the monotonic reading of a time or make a time without one, and the only places where the router may do so.
+// Calls that strip the monotonic clock reading of a time or create a time without one, and how many of them each file of the router may
+// contain.
 var (
 	wallClockMethods   = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "UTC": true, "Local": true, "In": true, "AddDate": true}
 	wallClockFunctions = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "Date": true, "Parse": true, "ParseInLocation": true}
 	wallClockAllowed   = map[string]int{
-		"internal/discovery/start_time.go": 1, // the protocol tells engines' starts in Unix time
-		"internal/proxy/wall_clock.go":     2, // finds steps of the wall clock
+		"internal/discovery/start_time.go": 1, // the protocol has engines' start times in Unix time
+		"internal/proxy/wall_clock.go":     2, // detects steps of the wall clock
 	}
 )
 
@@ -41,8 +42,8 @@
 			return true
 		}
 		of, isName := called.X.(*ast.Ident)
-		ofTime := isName && of.Name == "time"
-		if ofTime && wallClockFunctions[called.Sel.Name] || !ofTime && wallClockMethods[called.Sel.Name] || stripsMonotonic(called, call) {
+		inTimePackage := isName && of.Name == "time"
+		if inTimePackage && wallClockFunctions[called.Sel.Name] || !inTimePackage && wallClockMethods[called.Sel.Name] || stripsMonotonic(called, call) {
 			found = append(found, fmt.Sprintf("%s: %s", files.Position(call.Pos()), called.Sel.Name))
 		}
 		return true
@@ -50,7 +51,7 @@
 	return found, nil
 }
 
-// stripsMonotonic tells Round(0) and Truncate(0).
+// stripsMonotonic reports whether a call is Round(0) or Truncate(0).
 func stripsMonotonic(called *ast.SelectorExpr, call *ast.CallExpr) bool {
 	if called.Sel.Name != "Round" && called.Sel.Name != "Truncate" || len(call.Args) != 1 {
 		return false
@@ -59,16 +60,16 @@
 	return ok && zero.Value == "0"
 }
 
-// Durations are measured on the monotonic clock: no package of the router turns a time into one of the wall clock but where the
-// protocol or the log is about the wall clock.
+// Durations are measured on the monotonic clock: the router's packages use wall clock times only where the protocol or the log
+// requires them.
 func TestDurationsUseTheMonotonicClock(t *testing.T) {
 	found := map[string][]string{}
-	for _, folder := range append(readDeploy(t).Node, "policy") {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
+	for _, folder := range append(readDeployFile(t).Node, "policy") {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			name, err := filepath.Rel(root, path)
+			name, err := filepath.Rel(repositoryRoot, path)
 			if err != nil {
 				return err
 			}
@@ -86,7 +87,7 @@
 	for file := range wallClockAllowed {
 		assert.Contains(t, found, file)
 	}
-	for _, line := range []string{"t.UnixNano()", "time.Unix(0, n)", "t.Round(0)", "time.Now().UTC()"} { // it finds them
+	for _, line := range []string{"t.UnixNano()", "time.Unix(0, n)", "t.Round(0)", "time.Now().UTC()"} { // the check detects these
 		calls, err := wallClockCalls("x.go", "package x\n\nvar x = "+line+"\n")
 		require.NoError(t, err)
 		assert.Len(t, calls, 1, line)
--- a/cmd/bankledge/peers_test.go
+++ b/cmd/bankledge/peers_test.go
@@ -14,17 +14,17 @@
 	"bankledge/internal/fakes"
 )
 
-// The kinds of frame, by the protocol's numbers.
+// Frame types of the client protocol.
 const (
-	frameReadyAsked = 1
-	frameReadyTold  = 2
-	frameNoMore     = 3
-	frameStatement  = 7
-	frameAnswer     = 8
-	frameLeft       = 9
+	frameReadinessQuery = 1
+	frameReadinessReply = 2
+	frameDraining       = 3
+	frameStatement      = 7
+	frameAnswer         = 8
+	frameCancel         = 9
 )
 
-// The codes of an answer.
+// Codes of an answer.
 const (
 	codeCompleted byte = 20
 	codeRejected  byte = 50
@@ -37,8 +37,8 @@
 type step = fakes.Step
 
 var (
-	says, done, pages, raw, after = fakes.Respond, fakes.RespondResult, fakes.RespondPage, fakes.RespondRaw, fakes.RespondAfter
-	breaks, silent                = step(fakes.ResetConnection), step(fakes.Hang)
+	respond, respondResult, respondPage, respondRaw, respondAfter = fakes.Respond, fakes.RespondResult, fakes.RespondPage, fakes.RespondRaw, fakes.RespondAfter
+	resetConnection, hang                                         = step(fakes.ResetConnection), step(fakes.Hang)
 )
 
 func newEngine(t *testing.T, id string, script map[string][]step) *engine {
@@ -48,22 +48,22 @@
 	return e
 }
 
-// await waits for a call that begins like this and returns it.
+// await waits for a call that begins with the given text and returns it.
 func (e *engine) await(t *testing.T, call string) string {
 	t.Helper()
-	for late := time.After(testTimeout); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
-		case heard := <-e.Calls():
-			if strings.HasPrefix(heard, call) {
-				return heard
+		case received := <-e.Calls():
+			if strings.HasPrefix(received, call) {
+				return received
 			}
-		case <-late:
+		case <-timeout:
 			t.Fatalf("engine %s never received %s", e.ID, call)
 		}
 	}
 }
 
-// hasStarted reports whether an engine was sent a request since it was asked last.
+// hasStarted reports whether the engine received a request since the last call of hasStarted or await.
 func (e *engine) hasStarted() bool {
 	for {
 		select {
@@ -95,7 +95,7 @@
 	return feed
 }
 
-// watchEvent is an event of the control feed.
+// watchEvent returns an event of the control feed.
 func watchEvent(number int, members ...string) string {
 	return fmt.Sprintf("id: %d\ndata: {\"n\":%d,\"members\":{\"members\":[%s]}}\n\n", number, number, strings.Join(members, ","))
 }
@@ -122,7 +122,7 @@
 	require.NoError(c.t, err)
 }
 
-// frame is a frame that a client received; the code and the body are those of an answer.
+// frame is a frame that a client received. The code is that of an answer or a readiness reply, and the body that of an answer.
 type frame struct {
 	kind   byte
 	stream uint32
@@ -146,7 +146,7 @@
 	return f
 }
 
-// readAnswer passes over frames until an answer comes.
+// readAnswer skips frames until it reads an answer.
 func (c *client) readAnswer() frame {
 	c.t.Helper()
 	for {
@@ -161,7 +161,7 @@
 	assert.Equal(c.t, want, c.read())
 }
 
-// statement is a payload; changes are pairs of a field and its value, "-" for none.
+// statement returns the payload of a statement. changes are pairs of a field and its value, where "-" removes the field.
 func statement(workload string, n int, changes ...string) string {
 	fields := map[string]string{"c": workload, "i": fmt.Sprintf("%016x", n), "d": "5000", "t": "acme", "h": "20.0", "heap_mb": "8"}
 	for i := 0; i < len(changes); i += 2 {
--- a/cmd/bankledge/process_test.go
+++ b/cmd/bankledge/process_test.go
@@ -20,7 +20,7 @@
 	"bankledge/internal/logevent"
 )
 
-// testTimeout is for what must happen; nothing waits so long when all is well.
+// testTimeout limits the wait for an expected event. A test that passes does not wait so long.
 const testTimeout = 15 * time.Second
 
 // builtProgram is the path of the program under test, built with the race detector.
@@ -44,9 +44,9 @@
 	return m.Run()
 }
 
-// patientSettings have requests wait for seconds: an answer after the SLO time counts. The workloads are lookup, which is idempotent,
-// and load, which is not.
-const patientSettings = `{"bounds":{"mayCancel":true,"mayProbe":true,"maxAttempts":5,"maxOpen":1000,"connectTimeout":250000,"idleClose":15000000},
+// longDeadlineSettings let requests wait for seconds, since an answer after the SLO time still counts. The workloads are lookup, which is
+// idempotent, and load, which is not.
+const longDeadlineSettings = `{"bounds":{"mayCancel":true,"mayProbe":true,"maxAttempts":5,"maxOpen":1000,"connectTimeout":250000,"idleClose":15000000},
 	"classes":[{"name":"lookup","idempotency":"idempotent","objective":2000000,"deadline":9000000,"gain":1,"lateShare":0.5},
 		{"name":"load","idempotency":"at_most_once","objective":2000000,"deadline":9000000,"gain":1,"lateShare":0.5}],
 	"discovery":"pushed","extra":{"cpuOfKind":[8],"ramOfKindMb":[32000],"threadsByClass":[1,2],"waitsForLoads":[true,false],
@@ -54,7 +54,7 @@
 	"feedback":{"fields":["concurrent","load_share"],"via":"inline"},"guarantees":{"drainGrace":1000000},
 	"machineTypes":["k"],"orgs":[{"name":"acme","quotaPerS":100}],"tick":1000,"zone":"z"}`
 
-// routerConfig is what a test configures of a router.
+// routerConfig is the part of a router's configuration that tests choose.
 type routerConfig struct {
 	feed     *fakes.ControlFeed
 	settings string
@@ -63,17 +63,17 @@
 	members  []string // of the endpoint list that the router knows at its start
 }
 
-// patientConfig has patientSettings and these engines.
-func patientConfig(feed *fakes.ControlFeed, engines ...*engine) routerConfig {
-	return routerConfig{feed: feed, settings: patientSettings, memoryMB: 192, sockets: 256, members: activeMembers(engines)}
+// longDeadlineConfig returns a configuration with longDeadlineSettings and the given engines.
+func longDeadlineConfig(feed *fakes.ControlFeed, engines ...*engine) routerConfig {
+	return routerConfig{feed: feed, settings: longDeadlineSettings, memoryMB: 192, sockets: 256, members: activeMembers(engines)}
 }
 
-// smallConfig has settings of one's own and a small machine.
+// smallConfig returns a configuration with the given settings for a machine with little memory.
 func smallConfig(feed *fakes.ControlFeed, settings string, members ...string) routerConfig {
 	return routerConfig{feed: feed, settings: settings, memoryMB: 64, sockets: 256, members: members}
 }
 
-// write writes the configuration to a file of its own.
+// write writes the configuration to a new file and returns the file's path.
 func (c routerConfig) write(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -82,13 +82,13 @@
 	return path
 }
 
-// routerProcess is a process of the program.
+// routerProcess is a running process of the router program.
 type routerProcess struct {
 	cmd        *exec.Cmd
 	configFile string
-	address    string // where clients connect, as its log has it
+	address    string // for clients, from the program's log
 	log        *logBuffer
-	ended      chan error
+	exited     chan error
 }
 
 // startRouter starts the program and waits until it is ready.
@@ -103,7 +103,7 @@
 // show a data race, a panic or a violated invariant.
 func startProcess(t *testing.T, command *exec.Cmd, config routerConfig, environment ...string) *routerProcess {
 	t.Helper()
-	r := &routerProcess{cmd: command, configFile: config.write(t), log: &logBuffer{}, ended: make(chan error, 1)}
+	r := &routerProcess{cmd: command, configFile: config.write(t), log: &logBuffer{}, exited: make(chan error, 1)}
 	command.Env = append(append(os.Environ(), "LB_CONFIG="+r.configFile), environment...)
 	pipe, err := command.StderrPipe()
 	require.NoError(t, err)
@@ -117,20 +117,20 @@
 				address <- line.Listen
 			}
 		}
-		r.ended <- command.Wait()
+		r.exited <- command.Wait()
 	}()
 	t.Cleanup(func() { r.killAndCheckLog(t) })
 	select {
 	case r.address = <-address:
 	case <-time.After(testTimeout):
-		t.Fatal("the program does not serve")
+		t.Fatal("the program did not begin to serve")
 	}
 	return r
 }
 
 func (r *routerProcess) killAndCheckLog(t *testing.T) {
 	if r.cmd.Process.Kill() == nil {
-		<-r.ended
+		<-r.exited
 	}
 	assert.NotContains(t, r.log.String(), "DATA RACE")
 	assert.NotContains(t, r.log.String(), "panic")
@@ -153,25 +153,25 @@
 	require.NoError(t, r.cmd.Process.Signal(signal))
 }
 
-// stop begins a graceful shutdown.
+// stop starts a graceful shutdown.
 func (r *routerProcess) stop(t *testing.T) {
 	t.Helper()
 	r.signal(t, syscall.SIGTERM)
 }
 
-// awaitEnd waits until the process has ended without an error.
-func (r *routerProcess) awaitEnd(t *testing.T) {
+// awaitExit waits until the process has exited without an error.
+func (r *routerProcess) awaitExit(t *testing.T) {
 	t.Helper()
 	select {
-	case err := <-r.ended:
+	case err := <-r.exited:
 		require.NoError(t, err)
-		r.ended <- nil
+		r.exited <- nil
 	case <-time.After(testTimeout):
-		t.Fatal("the program does not end")
+		t.Fatal("the program did not exit")
 	}
 }
 
-// suspend stops the process, and returns when none of its threads runs any more.
+// suspend stops the process with SIGSTOP and returns when all of its threads have stopped.
 func (r *routerProcess) suspend(t *testing.T) {
 	t.Helper()
 	r.signal(t, syscall.SIGSTOP)
@@ -187,7 +187,7 @@
 	}, testTimeout, time.Millisecond)
 }
 
-// isRunning reports whether a thread is not stopped, by its stat file. One that has ended has none.
+// isRunning reports whether a thread is not stopped, according to its stat file. A thread that has ended has no stat file.
 func isRunning(statFile string) bool {
 	stat, err := os.ReadFile(statFile)
 	if err != nil {
@@ -197,13 +197,13 @@
 	return found && rest[0] != 'T'
 }
 
-// resume lets a process run again that was suspended.
+// resume continues a suspended process.
 func (r *routerProcess) resume(t *testing.T) {
 	t.Helper()
 	r.signal(t, syscall.SIGCONT)
 }
 
-// logBuffer is the program's log, read while it is written.
+// logBuffer holds the program's log, which can be read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -228,7 +228,7 @@
 	return strings.Count(l.String(), fmt.Sprintf(`"msg":%q`, event))
 }
 
-// lastLine is the last line of an event, or empty.
+// lastLine returns the last line of an event, or an empty string.
 func (l *logBuffer) lastLine(event string) (last string) {
 	for line := range strings.Lines(l.String()) {
 		if strings.Contains(line, fmt.Sprintf(`"msg":%q`, event)) {
--- a/cmd/bankledge/shutdown_test.go
+++ b/cmd/bankledge/shutdown_test.go
@@ -19,55 +19,55 @@
 	"bankledge/internal/logevent"
 )
 
-// A graceful shutdown answers what is open and what still comes, and then ends.
+// During a graceful shutdown the router answers the open requests and those that still arrive, and then exits.
 func TestGracefulShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		code byte
 		body string
 	}{
-		{"what ends in time is answered", codeCompleted, "late\n"},
-		{"what does not is aborted", codeAborted, ""},
+		{"a request that completes before the end of the grace is answered", codeCompleted, "late\n"},
+		{"a request that does not is aborted", codeAborted, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			finish := make(chan struct{})
-			e := newEngine(t, "one", map[string][]step{"POST": {says(202, "")}, "GET 0": {after(finish, done("late\n"))}})
-			r := startRouter(t, patientConfig(newControl(t), e))
+			e := newEngine(t, "one", map[string][]step{"POST": {respond(202, "")}, "GET 0": {respondAfter(finish, respondResult("late\n"))}})
+			r := startRouter(t, longDeadlineConfig(newControl(t), e))
 			conn := dial(t, r)
 			conn.send(frameStatement, 1, statement("load", 1, "d", "9000"))
 			e.await(t, "GET 0")
 			r.stop(t)
-			conn.expect(frame{kind: frameNoMore})
-			r.signal(t, syscall.SIGHUP) // a reload during a stop ends nothing
-			late := dial(t, r)          // new connections are notified at once, and answered all the same
-			late.expect(frame{kind: frameNoMore})
-			late.send(frameReadyAsked, 0, "\x00")
+			conn.expect(frame{kind: frameDraining})
+			r.signal(t, syscall.SIGHUP) // a reload during a shutdown ends nothing
+			late := dial(t, r)          // a new connection is notified at once, and its requests are still answered
+			late.expect(frame{kind: frameDraining})
+			late.send(frameReadinessQuery, 0, "\x00")
 			notReady := late.read()
-			assert.Equal(t, byte(frameReadyTold), notReady.kind)
-			assert.Equal(t, codeRejected, notReady.code, "not ready any more")
+			assert.Equal(t, byte(frameReadinessReply), notReady.kind)
+			assert.Equal(t, codeRejected, notReady.code, "a router that shuts down is not ready")
 			late.send(frameStatement, 1, statement("odd", 2))
 			late.expect(answer(1, codeRejected, "field c: unknown workload"))
 			if c.code == codeCompleted {
 				close(finish)
 			}
 			conn.expect(answer(1, c.code, c.body))
-			r.awaitEnd(t)
+			r.awaitExit(t)
 		})
 	}
 }
 
-// shortest are settings of which every time is shorter than the grace of a shutdown.
-var shortest = strings.NewReplacer("15000000,\"gain", "150000,\"gain", "25000000,\"gain", "180000,\"gain", "4000000,\"gain", "180000,\"gain").Replace(fakes.Settings)
+// shortTimeoutSettings are settings whose deadlines are all shorter than the grace of a shutdown.
+var shortTimeoutSettings = strings.NewReplacer("15000000,\"gain", "150000,\"gain", "25000000,\"gain", "180000,\"gain", "4000000,\"gain", "180000,\"gain").Replace(fakes.Settings)
 
-// With statement timeouts far below the grace of a shutdown, all that is sent within 0.6 s of SIGTERM has its answer, on connections
-// from before and on new ones.
+// With statement timeouts far below the grace of a shutdown, each statement that is sent within 0.6 s of SIGTERM is answered, on existing
+// and on new connections.
 func TestShutdownWithShortTimeouts(t *testing.T) {
-	require.Contains(t, shortest, `"deadline":180000,"gain":10`)
-	const granted = 600 * time.Millisecond
-	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
-	r := startRouter(t, smallConfig(newControl(t), shortest, member(e, "active")))
-	go func() { // it is heard thousands of times
+	require.Contains(t, shortTimeoutSettings, `"deadline":180000,"gain":10`)
+	const acceptedFor = 600 * time.Millisecond
+	e := newEngine(t, "one", map[string][]step{"POST": {respondResult("fine\n")}})
+	r := startRouter(t, smallConfig(newControl(t), shortTimeoutSettings, member(e, "active")))
+	go func() { // receives the thousands of recorded calls
 		for range e.Calls() {
 		}
 	}()
@@ -90,7 +90,7 @@
 					var err error
 					c, err = net.Dial("tcp", r.address)
 					if err != nil {
-						assert.Greater(t, time.Since(began), granted)
+						assert.Greater(t, time.Since(began), acceptedFor)
 						return
 					}
 				}
@@ -98,10 +98,10 @@
 				text := statement("lookup", n*1000+i, "d", "180", "t", "-")
 				_, err := c.Write(fakes.Frame(frameStatement, uint32(i+1), text))
 				if err == nil {
-					err = readAnswer(c)
+					err = awaitAnswer(c)
 				}
 				if err != nil {
-					assert.Greater(t, sent, granted, "sent in time and not answered: %v", err)
+					assert.Greater(t, sent, acceptedFor, "sent in time and not answered: %v", err)
 					return
 				}
 				mu.Lock()
@@ -111,13 +111,13 @@
 		})
 	}
 	wait.Wait()
-	r.awaitEnd(t)
+	r.awaitExit(t)
 	assert.Positive(t, answered)
 	t.Log(answered, "answers; ended after", time.Since(began))
 }
 
-// readAnswer reads frames from a connection of a single request until an answer comes.
-func readAnswer(from io.Reader) error {
+// awaitAnswer reads frames from a connection with a single open request until it reads an answer.
+func awaitAnswer(from io.Reader) error {
 	reader := bufio.NewReader(from)
 	for {
 		frame, err := fakes.ReadFrame(reader)
@@ -127,45 +127,45 @@
 	}
 }
 
-// Half of the engines hang when the signal comes, and it comes twice, with a reload between: a request of which the last byte comes after the
-// signal is answered, what may have run is aborted, each once and before the connection ends.
+// Half of the engines hang when SIGTERM arrives, and a reload and a second SIGTERM follow. A request whose last byte arrives after the first
+// signal is answered, and requests that may have run are aborted, each exactly once and before the connection ends.
 func TestShutdownWhileEnginesHang(t *testing.T) {
-	hung := newEngine(t, "hung", map[string][]step{"POST": {says(202, "")}, "GET 0": {silent}, "DELETE": {silent}})
-	well := newEngine(t, "well", map[string][]step{"POST": {says(202, "")}, "GET 0": {silent}, "DELETE": {says(204, "")}})
+	hung := newEngine(t, "hung", map[string][]step{"POST": {respond(202, "")}, "GET 0": {hang}, "DELETE": {hang}})
+	healthy := newEngine(t, "well", map[string][]step{"POST": {respond(202, "")}, "GET 0": {hang}, "DELETE": {respond(204, "")}})
 	settings := strings.NewReplacer("15000000,\"gain", "900000,\"gain", "25000000,\"gain", "900000,\"gain", "4000000,\"gain", "900000,\"gain").Replace(fakes.Settings)
-	r := startRouter(t, smallConfig(newControl(t), settings, member(hung, "active"), member(well, "active")))
+	r := startRouter(t, smallConfig(newControl(t), settings, member(hung, "active"), member(healthy, "active")))
 	c := dial(t, r)
 	const n = 16
 	for stream := range uint32(n) {
 		c.send(frameStatement, stream+1, statement("price-load", int(stream), "d", "20000", "t", "-"))
 	}
-	for out := 0; out < 2; { // some are out at either
+	for out := 0; out < 2; { // until the engines have received two calls
 		select {
 		case <-hung.Calls():
 			out++
-		case <-well.Calls():
+		case <-healthy.Calls():
 			out++
 		case <-time.After(testTimeout):
-			t.Fatal("nothing is sent")
+			t.Fatal("the engines received no calls")
 		}
 	}
-	well.Script(map[string][]step{"POST": {done("late\n")}, "GET 0": {silent}, "DELETE": {says(204, "")}})
+	healthy.Script(map[string][]step{"POST": {respondResult("late\n")}, "GET 0": {hang}, "DELETE": {respond(204, "")}})
 	late := dial(t, r)
 	request := fakes.Frame(frameStatement, 1, statement("lookup", 100, "d", "900", "t", "-"))
 	_, err := late.Write(request[:len(request)-1])
 	require.NoError(t, err)
 	r.stop(t)
-	late.expect(frame{kind: frameNoMore}) // the signal has come
+	late.expect(frame{kind: frameDraining}) // the router has received the signal
 	r.signal(t, syscall.SIGHUP)
 	r.signal(t, syscall.SIGTERM)
 	_, err = late.Write(request[len(request)-1:])
 	require.NoError(t, err)
-	assert.Equal(t, uint32(1), late.readAnswer().stream, "its answer, whatever it is")
+	assert.Equal(t, uint32(1), late.readAnswer().stream, "any answer to this request")
 	answers := map[uint32]byte{}
 	for {
 		f, err := c.tryRead()
 		if err != nil {
-			require.ErrorIs(t, err, io.EOF, "an end, no reset")
+			require.ErrorIs(t, err, io.EOF, "the connection is closed, not reset")
 			break
 		}
 		if f.kind == frameAnswer {
@@ -174,17 +174,17 @@
 		}
 	}
 	assert.Len(t, answers, n)
-	assert.Contains(t, fmt.Sprint(answers), "51", "what may have run is aborted")
-	r.awaitEnd(t)
+	assert.Contains(t, fmt.Sprint(answers), "51", "requests that may have run are aborted")
+	r.awaitExit(t)
 	assert.Equal(t, 1, r.log.countEvent(logevent.ShutdownStarted))
 	assert.Equal(t, 1, r.log.countEvent(logevent.ConfigurationReloaded))
 }
 
-// What waits in the accept backlog or in an accepted connection's buffer when the signal comes is answered.
+// Requests that wait in the accept backlog or in the buffer of an accepted connection when SIGTERM arrives are answered.
 func TestShutdownWithUnreadRequests(t *testing.T) {
-	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
+	e := newEngine(t, "one", map[string][]step{"POST": {respondResult("fine\n")}})
 	r := startRouter(t, smallConfig(newControl(t), fakes.Settings, member(e, "active")))
-	r.suspend(t) // neither read nor accepted from here on
+	r.suspend(t) // from here on the router neither accepts nor reads
 	var conns []*client
 	for i := range 20 {
 		c := dial(t, r)
@@ -196,13 +196,13 @@
 	for _, c := range conns {
 		assert.Equal(t, answer(1, codeCompleted, "fine\n"), c.readAnswer())
 	}
-	r.awaitEnd(t)
+	r.awaitExit(t)
 }
 
-// The router is suspended from just after the signal until no new request would be admitted any more: what came in time, on connections from
-// before and on such as were not accepted yet, is answered all the same.
+// The router is suspended from just after SIGTERM until it would admit no more new requests. Requests that arrived before that time, on
+// existing connections and on those that were not accepted yet, are still answered.
 func TestShutdownOfASuspendedRouter(t *testing.T) {
-	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
+	e := newEngine(t, "one", map[string][]step{"POST": {respondResult("fine\n")}})
 	r := startRouter(t, smallConfig(newControl(t), fakes.Settings, member(e, "active")))
 	var conns []*client
 	for range 10 {
@@ -210,7 +210,7 @@
 	}
 	r.stop(t)
 	signalled := time.Now()
-	for conns[0].read().kind != frameNoMore { // the signal has come
+	for conns[0].read().kind != frameDraining { // until the router has received the signal
 	}
 	r.suspend(t)
 	for i := range 30 {
@@ -219,43 +219,43 @@
 		}
 		conns[i].send(frameStatement, 1, statement("lookup", i, "t", "-"))
 	}
-	<-time.After(time.Until(signalled.Add(1100 * time.Millisecond))) // its clock is past the second in which it takes new connections
+	<-time.After(time.Until(signalled.Add(1100 * time.Millisecond))) // the second in which the router accepts new connections is over
 	r.resume(t)
 	for _, c := range conns {
 		assert.Equal(t, answer(1, codeCompleted, "fine\n"), c.readAnswer())
 	}
-	r.awaitEnd(t)
+	r.awaitExit(t)
 }
 
-// A signal that comes before the router is ready, even before it serves, ends it in the ordinary way.
+// A SIGTERM that arrives before the router is ready, even before it serves, starts an ordinary shutdown.
 func TestShutdownBeforeReady(t *testing.T) {
 	e := newEngine(t, "gone", nil)
 	e.Close()
 	config := smallConfig(newControl(t), fakes.Settings, member(e, "active"))
 	r := startProcess(t, exec.Command(builtProgram, "serve"), config)
 	c := dial(t, r)
-	c.send(frameReadyAsked, 0, "\x00")
+	c.send(frameReadinessQuery, 0, "\x00")
 	notReady := c.read()
-	assert.Equal(t, byte(frameReadyTold), notReady.kind)
+	assert.Equal(t, byte(frameReadinessReply), notReady.kind)
 	assert.Equal(t, codeRejected, notReady.code)
 	c.send(frameStatement, 1, statement("lookup", 1, "t", "-"))
 	r.stop(t)
 	assert.Equal(t, codeRejected, c.readAnswer().code, "it never ran")
-	r.awaitEnd(t)
+	r.awaitExit(t)
 }
 
-// Clients go on sending until the process has ended. At the end of a shutdown's grace all that is open is ended; what arrived after that was
-// started like any other and lost with the process (soak seed 7: read 3.5 s after SIGTERM, started at once, and closed with no answer 0.1 s
-// later). Only what crosses the close may be lost.
+// A client sends statements until the process has exited. At the end of a shutdown's grace the router ends all open statements. Statements that
+// arrived after that were started like any other and lost when the process exited (soak seed 7: read 3.5 s after SIGTERM, started at once, and
+// the connection closed without an answer 0.1 s later). Only statements in flight when the connection is closed may be lost.
 func TestStatementsUntilTheEndOfAShutdown(t *testing.T) {
 	const (
 		crossing    = 50 * time.Millisecond
-		nearlyEnded = 3200 * time.Millisecond // then they come often: a connection may have 32 open before
+		nearlyEnded = 3200 * time.Millisecond // from here on statements are sent often; not earlier, since a connection may have 32 open
 	)
 	never := make(chan struct{})
-	e := newEngine(t, "one", map[string][]step{"POST": {says(202, "")}, "GET 0": {after(never, done("late\n"))}})
-	r := startRouter(t, patientConfig(newControl(t), e))
-	go func() { // it is heard thousands of times
+	e := newEngine(t, "one", map[string][]step{"POST": {respond(202, "")}, "GET 0": {respondAfter(never, respondResult("late\n"))}})
+	r := startRouter(t, longDeadlineConfig(newControl(t), e))
+	go func() { // receives the thousands of recorded calls
 		for range e.Calls() {
 		}
 	}()
@@ -274,7 +274,7 @@
 		fields := map[string]string{"c": "lookup", "i": fmt.Sprintf("%016x", len(answers)), "d": "9000", "t": "acme", "h": "20.0", "heap_mb": "8"}
 		answers = append(answers, c.Send(fields, "select a from sales_1.b"))
 	}
-	r.awaitEnd(t)
+	r.awaitExit(t)
 	for i, answer := range answers {
 		if got := <-answer; got.Err != nil {
 			assert.LessOrEqual(t, got.Took, crossing, "statement %d of %d", i, len(answers))
--- a/cmd/bankledge/slow_clients_test.go
+++ b/cmd/bankledge/slow_clients_test.go
@@ -17,8 +17,8 @@
 	"bankledge/internal/fakes"
 )
 
-// slowClientFixture is a router of 48 MB and 512 descriptors before two modelled engines: lookups have short results, reports of
-// 48,000 bytes.
+// slowClientFixture is a router with 48 MB and 512 descriptors and two simulated engines. Lookups have short results, and reports
+// have results of 48,000 bytes.
 type slowClientFixture struct {
 	*routerProcess
 	sent atomic.Int64
@@ -44,15 +44,16 @@
 	return &slowClientFixture{routerProcess: r}
 }
 
-func (b *slowClientFixture) fields(workload string) map[string]string {
+func (b *slowClientFixture) statementFields(workload string) map[string]string {
 	return map[string]string{"c": workload, "i": fmt.Sprintf("%016x", b.sent.Add(1)), "d": "15000", "t": "x", "h": "2", "heap_mb": "8"}
 }
 
-// fast has clients look up, one request after the other, until stop; it returns the times taken and what was no completed answer.
-func (b *slowClientFixture) fast(t *testing.T, clients int, stop <-chan struct{}) (took []time.Duration, others map[string]int) {
+// runLookups lets each client send one lookup after the other until stop is closed. It returns the sorted durations of the completed answers
+// and the number of each other result.
+func (b *slowClientFixture) runLookups(t *testing.T, clients int, stop <-chan struct{}) (took []time.Duration, failures map[string]int) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	others = map[string]int{}
+	failures = map[string]int{}
 	late, began := map[time.Duration]int{}, time.Now()
 	defer func() { t.Logf("over 50 ms, by second: %v", late) }()
 	for range clients {
@@ -66,13 +67,13 @@
 					return
 				case <-time.After(10 * time.Millisecond):
 				}
-				a := <-c.Send(b.fields("lookup"), "select a from sales_1.b where id = 1")
+				a := <-c.Send(b.statementFields("lookup"), "select a from sales_1.b where id = 1")
 				mu.Lock()
 				if a.Took > 50*time.Millisecond {
 					late[time.Since(began).Round(time.Second)]++
 				}
 				if a.Err != nil || a.Code != downstream.CodeCompleted {
-					others[fmt.Sprint(a.Code, a.Body, a.Err)]++
+					failures[fmt.Sprint(a.Code, a.Body, a.Err)]++
 				} else {
 					took = append(took, a.Took)
 				}
@@ -82,11 +83,11 @@
 	}
 	wait.Wait()
 	slices.Sort(took)
-	return took, others
+	return took, failures
 }
 
-// Slow peers of all kinds beside fast clients: those below the least rate end with a last answer each within grace and
-// window, those above it get every answer complete, and fast clients lose nothing.
+// Slow readers of several kinds run concurrently with fast clients. Those below the minimum rate are disconnected with a last
+// answer within grace and window, those above it receive every answer completely, and fast clients lose nothing.
 func TestSlowReaders(t *testing.T) {
 	b := startSlowClientFixture(t, builtProgram)
 	const reports = 6
@@ -96,13 +97,13 @@
 			require.NoError(t, err)
 			peers = append(peers, s)
 			for stream := range uint32(reports) {
-				require.NoError(t, s.Send(stream+1, b.fields("report"), "select a, count(*) from sales_1.b where d > 1 group by a"))
+				require.NoError(t, s.Send(stream+1, b.statementFields("report"), "select a, count(*) from sales_1.b where d > 1 group by a"))
 			}
 		}
 		return peers
 	}
 	began := time.Now()
-	slow, silent, honest, pausing := group(4, 200), group(2, 0), group(2, 50_000), group(2, 50_000)
+	slow, silent, steady, pausing := group(4, 200), group(2, 0), group(2, 50_000), group(2, 50_000)
 	time.AfterFunc(time.Second, func() {
 		for _, s := range pausing {
 			s.SetRate(0)
@@ -116,17 +117,17 @@
 	stop := make(chan struct{})
 	var fast sync.WaitGroup
 	fast.Go(func() {
-		took, others := b.fast(t, 4, stop)
-		assert.Empty(t, others, "fast clients lose nothing by it")
+		took, failures := b.runLookups(t, 4, stop)
+		assert.Empty(t, failures, "fast clients lose nothing")
 		assert.NotEmpty(t, took)
 	})
-	require.Eventually(t, func() bool { // the last of the six
+	require.Eventually(t, func() bool { // until all six readers below the minimum rate are released
 		return strings.Contains(b.log.String(), `"total":6`) || strings.Contains(b.log.String(), `"slow_clients_released":6`)
 	}, 25*time.Second, 20*time.Millisecond)
-	assert.Less(t, time.Since(began), 22*time.Second, "the log's figures may tell of it five seconds late")
+	assert.Less(t, time.Since(began), 22*time.Second, "the metrics in the log may report it five seconds late")
 	close(stop)
 	fast.Wait()
-	for _, s := range append(slow, silent...) { // what is on its way is read; then the connection is seen to have ended
+	for _, s := range append(slow, silent...) { // reads the data in flight, so that the end of the connection is noticed
 		s.SetRate(1 << 30)
 		select {
 		case <-s.Ended():
@@ -138,35 +139,36 @@
 			assert.Equal(t, 1, n, "stream %d has one answer", stream)
 		}
 	}
-	for _, s := range append(honest, pausing...) {
+	for _, s := range append(steady, pausing...) {
 		s.Close()
 		answers := s.Answers()
 		assert.Equal(t, map[byte]int{codeCompleted: reports}, answers.ByCode)
 		assert.Len(t, answers.ByStream, reports)
 		assert.Greater(t, answers.Bytes, reports*47_200)
 	}
-	group(2, 0) // stalled when the router stops: it ends all the same, and no connection of those before is left
+	group(2, 0) // stalled when the router shuts down: it exits nevertheless, and no earlier connection is left
 	b.stop(t)
-	b.awaitEnd(t)
+	b.awaitExit(t)
 }
 
-// A writer that trickles is disconnected soon after its grace, with the reason; a large frame at the least rate is received completely.
+// A client that writes a frame too slowly is disconnected soon after the grace, with the reason. A large frame at the minimum rate is received
+// completely.
 func TestSlowWriters(t *testing.T) {
 	b := startSlowClientFixture(t, builtProgram)
-	trickle := dial(t, b.routerProcess)
+	slowWriter := dial(t, b.routerProcess)
 	go func() {
 		for _, c := range fakes.Frame(frameStatement, 1, strings.Repeat("x", 200)) { // 10 bytes a second
-			if _, err := trickle.Write([]byte{c}); err != nil {
+			if _, err := slowWriter.Write([]byte{c}); err != nil {
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
 	began := time.Now()
-	trickle.expect(answer(0, codeAborted, "the frame did not come whole in time"))
+	slowWriter.expect(answer(0, codeAborted, "the frame did not come whole in time"))
 	assert.Less(t, time.Since(began), 4*time.Second)
 	large := dial(t, b.routerProcess)
-	request := fakes.Frame(frameStatement, 1, fakes.Payload(b.fields("report"), "select a from sales_1.b -- "+strings.Repeat("x", 200_000)))
+	request := fakes.Frame(frameStatement, 1, fakes.Payload(b.statementFields("report"), "select a from sales_1.b -- "+strings.Repeat("x", 200_000)))
 	for len(request) > 0 { // 50,000 bytes a second, for four seconds
 		n := min(len(request), 5_000)
 		_, err := large.Write(request[:n])
--- a/cmd/bankledge/suspension_test.go
+++ b/cmd/bankledge/suspension_test.go
@@ -17,9 +17,9 @@
 	"bankledge/internal/logevent"
 )
 
-// What lay unread during a suspension longer than its client's deadline is not forwarded afterwards: nobody waits for it.
+// A request that was unread during a suspension longer than its deadline is not forwarded afterwards, since its client no longer waits.
 func TestExpiredRequestIsNotForwardedAfterASuspension(t *testing.T) {
-	e := newEngine(t, "one", map[string][]step{"POST": {done("fine\n")}})
+	e := newEngine(t, "one", map[string][]step{"POST": {respondResult("fine\n")}})
 	r := startRouter(t, smallConfig(newControl(t), fakes.Settings, member(e, "active")))
 	c := dial(t, r)
 	c.send(frameStatement, 1, statement("lookup", 1, "t", "-"))
@@ -27,7 +27,7 @@
 	r.suspend(t)
 	c.send(frameStatement, 2, statement("lookup", 2, "d", "500", "t", "-"))
 	c.send(frameStatement, 3, statement("lookup", 3, "d", "20000", "t", "-"))
-	<-time.After(time.Second) // which the router stands: longer than the one client waits, and not the other
+	<-time.After(time.Second) // longer than the deadline of statement 2 and shorter than that of statement 3
 	r.resume(t)
 	codes := map[uint32]byte{}
 	for range 2 {
@@ -37,43 +37,43 @@
 	assert.Equal(t, map[uint32]byte{2: codeRejected, 3: codeCompleted}, codes)
 	assert.Equal(t, 2, e.CallCount("POST"))
 	r.stop(t)
-	r.awaitEnd(t)
+	r.awaitExit(t)
 }
 
-// An engine begins to drain during a suspension: what lay unread meanwhile, and is decided at the same instant as the endpoint list,
-// is not forwarded there.
-func TestEndpointListThatCameDuringASuspension(t *testing.T) {
+// An engine begins to drain during a suspension. Requests that were unread meanwhile, and are decided at the same instant as the endpoint
+// list, are not forwarded to it.
+func TestEndpointListReceivedDuringASuspension(t *testing.T) {
 	receiveListDuringSuspension(t, 400*time.Millisecond)
 }
 
-// The same, with a suspension after which the stream counts as silent. The deadline of its read had passed, so the connection was closed
-// with the list unread on it ("control feed connection lost", i/o timeout, in the same millisecond as the attempts began), a connection
-// that is not there read as one without news, and 30 of 30 statements went to the engine that drained.
-func TestEndpointListThatCameDuringALongSuspension(t *testing.T) {
+// The same, with a suspension after which the control feed's stream counts as silent. Its read deadline had passed, so the connection was
+// closed with the list unread on it ("control feed connection lost", i/o timeout, in the same millisecond as the attempts began). A missing
+// connection was treated as one without unread events, and 30 of 30 statements went to the draining engine.
+func TestEndpointListReceivedDuringALongSuspension(t *testing.T) {
 	receiveListDuringSuspension(t, 3*time.Second)
 }
 
 func receiveListDuringSuspension(t *testing.T, suspended time.Duration) {
 	t.Helper()
-	f, done := newControl(t), map[string][]step{"POST": {done("fine\n")}}
-	drains, well := newEngine(t, "drains", done), newEngine(t, "well", done)
-	r := startRouter(t, patientConfig(f, drains))
+	f, done := newControl(t), map[string][]step{"POST": {respondResult("fine\n")}}
+	draining, healthy := newEngine(t, "drains", done), newEngine(t, "well", done)
+	r := startRouter(t, longDeadlineConfig(f, draining))
 	c := dial(t, r)
 	c.send(frameStatement, 1, statement("lookup", 1))
 	c.expect(answer(1, codeCompleted, "fine\n"))
 	const n = 30
 	for round := range uint32(3) {
 		r.suspend(t)
-		phases, before := []string{"leaving", "active"}, drains.CallCount("POST")
+		phases, before := []string{"leaving", "active"}, draining.CallCount("POST")
 		if round == 1 {
-			phases, before = []string{"active", "leaving"}, well.CallCount("POST")
+			phases, before = []string{"active", "leaving"}, healthy.CallCount("POST")
 		}
-		members := []string{member(drains, phases[0]), member(well, phases[1])}
-		for i := range 500 { // which takes its time to read
+		members := []string{member(draining, phases[0]), member(healthy, phases[1])}
+		for i := range 500 { // the router needs time to read these
 			members = append(members, fakes.Member(fmt.Sprint("other ", i), fmt.Sprint("127.0.0.1:", 1+i), "leaving"))
 		}
 		f.Events <- watchEvent(int(round)+2, members...)
-		f.Events <- ":\n" // once this is taken the one before is written
+		f.Events <- ":\n" // once the feed has taken this, it has written the event before
 		require.Eventually(t, func() bool { return len(f.Events) == 0 }, testTimeout, time.Millisecond)
 		for i := range uint32(n) {
 			c.send(frameStatement, round*n+i+2, statement("lookup", int(round*n+i+2)))
@@ -84,50 +84,50 @@
 			got := c.read()
 			require.Equal(t, answer(got.stream, codeCompleted, "fine\n"), got)
 		}
-		after := drains.CallCount("POST")
+		after := draining.CallCount("POST")
 		if round == 1 {
-			after = well.CallCount("POST")
+			after = healthy.CallCount("POST")
 		}
-		assert.Equal(t, before, after, "nothing new goes to the one that drains")
+		assert.Equal(t, before, after, "no new request is sent to the draining engine")
 	}
 }
 
-// A connection comes up during a suspension, and its engine begins to drain: what waited for it is not sent there.
-func TestConnectionThatCameUpDuringASuspension(t *testing.T) {
+// A connection is established during a suspension, and its engine begins to drain. Requests that waited for the connection are not sent on it.
+func TestConnectionEstablishedDuringASuspension(t *testing.T) {
 	listener, accept, err := fakes.ListenWithFullBacklog()
 	require.NoError(t, err)
 	defer listener.Close()
-	f, well := newControl(t), newEngine(t, "well", map[string][]step{"POST": {done("fine\n")}})
-	settings := strings.Replace(fakes.Settings, `"connectTimeout":250000`, `"connectTimeout":6000000`, 1) // some come up at their third try only
-	r := startRouter(t, smallConfig(f, settings, member(well, "active")))
-	f.Events <- watchEvent(2, member(well, "leaving"), fakes.Member("drains", listener.Addr().String(), "active"))
+	f, healthy := newControl(t), newEngine(t, "well", map[string][]step{"POST": {respondResult("fine\n")}})
+	settings := strings.Replace(fakes.Settings, `"connectTimeout":250000`, `"connectTimeout":6000000`, 1) // some connections are established only at their third try
+	r := startRouter(t, smallConfig(f, settings, member(healthy, "active")))
+	f.Events <- watchEvent(2, member(healthy, "leaving"), fakes.Member("drains", listener.Addr().String(), "active"))
 	require.Eventually(t, func() bool { return r.log.hasEvent(logevent.EndpointListChanged) }, testTimeout, time.Millisecond)
 	c := dial(t, r)
 	const n = 20
 	for i := range uint32(n) {
 		c.send(frameStatement, i+1, statement("report", int(i), "d", "15000"))
 	}
-	coming := regexp.MustCompile(fmt.Sprintf(` 0100007F:%04X 02 `, listener.Addr().(*net.TCPAddr).Port)) // as the kernel lists what has not come up
-	require.Eventually(t, func() bool {                                                                  // some wait for their connections
+	connecting := regexp.MustCompile(fmt.Sprintf(` 0100007F:%04X 02 `, listener.Addr().(*net.TCPAddr).Port)) // state 02 is SYN_SENT: not established yet
+	require.Eventually(t, func() bool {                                                                      // until some requests wait for their connections
 		listed, err := os.ReadFile("/proc/net/tcp")
 		require.NoError(t, err)
-		return len(coming.FindAll(listed, -1)) > 4
+		return len(connecting.FindAll(listed, -1)) > 4
 	}, testTimeout, time.Millisecond)
 	r.suspend(t)
 	accept()
-	members := []string{fakes.Member("drains", listener.Addr().String(), "leaving"), member(well, "active")}
-	for i := range 500 { // which takes its time to read
+	members := []string{fakes.Member("drains", listener.Addr().String(), "leaving"), member(healthy, "active")}
+	for i := range 500 { // the router needs time to read these
 		members = append(members, fakes.Member(fmt.Sprint("other ", i), fmt.Sprint("127.0.0.1:", 1+i), "leaving"))
 	}
 	f.Events <- watchEvent(3, members...)
-	f.Events <- ":\n" // once this is taken the one before is written
+	f.Events <- ":\n" // once the feed has taken this, it has written the event before
 	require.Eventually(t, func() bool { return len(f.Events) == 0 }, testTimeout, time.Millisecond)
-	up, err := listener.Accept() // one has come up
+	up, err := listener.Accept() // one connection is established
 	require.NoError(t, err)
 	defer up.Close()
 	r.resume(t)
 	var sent atomic.Int64
-	go func() { // and so may the others
+	go func() { // others may be established, too
 		for {
 			up, err := listener.Accept()
 			if err != nil {
@@ -147,8 +147,8 @@
 	}
 	require.NoError(t, up.SetReadDeadline(time.Now().Add(testTimeout)))
 	n0, _ := up.Read(make([]byte, 1))
-	assert.Zero(t, n0, "it was closed, and nothing came before")
+	assert.Zero(t, n0, "the connection is closed, and nothing was sent on it")
 	r.stop(t)
-	r.awaitEnd(t)
-	assert.Zero(t, sent.Load(), "connections on which something came to the one that drains")
+	r.awaitExit(t)
+	assert.Zero(t, sent.Load(), "connections on which the draining engine received data")
 }
