--- a/cmd/bankledge/ci_test.go
+++ b/cmd/bankledge/ci_test.go
@@ -23,7 +23,7 @@
 	)
 	for _, c := range []struct {
 		name, knownRed, tests string
-		passes                bool
+		succeeds              bool
 		wantOutput            string
 		linterCommand         string // in the README, in addition to its tests
 	}{
@@ -63,7 +63,7 @@
 			format := exec.Command("gofmt", "-w", filepath.Join(dir, "cmd/m/m_test.go"))
 			require.NoError(t, format.Run())
 			out, err := exec.Command("bash", filepath.Join(dir, ".ci/run")).CombinedOutput()
-			assert.Equal(t, c.passes, err == nil, string(out))
+			assert.Equal(t, c.succeeds, err == nil, string(out))
 			assert.Contains(t, string(out), c.wantOutput)
 		})
 	}
--- a/cmd/bankledge/client_protocol_test.go
+++ b/cmd/bankledge/client_protocol_test.go
@@ -103,17 +103,17 @@
 		busy = append(busy, c)
 	}
 	e.await(t, "POST load")
-	waits := dial(t, r) // it stays in the accept backlog until a descriptor is free
-	waits.send(frameReadinessQuery, 0, "\x00")
-	require.NoError(t, waits.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
-	_, err = waits.reader.ReadByte()
+	waiting := dial(t, r) // it stays in the accept backlog until a descriptor is free
+	waiting.send(frameReadinessQuery, 0, "\x00")
+	require.NoError(t, waiting.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
+	_, err = waiting.reader.ReadByte()
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	close(finish)
 	for _, c := range busy {
 		c.expect(answer(1, codeCompleted, "fine\n"))
 	}
-	require.NoError(t, waits.SetDeadline(time.Now().Add(testTimeout)))
-	ready := waits.read()
+	require.NoError(t, waiting.SetDeadline(time.Now().Add(testTimeout)))
+	ready := waiting.read()
 	assert.Equal(t, byte(frameReadinessReply), ready.kind)
 	assert.Equal(t, codeCompleted, ready.code)
 }
@@ -133,8 +133,8 @@
 		good.expect(answer(n+1, codeCompleted, "fine\n"))
 	}
 	bad.expect(answer(1, codeRejected, "field c: unknown workload"))
-	said, _ := io.ReadAll(bad) // to the end of the connection
-	assert.Less(t, strings.Count(string(said), "unknown workload"), 200)
+	received, _ := io.ReadAll(bad) // to the end of the connection
+	assert.Less(t, strings.Count(string(received), "unknown workload"), 200)
 }
 
 // A connection on which no complete frame arrives, or nothing at all, is closed within a few seconds.
@@ -151,8 +151,8 @@
 			conn, began := dial(t, r), time.Now()
 			_, err := io.WriteString(conn, c.first)
 			require.NoError(t, err)
-			said, _ := io.ReadAll(conn) // to the end of the connection
-			assert.Contains(t, string(said), c.last)
+			received, _ := io.ReadAll(conn) // to the end of the connection
+			assert.Contains(t, string(received), c.last)
 			assert.Less(t, time.Since(began), 3*time.Second)
 		})
 	}
--- a/cmd/bankledge/delayed_start_test.go
+++ b/cmd/bankledge/delayed_start_test.go
@@ -15,7 +15,7 @@
 // Meanwhile the router has sent the request to another engine, since no engine keeps an attempt that is not polled for so long. The
 // first start must not reach its engine any more.
 func TestDelayedStartIsNotDelivered(t *testing.T) {
-	cut := faultlab.Impairment{Blocked: true}
+	blocked := faultlab.Impairment{Blocked: true}
 	var engines []*engine
 	var links []*faultlab.Link
 	var members []string
@@ -24,7 +24,7 @@
 		link, err := faultlab.NewLink(e.Server.Listener.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(link.Close)
-		link.Impair(cut, cut)
+		link.Impair(blocked, blocked)
 		engines = append(engines, e)
 		links = append(links, link)
 		members = append(members, fakes.Member(id, link.Address(), "active"))
--- a/cmd/bankledge/deploy_test.go
+++ b/cmd/bankledge/deploy_test.go
@@ -37,23 +37,23 @@
 func TestDeployFileNamesAllPackages(t *testing.T) {
 	deps, err := exec.Command("go", "list", "-deps", ".").Output()
 	require.NoError(t, err)
-	var parts []string
+	var packages []string
 	for dep := range strings.Lines(string(deps)) {
-		if part, ours := strings.CutPrefix(strings.TrimSpace(dep), "bankledge/"); ours && part != "policy" {
-			parts = append(parts, part)
+		if name, inModule := strings.CutPrefix(strings.TrimSpace(dep), "bankledge/"); inModule && name != "policy" {
+			packages = append(packages, name)
 		}
 	}
 	d := readDeployFile(t)
-	assert.ElementsMatch(t, parts, d.Node)
+	assert.ElementsMatch(t, packages, d.Node)
 	files, err := filepath.Glob(filepath.Join(repositoryRoot, "policy", "*.go"))
 	require.NoError(t, err)
-	var decisions []string
+	var policyFiles []string
 	for _, file := range files {
 		if !strings.HasSuffix(file, "_test.go") {
-			decisions = append(decisions, "policy/"+filepath.Base(file))
+			policyFiles = append(policyFiles, "policy/"+filepath.Base(file))
 		}
 	}
-	assert.ElementsMatch(t, decisions, d.Policy)
+	assert.ElementsMatch(t, policyFiles, d.Policy)
 }
 
 // Some platforms preload a library of their own into the router through the C library's dynamic linker, and don't let it
--- a/cmd/bankledge/main.go
+++ b/cmd/bankledge/main.go
@@ -26,7 +26,7 @@
 	File string `arg:"" help:"Configuration, a JSON file."`
 }
 
-// Run validates a configuration file. The error names the field that is wrong.
+// Run validates a configuration file and prints the router name and the address in it. The error names the field that is wrong.
 func (c *checkCommand) Run() error {
 	cfg, err := settings.Load(c.File)
 	if err != nil {
--- a/cmd/bankledge/monotonic_source_test.go
+++ b/cmd/bankledge/monotonic_source_test.go
@@ -41,8 +41,8 @@
 		if !ok {
 			return true
 		}
-		of, isName := called.X.(*ast.Ident)
-		inTimePackage := isName && of.Name == "time"
+		operand, isIdentifier := called.X.(*ast.Ident)
+		inTimePackage := isIdentifier && operand.Name == "time"
 		if inTimePackage && wallClockFunctions[called.Sel.Name] || !inTimePackage && wallClockMethods[called.Sel.Name] || stripsMonotonic(called, call) {
 			found = append(found, fmt.Sprintf("%s: %s", files.Position(call.Pos()), called.Sel.Name))
 		}
--- a/cmd/bankledge/requests_test.go
+++ b/cmd/bankledge/requests_test.go
@@ -14,9 +14,9 @@
 
 // HTTP responses of engines, complete or in part.
 const (
-	okHead     = "HTTP/1.1 200 OK\r\n"
-	onePage    = okHead + "X-Batches: 1\r\nContent-Length: 4\r\n\r\none\n"
-	duplicated = onePage + onePage
+	okHead       = "HTTP/1.1 200 OK\r\n"
+	onePage      = okHead + "X-Batches: 1\r\nContent-Length: 4\r\n\r\none\n"
+	onePageTwice = onePage + onePage
 )
 
 // A request has exactly one answer, and a correct one, whatever its engine responds.
@@ -67,7 +67,7 @@
 			1, 20, "one\n", 1, 0},
 		{"a Content-Length that is too short", "load", map[string][]step{"POST": {respondRaw(okHead + "X-Batches: 1\r\nContent-Length: 4\r\n\r\none\ntwo\n")},
 			"GET 0": {respondResult("one\ntwo\n")}}, 1, 20, "one\ntwo\n", 1, 0},
-		{"each response is sent twice", "load", map[string][]step{"POST": {respondRaw(duplicated)}, "GET 0": {respondRaw(duplicated)}}, 1, 20, "one\n", 1, 0},
+		{"each response is sent twice", "load", map[string][]step{"POST": {respondRaw(onePageTwice)}, "GET 0": {respondRaw(onePageTwice)}}, 1, 20, "one\n", 1, 0},
 		{"interim responses first", "load", map[string][]step{"POST": {respondRaw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" +
 			onePage)}}, 1, 20, "one\n", 1, 0},
 		{"an unknown status", "load", map[string][]step{"POST": {respond(418, "")}, "GET 0": {respond(299, ""), respondResult("one\n")}}, 1, 20, "one\n", 1, 0},
--- a/cmd/bankledge/shutdown_test.go
+++ b/cmd/bankledge/shutdown_test.go
@@ -74,16 +74,16 @@
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	began, answered := time.Time{}, 0
-	old := make([]net.Conn, 4)
-	for i := range old {
-		old[i] = dial(t, r)
+	existing := make([]net.Conn, 4)
+	for i := range existing {
+		existing[i] = dial(t, r)
 	}
 	began = time.Now()
 	r.stop(t)
-	for n, c := range append(old, make([]net.Conn, 4)...) {
+	for n, c := range append(existing, make([]net.Conn, 4)...) {
 		wait.Go(func() {
 			for i := range 1000 {
-				if c == nil || n >= len(old) { // a new connection for each
+				if c == nil || n >= len(existing) { // a new connection for each
 					if c != nil {
 						c.Close()
 					}
@@ -139,12 +139,12 @@
 	for stream := range uint32(n) {
 		c.send(frameStatement, stream+1, statement("price-load", int(stream), "d", "20000", "t", "-"))
 	}
-	for out := 0; out < 2; { // until the engines have received two calls
+	for calls := 0; calls < 2; { // until the engines have received two calls
 		select {
 		case <-hung.Calls():
-			out++
+			calls++
 		case <-healthy.Calls():
-			out++
+			calls++
 		case <-time.After(testTimeout):
 			t.Fatal("the engines received no calls")
 		}
@@ -244,9 +244,9 @@
 	r.awaitExit(t)
 }
 
-// A client sends statements until the process has exited. At the end of a shutdown's grace the router ends all open statements. Statements that
-// arrived after that were started like any other and lost when the process exited (soak seed 7: read 3.5 s after SIGTERM, started at once, and
-// the connection closed without an answer 0.1 s later). Only statements in flight when the connection is closed may be lost.
+// A client sends statements until the process has exited. Only statements in flight when the router closes the connection may be lost. Guards
+// against this failure: at the end of a shutdown's grace the router ended all open statements, but started those that arrived later like any
+// other and lost them when it exited (soak seed 7: read 3.5 s after SIGTERM, started at once, and closed with no answer 0.1 s later).
 func TestStatementsUntilTheEndOfAShutdown(t *testing.T) {
 	const (
 		crossing    = 50 * time.Millisecond
--- a/cmd/bankledge/suspension_test.go
+++ b/cmd/bankledge/suspension_test.go
@@ -46,17 +46,17 @@
 	receiveListDuringSuspension(t, 400*time.Millisecond)
 }
 
-// The same, with a suspension after which the control feed's stream counts as silent. Its read deadline had passed, so the connection was
-// closed with the list unread on it ("control feed connection lost", i/o timeout, in the same millisecond as the attempts began). A missing
-// connection was treated as one without unread events, and 30 of 30 statements went to the draining engine.
+// The same, with a suspension after which the control feed's stream counts as silent. Guards against this failure: the read deadline had
+// passed, so the router closed the connection with the list unread on it ("control feed connection lost", i/o timeout, in the same millisecond
+// as the attempts began). It treated the missing connection as one without unread events, and sent 30 of 30 statements to the draining engine.
 func TestEndpointListReceivedDuringALongSuspension(t *testing.T) {
 	receiveListDuringSuspension(t, 3*time.Second)
 }
 
 func receiveListDuringSuspension(t *testing.T, suspended time.Duration) {
 	t.Helper()
-	f, done := newControl(t), map[string][]step{"POST": {respondResult("fine\n")}}
-	draining, healthy := newEngine(t, "drains", done), newEngine(t, "well", done)
+	f, script := newControl(t), map[string][]step{"POST": {respondResult("fine\n")}}
+	draining, healthy := newEngine(t, "drains", script), newEngine(t, "well", script)
 	r := startRouter(t, longDeadlineConfig(f, draining))
 	c := dial(t, r)
 	c.send(frameStatement, 1, statement("lookup", 1))
@@ -146,8 +146,8 @@
 		require.Equal(t, answer(got.stream, codeCompleted, "fine\n"), got)
 	}
 	require.NoError(t, up.SetReadDeadline(time.Now().Add(testTimeout)))
-	n0, _ := up.Read(make([]byte, 1))
-	assert.Zero(t, n0, "the connection is closed, and nothing was sent on it")
+	bytesRead, _ := up.Read(make([]byte, 1))
+	assert.Zero(t, bytesRead, "the connection is closed, and nothing was sent on it")
 	r.stop(t)
 	r.awaitExit(t)
 	assert.Zero(t, sent.Load(), "connections on which the draining engine received data")
