--- a/internal/controlclient/config.go
+++ b/internal/controlclient/config.go
@@ -1,7 +1,6 @@
 package controlclient
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -86,7 +85,7 @@
 // Validate returns an error that names the first invalid field by its key in the file.
 func (c *Config) Validate() error {
 	if len(c.Addresses) == 0 || len(c.Addresses) > maxAddresses {
-		return fmt.Errorf("addresses: %d, not from 1 to %d", len(c.Addresses), maxAddresses)
+		return fmt.Errorf("addresses: invalid number of entries %d: must be from 1 to %d", len(c.Addresses), maxAddresses)
 	}
 	for _, address := range c.Addresses {
 		if err := settings.ValidateAddress(address); err != nil {
@@ -94,7 +93,7 @@
 		}
 	}
 	if !(c.MaxRemovedShare >= 0 && c.MaxRemovedShare <= 1) { // negated so that NaN is rejected, too
-		return errors.New("most_gone: not from 0 to 1")
+		return fmt.Errorf("most_gone: invalid value %v: must be from 0 to 1", c.MaxRemovedShare)
 	}
 	return c.LeaseDurations().Validate()
 }
--- a/internal/controlserver/settings.go
+++ b/internal/controlserver/settings.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	if s.DataDir == "" {
-		return errors.New("dir: missing")
+		return errors.New("dir: empty: must be the path of the data directory")
 	}
 	if !filepath.IsAbs(s.DataDir) {
 		s.DataDir = filepath.Join(filepath.Dir(path), s.DataDir)
@@ -168,7 +168,7 @@
 // Validate returns an error that names the first invalid field by its key in the file.
 func (s *Settings) Validate() error {
 	if s.ID == 0 {
-		return errors.New("id: missing")
+		return errors.New("id: missing or 0: must be a whole number from 1")
 	}
 	if err := s.validateMembers(); err != nil {
 		return err
@@ -197,7 +197,7 @@
 			}
 			anyFreePort := strings.HasSuffix(field.address, ":0")
 			if other := memberByAddress[field.address]; other != "" && !anyFreePort {
-				return fmt.Errorf("members: %s: %s: duplicate of an address of member %s", name, field.name, other)
+				return fmt.Errorf("members: %s: %s: duplicate address %q: already used by member %s", name, field.name, field.address, other)
 			}
 			memberByAddress[field.address] = name
 		}
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -30,20 +30,20 @@
 // Validate returns an error that names the first invalid field by its key in the settings file.
 func (s *Settings) Validate() error {
 	if err := s.LeaseDurations.Validate(); err != nil {
-		return fmt.Errorf("spans: %w", err)
+		return fmt.Errorf("lease durations: %w", err)
 	}
 	if err := s.Consensus.Validate(); err != nil {
 		return err
 	}
 	if !s.Joining && s.InitialMembers[s.Consensus.ID] == (Member{}) {
-		return fmt.Errorf("members: process %d is none of them", s.Consensus.ID)
+		return fmt.Errorf("members: no entry for this process (id %d): must have one unless joins is true", s.Consensus.ID)
 	}
 	if s.Lineage == "" {
-		return errors.New("lineage: missing")
+		return errors.New("lineage: missing: must not be empty")
 	}
 	validShare := s.Guards.MaxRemovedShare > 0 && s.Guards.MaxRemovedShare <= 1 // also false for NaN
 	if !validShare {
-		return fmt.Errorf("most_gone: %v is not above 0 and up to 1", s.Guards.MaxRemovedShare)
+		return fmt.Errorf("most_gone: invalid value %v: must be above 0 and at most 1", s.Guards.MaxRemovedShare)
 	}
 	return nil
 }
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -45,10 +45,10 @@
 
 // Errors of invalid fields.
 var (
-	errMissing     = errors.New("missing")
-	errEmpty       = errors.New("none")
-	errNotPositive = errors.New("not above 0")
-	errNegative    = errors.New("under 0")
+	errMissing     = errors.New("missing: must be an object")
+	errEmpty       = errors.New("missing or empty: must contain at least one workload")
+	errNotPositive = errors.New("must be above 0")
+	errNegative    = errors.New("must be at least 0")
 )
 
 // configFile is the JSON form of a configuration. It is an alias of an unnamed struct, so that errors of encoding/json contain only the
@@ -92,7 +92,7 @@
 	}
 	seed, err := strconv.ParseUint(in.Seed, 16, 64)
 	if err != nil {
-		return nil, &FieldError{Field: "seed", Err: fmt.Errorf("%q is not a number in hex", in.Seed)}
+		return nil, &FieldError{Field: "seed", Err: fmt.Errorf("invalid value %q: must be an unsigned 64-bit number in hexadecimal without 0x", in.Seed)}
 	}
 	if err := checkConfig(&in); err != nil {
 		return nil, err
@@ -131,13 +131,13 @@
 	}
 	switch {
 	case !(in.Limits.Cores > 0): // also rejects NaN
-		return &FieldError{Field: "limits.cores", Err: errNotPositive}
+		return &FieldError{Field: "limits.cores", Err: fmt.Errorf("invalid value %v: %w", in.Limits.Cores, errNotPositive)}
 	case in.Limits.MemoryMB < minMemoryMB:
-		return &FieldError{Field: "limits.memory_mb", Err: fmt.Errorf("under %d", minMemoryMB)}
+		return &FieldError{Field: "limits.memory_mb", Err: fmt.Errorf("invalid value %d: must be at least %d", in.Limits.MemoryMB, minMemoryMB)}
 	case in.Limits.Sockets < minSockets:
-		return &FieldError{Field: "limits.sockets", Err: fmt.Errorf("under %d", minSockets)}
+		return &FieldError{Field: "limits.sockets", Err: fmt.Errorf("invalid value %d: must be at least %d", in.Limits.Sockets, minSockets)}
 	case in.Known.N < 0:
-		return &FieldError{Field: "known.n", Err: errNegative}
+		return &FieldError{Field: "known.n", Err: fmt.Errorf("invalid value %d: %w", in.Known.N, errNegative)}
 	case len(in.Settings) == 0:
 		return &FieldError{Field: "settings", Err: errMissing}
 	}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -24,4 +24,6 @@
 type AddressError struct{ Text string }
 
 // Error returns a text that quotes the invalid address.
-func (e AddressError) Error() string { return fmt.Sprintf("%q is not an address with a port", e.Text) }
+func (e AddressError) Error() string {
+	return fmt.Sprintf("invalid address %q: must be an IP address and a port from 0 to 65535, such as 127.0.0.1:7200 or [::1]:7200", e.Text)
+}
