--- a/cmd/bankledge-control/main.go
+++ b/cmd/bankledge-control/main.go
@@ -13,21 +13,21 @@
 
 // commands defines the command line. Kong derives the names of commands, arguments and flags from the field names.
 type commands struct {
-	Serve    serveCommand        `cmd:"" help:"Serve as one process of the group, until SIGTERM."`
-	Check    checkCommand        `cmd:"" help:"Check settings, and print T: how long two routers can act on contradicting rules."`
-	Propose  proposeCommand      `cmd:"" help:"Propose a version from a file of rules, Jsonnet or JSON."`
-	Rollback rollbackCommand     `cmd:"" help:"Propose the rules of an earlier version again."`
-	Diff     diffCommand         `cmd:"" help:"Say what differs between two versions or files of rules."`
-	Log      logCommand          `cmd:"" help:"List the versions."`
-	Status   statusCommand       `cmd:"" help:"Say how the group and its routers are."`
+	Serve    serveCommand        `cmd:"" help:"Run one process of the control group until SIGTERM or SIGINT."`
+	Check    checkCommand        `cmd:"" help:"Validate settings and print T, the longest time for which two routers can act on contradicting rules."`
+	Propose  proposeCommand      `cmd:"" help:"Propose the rules of a file as a new version."`
+	Rollback rollbackCommand     `cmd:"" help:"Propose the rules of an earlier version as a new version."`
+	Diff     diffCommand         `cmd:"" help:"Print the differences between two versions or files of rules."`
+	Log      logCommand          `cmd:"" help:"List the versions that the group stores."`
+	Status   statusCommand       `cmd:"" help:"Print the status of the group and its routers."`
 	Members  membersCommand      `cmd:"" help:"List, add or remove processes of the group."`
-	Router   routerConfigCommand `cmd:"" help:"Write a router's control file from its template, checked."`
+	Router   routerConfigCommand `cmd:"" help:"Evaluate and validate a template and print the router's control file."`
 }
 
 func main() {
 	parsed := kong.Parse(&commands{},
 		kong.Name("bankledge-control"),
-		kong.Description("Control service: versions of the rules and engine lists that routers apply."),
+		kong.Description("Control service: replicates the rules and engine lists that routers apply."),
 		kong.BindTo(context.Background(), (*context.Context)(nil)))
 	if err := parsed.Run(); err != nil {
 		printError(err)
--- a/cmd/bankledge-control/members.go
+++ b/cmd/bankledge-control/members.go
@@ -10,13 +10,13 @@
 
 type membersCommand struct {
 	List   listMembersCommand  `cmd:"" help:"List the processes of the group."`
-	Add    addMemberCommand    `cmd:"" help:"Add a process: it listens first, and votes once it has caught up."`
-	Remove removeMemberCommand `cmd:"" help:"Remove a process."`
+	Add    addMemberCommand    `cmd:"" help:"Add a process as a learner; it becomes a voter once it has caught up."`
+	Remove removeMemberCommand `cmd:"" help:"Remove a process from the group."`
 }
 
 type listMembersCommand struct {
 	groupFlags
-	JSON bool `help:"Write them as JSON."`
+	JSON bool `help:"Print the processes as JSON."`
 }
 
 // Run lists the processes of the group.
@@ -35,9 +35,9 @@
 
 type addMemberCommand struct {
 	groupFlags
-	ID     uint64 `arg:"" help:"Its id: one that no process of this group has ever had."`
-	Peer   string `arg:"" help:"Its address for the other processes."`
-	Client string `arg:"" help:"Its address for routers and operators."`
+	ID     uint64 `arg:"" help:"Id of the new process, never used in this group before."`
+	Peer   string `arg:"" help:"Address at which the process serves the other processes."`
+	Client string `arg:"" help:"Address at which the process serves routers and operators."`
 }
 
 // Run adds a process to the group.
@@ -48,7 +48,7 @@
 
 type removeMemberCommand struct {
 	groupFlags
-	ID uint64 `arg:"" help:"Its id."`
+	ID uint64 `arg:"" help:"Id of the process."`
 }
 
 // Run removes a process from the group.
--- a/cmd/bankledge-control/propose.go
+++ b/cmd/bankledge-control/propose.go
@@ -17,19 +17,19 @@
 
 // groupFlags are the flags of the commands that send requests to the control group.
 type groupFlags struct {
-	At     []string      `env:"BANKLEDGE_CONTROL" default:"127.0.0.1:7200" help:"Addresses of the group's processes for routers and operators."`
-	Within time.Duration `default:"20s" help:"How long to try."`
+	At     []string      `env:"BANKLEDGE_CONTROL" default:"127.0.0.1:7200" help:"Addresses at which the group's processes serve routers and operators."`
+	Within time.Duration `default:"20s" help:"Timeout of each operation, including retries."`
 }
 
 func (f *groupFlags) client() *adminclient.Client { return adminclient.New(f.At, f.Within) }
 
 type proposeCommand struct {
 	groupFlags
-	File  string   `arg:"" help:"Rules, Jsonnet or JSON."`
-	Force []string `help:"Guards to take off, by name: all-engines, share-of-engines, kind, placement, nothing-in-between, floor."`
-	Note  string   `help:"Why, for the log."`
-	Wait  bool     `help:"Wait until it is in force everywhere."`
-	JSON  bool     `help:"Write the outcome as JSON."`
+	File  string   `arg:"" help:"File of rules, Jsonnet or JSON."`
+	Force []string `help:"Guards to override, by name: all-engines, share-of-engines, kind, placement, nothing-in-between, floor."`
+	Note  string   `help:"Reason, shown by the log command."`
+	Wait  bool     `help:"Wait until the version is activated."`
+	JSON  bool     `help:"Print the outcome as JSON."`
 }
 
 // Run proposes the rules of a file as a new version.
@@ -44,10 +44,10 @@
 
 type rollbackCommand struct {
 	groupFlags
-	Number uint64   `arg:"" help:"Version whose rules are proposed again."`
-	Force  []string `help:"Guards to take off, by name."`
-	Wait   bool     `help:"Wait until it is in force everywhere."`
-	JSON   bool     `help:"Write the outcome as JSON."`
+	Number uint64   `arg:"" help:"Number of the version whose rules are proposed."`
+	Force  []string `help:"Guards to override, listed by propose --help."`
+	Wait   bool     `help:"Wait until the version is activated."`
+	JSON   bool     `help:"Print the outcome as JSON."`
 }
 
 // Run proposes the rules of an earlier version as a new version.
--- a/cmd/bankledge-control/router_config.go
+++ b/cmd/bankledge-control/router_config.go
@@ -9,7 +9,7 @@
 )
 
 type routerConfigCommand struct {
-	Template string `arg:"" help:"The operator's file for routers, Jsonnet (deploy/control.jsonnet)."`
+	Template string `arg:"" help:"Template of the control file, Jsonnet (for example deploy/control.jsonnet)."`
 }
 
 // Run evaluates and validates the template and prints the control file that a router reads. Routers read JSON only, so that they need not
--- a/cmd/bankledge-control/serve.go
+++ b/cmd/bankledge-control/serve.go
@@ -15,8 +15,8 @@
 )
 
 type serveCommand struct {
-	Settings string        `arg:"" optional:"" help:"Settings, Jsonnet or JSON. None: one process alone, in the folder bankledge-control."`
-	Level    zapcore.Level `env:"LB_LOG_LEVEL" default:"info" help:"Lowest level of the log lines: debug, info, warn, error."`
+	Settings string        `arg:"" optional:"" help:"Settings file, Jsonnet or JSON. If omitted, the process is a group of one with the data directory bankledge-control."`
+	Level    zapcore.Level `env:"LB_LOG_LEVEL" default:"info" help:"Minimum level of log lines: debug, info, warn or error."`
 }
 
 // Run serves until the process receives SIGTERM or an interrupt. It returns an error if the storage fails.
@@ -43,7 +43,7 @@
 }
 
 type checkCommand struct {
-	Settings string `arg:"" help:"Settings, Jsonnet or JSON."`
+	Settings string `arg:"" help:"Settings file, Jsonnet or JSON."`
 }
 
 // Run validates the settings and prints the bounds that they imply.
--- a/cmd/bankledge-control/status.go
+++ b/cmd/bankledge-control/status.go
@@ -21,8 +21,8 @@
 
 type statusCommand struct {
 	groupFlags
-	Watch bool `help:"Say it again each second."`
-	JSON  bool `help:"Write it as JSON, a line each time."`
+	Watch bool `help:"Print the status every second until stopped."`
+	JSON  bool `help:"Print the status as JSON, one object per line."`
 }
 
 // Run prints the status of the group, with --watch each second until the command is stopped. With --watch it prints errors and continues.
--- a/cmd/bankledge-control/versions.go
+++ b/cmd/bankledge-control/versions.go
@@ -17,8 +17,8 @@
 
 type diffCommand struct {
 	groupFlags
-	From string `arg:"" name:"a" help:"Version by number, or a file of rules."`
-	To   string `arg:"" name:"b" help:"The same."`
+	From string `arg:"" name:"a" help:"Old rules: the number of a version or a file, Jsonnet or JSON."`
+	To   string `arg:"" name:"b" help:"New rules: the number of a version or a file, Jsonnet or JSON."`
 }
 
 // Run prints the fields that differ, and whether each one becomes looser or tighter.
@@ -50,7 +50,7 @@
 
 type logCommand struct {
 	groupFlags
-	JSON bool `help:"Write the versions as JSON."`
+	JSON bool `help:"Print the versions as JSON."`
 }
 
 // Run lists the versions that the group still stores.
--- a/cmd/bankledge-faultlab/compare_cmd.go
+++ b/cmd/bankledge-faultlab/compare_cmd.go
@@ -11,8 +11,8 @@
 type runCmd struct {
 	fleetFlags
 	seedFlags
-	Table  string `help:"File for the figures, Parquet." type:"path"`
-	Charts string `help:"Folder for charts, PNG." type:"path"`
+	Table  string `help:"File for the metrics, Parquet." type:"path"`
+	Charts string `help:"Directory for the charts, PNG." type:"path"`
 }
 
 // Run runs the scenarios one after the other.
@@ -25,9 +25,9 @@
 type compareCmd struct {
 	fleetFlags
 	seedFlags
-	Programs []string `arg:"" help:"Programs of the router to compare, NAME=PATH." `
-	Table    string   `help:"File for the figures, Parquet." type:"path"`
-	Charts   string   `help:"Folder for charts, PNG." type:"path"`
+	Programs []string `arg:"" help:"Router programs to compare, each as NAME=PATH." `
+	Table    string   `help:"File for the metrics, Parquet." type:"path"`
+	Charts   string   `help:"Directory for the charts, PNG." type:"path"`
 }
 
 // Run runs each scenario with each program in turn.
@@ -39,8 +39,8 @@
 // replayCmd runs a scenario from a file.
 type replayCmd struct {
 	fleetFlags
-	File  string `arg:"" help:"The schedule, Jsonnet or JSON." type:"path"`
-	Times int    `default:"1" help:"How often."`
+	File  string `arg:"" help:"Scenario file, Jsonnet or JSON." type:"path"`
+	Times int    `default:"1" help:"Number of runs."`
 }
 
 // Run runs the scenario as often as the flags say.
--- a/cmd/bankledge-faultlab/control_benchmark_cmd.go
+++ b/cmd/bankledge-faultlab/control_benchmark_cmd.go
@@ -11,12 +11,12 @@
 
 // controlBenchmarkCmd measures the control service with real processes of the service, and the client sides of many routers in this process.
 type controlBenchmarkCmd struct {
-	Control string        `help:"The control service's program; built from the folder that this is called in if empty." type:"path"`
-	Members int           `default:"3" help:"Processes of the group."`
-	Routers int           `default:"300" help:"Router sides."`
-	Seconds float64       `default:"8" help:"Length of each part."`
-	Every   time.Duration `default:"1s" help:"Between two versions."`
-	JSON    bool          `help:"Write the figures as JSON."`
+	Control string        `help:"Path of the control service program. If empty, it is built from the sources in the working directory." type:"path"`
+	Members int           `default:"3" help:"Number of processes in the control group."`
+	Routers int           `default:"300" help:"Number of router clients, which run in this process."`
+	Seconds float64       `default:"8" help:"Duration of each part, in seconds."`
+	Every   time.Duration `default:"1s" help:"Interval between two versions."`
+	JSON    bool          `help:"Print the metrics as JSON."`
 }
 
 // Run runs the benchmark once and prints its results.
--- a/cmd/bankledge-faultlab/group_cmd.go
+++ b/cmd/bankledge-faultlab/group_cmd.go
@@ -19,13 +19,13 @@
 // groupCmd runs scenarios with faults of the control group, with real processes.
 type groupCmd struct {
 	From     uint64  `default:"1" help:"First seed."`
-	Count    uint64  `default:"10" help:"Number of schedules."`
-	Seconds  float64 `default:"7" help:"Length of each."`
-	Parallel int     `default:"4" help:"Schedules at once."`
-	Push     bool    `help:"The baseline: routers that act on what they hear, with no terms and no cautious side."`
-	Logs     string  `help:"Folder to keep the processes' logs in." type:"path"`
-	Chart    string  `help:"File for a chart of the longest contradictions, PNG." type:"path"`
-	JSON     bool    `help:"Write the outcome as JSON."`
+	Count    uint64  `default:"10" help:"Number of scenarios."`
+	Seconds  float64 `default:"7" help:"Duration of each scenario, in seconds."`
+	Parallel int     `default:"4" help:"Maximum number of scenarios that run concurrently."`
+	Push     bool    `help:"Run the baseline, in which routers apply each version on arrival, without leases and without falling back to the stricter rules."`
+	Logs     string  `help:"Directory in which to keep the logs of the processes." type:"path"`
+	Chart    string  `help:"File for a histogram of the longest contradictions, PNG." type:"path"`
+	JSON     bool    `help:"Print the summary as JSON."`
 }
 
 // pushEdits turn the router into the baseline, which applies each version as soon as it receives it and ignores leases.
--- a/cmd/bankledge-faultlab/main.go
+++ b/cmd/bankledge-faultlab/main.go
@@ -17,16 +17,16 @@
 
 // commands are the commands of the program; each command has the name of its field.
 type commands struct {
-	Run     runCmd              `cmd:"" help:"Play schedules drawn from seeds, and audit each."`
-	Soak    soakCmd             `cmd:"" help:"Play schedules of many overlapping faults, of hosts and clocks too, and audit each."`
-	Replay  replayCmd           `cmd:"" help:"Play a schedule from a file, and audit it."`
-	Shrink  shrinkCmd           `cmd:"" help:"Cut a schedule that fails down to its least, and keep it as a file that replays."`
-	Compare compareCmd          `cmd:"" help:"Play the same schedules with two or more builds of the router, in turn."`
-	Mutants mutantsCmd          `cmd:"" help:"Take one guard off the router at a time, and see that an auditor finds it."`
-	Terms   termsCmd            `cmd:"" help:"Play the control group and the routers' terms under a simulated clock, many schedules."`
-	Group   groupCmd            `cmd:"" help:"Play schedules of a control group's troubles with real processes."`
-	Crowd   controlBenchmarkCmd `cmd:"" help:"Measure the control service with real processes and many router sides."`
-	Kinds   kindsCmd            `cmd:"" help:"List the kinds of faults, and the auditors."`
+	Run     runCmd              `cmd:"" help:"Run scenarios that are generated from seeds, and audit each run."`
+	Soak    soakCmd             `cmd:"" help:"Run scenarios with many overlapping faults, including host and clock faults, and audit each run."`
+	Replay  replayCmd           `cmd:"" help:"Run a scenario from a file, and audit each run."`
+	Shrink  shrinkCmd           `cmd:"" help:"Reduce a failing scenario to a minimal one, and save it to a file for the replay command."`
+	Compare compareCmd          `cmd:"" help:"Run each scenario with two or more builds of the router in turn."`
+	Mutants mutantsCmd          `cmd:"" help:"Remove one guard from the router at a time, and check that an auditor detects each mutant."`
+	Terms   termsCmd            `cmd:"" help:"Run simulations of the control group and the routers' leases under a simulated clock."`
+	Group   groupCmd            `cmd:"" help:"Run scenarios with faults of the control group, with real processes."`
+	Crowd   controlBenchmarkCmd `cmd:"" help:"Benchmark the control service with real processes and the client sides of many routers."`
+	Kinds   kindsCmd            `cmd:"" help:"List the kinds of faults and the auditors."`
 }
 
 // errViolations makes the program exit with status 1. A command returns it after it has printed all results.
@@ -54,7 +54,7 @@
 }
 
 func main() {
-	parsed := kong.Parse(&commands{}, kong.Name("bankledge-faultlab"), kong.Description("Runs fault-injection experiments with many processes of the router."))
+	parsed := kong.Parse(&commands{}, kong.Name("bankledge-faultlab"), kong.Description("Run fault-injection scenarios with many processes of the router."))
 	if err := parsed.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "bankledge-faultlab:", err)
 		os.Exit(1)
--- a/cmd/bankledge-faultlab/mutants_cmd.go
+++ b/cmd/bankledge-faultlab/mutants_cmd.go
@@ -12,8 +12,8 @@
 // mutantsCmd runs routers that lack one guard each, to show that the auditors detect what the guards prevent.
 type mutantsCmd struct {
 	fleetFlags
-	Only  []string `help:"Only those whose names hold one of these words."`
-	Times int      `default:"3" help:"Plays of each until an auditor finds it."`
+	Only  []string `help:"Test only the mutants whose names contain one of these strings."`
+	Times int      `default:"3" help:"Maximum number of runs of each mutant until its auditor finds a violation."`
 }
 
 // Run builds each selected mutant and runs it until its auditor detects it. It has to be called in the repository root.
--- a/cmd/bankledge-faultlab/scenario_run.go
+++ b/cmd/bankledge-faultlab/scenario_run.go
@@ -19,17 +19,17 @@
 
 // fleetFlags are the flags of all commands that run scenarios with a fleet of routers.
 type fleetFlags struct {
-	Router string `help:"The router's program; built from the folder that this is called in if empty." type:"path"`
-	Logs   string `help:"Folder to keep the routers' logs and the histories in." type:"path"`
-	JSON   bool   `help:"Write the outcome as JSON."`
-	Quiet  bool   `help:"Show no progress."`
+	Router string `help:"Path of the router program. If empty, it is built from the sources in the working directory." type:"path"`
+	Logs   string `help:"Directory in which to keep the routers' logs and the histories." type:"path"`
+	JSON   bool   `help:"Print the outcomes as JSON."`
+	Quiet  bool   `help:"Show no progress bar."`
 }
 
 // seedFlags are the flags that select the seeds from which scenarios are generated.
 type seedFlags struct {
 	From    uint64  `default:"1" help:"First seed."`
-	Count   uint64  `default:"10" help:"Number of schedules."`
-	Seconds float64 `default:"12" help:"Length of each."`
+	Count   uint64  `default:"10" help:"Number of scenarios."`
+	Seconds float64 `default:"12" help:"Duration of each scenario, in seconds."`
 }
 
 func (s seedFlags) scenarios() (list []*faultlab.Scenario) {
--- a/cmd/bankledge-faultlab/shrink_cmd.go
+++ b/cmd/bankledge-faultlab/shrink_cmd.go
@@ -10,10 +10,10 @@
 // shrinkCmd reduces a failing scenario to a minimal one that still fails.
 type shrinkCmd struct {
 	fleetFlags
-	File    string `arg:"" help:"The schedule that fails." type:"path"`
-	Out     string `arg:"" help:"File for the least one that still does, JSON." type:"path"`
-	Auditor string `help:"Only this auditor's breaches count."`
-	Tries   int    `default:"3" help:"Plays of a smaller schedule before it counts as one that does not fail."`
+	File    string `arg:"" help:"Failing scenario, Jsonnet or JSON." type:"path"`
+	Out     string `arg:"" help:"File for the minimal scenario that still fails, JSON." type:"path"`
+	Auditor string `help:"Count only the violations that this auditor finds."`
+	Tries   int    `default:"3" help:"Number of runs without a violation after which a scenario counts as passing."`
 }
 
 // Run reduces the scenario and writes the result to a file.
--- a/cmd/bankledge-faultlab/soak_cmd.go
+++ b/cmd/bankledge-faultlab/soak_cmd.go
@@ -10,9 +10,9 @@
 type soakCmd struct {
 	fleetFlags
 	From    uint64  `default:"1" help:"First seed."`
-	Count   uint64  `default:"10" help:"Number of schedules."`
-	Seconds float64 `default:"20" help:"Length of each."`
-	Plain   bool    `help:"Without shutdowns as operators begin them, short deadlines and crowds: the schedules that seeds gave before there were these."`
+	Count   uint64  `default:"10" help:"Number of scenarios."`
+	Seconds float64 `default:"20" help:"Duration of each scenario, in seconds."`
+	Plain   bool    `help:"Leave out planned shutdowns, short timeouts and idle clients. Each seed then gives the scenario that it gave before these were added."`
 }
 
 // Run runs the scenarios one after the other. It ignores violations of auditors whose result depends on the speed of the machine.
--- a/cmd/bankledge-faultlab/terms_cmd.go
+++ b/cmd/bankledge-faultlab/terms_cmd.go
@@ -21,15 +21,15 @@
 // termsCmd simulates the state machines of the control group and of the routers' lease clients under a simulated clock.
 type termsCmd struct {
 	From    uint64 `default:"0" help:"First seed."`
-	Count   uint64 `default:"1000" help:"Number of schedules."`
-	Routers int    `default:"6" help:"Routers in each."`
-	Push    bool   `help:"The baseline: no terms and no cautious side, routers act on what they hear."`
-	Stop    bool   `help:"End at the first schedule that breaks a rule."`
-	Chart   string `help:"File for a chart of the longest contradictions, PNG." type:"path"`
-	Mutants bool   `help:"Take one guard off the machines at a time, and see that an auditor finds it."`
-	Only    string `help:"With --mutants: only those whose names hold this."`
-	Trace   bool   `help:"Write what happens in the first schedule."`
-	JSON    bool   `help:"Write the outcome as JSON."`
+	Count   uint64 `default:"1000" help:"Number of simulations."`
+	Routers int    `default:"6" help:"Number of routers in each simulation."`
+	Push    bool   `help:"Simulate the baseline, in which routers apply each version on arrival, without leases and without falling back to the stricter rules."`
+	Stop    bool   `help:"Stop after the first batch of simulations with a violation."`
+	Chart   string `help:"File for a histogram of the longest contradictions, PNG." type:"path"`
+	Mutants bool   `help:"Remove one guard from the state machines at a time, and check that an auditor detects each mutant."`
+	Only    string `help:"With --mutants, test only the mutants whose names contain this string."`
+	Trace   bool   `help:"Write a trace of the first simulation to standard error."`
+	JSON    bool   `help:"Print the summary as JSON."`
 }
 
 // maxSimulatedRouters is the largest number of routers of a simulation.
--- a/cmd/bankledge/explain.go
+++ b/cmd/bankledge/explain.go
@@ -18,9 +18,9 @@
 )
 
 type explainCommand struct {
-	Config string `env:"LB_CONFIG" help:"Configuration, whose workloads labels are compared with; without it workloads are neither confirmed nor replaced by others."`
-	JSON   bool   `name:"json" help:"Print a JSON object a line, not a table."`
-	File   string `arg:"" help:"JSON Lines of statements: {\"c\": \"lookup\", \"h\": 820, \"heap_mb\": 96, \"body\": \"select ...\"}, of which only body is required; - for standard input."`
+	Config string `env:"LB_CONFIG" help:"Configuration file that defines the workloads. Without it, declared workloads are neither validated nor replaced."`
+	JSON   bool   `name:"json" help:"Print one JSON object per statement instead of a line of text."`
+	File   string `arg:"" help:"File of statements in JSON Lines format, or - for standard input. A line is an object such as {\"c\": \"lookup\", \"h\": 820, \"heap_mb\": 96, \"body\": \"select ...\"}, in which only body is required."`
 }
 
 const (
--- a/cmd/bankledge/main.go
+++ b/cmd/bankledge/main.go
@@ -16,14 +16,14 @@
 
 // commands is the command line: kong derives the names of commands, arguments and flags from the fields.
 type commands struct {
-	Serve   serveCommand   `cmd:"" help:"Serve clients until SIGTERM."`
+	Serve   serveCommand   `cmd:"" help:"Serve clients until SIGTERM or SIGINT."`
 	Explain explainCommand `cmd:"" help:"Print how statements are classified."`
-	Check   checkCommand   `cmd:"" help:"Check a configuration and print what is wrong with it."`
+	Check   checkCommand   `cmd:"" help:"Validate a configuration file and print the result."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
 type checkCommand struct {
-	File string `arg:"" help:"Configuration, a JSON file."`
+	File string `arg:"" help:"Configuration file, JSON."`
 }
 
 // Run validates a configuration file. The error names the field that is wrong.
@@ -52,7 +52,7 @@
 }
 
 func main() {
-	parsed := kong.Parse(&commands{}, kong.Name("bankledge"), kong.Description("A query gateway."))
+	parsed := kong.Parse(&commands{}, kong.Name("bankledge"), kong.Description("Query gateway that runs the SQL statements of clients on engines."))
 	if err := parsed.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "bankledge:", err)
 		os.Exit(1)
--- a/cmd/bankledge/serve.go
+++ b/cmd/bankledge/serve.go
@@ -15,12 +15,12 @@
 )
 
 type serveCommand struct {
-	Config         string        `env:"LB_CONFIG" required:"" help:"Configuration, a JSON file."`
-	Listen         string        `env:"LB_LISTEN" help:"Address for clients; the configuration's if empty."`
-	Name           string        `env:"LB_NAME" help:"The router's name; the configuration's if empty."`
-	Classification string        `name:"looks" env:"LB_LOOKS" enum:"on,off" default:"on" help:"Treat requests as their text and earlier runs suggest (on), or as their clients declare them (off)."`
-	Control        string        `env:"LB_CONTROL" help:"The operator's own file that names a control group; none: there is no group."`
-	Level          zapcore.Level `env:"LB_LOG_LEVEL" default:"info" help:"Lowest level of the log lines: debug, info, warn, error."`
+	Config         string        `env:"LB_CONFIG" required:"" help:"Configuration file, JSON."`
+	Listen         string        `env:"LB_LISTEN" help:"Address to listen on for clients. Overrides the configuration unless empty."`
+	Name           string        `env:"LB_NAME" help:"Name of the router. Overrides the configuration unless empty."`
+	Classification string        `name:"looks" env:"LB_LOOKS" enum:"on,off" default:"on" help:"Classify requests by their text and by earlier runs (on), or treat them as their clients declare them (off)."`
+	Control        string        `env:"LB_CONTROL" help:"Control file, JSON, of the control group that the router joins. If empty, the router joins no group."`
+	Level          zapcore.Level `env:"LB_LOG_LEVEL" default:"info" help:"Minimum level of log lines: debug, info, warn or error."`
 }
 
 // Run serves clients until SIGTERM or an interrupt starts a graceful shutdown. SIGHUP reloads the configuration and never ends the process,
