--- a/cmd/bankledge-control/status.go
+++ b/cmd/bankledge-control/status.go
@@ -95,7 +95,7 @@
 	if session.DuplicateName {
 		message = strings.TrimSpace("ANOTHER PROCESS HAS THIS NAME. " + message)
 	}
-	fmt.Fprintf(table, "%s\t%d\t%s\t%v\t%s\n", session.Name, session.KnownVersion, term, milliseconds(session.SilentMillis), message)
+	fmt.Fprintf(table, "%s\t%d\t%s\t%v\t%s\n", session.Name, session.KnownVersion, term, milliseconds(session.MillisSinceRenewal), message)
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/cmd/bankledge/serve.go
+++ b/cmd/bankledge/serve.go
@@ -43,7 +43,7 @@
 		if err != nil {
 			return err
 		}
-		router.JoinControlGroup(file)
+		router.FollowControlGroup(file)
 	}
 	return router.Run(stop, reload, s.loadConfig)
 }
--- a/decision/events.go
+++ b/decision/events.go
@@ -74,14 +74,14 @@
 
 // AttemptEnded is the outcome of an attempt. Each attempt has exactly one.
 type AttemptEnded struct {
-	Statement StatementID
-	Attempt   AttemptID
-	Engine    EngineID
-	Outcome   Outcome
-	Elapsed   time.Duration // since the attempt was sent
-	Finished  bool          // the host has answered the statement with this outcome
-	Cost      int64         // as reported by the engine; no decision depends on it
-	Report    *LoadReport   // nil: none received
+	Statement         StatementID
+	Attempt           AttemptID
+	Engine            EngineID
+	Outcome           Outcome
+	Elapsed           time.Duration // since the attempt was sent
+	StatementFinished bool          // the host has answered the statement with this outcome
+	Cost              int64         // as reported by the engine; no decision depends on it
+	Report            *LoadReport   // nil: none received
 }
 
 // ClientCancelled ends a statement without an answer, since its client no longer waits for one.
--- a/decision/outcome.go
+++ b/decision/outcome.go
@@ -22,7 +22,7 @@
 // The reasons.
 const (
 	ReasonDeadline              Reason = "deadline reached"
-	ReasonTooLate               Reason = "no response in time is possible"
+	ReasonDeadlineUnreachable   Reason = "no response in time is possible"
 	ReasonShutdown              Reason = "router shuts down"
 	ReasonTooManyOpenStatements Reason = "too many open statements"
 	ReasonNotRetryable          Reason = "last attempt failed and must not be retried"
--- a/internal/configregister/entry.go
+++ b/internal/configregister/entry.go
@@ -15,7 +15,7 @@
 type Entry struct {
 	Kind    string          `json:"kind"`             // one of the constants below
 	ID      string          `json:"id,omitempty"`     // EntryPropose, EntryRollback: identifies the proposal; duplicates are applied once
-	Lineage string          `json:"name,omitempty"`   // EntryFound: the lineage of the new group
+	Lineage string          `json:"name,omitempty"`   // EntryBootstrap: the lineage of the new group
 	Number  uint64          `json:"number,omitempty"` // EntryRollback: version to roll back to; EntryActivate: newest version to activate
 	Rules   json.RawMessage `json:"rules,omitempty"`  // EntryPropose
 	// ForcedGuards are the names of the guards that the author of a proposal overrides.
@@ -25,10 +25,10 @@
 
 // Values of Entry.Kind.
 const (
-	EntryFound    = "found"    // bootstraps the group: sets its lineage
-	EntryPropose  = "propose"  // proposes a version with new rules
-	EntryRollback = "rollback" // proposes a version with the rules of an earlier one
-	EntryActivate = "settle"   // activates all versions up to Entry.Number
+	EntryBootstrap = "found"    // bootstraps the group: sets its lineage
+	EntryPropose   = "propose"  // proposes a version with new rules
+	EntryRollback  = "rollback" // proposes a version with the rules of an earlier one
+	EntryActivate  = "settle"   // activates all versions up to Entry.Number
 )
 
 // Outcome is the result of a proposal.
--- a/internal/configregister/register.go
+++ b/internal/configregister/register.go
@@ -99,7 +99,7 @@
 		r.Guards.MaxRemovedShare = entry.MaxRemovedShare
 	}
 	switch entry.Kind {
-	case EntryFound:
+	case EntryBootstrap:
 		r.bootstrap(entry.Lineage)
 	case EntryActivate:
 		r.activate(entry.Number)
@@ -214,8 +214,8 @@
 	return raw
 }
 
-// IsFromEarlierVersion reports whether an encoded log entry contains no MaxRemovedShare, so that its result depends on Register.Guards.
-func IsFromEarlierVersion(raw []byte) bool {
+// LacksMaxRemovedShare reports whether an encoded log entry contains no MaxRemovedShare, so that its result depends on Register.Guards.
+func LacksMaxRemovedShare(raw []byte) bool {
 	var entry LogEntry
 	return json.Unmarshal(raw, &entry) == nil && entry.MaxRemovedShare == 0
 }
--- a/internal/configregister/register_test.go
+++ b/internal/configregister/register_test.go
@@ -43,14 +43,14 @@
 func TestRegisterIsBootstrappedOnce(t *testing.T) {
 	f := newFixture(t)
 	assert.Contains(t, f.propose("before bootstrap", 2).Error, "not founded")
-	f.apply(Entry{Kind: EntryFound, Lineage: "l"})
-	f.apply(Entry{Kind: EntryFound, Lineage: "m"})
+	f.apply(Entry{Kind: EntryBootstrap, Lineage: "l"})
+	f.apply(Entry{Kind: EntryBootstrap, Lineage: "m"})
 	assert.Equal(t, "l", f.Lineage)
 }
 
 func TestRegister(t *testing.T) {
 	f := newFixture(t)
-	f.apply(Entry{Kind: EntryFound, Lineage: "l"})
+	f.apply(Entry{Kind: EntryBootstrap, Lineage: "l"})
 	assert.Equal(t, uint64(1), f.propose("a", 2).Number)
 	assert.Contains(t, f.propose("b", 3).Error, ErrRolloutInProgress.Error())
 
@@ -74,7 +74,7 @@
 
 func TestRegisterRollsBack(t *testing.T) {
 	f := newFixture(t)
-	f.apply(Entry{Kind: EntryFound, Lineage: "l"})
+	f.apply(Entry{Kind: EntryBootstrap, Lineage: "l"})
 	for i, multiple := range []float64{2, 3, 1} {
 		number := uint64(i + 1)
 		require.Equal(t, number, f.propose(string(rune('a'+i)), multiple, configversion.GuardFloor).Number)
@@ -89,7 +89,7 @@
 
 func TestRegisterClone(t *testing.T) {
 	f := newFixture(t)
-	f.apply(Entry{Kind: EntryFound, Lineage: "l"})
+	f.apply(Entry{Kind: EntryBootstrap, Lineage: "l"})
 	f.propose("a", 2)
 	before := f.Snapshot()
 	clone := f.Clone()
@@ -100,7 +100,7 @@
 
 func TestRegisterSnapshots(t *testing.T) {
 	f := newFixture(t)
-	f.apply(Entry{Kind: EntryFound, Lineage: "l"})
+	f.apply(Entry{Kind: EntryBootstrap, Lineage: "l"})
 	f.propose("a", 2)
 	f.activateUpTo(1)
 	f.propose("b", 3)
--- a/internal/downstream/connection_test.go
+++ b/internal/downstream/connection_test.go
@@ -24,7 +24,7 @@
 	require.Eventually(t, func() bool { return !conn.hasOpenStreams() }, eventTimeout, time.Millisecond) // the write of the answer has returned
 	assert.Zero(t, server.Violations.Total())
 	conn.Answer(1, CodeAborted, nil)
-	assert.Equal(t, int64(1), server.Violations.Recorded(invariant.OneAnswer))
+	assert.Equal(t, int64(1), server.Violations.Count(invariant.OneAnswer))
 	write(t, client, appendFrame(nil, frameReadinessQuery, 0, 0)) // the reply must be the next frame
 	assert.Equal(t, frameReadinessReply, readFrame(t, r).kind)
 }
@@ -40,7 +40,7 @@
 			conn.setCloseReason(reason)
 			require.NoError(t, conn.raw.Close())
 			assert.Equal(t, uint32(1), await(t, handler.cancelled))
-			assert.Equal(t, recorded, server.Violations.Recorded(invariant.NoLostRequest))
+			assert.Equal(t, recorded, server.Violations.Count(invariant.NoLostRequest))
 		})
 	}
 }
--- a/internal/downstream/slow_client.go
+++ b/internal/downstream/slow_client.go
@@ -24,9 +24,9 @@
 
 // SlowClientStats counts, since the start of the server, the measures taken against slow clients.
 type SlowClientStats struct {
-	Stalled   int64 // times that the server stopped reading from a client
-	Released  int64 // clients that were disconnected as too slow
-	Shortened int64 // answers that a short abort replaced
+	Stalled      int64 // times that the server stopped reading from a client
+	Disconnected int64 // clients that were disconnected as too slow
+	Shortened    int64 // answers that a short abort replaced
 }
 
 // FlowControlStats returns the counts for slow clients and the bytes of answers and of statement texts that are in memory now.
@@ -158,8 +158,8 @@
 // recordSlowClient counts a client that is disconnected as too slow, and logs it at most once per slowClientLogInterval.
 func (s *Server) recordSlowClient(c *Conn) {
 	s.mu.Lock()
-	s.slowClients.Released++
-	total := s.slowClients.Released
+	s.slowClients.Disconnected++
+	total := s.slowClients.Disconnected
 	logged := time.Since(s.slowClientLoggedAt) > slowClientLogInterval
 	if logged {
 		s.slowClientLoggedAt = time.Now()
--- a/internal/invariant/recorder.go
+++ b/internal/invariant/recorder.go
@@ -24,8 +24,8 @@
 		zap.String("detail", violation.Detail), logevent.Stack())
 }
 
-// Recorded returns the number of violations of a rule.
-func (r *Recorder) Recorded(rule Rule) int64 { return r.counts[rule].Load() }
+// Count returns the number of violations of a rule.
+func (r *Recorder) Count(rule Rule) int64 { return r.counts[rule].Load() }
 
 // Total returns the number of violations of all rules.
 func (r *Recorder) Total() (total int64) {
--- a/internal/invariant/recorder_test.go
+++ b/internal/invariant/recorder_test.go
@@ -18,7 +18,7 @@
 	assert.Zero(t, recorder.Total())
 	for rule := range numRules {
 		recorder.Record(&Violation{Rule: rule, Statement: "s", Detail: "d"})
-		assert.Equal(t, int64(1), recorder.Recorded(rule))
+		assert.Equal(t, int64(1), recorder.Count(rule))
 	}
 	assert.Equal(t, int64(numRules), recorder.Total())
 	require.Equal(t, int(numRules), lines.FilterMessage(logevent.InvariantViolated).Len())
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -18,7 +18,7 @@
 	Placement                        // a request runs only in the zones and on the machine types that its workload allows
 	OneAnswer                        // a request has one final answer
 	SafeRejection                    // a request is rejected only if no attempt may have run, or if a retry is safe
-	ProvenAttemptEnd                 // the end of a started attempt is reported only with a confirmation that its engine no longer runs it
+	ConfirmedAttemptEnd              // the end of a started attempt is reported only with a confirmation that its engine no longer runs it
 	NoLostRequest                    // a client connection is not closed while a request on it has no answer yet
 	numRules
 )
@@ -31,7 +31,7 @@
 	Placement:            "placement",
 	OneAnswer:            "one answer",
 	SafeRejection:        "safe rejection",
-	ProvenAttemptEnd:     "proven attempt end",
+	ConfirmedAttemptEnd:  "proven attempt end",
 	NoLostRequest:        "no lost request",
 }
 
--- a/internal/lease/coordinator_sessions.go
+++ b/internal/lease/coordinator_sessions.go
@@ -15,15 +15,15 @@
 
 // Session is a coordinator's record of one router process. It is encoded as JSON for operators.
 type Session struct {
-	Name            string        `json:"name"`
-	Incarnation     string        `json:"incarnation"`
-	KnownVersion    uint64        `json:"known"` // newest version for which a lease was granted
-	Expiry          time.Duration `json:"-"`     // of the lease, by the coordinator's clock
-	LastRenewal     time.Duration `json:"-"`     // when it was handled, by the coordinator's clock
-	RemainingMillis int64         `json:"left"`  // of the lease, in milliseconds; set by Sessions
-	SilentMillis    int64         `json:"ago"`   // since the last renewal, in milliseconds; set by Sessions
-	DuplicateName   bool          `json:"twins"` // several processes of this name hold a lease; set by Sessions
-	LastMessage     string        `json:"word"`  // for operators, from its last renewal
+	Name               string        `json:"name"`
+	Incarnation        string        `json:"incarnation"`
+	KnownVersion       uint64        `json:"known"` // newest version for which a lease was granted
+	Expiry             time.Duration `json:"-"`     // of the lease, by the coordinator's clock
+	LastRenewal        time.Duration `json:"-"`     // when it was handled, by the coordinator's clock
+	RemainingMillis    int64         `json:"left"`  // of the lease, in milliseconds; set by Sessions
+	MillisSinceRenewal int64         `json:"ago"`   // since the last renewal, in milliseconds; set by Sessions
+	DuplicateName      bool          `json:"twins"` // several processes of this name hold a lease; set by Sessions
+	LastMessage        string        `json:"word"`  // for operators, from its last renewal
 }
 
 func (s *Session) leased(now time.Duration) bool { return s.Expiry > now }
@@ -60,7 +60,7 @@
 	for _, s := range c.sessions {
 		listed := *s
 		listed.RemainingMillis = max(0, s.Expiry-now).Milliseconds()
-		listed.SilentMillis = (now - s.LastRenewal).Milliseconds()
+		listed.MillisSinceRenewal = (now - s.LastRenewal).Milliseconds()
 		listed.DuplicateName = leasesByName[s.Name] > 1
 		sessions = append(sessions, listed)
 	}
--- a/internal/logevent/events.go
+++ b/internal/logevent/events.go
@@ -32,16 +32,16 @@
 
 // Events of an attempt, which is one run of a request at an engine.
 const (
-	UpstreamAttemptStarted      = "upstream attempt started"
-	UpstreamAttemptRefused      = "upstream attempt of a finished request not started" // a defect of the decision module
-	UpstreamAttemptCancelled    = "upstream attempt cancelled"
-	UpstreamAttemptRecorded     = "upstream attempt result recorded"
-	UpstreamAttemptEnded        = "upstream attempt ended"
-	UpstreamAttemptPanicked     = "upstream attempt panicked"
-	UpstreamAttemptNotConnected = "upstream attempt has no connection"
-	UpstreamCallRetried         = "upstream call retried"
-	UpstreamResponseUnusable    = "upstream response unusable"
-	UpstreamCancelAnswered      = "upstream cancel answered"
+	UpstreamAttemptStarted        = "upstream attempt started"
+	UpstreamAttemptNotStarted     = "upstream attempt of a finished request not started" // a defect of the decision module
+	UpstreamAttemptCancelled      = "upstream attempt cancelled"
+	UpstreamAttemptResultRecorded = "upstream attempt result recorded"
+	UpstreamAttemptEnded          = "upstream attempt ended"
+	UpstreamAttemptPanicked       = "upstream attempt panicked"
+	UpstreamAttemptNotConnected   = "upstream attempt has no connection"
+	UpstreamRequestRetried        = "upstream call retried"
+	UpstreamResponseUnusable      = "upstream response unusable"
+	UpstreamCancelAnswered        = "upstream cancel answered"
 )
 
 // Events of client connections.
--- a/internal/proxy/configuration_lease.go
+++ b/internal/proxy/configuration_lease.go
@@ -32,8 +32,8 @@
 	endpoints      map[decision.EngineID]*endpointView
 }
 
-// JoinControlGroup makes the router apply the configuration versions of a control group. It must be called before Run.
-func (r *Router) JoinControlGroup(file *controlclient.Config) {
+// FollowControlGroup makes the router apply the configuration versions of a control group. It must be called before Run.
+func (r *Router) FollowControlGroup(file *controlclient.Config) {
 	localRules := RulesFromSettings(r.config.Module)
 	client := lease.NewClient(lease.ClientSettings{
 		Durations:    file.LeaseDurations(),
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -50,7 +50,7 @@
 func (l *eventLoop) startAttempt(start decision.StartAttempt) {
 	req := l.requests.find(start.Statement)
 	if req == nil || req.finished {
-		l.router.log.Error(logevent.UpstreamAttemptRefused, logevent.RequestID(start.Statement))
+		l.router.log.Error(logevent.UpstreamAttemptNotStarted, logevent.RequestID(start.Statement))
 		return
 	}
 	violation := req.invariants.BeginAttempt(l.locations.lookUp(start.Engine), l.decidedAt) // checked for the time of the module's decision
@@ -109,6 +109,6 @@
 	if req.finished {
 		attempt.Cancel()
 	} else {
-		attempt.CallOff()
+		attempt.CancelKeepingStart()
 	}
 }
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -57,7 +57,7 @@
 				r.endAttempt(0, decision.Errored)
 			}
 			r.router.loop.perform(c.action)
-			assert.Equal(t, int64(1), r.router.violations.Recorded(c.rule))
+			assert.Equal(t, int64(1), r.router.violations.Count(c.rule))
 			assert.Equal(t, []downstream.Code{downstream.CodeAborted}, r.client.codes)
 			assert.True(t, r.request.finished)
 			r.router.loop.perform(decision.Abort{Statement: "x"})
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -109,7 +109,7 @@
 		zap.Int64("text_bytes", textBytes),
 		zap.Int64("answer_bytes", answerBytes),
 		zap.Int64("slow_clients_stalled", slowClients.Stalled),
-		zap.Int64("slow_clients_released", slowClients.Released),
+		zap.Int64("slow_clients_released", slowClients.Disconnected),
 		zap.Int64("slow_clients_shortened", slowClients.Shortened),
 		logevent.Milliseconds("decision_delay_mean_ms", time.Duration(m.decisionDelaySum.Swap(0)/decisions)),
 		logevent.Milliseconds("decision_delay_max_ms", time.Duration(m.decisionDelayMax.Swap(0))))
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -62,7 +62,7 @@
 		zap.Int("in_flight", req.attemptsInFlight))
 	l.router.metrics.cancelled.Add(1)
 	l.finish(req)
-	for _, attempt := range req.attempts { // including attempts that were called off before
-		attempt.WithholdStart()
+	for _, attempt := range req.attempts { // including attempts that were cancelled before
+		attempt.AbortUnansweredStart()
 	}
 }
--- a/internal/proxy/request_record.go
+++ b/internal/proxy/request_record.go
@@ -68,7 +68,7 @@
 	if m.event.Outcome == decision.Completed {
 		l.forwardResult(req, m.result)
 	}
-	m.event.Finished = req.finished
+	m.event.StatementFinished = req.finished
 	l.recordAttemptEnd(req, m.event)
 	return m.event
 }
@@ -80,7 +80,7 @@
 	req.invariants.EndAttempt(ended.Attempt, isKnownNotRun(ended.Outcome))
 	l.recordRunTime(req, ended)
 	l.router.metrics.outcomes.add(ended.Outcome)
-	l.router.log.Debug(logevent.UpstreamAttemptRecorded, logevent.RequestID(req.id), logevent.Attempt(ended.Attempt),
+	l.router.log.Debug(logevent.UpstreamAttemptResultRecorded, logevent.RequestID(req.id), logevent.Attempt(ended.Attempt),
 		logevent.Endpoint(ended.Engine), logevent.Workload(req.workload), logevent.Outcome(ended.Outcome),
 		logevent.Duration(ended.Elapsed), zap.Any("report", ended.Report))
 	l.releaseIfDone(req)
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -94,7 +94,7 @@
 	r.isLeader = true
 	actions := r.stepCoordinator(lease.LeadershipGained{})
 	if r.register.Lineage == "" {
-		actions = append(actions, r.appendEntry(configregister.Entry{Kind: configregister.EntryFound, Lineage: r.settings.Lineage})...)
+		actions = append(actions, r.appendEntry(configregister.Entry{Kind: configregister.EntryBootstrap, Lineage: r.settings.Lineage})...)
 	}
 	return actions
 }
@@ -129,7 +129,7 @@
 			if outcome, hasOutcome := r.register.Apply(entry.GetData()); hasOutcome {
 				outcomes = append(outcomes, outcome)
 			}
-			r.appliedLegacyEntry = r.appliedLegacyEntry || configregister.IsFromEarlierVersion(entry.GetData())
+			r.appliedLegacyEntry = r.appliedLegacyEntry || configregister.LacksMaxRemovedShare(entry.GetData())
 		}
 	}
 	actions = append(actions, r.stepCoordinator(r.stateApplied(outcomes))...)
--- a/internal/simwire/batch_test.go
+++ b/internal/simwire/batch_test.go
@@ -43,7 +43,7 @@
 		"attempt ended": {`{"ClosedAttempt":{"corr":"s","seqNo":2,"engine":"e","took":5,"ending":"overdue","noMore":true,"note":6,` +
 			`"telemetry":[null,4]}}`,
 			decision.AttemptEnded{Statement: "s", Attempt: 2, Engine: "e", Outcome: decision.TimedOut, Elapsed: elapsed,
-				Finished: true, Cost: 6, Report: report}},
+				StatementFinished: true, Cost: 6, Report: report}},
 		"client cancelled": {`{"Hangup":{"corr":"s"}}`, decision.ClientCancelled{Statement: "s"}},
 		"timer fired":      {`{"Timer":{"cookie":"t"}}`, decision.TimerFired{Token: "t"}},
 		"health check ended": {`{"StatusBack":{"ending":"refused_conn","engine":"e","took":5,"telemetry":[null,4]}}`,
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -210,14 +210,14 @@
 		return nil, err
 	}
 	return decision.AttemptEnded{
-		Statement: m.Corr,
-		Attempt:   m.SeqNo,
-		Engine:    m.Engine,
-		Outcome:   outcome,
-		Elapsed:   m.Took.Duration(),
-		Finished:  m.NoMore,
-		Cost:      m.Note,
-		Report:    report,
+		Statement:         m.Corr,
+		Attempt:           m.SeqNo,
+		Engine:            m.Engine,
+		Outcome:           outcome,
+		Elapsed:           m.Took.Duration(),
+		StatementFinished: m.NoMore,
+		Cost:              m.Note,
+		Report:            report,
 	}, m.validate()
 }
 
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -20,7 +20,7 @@
 			`{"Attempt":{"corr":"s\u003c1\u003e","engine":"e","tryFor":1500}}`},
 		{decision.StartAttempt{Statement: "s", Engine: "e"}, `{"Attempt":{"corr":"s","engine":"e","tryFor":0}}`},
 		{decision.CancelAttempt{Statement: "s", Attempt: 2, Reason: decision.ReasonSlow}, `{"Retract":{"corr":"s","seqNo":2}}`},
-		{decision.Reject{Statement: "s", RetryAfter: time.Second, Reason: decision.ReasonTooLate}, `{"PushBack":{"comeBack":1000000,"corr":"s"}}`},
+		{decision.Reject{Statement: "s", RetryAfter: time.Second, Reason: decision.ReasonDeadlineUnreachable}, `{"PushBack":{"comeBack":1000000,"corr":"s"}}`},
 		{decision.Reject{Statement: "s"}, `{"PushBack":{"comeBack":0,"corr":"s"}}`},
 		{decision.Abort{Statement: "s", Reason: decision.ReasonDeadline}, `{"EndFailed":{"corr":"s"}}`},
 		{decision.SetResources{Statement: "s", MemoryGrantMB: 12, Priority: 3}, `{"Terms":{"allotMb":12,"corr":"s","rank":3}}`},
--- a/internal/upstream/attempt_cancel.go
+++ b/internal/upstream/attempt_cancel.go
@@ -35,21 +35,21 @@
 // Cancel cancels the attempt of a statement that has ended. It does not block. The end is reported once it is confirmed that the engine no
 // longer runs the attempt, with the outcome Cancelled unless the attempt ends otherwise first. A start that is still in flight is aborted.
 func (a *Attempt) Cancel() {
-	a.CallOff()
-	a.WithholdStart()
+	a.CancelKeepingStart()
+	a.AbortUnansweredStart()
 }
 
-// CallOff cancels the attempt of a statement that may continue on another engine. Unlike Cancel it does not abort a start that is still in
-// flight, since the end of an aborted start takes longer to confirm.
-func (a *Attempt) CallOff() {
+// CancelKeepingStart cancels the attempt of a statement that may continue on another engine. Unlike Cancel it does not abort a start that is
+// still in flight, since the end of an aborted start takes longer to confirm.
+func (a *Attempt) CancelKeepingStart() {
 	if !a.CancelUnsent() {
 		a.cancel()
 	}
 }
 
-// WithholdStart aborts a start that is still in flight, after startAbortDelay. It does not block. It confirms no end, since the engine may
-// have received the start already. If no start is in flight, WithholdStart keeps no reference to the attempt.
-func (a *Attempt) WithholdStart() {
+// AbortUnansweredStart aborts a start that is still in flight, after startAbortDelay. It does not block. It confirms no end, since the
+// engine may have received the start already. If no start is in flight, AbortUnansweredStart keeps no reference to the attempt.
+func (a *Attempt) AbortUnansweredStart() {
 	if a.startDone() {
 		return
 	}
--- a/internal/upstream/attempt_end.go
+++ b/internal/upstream/attempt_end.go
@@ -144,7 +144,7 @@
 		return nil
 	}
 	number := strconv.Itoa(int(a.AttemptRequest.Attempt))
-	return &invariant.Violation{Rule: invariant.ProvenAttemptEnd, Statement: a.Statement, Detail: "attempt " + number + ": " + reason}
+	return &invariant.Violation{Rule: invariant.ConfirmedAttemptEnd, Statement: a.Statement, Detail: "attempt " + number + ": " + reason}
 }
 
 // logEnd logs how the attempt ended and how the end was confirmed. An end that is known only because the attempt expired
--- a/internal/upstream/attempt_end_test.go
+++ b/internal/upstream/attempt_end_test.go
@@ -283,7 +283,7 @@
 			client.pool.attemptStarted("e")
 			attempt.reportEnd(attemptEnd{outcome: decision.Cancelled, confirmation: test.confirmation})
 			assert.Equal(t, decision.Cancelled, receive(t, ends).Outcome)
-			assert.Equal(t, test.violations, client.Violations.Recorded(invariant.ProvenAttemptEnd))
+			assert.Equal(t, test.violations, client.Violations.Count(invariant.ConfirmedAttemptEnd))
 			assert.Equal(t, test.cancelled, isClosed(engine.cancelReceived), "whether a cancellation was sent to the engine")
 		})
 	}
--- a/internal/upstream/attempt_poll.go
+++ b/internal/upstream/attempt_poll.go
@@ -144,7 +144,7 @@
 				previous = &received
 			}
 		}
-		a.client.log.Debug(logevent.UpstreamCallRetried, logevent.RequestID(a.Statement), zap.String("path_suffix", suffix), zap.Error(err),
+		a.client.log.Debug(logevent.UpstreamRequestRetried, logevent.RequestID(a.Statement), zap.String("path_suffix", suffix), zap.Error(err),
 			zap.Int("status", received.Status), zap.Bool("extra_bytes", received.extraBytes), zap.Int("body_bytes", len(received.body)))
 		unusable := errors.Is(err, errUnusableResponse) || errors.Is(err, http1.ErrMalformed)
 		forceNew = !unusable
--- a/internal/upstream/late_start_test.go
+++ b/internal/upstream/late_start_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// CallOff cancels an attempt, so that its statement can be retried, while the network delays the start. The start is not aborted until the
-// client leaves.
-func TestCalledOffStartIsWithheldAfterClientLeaves(t *testing.T) {
+// CancelKeepingStart cancels an attempt, so that its statement can be retried, while the network delays the start. The start is not aborted
+// until the client leaves.
+func TestCancelledStartIsAbortedAfterClientLeaves(t *testing.T) {
 	engine := startPersistentEngine(t, func(*persistentEngine, string, int) string { return cancelledResponse })
 	link, err := faultlab.NewLink(engine.listener.Addr().String())
 	require.NoError(t, err)
@@ -54,13 +54,13 @@
 	link.Impair(faultlab.Impairment{Blocked: true}, faultlab.Impairment{})
 	attempt := client.StartAttempt(AttemptRequest{Statement: "1", Engine: "e", Text: []byte("select"), Deadline: oneMinuteFromNow()})
 	require.Eventually(t, func() bool { return link.InFlight() > 0 }, testTimeout, time.Millisecond)
-	attempt.CallOff()
+	attempt.CancelKeepingStart()
 	time.Sleep(2 * startAbortDelay)
 	assert.Zero(t, link.Resets())
-	withheld := time.Now()
-	attempt.WithholdStart()
+	abortRequested := time.Now()
+	attempt.AbortUnansweredStart()
 	require.Eventually(t, func() bool { return link.Resets() > 0 }, testTimeout, time.Millisecond)
-	assert.GreaterOrEqual(t, time.Since(withheld), startAbortDelay)
+	assert.GreaterOrEqual(t, time.Since(abortRequested), startAbortDelay)
 	link.Restore()
 	engine.awaitRequest(t, http.MethodDelete)
 	time.Sleep(startAbortDelay)
@@ -146,9 +146,9 @@
 	assert.Zero(t, client.ConnectionsInUse())
 }
 
-// WithholdStart retains an attempt for startAbortDelay only while its start may be in flight: the memory of the attempt's text counts as
-// released once the attempt has ended.
-func TestWithholdStartReleasesAttemptWithoutStart(t *testing.T) {
+// AbortUnansweredStart retains an attempt for startAbortDelay only while its start may be in flight: the memory of the attempt's text counts
+// as released once the attempt has ended.
+func TestAbortUnansweredStartReleasesAttemptWithoutStart(t *testing.T) {
 	engine := startPersistentEngine(t, func(*persistentEngine, string, int) string { return noProgressResponse })
 	client := newTestClient(t.Context(), make(endRecorder, 1), 4, time.Second, engine.listener.Addr().String())
 	attempt := newAttempt(t.Context(), client, AttemptRequest{Statement: "1", Deadline: oneMinuteFromNow()})
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -61,7 +61,7 @@
 	}
 	m.recordOutcome(a, ev.Outcome)
 	m.receiveReport(a.engine, ev.Report)
-	m.retryOrFinish(a, ev.Finished)
+	m.retryOrFinish(a, ev.StatementFinished)
 }
 
 // recordOutcome updates the state of the attempt's engine and workload.
--- a/policy/generated_attempts_test.go
+++ b/policy/generated_attempts_test.go
@@ -110,7 +110,7 @@
 	event := decision.AttemptEnded{Statement: key.statement, Attempt: key.attempt, Engine: engine.entry.Engine,
 		Outcome: outcome, Elapsed: s.between(ms, time.Second), Cost: 1}
 	if outcome == decision.Completed && s.open[key.statement] != nil {
-		event.Finished = true
+		event.StatementFinished = true
 		delete(s.open, key.statement)
 	}
 	answered := outcome == decision.Completed || outcome == decision.Errored
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -87,7 +87,7 @@
 
 // end returns the outcome of an attempt. A completed attempt also finishes its statement.
 func end(id decision.StatementID, n decision.AttemptID, e decision.EngineID, o decision.Outcome) decision.AttemptEnded {
-	return decision.AttemptEnded{Statement: id, Attempt: n, Engine: e, Outcome: o, Finished: o == decision.Completed}
+	return decision.AttemptEnded{Statement: id, Attempt: n, Engine: e, Outcome: o, StatementFinished: o == decision.Completed}
 }
 
 // progress returns a progress message of a statement's first attempt.
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -55,7 +55,7 @@
 // withoutEngine counts, by workload, the statements that found no engine in this pass.
 func (m *Module) tryDispatch(s *statement, withoutEngine []int) bool {
 	if m.shouldShed(s) {
-		m.rejectOrAbort(s, decision.ReasonTooLate)
+		m.rejectOrAbort(s, decision.ReasonDeadlineUnreachable)
 	}
 	s.parked = s.clientBlocked && !s.finished
 	if s.parked || s.finished {
--- a/policy/recording_test.go
+++ b/policy/recording_test.go
@@ -103,7 +103,7 @@
 
 // reasonNumber returns a number for a reason, so that the hash does not depend on the texts of reasons.
 func reasonNumber(t *testing.T, reason decision.Reason) int {
-	for i, known := range []decision.Reason{decision.ReasonDeadline, decision.ReasonTooLate, decision.ReasonShutdown,
+	for i, known := range []decision.Reason{decision.ReasonDeadline, decision.ReasonDeadlineUnreachable, decision.ReasonShutdown,
 		decision.ReasonTooManyOpenStatements, decision.ReasonNotRetryable, decision.ReasonFinished, decision.ReasonNoProgress,
 		decision.ReasonWaitingForBulkLoad, decision.ReasonSlow} {
 		if reason == known {
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -295,7 +295,7 @@
 	ended.Report = inFlightReport(float64(len(e.running) - 1))
 	ended.Report.Set(decision.FieldUtilization, utilization)
 	s := r.open[a.statement.Statement]
-	ended.Finished = s != nil
+	ended.StatementFinished = s != nil
 	r.inbox = append(r.inbox, ended)
 	if s == nil {
 		return
