--- a/cmd/bankledge-faultlab/main_test.go
+++ b/cmd/bankledge-faultlab/main_test.go
@@ -198,5 +198,5 @@
 	bad := filepath.Join(t.TempDir(), "bad.jsonnet")
 	require.NoError(t, os.WriteFile(bad, []byte(`{routers: 3, engines: 2, seconds: 5, load: 1, faults: [{kind: "kill", at: 1, "for": 1}]}`), 0o600))
 	assert.Contains(t, run(1, "replay", bad), "faults[0].routers: none")
-	assert.Contains(t, run(1, "replay", "no/such"), "schedule")
+	assert.Contains(t, run(1, "replay", "no/such"), "scenario: ")
 }
--- a/cmd/bankledge-faultlab/mutants.go
+++ b/cmd/bankledge-faultlab/mutants.go
@@ -15,9 +15,9 @@
 // Factors by which statements run and clients wait for longer than usual in scenarios with long attempts, and the share of clients that
 // cancel.
 const (
-	mutantWorkFactor     = 4
-	mutantPatienceFactor = 3
-	mutantCancelShare    = 0.2
+	mutantWorkFactor    = 4
+	mutantTimeoutFactor = 3
+	mutantCancelShare   = 0.2
 )
 
 // Source texts of guards of the decision module that several edits use or that span several lines.
--- a/cmd/bankledge-faultlab/mutants_cmd.go
+++ b/cmd/bankledge-faultlab/mutants_cmd.go
@@ -83,7 +83,7 @@
 	}
 	if m.auditor == "one at a time" || m.auditor == "left" {
 		s.WorkFactor = mutantWorkFactor
-		s.PatienceFactor = mutantPatienceFactor
+		s.TimeoutFactor = mutantTimeoutFactor
 		s.CancelShare = mutantCancelShare
 	}
 	if m.adjust != nil {
--- a/cmd/bankledge/explanation.go
+++ b/cmd/bankledge/explanation.go
@@ -34,8 +34,8 @@
 		Workload:      line.Workload,
 		Reason:        classify.ReasonUnknownFingerprint.String(),
 		Kind:          analysis.Kind.String(),
-		GroupsRead:    append([]int64{}, analysis.Read.Slice()...), // an empty list, not null
-		GroupsWritten: append([]int64{}, analysis.Written.Slice()...),
+		GroupsRead:    append([]int64{}, analysis.GroupsRead.Slice()...), // an empty list, not null
+		GroupsWritten: append([]int64{}, analysis.GroupsWritten.Slice()...),
 		Normalized:    normalized,
 		Joins:         analysis.Joins,
 		WorkMS:        line.WorkMS,
--- a/cmd/bankledge/measurement_test.go
+++ b/cmd/bankledge/measurement_test.go
@@ -52,7 +52,7 @@
 	require.NoError(t, c.AwaitReady(testTimeout))
 	ready := time.Since(began)
 	idle := residentMemory(t, r)
-	mix := fakes.NewMix(1, fakes.MixOptions{Shapes: 300, EstimateOff: 1})
+	mix := fakes.NewMix(1, fakes.MixOptions{RecurringFingerprints: 300, EstimateErrorFactor: 1})
 	send := func(id string) <-chan fakes.Answer {
 		item := mix.Next()
 		return c.Send(map[string]string{"c": fakes.Workloads()[item.Declared].Name, "i": id, "d": "4000", "t": "x", "h": "0.1", "heap_mb": "8"}, string(item.Text))
--- a/internal/classify/classifier.go
+++ b/internal/classify/classifier.go
@@ -32,7 +32,7 @@
 	Writes            bool                  // by the text, whatever the label is
 	PrimaryTableGroup decision.TableGroup   // the primary table group; sqltext.NoGroup: none
 	LockedTableGroup  decision.TableGroup   // written by the statement; sqltext.NoGroup: none
-	OtherTables       []decision.TableGroup // named in addition to PrimaryTableGroup
+	OtherTableGroups  []decision.TableGroup // named in addition to PrimaryTableGroup
 }
 
 // Observation holds what RecordEnd needs to know about a statement that was classified.
@@ -98,7 +98,7 @@
 		PrimaryTableGroup: decision.TableGroup(statement.PrimaryGroup()),
 		LockedTableGroup:  decision.TableGroup(statement.LockedGroup()),
 	}
-	classified.OtherTables = otherTables(statement, classified.PrimaryTableGroup)
+	classified.OtherTableGroups = otherTables(statement, classified.PrimaryTableGroup)
 	*observation = Observation{
 		fingerprint:      statement.Fingerprint,
 		declared:         declared,
@@ -135,7 +135,7 @@
 // otherTables returns the table groups that a statement names in addition to its primary one, the written ones first.
 func otherTables(statement *sqltext.Statement, primary decision.TableGroup) []decision.TableGroup {
 	var others []decision.TableGroup
-	for _, groups := range []*sqltext.Groups{&statement.Written, &statement.Read} {
+	for _, groups := range []*sqltext.Groups{&statement.GroupsWritten, &statement.GroupsRead} {
 		for _, number := range groups.Slice() {
 			group := decision.TableGroup(number)
 			if group != primary && !slices.Contains(others, group) {
--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -206,7 +206,7 @@
 
 func TestTableGroups(t *testing.T) {
 	classified, _ := newFixture().classify("insert into sales_3.a select * from sales_4.b, sales_3.c join mart_5.d on true", fakes.PriceLoad, 0)
-	assert.Equal(t, []any{decision.TableGroup(3), decision.TableGroup(3), []decision.TableGroup{4, 5}, true}, []any{classified.PrimaryTableGroup, classified.LockedTableGroup, classified.OtherTables, classified.Writes})
+	assert.Equal(t, []any{decision.TableGroup(3), decision.TableGroup(3), []decision.TableGroup{4, 5}, true}, []any{classified.PrimaryTableGroup, classified.LockedTableGroup, classified.OtherTableGroups, classified.Writes})
 }
 
 const longLookupText = "SELECT o.id, o.customer_name, o.order_date, o.total_amount, c.city, c.discount_group, i.stock_on_hand, i.reorder_level FROM sales_17.orders o JOIN sales_17.customers c ON c.id = o.customer_id LEFT JOIN sales_17.items i ON i.sku = o.sku AND i.branch = o.branch WHERE o.id = 9182736455 AND o.branch = 'bangna' AND o.status IN ('open', 'held', 'part delivered') AND o.order_date >= '2026-11-01' /* counter terminal 17, price and stock of one order */ ORDER BY o.order_date DESC, o.id LIMIT 20 OFFSET 0"
--- a/internal/classify/mix_test.go
+++ b/internal/classify/mix_test.go
@@ -72,19 +72,19 @@
 
 // countFingerprint counts a statement's fingerprint as seen, and whether the classifier had a record of it.
 func (r *mixRun) countFingerprint(item fakes.Item, hits int) {
-	if item.Shape < 0 {
+	if item.Fingerprint < 0 {
 		return
 	}
-	if r.seen[item.Shape] > 0 {
+	if r.seen[item.Fingerprint] > 0 {
 		r.recurring++
 		r.known += hits
 	}
-	r.seen[item.Shape]++
+	r.seen[item.Fingerprint]++
 }
 
 func (r *mixRun) countWorkload(item fakes.Item, classified Classification) {
 	r.confusion[item.Actual][classified.Workload]++
-	warm := item.Shape >= 0 && r.seen[item.Shape] > minWarmSeen // seen includes this statement
+	warm := item.Fingerprint >= 0 && r.seen[item.Fingerprint] > minWarmSeen // seen includes this statement
 	right := classified.Workload == item.Actual
 	if classified.Workload != item.Declared {
 		r.reclassified++
@@ -156,7 +156,7 @@
 // TestRecordedMix prints the figures of docs/results.md. Its thresholds are the required ones.
 func TestRecordedMix(t *testing.T) {
 	const statements = 30_000
-	defaults := fakes.MixOptions{Shapes: 300, EstimateOff: 1}
+	defaults := fakes.MixOptions{RecurringFingerprints: 300, EstimateErrorFactor: 1}
 	for _, c := range []struct {
 		name              string
 		options           fakes.MixOptions
@@ -164,16 +164,16 @@
 		precision, recall float64
 	}{
 		{"warm", defaults, true, 0.995, 0.95},
-		{"cold: structure alone, unknown fingerprints", fakes.MixOptions{Shapes: 300, EstimateOff: 1, Mutated: true}, false, 0.995, 0.6},
-		{"estimates off by 5", fakes.MixOptions{Shapes: 300, EstimateOff: 5}, true, 0.995, 0.95},
-		{"with one-off fingerprints", fakes.MixOptions{Shapes: 300, EstimateOff: 1, OneOffs: 0.3}, true, 0.995, 0.95},
-		{"nothing mislabelled", fakes.MixOptions{Shapes: 300, EstimateOff: 1, Honest: true}, true, 0, 0},
-		{"work depends on the literal", fakes.MixOptions{Shapes: 300, EstimateOff: 1, Honest: true, Bimodal: true}, true, 0, 0},
+		{"cold: structure alone, unknown fingerprints", fakes.MixOptions{RecurringFingerprints: 300, EstimateErrorFactor: 1, OtherFingerprints: true}, false, 0.995, 0.6},
+		{"estimates off by 5", fakes.MixOptions{RecurringFingerprints: 300, EstimateErrorFactor: 5}, true, 0.995, 0.95},
+		{"with one-off fingerprints", fakes.MixOptions{RecurringFingerprints: 300, EstimateErrorFactor: 1, OneOffShare: 0.3}, true, 0.995, 0.95},
+		{"nothing mislabelled", fakes.MixOptions{RecurringFingerprints: 300, EstimateErrorFactor: 1, CorrectLabels: true}, true, 0, 0},
+		{"work depends on the literal", fakes.MixOptions{RecurringFingerprints: 300, EstimateErrorFactor: 1, CorrectLabels: true, WorkByLiteral: true}, true, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := classifyMix(fakes.NewMix(11, c.options), statements, c.recordEnds)
 			t.Logf("\n%s", got)
-			if c.options.Honest {
+			if c.options.CorrectLabels {
 				assert.Less(t, share(got.reclassified, statements), 0.0005, "correctly labelled statements that were reclassified")
 				return
 			}
@@ -198,7 +198,7 @@
 // the mix, and to one of 500 bytes.
 func BenchmarkAddedLatency(b *testing.B) {
 	f := newFixture()
-	mix := fakes.NewMix(11, fakes.MixOptions{Shapes: 300, EstimateOff: 1})
+	mix := fakes.NewMix(11, fakes.MixOptions{RecurringFingerprints: 300, EstimateErrorFactor: 1})
 	var texts [][]byte
 	for len(texts) < 20_000 {
 		if item := mix.Next(); item.Actual == fakes.Lookup {
--- a/internal/classify/recorded_test.go
+++ b/internal/classify/recorded_test.go
@@ -30,7 +30,7 @@
 		statement := analyser.Analyse(item.Text)
 		observation := new(Observation)
 		classified := classifier.Classify(now, item.Declared, item.Estimate, item.MemoryMB, &statement, observation)
-		fmt.Fprintln(hash, classified.Workload, int(classified.Reason), math.Float64bits(classified.Confidence), int64(classified.Work), math.Float64bits(classified.MemoryMB), classified.Writes, classified.PrimaryTableGroup, classified.LockedTableGroup, classified.OtherTables)
+		fmt.Fprintln(hash, classified.Workload, int(classified.Reason), math.Float64bits(classified.Confidence), int64(classified.Work), math.Float64bits(classified.MemoryMB), classified.Writes, classified.PrimaryTableGroup, classified.LockedTableGroup, classified.OtherTableGroups)
 		if i%10_000 > 8_000 && i%3 == 0 { // some statements take longer than before
 			item.Work *= 6
 		}
@@ -50,10 +50,10 @@
 // with recorded ones. It guards against unintended changes; replace the hashes after an intended change.
 func TestRecordedClassifications(t *testing.T) {
 	for recorded, options := range map[string]fakes.MixOptions{
-		"f897dcb814dc5898c936dfc83eb7dbf5": {Shapes: 300, EstimateOff: 1},
-		"5e14fdf17c96b9437e069cbe0654ca25": {Shapes: 300, EstimateOff: 5, OneOffs: 0.3},
-		"5b2f17243d5aa9dcdbd0f925ecc48511": {Shapes: 100, EstimateOff: 1, Mutated: true, Bimodal: true},
-		"364e495904058fae92d86f5738206ce7": {Shapes: 300, EstimateOff: 2, Lies: true},
+		"f897dcb814dc5898c936dfc83eb7dbf5": {RecurringFingerprints: 300, EstimateErrorFactor: 1},
+		"5e14fdf17c96b9437e069cbe0654ca25": {RecurringFingerprints: 300, EstimateErrorFactor: 5, OneOffShare: 0.3},
+		"5b2f17243d5aa9dcdbd0f925ecc48511": {RecurringFingerprints: 100, EstimateErrorFactor: 1, OtherFingerprints: true, WorkByLiteral: true},
+		"364e495904058fae92d86f5738206ce7": {RecurringFingerprints: 300, EstimateErrorFactor: 2, EstimatesMatchLabels: true},
 	} {
 		assert.Equal(t, recorded, hashClassifications(options), "%+v", options)
 	}
--- a/internal/configversion/diff.go
+++ b/internal/configversion/diff.go
@@ -34,7 +34,7 @@
 // conflictingFieldNames returns the names of the fields in which a permits something that b forbids.
 func conflictingFieldNames(a, b *rules.Rules) map[string]bool {
 	names := map[string]bool{}
-	for _, field := range rules.Conflicts(a, b) {
+	for _, field := range rules.ConflictingFields(a, b) {
 		names[field.Name] = true
 	}
 	return names
--- a/internal/configversion/guards.go
+++ b/internal/configversion/guards.go
@@ -18,17 +18,17 @@
 
 // Names of the guards, each with the reason for which it rejects a version. An author overrides a guard by its name.
 const (
-	GuardAllEngines       = "all-engines"        // no engine is active
-	GuardShareOfEngines   = "share-of-engines"   // more than MaxRemovedShare of the active engines are removed or drained
-	GuardMachineType      = "kind"               // a workload is restricted to machine types that no active engine has
-	GuardPlacement        = "placement"          // a table group is excluded from every active engine
-	GuardNothingInBetween = "nothing-in-between" // no engine is active in both the previous and the new version
-	GuardFloor            = "floor"              // the version forbids something that the floor permits; see Guards.Violations
+	GuardNoActiveEngine  = "all-engines"        // no engine is active
+	GuardMaxRemovedShare = "share-of-engines"   // more than MaxRemovedShare of the active engines are removed or drained
+	GuardMachineType     = "kind"               // a workload is restricted to machine types that no active engine has
+	GuardPlacement       = "placement"          // a table group is excluded from every active engine
+	GuardNoEngineOverlap = "nothing-in-between" // no engine is active in both the previous and the new version
+	GuardFloor           = "floor"              // the version forbids something that the floor permits; see Guards.Violations
 )
 
 // GuardNames returns the names of all guards.
 func GuardNames() []string {
-	return []string{GuardAllEngines, GuardShareOfEngines, GuardMachineType, GuardPlacement, GuardNothingInBetween, GuardFloor}
+	return []string{GuardNoActiveEngine, GuardMaxRemovedShare, GuardMachineType, GuardPlacement, GuardNoEngineOverlap, GuardFloor}
 }
 
 // CheckGuardNames returns an error for the first element of names that is not a guard's name.
@@ -83,12 +83,12 @@
 	var violations []Violation
 	active := countActive(next, anyEngine)
 	if active == 0 {
-		violations = append(violations, Violation{GuardAllEngines, "no engine is active"})
+		violations = append(violations, Violation{GuardNoActiveEngine, "no engine is active"})
 	}
 	violations = append(violations, g.checkRemovedShare(previous, next)...)
 	for _, workload := range slices.Sorted(maps.Keys(next.AllowedMachineTypes)) {
 		allowed := countActive(next, func(_ string, e rules.Engine) bool {
-			return slices.Contains(next.AllowedMachineTypes[workload], e.Kind)
+			return slices.Contains(next.AllowedMachineTypes[workload], e.MachineType)
 		})
 		if allowed == 0 {
 			violations = append(violations, Violation{GuardMachineType, fmt.Sprintf("no active engine is of a kind that %s is bound to", workload)})
@@ -118,7 +118,7 @@
 		return nil
 	}
 	message := fmt.Sprintf("%d of %d active engines go at once, over a share of %v", removed, active, g.MaxRemovedShare)
-	return []Violation{{GuardShareOfEngines, message}}
+	return []Violation{{GuardMaxRemovedShare, message}}
 }
 
 // checkOverlap rejects a change during which routers would have no active engine: while both versions are in force, routers act on their
@@ -133,7 +133,7 @@
 	if countActive(rules.Intersect(previous, next), anyEngine) > 0 {
 		return nil
 	}
-	return []Violation{{GuardNothingInBetween, "no engine is active before and after: between the two, routers would have none"}}
+	return []Violation{{GuardNoEngineOverlap, "no engine is active before and after: between the two, routers would have none"}}
 }
 
 // checkFloor rejects a version that forbids something that the floor permits. Fields that list engines or restrict which engines may be
@@ -143,7 +143,7 @@
 		return nil
 	}
 	var forbidden []string
-	for _, field := range rules.Conflicts(floor, next) {
+	for _, field := range rules.ConflictingFields(floor, next) {
 		switch field.Name {
 		case rules.FieldEngines, rules.FieldPlacementExclusions, rules.FieldAllowedMachineTypes:
 		default:
--- a/internal/configversion/guards_test.go
+++ b/internal/configversion/guards_test.go
@@ -39,12 +39,12 @@
 		{"nothing changes", all, all, all, nil},
 		{"the first version", nil, nil, onlyFirst, nil},
 		{"two of eight engines removed", all, nil, rulesWithout(2, nil), nil},
-		{"three of eight engines removed", all, nil, rulesWithout(3, nil), []string{GuardShareOfEngines}},
-		{"all engines removed", all, nil, rulesWithout(8, nil), []string{GuardAllEngines, GuardShareOfEngines}},
+		{"three of eight engines removed", all, nil, rulesWithout(3, nil), []string{GuardMaxRemovedShare}},
+		{"all engines removed", all, nil, rulesWithout(8, nil), []string{GuardNoActiveEngine, GuardMaxRemovedShare}},
 		{"no engine list", all, nil, noEngineList, nil},
-		{"all engines replaced", onlyFirst, nil, rulesWithout(7, nil), []string{GuardShareOfEngines, GuardNothingInBetween}},
+		{"all engines replaced", onlyFirst, nil, rulesWithout(7, nil), []string{GuardMaxRemovedShare, GuardNoEngineOverlap}},
 		{"workload restricted to a machine type that no engine has", all, nil, missingMachineType, []string{GuardMachineType}},
-		{"table group excluded from every engine", onlyFirst, nil, excludedFromLast, []string{GuardShareOfEngines, GuardPlacement, GuardNothingInBetween}},
+		{"table group excluded from every engine", onlyFirst, nil, excludedFromLast, []string{GuardMaxRemovedShare, GuardPlacement, GuardNoEngineOverlap}},
 		{"tighter than the floor", all, all, tighter, []string{GuardFloor}},
 		{"looser than the floor", all, all, looser, nil},
 		{"equal to the floor, without a previous version", nil, all, rulesWithout(0, nil), nil},
@@ -66,7 +66,7 @@
 	var guardError *GuardError
 	require.ErrorAs(t, err, &guardError)
 	require.Len(t, guardError.Violations, 1)
-	assert.Equal(t, GuardShareOfEngines, guardError.Violations[0].Guard)
+	assert.Equal(t, GuardMaxRemovedShare, guardError.Violations[0].Guard)
 }
 
 func TestCheckGuardNames(t *testing.T) {
--- a/internal/configversion/version_test.go
+++ b/internal/configversion/version_test.go
@@ -16,7 +16,7 @@
 	r := &rules.Rules{Routers: 3, SlowStartMultiple: 4, SlowStartShare: 0.3, Engines: map[string]rules.Engine{}}
 	for i := range engines {
 		id := fmt.Sprintf("e%d", i)
-		r.Engines[id] = rules.Engine{Phase: rules.Active, Address: id + ":1", Kind: []string{"big", "small"}[i%2]}
+		r.Engines[id] = rules.Engine{Phase: rules.Active, Address: id + ":1", MachineType: []string{"big", "small"}[i%2]}
 	}
 	require.NoError(t, r.Validate())
 	return r
@@ -24,7 +24,7 @@
 
 func TestEncodeAndDecode(t *testing.T) {
 	first := New(nil, "l1", rulesWithEngines(t, 4), nil, "founded")
-	second := New(first, "", rulesWithEngines(t, 5), []string{GuardShareOfEngines, GuardAllEngines}, "one more")
+	second := New(first, "", rulesWithEngines(t, 5), []string{GuardMaxRemovedShare, GuardNoActiveEngine}, "one more")
 	decoded, err := Decode(second.Encode())
 	require.NoError(t, err)
 	assert.Equal(t, second.Encode(), decoded.Encode())
@@ -34,7 +34,7 @@
 }
 
 func TestDecodeRejectsTruncatedVersion(t *testing.T) {
-	encoded := New(nil, "l1", rulesWithEngines(t, 5), []string{GuardAllEngines}, "a note").Encode()
+	encoded := New(nil, "l1", rulesWithEngines(t, 5), []string{GuardNoActiveEngine}, "a note").Encode()
 	for size := range len(encoded) {
 		_, err := Decode(encoded[:size])
 		require.Error(t, err, "truncated to %d bytes", size)
--- a/internal/configversion/versiontest/versiontest.go
+++ b/internal/configversion/versiontest/versiontest.go
@@ -50,7 +50,7 @@
 		}
 		id := fmt.Sprint("e", i)
 		phase := []string{rules.Active, rules.Active, rules.Draining}[random.IntN(3)]
-		list[id] = rules.Engine{Phase: phase, Address: id + ":1", Kind: "k"}
+		list[id] = rules.Engine{Phase: phase, Address: id + ":1", MachineType: "k"}
 	}
 	return list
 }
--- a/internal/fakes/engine_event.go
+++ b/internal/fakes/engine_event.go
@@ -7,12 +7,12 @@
 
 // Kinds of events.
 const (
-	AttemptStarted   EngineEventKind = "start"
-	AttemptEnded     EngineEventKind = "end"
-	AttemptCancelled EngineEventKind = "cancel"
-	AttemptAbandoned EngineEventKind = "drop" // the engine ended the attempt because the router had not polled it for too long
-	HealthChecked    EngineEventKind = "probe"
-	Collapsed        EngineEventKind = "fell" // a cold engine was sent more work than it tolerates, and stopped
+	AttemptStarted       EngineEventKind = "start"
+	AttemptEnded         EngineEventKind = "end"
+	AttemptCancelled     EngineEventKind = "cancel"
+	AttemptAbandoned     EngineEventKind = "drop" // the engine ended the attempt because the router had not polled it for too long
+	HealthChecked        EngineEventKind = "probe"
+	ColdEngineOverloaded EngineEventKind = "fell" // a cold engine was sent more work than it tolerates, and stopped
 )
 
 // EngineEvent is something that happened at a simulated engine.
--- a/internal/fakes/mix.go
+++ b/internal/fakes/mix.go
@@ -14,24 +14,24 @@
 
 // Item is one statement of a mix.
 type Item struct {
-	Declared decision.WorkloadID
-	Actual   decision.WorkloadID
-	Shape    int           // index of its shape; -1 for a shape that occurs once
-	Work     time.Duration // time on one thread
-	Estimate time.Duration // of the work, as declared by the client
-	MemoryMB float64       // as declared by the client
-	Text     []byte
+	Declared    decision.WorkloadID
+	Actual      decision.WorkloadID
+	Fingerprint int           // index of its fingerprint; -1 for a fingerprint that occurs once
+	Work        time.Duration // time on one thread
+	Estimate    time.Duration // of the work, as declared by the client
+	MemoryMB    float64       // as declared by the client
+	Text        []byte
 }
 
 // MixOptions configure a mix.
 type MixOptions struct {
-	Shapes      int     // number of shapes that occur repeatedly
-	OneOffs     float64 // share of statements whose shape occurs once
-	EstimateOff float64 // factor by which the estimates of each shape are too high or too low; 1 means no systematic error
-	Mutated     bool    // other names and clauses, so that no shape occurs in a mix that is not mutated
-	Bimodal     bool    // half of the statements of each shape run 20 times as long, as if their literals decided the work
-	Honest      bool    // no statement is mislabelled
-	Lies        bool    // mislabelled statements have estimates that match their label
+	RecurringFingerprints int     // number of fingerprints that occur repeatedly
+	OneOffShare           float64 // share of statements whose fingerprint occurs once
+	EstimateErrorFactor   float64 // factor by which the estimates of each fingerprint are too high or too low; 1 means no systematic error
+	OtherFingerprints     bool    // other names and clauses, so that no fingerprint occurs in a mix without this option
+	WorkByLiteral         bool    // half of the statements of each fingerprint run 20 times as long, as if their literals decided the work
+	CorrectLabels         bool    // no statement is mislabelled
+	EstimatesMatchLabels  bool    // mislabelled statements have estimates that match their label
 }
 
 // workloadMix describes the statements of one workload in a mix. Work is in seconds on one thread.
@@ -94,7 +94,7 @@
 	seen := map[string]bool{}
 	var weights []float64
 	for w, mix := range mixWorkloads {
-		count := int(math.Round(float64(options.Shapes) * mix.shapeShare))
+		count := int(math.Round(float64(options.RecurringFingerprints) * mix.shapeShare))
 		total := 0.0
 		for rank := range count {
 			total += zipfWeight(rank)
@@ -120,17 +120,17 @@
 func (m *Mix) Next() Item {
 	number := int(m.shapeIndex.Rand())
 	s := m.shapes[number]
-	if m.random.Float64() < m.options.OneOffs {
+	if m.random.Float64() < m.options.OneOffShare {
 		s = m.newShape(s.workload)
 		s.text = strings.Replace(s.text, "{", "", 1) + fmt.Sprintf(" /* */ AND one_%d.x IS NULL", m.generated)
 		number = -1
 	}
 	m.generated++
 	logWork := s.logWork + statementSpread*m.normal.Rand()
-	if m.options.Bimodal && m.random.IntN(2) == 0 {
+	if m.options.WorkByLiteral && m.random.IntN(2) == 0 {
 		logWork += math.Log(bimodalFactor)
 	}
-	item := Item{Declared: s.workload, Actual: s.workload, Shape: number, Work: seconds(math.Exp(logWork))}
+	item := Item{Declared: s.workload, Actual: s.workload, Fingerprint: number, Work: seconds(math.Exp(logWork))}
 	item.MemoryMB = math.Exp(memoryBase + memoryByWork*logWork + memorySpread*m.normal.Rand())
 	item.Estimate = m.estimate(s, logWork)
 	m.mislabel(&item, s)
@@ -141,7 +141,7 @@
 // estimate draws the estimate of the work that the client declares.
 func (m *Mix) estimate(s mixShape, logWork float64) time.Duration {
 	estimate := seconds(math.Exp(logWork+estimateSpread*m.normal.Rand()) * max(s.estimateFactor, minEstimateFactor))
-	if m.options.EstimateOff == 0 { // without a systematic error: drawn again without a factor
+	if m.options.EstimateErrorFactor == 0 { // without a systematic error: drawn again without a factor
 		estimate = seconds(math.Exp(logWork + estimateSpread*m.normal.Rand()))
 	}
 	return estimate
@@ -149,7 +149,7 @@
 
 // mislabel makes some statements declare another workload than their own.
 func (m *Mix) mislabel(item *Item, s mixShape) {
-	if m.options.Honest {
+	if m.options.CorrectLabels {
 		return
 	}
 	mix := mixWorkloads[s.workload]
@@ -160,7 +160,7 @@
 	if s.workload == PriceLoad && m.random.IntN(2) == 0 {
 		item.Declared = Lookup
 	}
-	if m.options.Lies {
+	if m.options.EstimatesMatchLabels {
 		item.Estimate = seconds(mixWorkloads[item.Declared].medianWork * math.Exp(shapeSpread*m.normal.Rand()))
 	}
 }
--- a/internal/fakes/mix_text.go
+++ b/internal/fakes/mix_text.go
@@ -18,10 +18,10 @@
 // newShape draws a shape: a template whose placeholders are replaced with names.
 func (m *Mix) newShape(w decision.WorkloadID) mixShape {
 	text := m.fillPlaceholders(m.pickOne(mixTemplates[w]))
-	if m.options.Mutated {
+	if m.options.OtherFingerprints {
 		text = m.insertCondition(text, w)
 	}
-	s := mixShape{workload: w, text: text, estimateFactor: m.options.EstimateOff}
+	s := mixShape{workload: w, text: text, estimateFactor: m.options.EstimateErrorFactor}
 	s.logWork = math.Log(mixWorkloads[w].medianWork) + shapeSpread*m.normal.Rand()
 	s.alwaysMislabelled = w == Report && m.random.Float64() < alwaysMislabelled
 	if m.random.IntN(2) == 0 && s.estimateFactor > 0 {
@@ -43,7 +43,7 @@
 		names := map[byte]string{'s': schema, 't': m.pickOne(mixTables), 'c': m.pickOne(mixColumns), 'k': m.pickOne(mixKeys)}
 		placeholder := text[i+1]
 		name := names[placeholder]
-		if m.options.Mutated && placeholder != 's' {
+		if m.options.OtherFingerprints && placeholder != 's' {
 			name = "x" + name
 		}
 		text = text[:i] + name + text[i+len("{c}"):]
--- a/internal/fakes/simulated_engine.go
+++ b/internal/fakes/simulated_engine.go
@@ -84,8 +84,8 @@
 	return e.peakConcurrency
 }
 
-// Slow makes all statements take longer by a factor from now on. If failing is set, all statements that start from now on fail.
-func (e *SimulatedEngine) Slow(factor float64, failing bool) {
+// SetSlowdown makes all statements take longer by a factor from now on. If failing is set, all statements that start from now on fail.
+func (e *SimulatedEngine) SetSlowdown(factor float64, failing bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.applyElapsedWork()
--- a/internal/fakes/simulated_engine_test.go
+++ b/internal/fakes/simulated_engine_test.go
@@ -69,7 +69,7 @@
 
 func TestSimulatedEngineFails(t *testing.T) {
 	e := startRecordedEngine(t, SlowStart{})
-	e.Slow(1, true)
+	e.SetSlowdown(1, true)
 	assert.Equal(t, http.StatusInternalServerError, e.call(http.MethodPost, "/x", "a", "1h").StatusCode)
 	assert.Equal(t, http.StatusInternalServerError, e.call(http.MethodGet, "/x/unknown/0", "", "").StatusCode)
 }
@@ -109,9 +109,9 @@
 			}
 			require.Eventually(t, func() bool { return len(e.recorded()) > 0 }, patience, time.Millisecond)
 			if c.collapses {
-				assert.Contains(t, e.recorded(), Collapsed)
+				assert.Contains(t, e.recorded(), ColdEngineOverloaded)
 			} else {
-				assert.NotContains(t, e.recorded(), Collapsed)
+				assert.NotContains(t, e.recorded(), ColdEngineOverloaded)
 			}
 		})
 	}
--- a/internal/fakes/simulated_slowstart.go
+++ b/internal/fakes/simulated_slowstart.go
@@ -34,7 +34,7 @@
 	load = e.coldWork.Since(at-s.Window) / (s.MaxLoadFactor * share * e.Cores * s.Window.Seconds())
 	if load > 1 && !e.collapsed {
 		e.collapsed = true
-		e.notify(EngineEvent{Kind: Collapsed, ColdLoad: load})
+		e.notify(EngineEvent{Kind: ColdEngineOverloaded, ColdLoad: load})
 		go e.Close()
 	}
 	return load
--- a/internal/faultlab/audit_concurrency.go
+++ b/internal/faultlab/audit_concurrency.go
@@ -14,7 +14,7 @@
 				found = append(found, Violation{At: e.At, Text: text})
 			}
 			running[e.Statement] = e
-		case AttemptEnded, AttemptCancelled, AttemptDropped:
+		case AttemptEnded, AttemptCancelled, AttemptAbandoned:
 			if running[e.Statement].Engine == e.Engine {
 				delete(running, e.Statement)
 			}
--- a/internal/faultlab/consistency.go
+++ b/internal/faultlab/consistency.go
@@ -201,7 +201,7 @@
 	applied := c.appliedRules(x.applied)
 	version := c.versions[x.version]
 	if applied != nil && version != nil {
-		if conflicts := rules.Conflicts(applied, version.Rules); len(conflicts) > 0 {
+		if conflicts := rules.ConflictingFields(applied, version.Rules); len(conflicts) > 0 {
 			text = conflicts[0].Name + ": " + conflicts[0].Description
 		}
 	}
--- a/internal/faultlab/engine.go
+++ b/internal/faultlab/engine.go
@@ -28,12 +28,12 @@
 
 // engineEvents maps the kinds of events of a simulated engine to those of a history.
 var engineEvents = map[fakes.EngineEventKind]EventKind{
-	fakes.AttemptStarted:   AttemptStarted,
-	fakes.AttemptEnded:     AttemptEnded,
-	fakes.AttemptCancelled: AttemptCancelled,
-	fakes.AttemptAbandoned: AttemptDropped,
-	fakes.HealthChecked:    HealthChecked,
-	fakes.Collapsed:        ColdEngineOverloaded,
+	fakes.AttemptStarted:       AttemptStarted,
+	fakes.AttemptEnded:         AttemptEnded,
+	fakes.AttemptCancelled:     AttemptCancelled,
+	fakes.AttemptAbandoned:     AttemptAbandoned,
+	fakes.HealthChecked:        HealthChecked,
+	fakes.ColdEngineOverloaded: ColdEngineOverloaded,
 }
 
 // newEngine starts an engine whose events are recorded in the history.
--- a/internal/faultlab/faults.go
+++ b/internal/faultlab/faults.go
@@ -153,11 +153,11 @@
 // slowEngines multiplies the execution time of engines by a factor. If failing is set, all statements that start there end with an error.
 func (f *fleet) slowEngines(fault Fault, factor float64, failing bool) (repair func() error) {
 	for _, e := range f.enginesAt(fault.Engines) {
-		e.model.Slow(factor, failing)
+		e.model.SetSlowdown(factor, failing)
 	}
 	return func() error {
 		for _, e := range f.enginesAt(fault.Engines) {
-			e.model.Slow(1, false)
+			e.model.SetSlowdown(1, false)
 		}
 		return nil
 	}
--- a/internal/faultlab/generate_shutdown_soak.go
+++ b/internal/faultlab/generate_shutdown_soak.go
@@ -35,7 +35,7 @@
 	s.UseWhileDraining = true
 	s.EarlyReloads = g.random.IntN(oneInEarlyReloads) == 0
 	if g.random.IntN(oneInShortDeadlines) == 0 {
-		s.PatienceFactor = g.between(minShortTimeoutFactor, maxShortTimeoutFactor)
+		s.TimeoutFactor = g.between(minShortTimeoutFactor, maxShortTimeoutFactor)
 		s.WorkFactor = 1
 	}
 	free := s.routersWithoutOutage()
--- a/internal/faultlab/generate_soak.go
+++ b/internal/faultlab/generate_soak.go
@@ -39,7 +39,7 @@
 	s.BusiestFactor = g.between(1, 4)
 	s.CancelShare = g.between(0, 0.2)
 	s.WorkFactor = g.between(1, maxSoakWorkFactor)
-	s.PatienceFactor = g.between(1, maxSoakTimeoutFactor)
+	s.TimeoutFactor = g.between(1, maxSoakTimeoutFactor)
 	for range minSoakFaults + g.random.IntN(maxSoakFaults-minSoakFaults+1) {
 		f := g.soakFault(s)
 		s.Faults = append(s.Faults, f)
--- a/internal/faultlab/history.go
+++ b/internal/faultlab/history.go
@@ -49,7 +49,7 @@
 	AttemptStarted       EventKind = "started"
 	AttemptEnded         EventKind = "ended"   // its work is complete
 	AttemptCancelled     EventKind = "called"  // at the request of a router
-	AttemptDropped       EventKind = "dropped" // by the engine, because no router polled for the result
+	AttemptAbandoned     EventKind = "dropped" // by the engine, because no router polled for the result
 	HealthChecked        EventKind = "probed"
 	ColdEngineOverloaded EventKind = "fell" // a cold engine received more load than it can take
 	EngineStopped        EventKind = "gone" // with all attempts that ran on it
--- a/internal/faultlab/metrics.go
+++ b/internal/faultlab/metrics.go
@@ -76,7 +76,7 @@
 		m.addAnswer(e)
 	case AttemptStarted:
 		m.addAttempt(e)
-	case AttemptCancelled, AttemptDropped:
+	case AttemptCancelled, AttemptAbandoned:
 		m.addAbandoned(e)
 	case HealthChecked:
 		m.healthChecks++
--- a/internal/faultlab/operator.go
+++ b/internal/faultlab/operator.go
@@ -30,7 +30,7 @@
 		HealthChecksPerStatement: 2,
 		SlowStartShare:           engineSlowStart.InitialShare,
 		SlowStartMultiple:        engineSlowStart.MaxLoadFactor,
-		WarmAfterMillis:          engineSlowStart.WarmUpTime.Milliseconds(),
+		SlowStartDurationMillis:  engineSlowStart.WarmUpTime.Milliseconds(),
 		DrainGraceMillis:         1000,
 	}
 	for _, w := range workloads {
--- a/internal/faultlab/scenario.go
+++ b/internal/faultlab/scenario.go
@@ -36,7 +36,7 @@
 	ConfiguredRouters int     `json:"says"`     // number of routers in the routers' settings; 0: Routers
 	BusiestFactor     float64 `json:"busiest"`  // traffic of router 0, relative to each other router
 	WorkFactor        float64 `json:"work"`     // scales the work of a statement; 0: default work
-	PatienceFactor    float64 `json:"patience"` // scales latency objectives and timeouts; 0: default values
+	TimeoutFactor     float64 `json:"patience"` // scales latency objectives and timeouts; 0: default values
 	CancelShare       float64 `json:"leavers"`  // share of the clients that cancel before their timeout expires
 	ControlMembers    int     `json:"control"`  // processes of the control group; 0: no control group
 	VersionInterval   float64 `json:"every"`    // mean seconds between two proposals of a version
@@ -58,9 +58,9 @@
 	Amount  float64   `json:"amount,omitempty"`  // its unit depends on the kind
 }
 
-// scaledTimeout returns a client's timeout or latency objective, scaled by PatienceFactor.
+// scaledTimeout returns a client's timeout or latency objective, scaled by TimeoutFactor.
 func (s *Scenario) scaledTimeout(base time.Duration) time.Duration {
-	return time.Duration(cmp.Or(s.PatienceFactor, 1) * float64(base))
+	return time.Duration(cmp.Or(s.TimeoutFactor, 1) * float64(base))
 }
 
 // FaultsEnd returns the end of the last fault, in seconds from the start of the traffic.
@@ -94,7 +94,7 @@
 		{"busiest", s.BusiestFactor, 0, 100},
 		{"leavers", s.CancelShare, 0, 1},
 		{"work", s.WorkFactor, 0, 100},
-		{"patience", s.PatienceFactor, 0, 10},
+		{"patience", s.TimeoutFactor, 0, 10},
 		{"descriptors", float64(s.Descriptors), 0, 1e5},
 	} {
 		if !isBetween(field.value, field.min, field.max) {
@@ -155,11 +155,11 @@
 	vm.MaxStack = maxJsonnetStack
 	text, err := vm.EvaluateFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("schedule: %w", err)
+		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	s := &Scenario{}
 	if err := json.Unmarshal([]byte(text), s); err != nil {
-		return nil, fmt.Errorf("schedule: %w", err)
+		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	return s, s.Validate()
 }
--- a/internal/faultlab/scenario_test.go
+++ b/internal/faultlab/scenario_test.go
@@ -15,7 +15,7 @@
 
 func TestLoadScenarioErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		`{`:               "schedule",
+		`{`:               "scenario: ",
 		`{routers: 3}`:    "engines: 0 is not",
 		`{routers: 3000}`: "routers: 3000 is not",
 		`local s = {routers: 3, engines: 2, seconds: 5, load: 0.5}; s`:                                                                        "",
--- a/internal/lease/client_test.go
+++ b/internal/lease/client_test.go
@@ -212,11 +212,11 @@
 
 func checkAppliedRules(rt *rapid.T, applied ApplyRules, versions []*configversion.Version, local *rules.Rules) {
 	for _, number := range []uint64{applied.Configuration.Activated, applied.Configuration.Pending} {
-		if number > 0 && len(rules.Conflicts(applied.Rules, versions[number-1].Rules)) > 0 {
+		if number > 0 && len(rules.ConflictingFields(applied.Rules, versions[number-1].Rules)) > 0 {
 			rt.Fatalf("applied rules permit what version %d forbids", number)
 		}
 	}
-	if !applied.Configuration.Leased && len(rules.Conflicts(applied.Rules, local)) > 0 {
+	if !applied.Configuration.Leased && len(rules.ConflictingFields(applied.Rules, local)) > 0 {
 		rt.Fatal("without a lease, applied rules permit what the local settings forbid")
 	}
 }
--- a/internal/proxy/active_rules.go
+++ b/internal/proxy/active_rules.go
@@ -37,7 +37,7 @@
 		HealthChecksPerStatement: localHealthChecks,
 		SlowStartShare:           settingsRules.SlowStartShare,
 		SlowStartMultiple:        settingsRules.SlowStartMultiple,
-		WarmAfterMillis:          settingsRules.SlowStartDuration.Milliseconds(),
+		SlowStartDurationMillis:  settingsRules.SlowStartDuration.Milliseconds(),
 		DrainGraceMillis:         settingsRules.DrainGrace.Milliseconds(),
 		KeyQuietPeriodMillis:     settingsRules.KeyQuietPeriod.Milliseconds(),
 		AllowedMachineTypes:      map[string][]string{},
@@ -101,7 +101,7 @@
 	merged := c.moduleSettings.Rules
 	merged.SlowStartShare = active.SlowStartShare
 	merged.SlowStartMultiple = active.SlowStartMultiple
-	merged.SlowStartDuration = milliseconds(active.WarmAfterMillis)
+	merged.SlowStartDuration = milliseconds(active.SlowStartDurationMillis)
 	merged.DrainGrace = milliseconds(active.DrainGraceMillis)
 	merged.KeyQuietPeriod = milliseconds(active.KeyQuietPeriodMillis)
 	merged.RetryBudgetWindow = milliseconds(active.RetryBudgetWindowMillis)
--- a/internal/proxy/classification.go
+++ b/internal/proxy/classification.go
@@ -34,7 +34,7 @@
 			EstimatedWork:     result.Work,
 			EstimatedMemoryMB: result.MemoryMB,
 			Writes:            result.Writes,
-			OtherTableGroups:  result.OtherTables,
+			OtherTableGroups:  result.OtherTableGroups,
 		}
 	}
 	if result.Workload != arrived.Workload {
@@ -45,7 +45,7 @@
 }
 
 func differsFromDeclared(result classify.Classification, declared decision.WorkloadID) bool {
-	return result.Workload != declared || result.Work > 0 || result.MemoryMB > 0 || result.Writes || len(result.OtherTables) > 0
+	return result.Workload != declared || result.Work > 0 || result.MemoryMB > 0 || result.Writes || len(result.OtherTableGroups) > 0
 }
 
 // recordRunTime records the run time of an attempt in the history of its request's fingerprint. It skips an attempt that never ran, failed or
--- a/internal/proxy/classification_test.go
+++ b/internal/proxy/classification_test.go
@@ -122,7 +122,7 @@
 	on := startComparedRouter(t, false)
 	offCorrect := startComparedRouter(t, true)
 	onCorrect := startComparedRouter(t, false)
-	mix := fakes.NewMix(3, fakes.MixOptions{Shapes: 40, EstimateOff: 1, Lies: true})
+	mix := fakes.NewMix(3, fakes.MixOptions{RecurringFingerprints: 40, EstimateErrorFactor: 1, EstimatesMatchLabels: true})
 	random := rand.New(rand.NewPCG(1, 1))
 	var wait sync.WaitGroup
 	n := 0
--- a/internal/rules/compare.go
+++ b/internal/rules/compare.go
@@ -15,8 +15,9 @@
 // slice.
 func Fields() []Field { return fields }
 
-// Conflicts returns the fields in which a permits something that b forbids. It is not symmetric: Conflicts(b, a) may differ.
-func Conflicts(a, b *Rules) []Field {
+// ConflictingFields returns the fields in which a permits something that b forbids. It is not symmetric:
+// ConflictingFields(b, a) may differ.
+func ConflictingFields(a, b *Rules) []Field {
 	var conflicting []Field
 	for _, f := range fields {
 		if f.conflicts(a, b) {
--- a/internal/rules/compare_test.go
+++ b/internal/rules/compare_test.go
@@ -31,12 +31,12 @@
 		requireSameEncoding(t, "commutative", both, Intersect(b, a))
 		requireSameEncoding(t, "associative", Intersect(both, c), Intersect(a, Intersect(b, c)))
 		for _, operand := range []*Rules{a, b} {
-			if conflicts := Conflicts(both, operand); len(conflicts) > 0 {
+			if conflicts := ConflictingFields(both, operand); len(conflicts) > 0 {
 				t.Fatalf("the intersection conflicts with an operand in %s", conflicts[0].Name)
 			}
 		}
-		if len(Conflicts(c, a)) == 0 && len(Conflicts(c, b)) == 0 && len(Conflicts(c, both)) > 0 {
-			t.Fatalf("the intersection forbids what both operands permit: %s", Conflicts(c, both)[0].Name)
+		if len(ConflictingFields(c, a)) == 0 && len(ConflictingFields(c, b)) == 0 && len(ConflictingFields(c, both)) > 0 {
+			t.Fatalf("the intersection forbids what both operands permit: %s", ConflictingFields(c, both)[0].Name)
 		}
 	})
 }
@@ -45,13 +45,13 @@
 func TestConflictsDefineAPartialOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := rulesGenerator.Draw(t, "a"), rulesGenerator.Draw(t, "b"), rulesGenerator.Draw(t, "c")
-		if len(Conflicts(a, a)) > 0 {
+		if len(ConflictingFields(a, a)) > 0 {
 			t.Fatal("rules conflict with themselves")
 		}
-		if len(Conflicts(a, b)) == 0 && len(Conflicts(b, c)) == 0 && len(Conflicts(a, c)) > 0 {
-			t.Fatalf("not transitive in field %s", Conflicts(a, c)[0].Name)
+		if len(ConflictingFields(a, b)) == 0 && len(ConflictingFields(b, c)) == 0 && len(ConflictingFields(a, c)) > 0 {
+			t.Fatalf("not transitive in field %s", ConflictingFields(a, c)[0].Name)
 		}
-		if len(Conflicts(a, b)) == 0 && len(Conflicts(b, a)) == 0 {
+		if len(ConflictingFields(a, b)) == 0 && len(ConflictingFields(b, a)) == 0 {
 			requireSameEncoding(t, "rules without a conflict in either direction are equal", Intersect(a, b), a)
 		}
 	})
@@ -83,13 +83,13 @@
 		HealthChecksPerStatement: 1,
 		SlowStartShare:           0.3,
 		SlowStartMultiple:        4,
-		WarmAfterMillis:          15000,
+		SlowStartDurationMillis:  15000,
 		DrainGraceMillis:         1000,
 		KeyQuietPeriodMillis:     5,
 		SheddableWorkloads:       []string{"w"},
 		PlacementExclusions:      map[string][]string{"1": {"e"}},
 		AllowedMachineTypes:      map[string][]string{"w": {"k"}},
-		Engines:                  map[string]Engine{"e": {Phase: Active, Address: "e:1", Kind: "k"}},
+		Engines:                  map[string]Engine{"e": {Phase: Active, Address: "e:1", MachineType: "k"}},
 	}
 	require.NoError(t, r.Validate())
 	return r
@@ -108,7 +108,7 @@
 	"probes":          {func(r *Rules) { r.HealthChecksPerStatement = 2 }},
 	"cold_share":      {func(r *Rules) { r.SlowStartShare = 0.4 }},
 	"cold_multiple":   {func(r *Rules) { r.SlowStartMultiple = 5 }},
-	"warm_after":      {func(r *Rules) { r.WarmAfterMillis = 1 }},
+	"warm_after":      {func(r *Rules) { r.SlowStartDurationMillis = 1 }},
 	"drain_grace":     {func(r *Rules) { r.DrainGraceMillis = 1 }},
 	"key_rest":        {func(r *Rules) { r.KeyQuietPeriodMillis = 6 }},
 	"may_turn_away":   {func(r *Rules) { r.SheddableWorkloads = nil }},
@@ -120,9 +120,11 @@
 	"engines": {
 		func(r *Rules) { r.Engines = nil },
 		func(r *Rules) { delete(r.Engines, "e") },
-		func(r *Rules) { r.Engines["e"] = Engine{Phase: Draining, Address: "e:1", Kind: "k"} },
-		func(r *Rules) { r.Engines["e"] = Engine{Phase: Active, Address: "e:1", Kind: "k", WarmingUp: true} },
-		func(r *Rules) { r.Engines["e"] = Engine{Phase: Active, Address: "e:2", Kind: "k"} },
+		func(r *Rules) { r.Engines["e"] = Engine{Phase: Draining, Address: "e:1", MachineType: "k"} },
+		func(r *Rules) {
+			r.Engines["e"] = Engine{Phase: Active, Address: "e:1", MachineType: "k", WarmingUp: true}
+		},
+		func(r *Rules) { r.Engines["e"] = Engine{Phase: Active, Address: "e:2", MachineType: "k"} },
 	},
 }
 
@@ -135,10 +137,10 @@
 				before, after := exampleRules(t), exampleRules(t)
 				change(after)
 				require.NoError(t, after.Validate())
-				conflicts := append(Conflicts(before, after), Conflicts(after, before)...)
+				conflicts := append(ConflictingFields(before, after), ConflictingFields(after, before)...)
 				require.NotEmpty(t, conflicts, "change %d: no conflict reported", i)
 				both := Intersect(before, after)
-				assert.Empty(t, append(Conflicts(both, before), Conflicts(both, after)...))
+				assert.Empty(t, append(ConflictingFields(both, before), ConflictingFields(both, after)...))
 				for _, conflict := range conflicts {
 					if field.Name != "routers" { // the default quotas also depend on the number of routers: fewer routers have larger ones
 						assert.Equal(t, field.Name, conflict.Name)
--- a/internal/rules/fields.go
+++ b/internal/rules/fields.go
@@ -70,7 +70,7 @@
 	upperBoundField("cold_multiple", "sends a cold engine more", consequenceColdOverload,
 		1e6, func(r *Rules) *float64 { return &r.SlowStartMultiple }),
 	lowerBoundField("warm_after", "takes an engine for warm sooner", consequenceColdOverload,
-		maxMillis, func(r *Rules) *int64 { return &r.WarmAfterMillis }),
+		maxMillis, func(r *Rules) *int64 { return &r.SlowStartDurationMillis }),
 	upperBoundField("drain_grace", "sends a leaving engine work for longer", "an engine ends with work on it",
 		maxMillis, func(r *Rules) *int64 { return &r.DrainGraceMillis }),
 	lowerBoundField("key_rest", "goes on with a key sooner", "two statements of one key run at once",
@@ -235,7 +235,7 @@
 	case a.Phase == Removed:
 		return false
 	}
-	return a.Address != b.Address || a.Kind != b.Kind || !a.WarmingUp && b.WarmingUp
+	return a.Address != b.Address || a.MachineType != b.MachineType || !a.WarmingUp && b.WarmingUp
 }
 
 func intersectEngines(a, b, result *Rules) {
@@ -254,12 +254,12 @@
 // intersectEngine returns the entry that permits exactly what a and b permit. It returns false if they permit nothing in common: the engine
 // is removed in one of them, or the addresses or machine types differ.
 func intersectEngine(a, b Engine) (Engine, bool) {
-	result := Engine{Phase: Draining, WarmingUp: a.WarmingUp || b.WarmingUp, Address: a.Address, Kind: a.Kind}
+	result := Engine{Phase: Draining, WarmingUp: a.WarmingUp || b.WarmingUp, Address: a.Address, MachineType: a.MachineType}
 	if a.Phase == Active && b.Phase == Active {
 		result.Phase = Active
 	}
 	listed := a.Phase != Removed && b.Phase != Removed
-	return result, listed && a.Address == b.Address && a.Kind == b.Kind
+	return result, listed && a.Address == b.Address && a.MachineType == b.MachineType
 }
 
 func checkEngines(r *Rules) error {
--- a/internal/rules/generate_test.go
+++ b/internal/rules/generate_test.go
@@ -39,7 +39,7 @@
 	}
 	for i, field := range []*int64{
 		&r.RetryBudgetWindowMillis,
-		&r.WarmAfterMillis,
+		&r.SlowStartDurationMillis,
 		&r.DrainGraceMillis,
 		&r.KeyQuietPeriodMillis,
 	} {
@@ -59,9 +59,9 @@
 
 func drawEngine(t *rapid.T, id string) Engine {
 	return Engine{
-		Phase:     rapid.SampledFrom([]string{Active, Draining, Removed}).Draw(t, "phase"),
-		WarmingUp: rapid.Bool().Draw(t, "cold"),
-		Address:   rapid.SampledFrom([]string{id + ":1", id + ":2"}).Draw(t, "address"),
-		Kind:      rapid.SampledFrom([]string{"k", "l"}).Draw(t, "kind"),
+		Phase:       rapid.SampledFrom([]string{Active, Draining, Removed}).Draw(t, "phase"),
+		WarmingUp:   rapid.Bool().Draw(t, "cold"),
+		Address:     rapid.SampledFrom([]string{id + ":1", id + ":2"}).Draw(t, "address"),
+		MachineType: rapid.SampledFrom([]string{"k", "l"}).Draw(t, "kind"),
 	}
 }
--- a/internal/rules/recording_test.go
+++ b/internal/rules/recording_test.go
@@ -47,7 +47,7 @@
 	for range 2000 {
 		next := generateRules(t, random)
 		for _, pair := range [][2]*Rules{{before, next}, {next, before}} {
-			for _, f := range Conflicts(pair[0], pair[1]) {
+			for _, f := range ConflictingFields(pair[0], pair[1]) {
 				fmt.Fprintf(hash, "%s ", f.Name)
 			}
 			fmt.Fprintf(hash, "\n%s\n", Intersect(pair[0], pair[1]).Canonical())
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -45,8 +45,8 @@
 	SlowStartShare float64 `json:"cold_share"`
 	// SlowStartMultiple is the maximum load that may be sent to an engine while it warms up, as a multiple of its current capacity.
 	SlowStartMultiple float64 `json:"cold_multiple"`
-	// WarmAfterMillis is the age from which an engine is no longer treated as warming up.
-	WarmAfterMillis int64 `json:"warm_after"`
+	// SlowStartDurationMillis is the age from which an engine is no longer treated as warming up.
+	SlowStartDurationMillis int64 `json:"warm_after"`
 	// DrainGraceMillis is how long work may still be sent to a draining engine.
 	DrainGraceMillis int64 `json:"drain_grace"`
 	// KeyQuietPeriodMillis is how long a key stays blocked if an earlier statement with this key may still be running.
@@ -66,10 +66,10 @@
 
 // Engine is an entry of the engine list.
 type Engine struct {
-	Phase     string `json:"phase"`   // Active or Draining; Removed is accepted as input
-	WarmingUp bool   `json:"cold"`    // treat the engine as warming up, regardless of its age, until a later version clears the flag
-	Address   string `json:"address"` // host:port, unique in the list
-	Kind      string `json:"kind"`    // machine type
+	Phase       string `json:"phase"`   // Active or Draining; Removed is accepted as input
+	WarmingUp   bool   `json:"cold"`    // treat the engine as warming up, regardless of its age, until a later version clears the flag
+	Address     string `json:"address"` // host:port, unique in the list
+	MachineType string `json:"kind"`    // machine type
 }
 
 // Values of Engine.Phase.
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -55,7 +55,7 @@
 		if err != nil || string(reparsed.Canonical()) != string(r.Canonical()) {
 			t.Fatalf("%s: encoding changed in a round trip, or error: %v", raw, err)
 		}
-		if len(Conflicts(r, reparsed)) > 0 {
+		if len(ConflictingFields(r, reparsed)) > 0 {
 			t.Fatal("rules conflict with themselves")
 		}
 	})
--- a/internal/simulation/contradiction.go
+++ b/internal/simulation/contradiction.go
@@ -75,7 +75,7 @@
 
 // ContradictionBound is how long routers may contradict each other in a simulation: one lease duration, plus one sampling interval at
 // either end. It includes no other delay, since in a simulation a batch of decisions takes no time and no router is paused between the
-// check of its lease and its action.
+// check of its lease and its action. docs/control.md derives the general bound, lease.Durations.MaxContradiction.
 func ContradictionBound(durations lease.Durations) time.Duration {
 	return durations.LeaseDuration + 2*auditInterval
 }
@@ -136,7 +136,7 @@
 		return conflict
 	}
 	conflict := ""
-	if conflicting := rules.Conflicts(appliedRules, version.Rules); len(conflicting) > 0 {
+	if conflicting := rules.ConflictingFields(appliedRules, version.Rules); len(conflicting) > 0 {
 		conflict = conflicting[0].Name + ": " + conflicting[0].Description
 	}
 	a.contradictions.conflicts[key] = conflict
--- a/internal/simulation/proposals.go
+++ b/internal/simulation/proposals.go
@@ -23,10 +23,10 @@
 
 // forcedGuards lists the guards that operators override, so that the group accepts all proposed rules.
 var forcedGuards = []string{
-	configversion.GuardShareOfEngines,
+	configversion.GuardMaxRemovedShare,
 	configversion.GuardFloor,
-	configversion.GuardAllEngines,
-	configversion.GuardNothingInBetween,
+	configversion.GuardNoActiveEngine,
+	configversion.GuardNoEngineOverlap,
 }
 
 // faultsEnd is when faults and new proposals end, so that the routers can converge.
@@ -71,7 +71,7 @@
 	r.SlowStartShare = 0.2
 	r.HealthChecksPerStatement = 1
 	r.RetryBudgetShare = 0.2
-	r.WarmAfterMillis = 20000
+	r.SlowStartDurationMillis = 20000
 	r.KeyQuietPeriodMillis = 5000
 	r.RetryBudgetWindowMillis = 5000
 	r.Engines = map[string]rules.Engine{}
@@ -84,7 +84,7 @@
 func engineName(i int) string { return fmt.Sprint("e", i) }
 
 func newEngine(id int) rules.Engine {
-	return rules.Engine{Phase: rules.Active, Address: fmt.Sprint("e:", id), Kind: "k"}
+	return rules.Engine{Phase: rules.Active, Address: fmt.Sprint("e:", id), MachineType: "k"}
 }
 
 // changeRules changes one or two fields, up or down.
@@ -102,7 +102,7 @@
 		case 2:
 			r.HealthChecksPerStatement = min(50, max(0.6, r.HealthChecksPerStatement*scale))
 		case 3:
-			r.WarmAfterMillis = min(29000, max(1000, int64(float64(r.WarmAfterMillis)*scale)))
+			r.SlowStartDurationMillis = min(29000, max(1000, int64(float64(r.SlowStartDurationMillis)*scale)))
 		default:
 			s.changeEngine(r.Engines)
 		}
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -34,7 +34,7 @@
 		SlowStartShare:           0.1,
 		HealthChecksPerStatement: 0.5,
 		RetryBudgetShare:         0.1,
-		WarmAfterMillis:          30000,
+		SlowStartDurationMillis:  30000,
 		KeyQuietPeriodMillis:     10000,
 		RetryBudgetWindowMillis:  10000,
 	}
--- a/internal/sqltext/analyser_test.go
+++ b/internal/sqltext/analyser_test.go
@@ -88,8 +88,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := new(Analyser).Analyse([]byte(c.text))
-			assert.ElementsMatch(t, c.read, got.Read.Slice(), "read")
-			assert.ElementsMatch(t, c.written, got.Written.Slice(), "written")
+			assert.ElementsMatch(t, c.read, got.GroupsRead.Slice(), "read")
+			assert.ElementsMatch(t, c.written, got.GroupsWritten.Slice(), "written")
 			assert.Equal(t, c.written != nil, got.Writes)
 		})
 	}
@@ -141,7 +141,7 @@
 		WHERE b.day BETWEEN '2026-01-01' AND '2026-02-01' AND 5 = c.n AND c.price >= 10 AND c.key = $1 AND c.v = -5 AND c.u <> N'x'
 		AND c.t IN (1, 2, 3) AND c.name = E'it\'s' GROUP BY w.m HAVING count(*) > 3 UNION ALL SELECT 1, 2, 3, 4 ORDER BY 1`))
 	assert.Equal(t, Statement{Kind: Select, Grouped: true, Windowed: true, Ordered: true, Distinct: true, Limited: true, Limit: 25,
-		FirstSchemaGroup: 1, Read: Groups{count: 1, groups: [MaxTableGroups]int64{1}}, Statements: 1, Tables: 5, Joins: 3, SetOperators: 1, CTEs: 1, Subselects: 3, SubselectDepth: 2,
+		FirstSchemaGroup: 1, GroupsRead: Groups{count: 1, groups: [MaxTableGroups]int64{1}}, Statements: 1, Tables: 5, Joins: 3, SetOperators: 1, CTEs: 1, Subselects: 3, SubselectDepth: 2,
 		Aggregates: 5, EqualityConditions: 5, RangeConditions: 3, InLists: 1, InListItems: 3, Fingerprint: got.Fingerprint}, got)
 	assert.NotZero(t, got.Fingerprint)
 }
--- a/internal/sqltext/keyword_rules.go
+++ b/internal/sqltext/keyword_rules.go
@@ -161,9 +161,9 @@
 	case a.copyDirectionUnknown && a.depth == 0: // COPY t FROM
 		a.copyDirectionUnknown = false
 		a.result.Writes = true
-		if a.result.Read.count > 0 {
-			a.result.Written.add(a.result.Read.groups[0])
-			a.result.Read = Groups{}
+		if a.result.GroupsRead.count > 0 {
+			a.result.GroupsWritten.add(a.result.GroupsRead.groups[0])
+			a.result.GroupsRead = Groups{}
 		}
 	case a.verb == kwBulk || a.verb == kwCopy && !current.hasVerb: // the source is a file
 	case current.hasVerb || a.depth == 0 && a.verb == kwNone || a.depth >= maxBracketDepth:
--- a/internal/sqltext/recorded_test.go
+++ b/internal/sqltext/recorded_test.go
@@ -48,7 +48,7 @@
 // hashAnalysis adds the result of an analysis to a hash.
 func hashAnalysis(hash io.Writer, analyser *Analyser, text []byte) {
 	s := analyser.Analyse(text)
-	fmt.Fprintln(hash, int(s.Kind), s.Writes, s.Truncated, s.Unterminated, s.Read.Slice(), s.Written.Slice(), s.FirstSchemaGroup, s.ForUpdate, s.Grouped, s.Windowed, s.Ordered, s.Distinct, s.Limited)
+	fmt.Fprintln(hash, int(s.Kind), s.Writes, s.Truncated, s.Unterminated, s.GroupsRead.Slice(), s.GroupsWritten.Slice(), s.FirstSchemaGroup, s.ForUpdate, s.Grouped, s.Windowed, s.Ordered, s.Distinct, s.Limited)
 	fmt.Fprintln(hash, s.Limit, s.Statements, s.Tables, s.Joins, s.SetOperators, s.CTEs, s.Subselects, s.SubselectDepth, s.Aggregates, s.EqualityConditions, s.RangeConditions, s.InLists, s.InListItems, s.Rows, s.Fingerprint)
 	fmt.Fprintln(hash, s.LockedGroup(), s.PrimaryGroup(), string(analyser.NormalizedText()))
 }
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -67,8 +67,8 @@
 	Truncated    bool // longer than MaxAnalysedBytes: the rest was not read, and Fingerprint is 0
 	Unterminated bool // the text ends inside a string, a quoted name or a comment
 
-	Read, Written    Groups
-	FirstSchemaGroup int64 // of the first name that the protocol takes for a schema with a group
+	GroupsRead, GroupsWritten Groups
+	FirstSchemaGroup          int64 // of the first name that the protocol takes for a schema with a group
 
 	ForUpdate, Grouped, Windowed, Ordered, Distinct, Limited bool
 
@@ -93,8 +93,8 @@
 // LockedGroup returns the first table group that the statement writes, which a bulk load locks while it runs, or NoGroup
 // if none is known.
 func (s *Statement) LockedGroup() int64 {
-	if s.Written.count > 0 {
-		return s.Written.groups[0]
+	if s.GroupsWritten.count > 0 {
+		return s.GroupsWritten.groups[0]
 	}
 	return NoGroup
 }
@@ -103,10 +103,10 @@
 // recognized, that of the first schema.
 func (s *Statement) PrimaryGroup() int64 {
 	switch {
-	case s.Written.count > 0:
-		return s.Written.groups[0]
-	case s.Read.count > 0:
-		return s.Read.groups[0]
+	case s.GroupsWritten.count > 0:
+		return s.GroupsWritten.groups[0]
+	case s.GroupsRead.count > 0:
+		return s.GroupsRead.groups[0]
 	case s.Tables > 0: // FirstSchemaGroup is then not from a table's schema
 		return NoGroup
 	}
--- a/internal/sqltext/tokens.go
+++ b/internal/sqltext/tokens.go
@@ -222,10 +222,10 @@
 	case a.tableIsWritten:
 		a.result.Writes = true
 		if group != NoGroup {
-			a.result.Written.add(group)
+			a.result.GroupsWritten.add(group)
 		}
 	case group != NoGroup:
-		a.result.Read.add(group)
+		a.result.GroupsRead.add(group)
 	}
 }
 
@@ -367,8 +367,8 @@
 func (a *Analyser) endStatement() {
 	a.endTableName()
 	changesRows := a.verb == kwUpdate || a.verb == kwDelete
-	if changesRows && a.result.Written.count == 0 && a.result.Read.count > 0 && a.result.Writes {
-		a.result.Written.add(a.result.Read.groups[0]) // the target is an alias of a table in FROM
+	if changesRows && a.result.GroupsWritten.count == 0 && a.result.GroupsRead.count > 0 && a.result.Writes {
+		a.result.GroupsWritten.add(a.result.GroupsRead.groups[0]) // the target is an alias of a table in FROM
 	}
 	if a.tokenCount > 0 {
 		a.result.Statements++
