--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -88,7 +88,7 @@
 
 // parseMember validates one engine of an event. A removed engine needs no address.
 func parseMember(member memberJSON) (Endpoint, error) {
-	state, err := settings.LookUpWord("phase", member.Phase, engineStates)
+	state, err := settings.ParseEnum("phase", member.Phase, engineStates)
 	if err != nil {
 		return Endpoint{}, err
 	}
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -51,7 +51,7 @@
 	var field *FieldError
 	require.ErrorAs(t, err, &field)
 	assert.Equal(t, "settings", field.Field)
-	var word UnknownWordError
+	var word UnknownValueError
 	require.ErrorAs(t, err, &word)
 	assert.Equal(t, "odd", word.Word)
 
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -14,11 +14,11 @@
 // Unwrap returns the field's error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// UnknownWordError is the error of a word that is not an allowed value of its field.
-type UnknownWordError struct{ Word string }
+// UnknownValueError is the error of a text that is not an allowed value of its field.
+type UnknownValueError struct{ Word string }
 
 // Error returns a text that quotes the word.
-func (e UnknownWordError) Error() string { return fmt.Sprintf("unknown word %q", e.Word) }
+func (e UnknownValueError) Error() string { return fmt.Sprintf("unknown word %q", e.Word) }
 
 // AddressError is the error of a text that is not an IP address with a port.
 type AddressError struct{ Text string }
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -71,7 +71,7 @@
 }
 
 func (in *info) limits() (decision.Limits, error) {
-	poll, err := LookUpWord("discovery", in.Discovery, pollWords)
+	poll, err := ParseEnum("discovery", in.Discovery, pollValues)
 	if err != nil {
 		return decision.Limits{}, err
 	}
@@ -91,7 +91,7 @@
 }
 
 func (in *info) engineTraits() (decision.EngineTraits, error) {
-	overcommit, err := LookUpWord("onShortage", in.Extra.OnShortage, overcommitWords)
+	overcommit, err := ParseEnum("onShortage", in.Extra.OnShortage, overcommitValues)
 	if err != nil {
 		return decision.EngineTraits{}, err
 	}
@@ -113,13 +113,13 @@
 }
 
 func (in *info) loadReports() (decision.LoadReportSettings, error) {
-	source, err := LookUpWord("feedback.via", in.Feedback.Via, reportSourceWords)
+	source, err := ParseEnum("feedback.via", in.Feedback.Via, reportSourceValues)
 	if err != nil {
 		return decision.LoadReportSettings{}, err
 	}
 	reports := decision.LoadReportSettings{Source: source}
 	for _, word := range in.Feedback.Fields {
-		field, err := LookUpWord("feedback.fields", word, ReportFieldWords)
+		field, err := ParseEnum("feedback.fields", word, ReportFieldNames)
 		if err != nil {
 			return decision.LoadReportSettings{}, err
 		}
@@ -131,11 +131,11 @@
 func (in *info) workloads() ([]decision.Workload, error) {
 	var workloads []decision.Workload
 	for i, class := range in.Classes {
-		idempotency, err := LookUpWord("classes[].idempotency", class.Idempotency, idempotencyWords)
+		idempotency, err := ParseEnum("classes[].idempotency", class.Idempotency, idempotencyValues)
 		if err != nil {
 			return nil, err
 		}
-		scope, err := LookUpWord("classes[].group", class.Group, dedupScopeWords)
+		scope, err := ParseEnum("classes[].group", class.Group, dedupScopeValues)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -57,7 +57,7 @@
 
 // decodeOutcome decodes the outcome of an attempt or a health check, and the load report in the same message.
 func (in *instance) decodeOutcome(ending string, telemetry []*float64) (decision.Outcome, *decision.LoadReport, error) {
-	outcome, err := settings.LookUpWord("ending", ending, outcomesByName)
+	outcome, err := settings.ParseEnum("ending", ending, outcomesByName)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -92,7 +92,7 @@
 	if err := decodeStrictly(body, &m); err != nil {
 		return nil, err
 	}
-	kind, err := settings.LookUpWord("scope", m.Scope, listKindsByName)
+	kind, err := settings.ParseEnum("scope", m.Scope, listKindsByName)
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 	if m.Corr == "" || m.TimeBudget == nil {
 		return nil, errIncompleteArrival
 	}
-	workload, err := settings.LookUpWord("kind", m.Kind, in.workloads)
+	workload, err := settings.ParseEnum("kind", m.Kind, in.workloads)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simwire/opening.go
+++ b/internal/simwire/opening.go
@@ -78,7 +78,7 @@
 	}
 	endpoints := make([]decision.Endpoint, 0, len(m.Rows))
 	for _, row := range m.Rows {
-		state, err := settings.LookUpWord("status", row.Status, engineStatesByName)
+		state, err := settings.ParseEnum("status", row.Status, engineStatesByName)
 		if err != nil {
 			return err
 		}
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -15,7 +15,7 @@
 	var report *decision.LoadReport
 	for pair := range strings.SplitSeq(text, ";") {
 		name, valueText, _ := strings.Cut(pair, ":")
-		field, known := settings.ResponseFieldWords[strings.TrimSpace(name)]
+		field, known := settings.ResponseFieldNames[strings.TrimSpace(name)]
 		value, valid := parseNonNegative(strings.TrimSpace(valueText))
 		if !known || !valid {
 			continue
