--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -36,9 +36,9 @@
 		want     string // "" if valid
 	}{
 		{"valid", Settings{ID: 1, HeartbeatInterval: 1, ElectionTimeout: 3}, ""},
-		{"no id", Settings{HeartbeatInterval: 1, ElectionTimeout: 3}, "id: missing"},
-		{"no heartbeat", Settings{ID: 1, ElectionTimeout: 3}, "heartbeat: not above 0"},
-		{"short election", Settings{ID: 1, HeartbeatInterval: time.Second, ElectionTimeout: 2 * time.Second}, "election: 2s is under three heartbeats"},
+		{"no id", Settings{HeartbeatInterval: 1, ElectionTimeout: 3}, "id: missing or 0: must be a whole number from 1"},
+		{"no heartbeat", Settings{ID: 1, ElectionTimeout: 3}, "heartbeat_ms: invalid value 0s: must be above 0"},
+		{"short election", Settings{ID: 1, HeartbeatInterval: time.Second, ElectionTimeout: 2 * time.Second}, "election_ms: invalid value 2s: must be at least 3s, three times heartbeat_ms"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := c.settings.Validate()
--- a/internal/consensus/settings.go
+++ b/internal/consensus/settings.go
@@ -26,11 +26,11 @@
 func (s *Settings) Validate() error {
 	switch {
 	case s.ID == 0:
-		return errors.New("id: missing")
+		return errors.New("id: missing or 0: must be a whole number from 1")
 	case s.HeartbeatInterval <= 0:
-		return errors.New("heartbeat: not above 0")
+		return fmt.Errorf("heartbeat_ms: invalid value %v: must be above 0", s.HeartbeatInterval)
 	case s.ElectionTimeout < minHeartbeatsPerElection*s.HeartbeatInterval:
-		return fmt.Errorf("election: %v is under three heartbeats", s.ElectionTimeout)
+		return fmt.Errorf("election_ms: invalid value %v: must be at least %v, three times heartbeat_ms", s.ElectionTimeout, minHeartbeatsPerElection*s.HeartbeatInterval)
 	}
 	return nil
 }
--- a/internal/controlserver/settings_test.go
+++ b/internal/controlserver/settings_test.go
@@ -24,7 +24,7 @@
 		`{id: 1, dir: 'd', term_ms: 200}`:                                                 "settings: lease durations: renew: 400ms is not from 10ms to 200ms",
 		`{id: 1, dir: 'd', drift: 0.5}`:                                                   "drift",
 		`{id: 1, dir: 'd', most_gone: 2}`:                                                 "settings: most_gone: invalid value 2: must be above 0 and at most 1",
-		`{id: 1, dir: 'd', election_ms: 100}`:                                             "election",
+		`{id: 1, dir: 'd', election_ms: 100}`:                                             "settings: election_ms: invalid value 100ms: must be at least 300ms, three times heartbeat_ms",
 		`{`:                                                                               "settings",
 	} {
 		t.Run(text, func(t *testing.T) {
