--- a/internal/classify/classifier.go
+++ b/internal/classify/classifier.go
@@ -98,7 +98,7 @@
 		PrimaryTableGroup: decision.TableGroup(statement.PrimaryGroup()),
 		LockedTableGroup:  decision.TableGroup(statement.LockedGroup()),
 	}
-	classified.OtherTableGroups = otherTables(statement, classified.PrimaryTableGroup)
+	classified.OtherTableGroups = otherTableGroups(statement, classified.PrimaryTableGroup)
 	*observation = Observation{
 		fingerprint:      statement.Fingerprint,
 		declared:         declared,
@@ -132,8 +132,8 @@
 	}
 }
 
-// otherTables returns the table groups that a statement names in addition to its primary one, the written ones first.
-func otherTables(statement *sqltext.Statement, primary decision.TableGroup) []decision.TableGroup {
+// otherTableGroups returns the table groups that a statement names in addition to its primary one, the written ones first.
+func otherTableGroups(statement *sqltext.Statement, primary decision.TableGroup) []decision.TableGroup {
 	var others []decision.TableGroup
 	for _, groups := range []*sqltext.Groups{&statement.GroupsWritten, &statement.GroupsRead} {
 		for _, number := range groups.Slice() {
--- a/internal/fakes/mix.go
+++ b/internal/fakes/mix.go
@@ -36,25 +36,25 @@
 
 // workloadMix describes the statements of one workload in a mix. Work is in seconds on one thread.
 type workloadMix struct {
-	share         float64 // of statements
-	shapeShare    float64 // of shapes
-	medianWork    float64
-	mislabelled   float64             // share of statements, chosen so that about 5 % of all statements are mislabelled, with the shapes that always are
-	mislabelledAs decision.WorkloadID // workload that most of the mislabelled statements declare
+	share            float64 // of statements
+	fingerprintShare float64 // of fingerprints
+	medianWork       float64
+	mislabelled      float64             // share of statements, chosen so that about 5 % of all statements are mislabelled, with the fingerprints that always are
+	mislabelledAs    decision.WorkloadID // workload that most of the mislabelled statements declare
 }
 
 var mixWorkloads = []workloadMix{
-	Lookup:    {share: 0.78, shapeShare: 0.62, medianWork: 0.11, mislabelled: 0.01, mislabelledAs: Report},
-	Report:    {share: 0.17, shapeShare: 0.30, medianWork: 1.9, mislabelled: 0.17, mislabelledAs: Lookup},
-	PriceLoad: {share: 0.05, shapeShare: 0.08, medianWork: 3.8, mislabelled: 0.1, mislabelledAs: Report},
+	Lookup:    {share: 0.78, fingerprintShare: 0.62, medianWork: 0.11, mislabelled: 0.01, mislabelledAs: Report},
+	Report:    {share: 0.17, fingerprintShare: 0.30, medianWork: 1.9, mislabelled: 0.17, mislabelledAs: Lookup},
+	PriceLoad: {share: 0.05, fingerprintShare: 0.08, medianWork: 3.8, mislabelled: 0.1, mislabelledAs: Report},
 }
 
 // Parameters of a mix. Spreads are standard deviations of logarithms.
 const (
-	shapeSpread       = 0.45 // of the work of different shapes
-	statementSpread   = 0.5  // of the work of the statements of one shape
+	fingerprintSpread = 0.45 // of the work of different fingerprints
+	statementSpread   = 0.5  // of the work of the statements of one fingerprint
 	estimateSpread    = 0.25
-	alwaysMislabelled = 0.06 // share of the shapes of reports
+	alwaysMislabelled = 0.06 // share of the fingerprints of reports
 	zipfExponent      = 0.9
 	bimodalFactor     = 20
 	minEstimateFactor = 1e-3
@@ -70,16 +70,16 @@
 // Mix generates statements, the same ones for the same seed. The order of the calls of the random generator must not change, since
 // results for a seed depend on it.
 type Mix struct {
-	options    MixOptions
-	random     *rand.Rand
-	shapes     []mixShape
-	shapeIndex distuv.Categorical
-	normal     distuv.Normal
-	generated  int
+	options          MixOptions
+	random           *rand.Rand
+	fingerprints     []mixFingerprint
+	fingerprintIndex distuv.Categorical
+	normal           distuv.Normal
+	generated        int
 }
 
-// mixShape is a statement text without literals, with the properties that its statements share.
-type mixShape struct {
+// mixFingerprint is a statement text without literals, with the properties that its statements share.
+type mixFingerprint struct {
 	workload          decision.WorkloadID
 	text              string // with ? for a literal and # for a list of literals
 	logWork           float64
@@ -87,41 +87,41 @@
 	alwaysMislabelled bool
 }
 
-// NewMix creates a mix with random shapes.
+// NewMix creates a mix with random fingerprints.
 func NewMix(seed uint64, options MixOptions) *Mix {
 	m := &Mix{options: options, random: rand.New(rand.NewPCG(seed, mixRandomStream))}
 	m.normal = distuv.Normal{Mu: 0, Sigma: 1, Src: m.random}
 	seen := map[string]bool{}
 	var weights []float64
 	for w, mix := range mixWorkloads {
-		count := int(math.Round(float64(options.RecurringFingerprints) * mix.shapeShare))
+		count := int(math.Round(float64(options.RecurringFingerprints) * mix.fingerprintShare))
 		total := 0.0
 		for rank := range count {
 			total += zipfWeight(rank)
 		}
 		for rank := range count {
-			s := m.newShape(decision.WorkloadID(w))
+			s := m.newFingerprint(decision.WorkloadID(w))
 			for seen[s.text] {
-				s = m.newShape(decision.WorkloadID(w))
+				s = m.newFingerprint(decision.WorkloadID(w))
 			}
 			seen[s.text] = true
-			m.shapes = append(m.shapes, s)
+			m.fingerprints = append(m.fingerprints, s)
 			weights = append(weights, mix.share*zipfWeight(rank)/total)
 		}
 	}
-	m.shapeIndex = distuv.NewCategorical(weights, m.random)
+	m.fingerprintIndex = distuv.NewCategorical(weights, m.random)
 	return m
 }
 
-// zipfWeight returns the weight of the shape with a rank; ranks start at 0.
+// zipfWeight returns the weight of the fingerprint with a rank; ranks start at 0.
 func zipfWeight(rank int) float64 { return math.Pow(float64(rank+1), -zipfExponent) }
 
 // Next generates a statement.
 func (m *Mix) Next() Item {
-	number := int(m.shapeIndex.Rand())
-	s := m.shapes[number]
+	number := int(m.fingerprintIndex.Rand())
+	s := m.fingerprints[number]
 	if m.random.Float64() < m.options.OneOffShare {
-		s = m.newShape(s.workload)
+		s = m.newFingerprint(s.workload)
 		s.text = strings.Replace(s.text, "{", "", 1) + fmt.Sprintf(" /* */ AND one_%d.x IS NULL", m.generated)
 		number = -1
 	}
@@ -139,7 +139,7 @@
 }
 
 // estimate draws the estimate of the work that the client declares.
-func (m *Mix) estimate(s mixShape, logWork float64) time.Duration {
+func (m *Mix) estimate(s mixFingerprint, logWork float64) time.Duration {
 	estimate := seconds(math.Exp(logWork+estimateSpread*m.normal.Rand()) * max(s.estimateFactor, minEstimateFactor))
 	if m.options.EstimateErrorFactor == 0 { // without a systematic error: drawn again without a factor
 		estimate = seconds(math.Exp(logWork + estimateSpread*m.normal.Rand()))
@@ -148,7 +148,7 @@
 }
 
 // mislabel makes some statements declare another workload than their own.
-func (m *Mix) mislabel(item *Item, s mixShape) {
+func (m *Mix) mislabel(item *Item, s mixFingerprint) {
 	if m.options.CorrectLabels {
 		return
 	}
@@ -161,7 +161,7 @@
 		item.Declared = Lookup
 	}
 	if m.options.EstimatesMatchLabels {
-		item.Estimate = seconds(mixWorkloads[item.Declared].medianWork * math.Exp(shapeSpread*m.normal.Rand()))
+		item.Estimate = seconds(mixWorkloads[item.Declared].medianWork * math.Exp(fingerprintSpread*m.normal.Rand()))
 	}
 }
 
--- a/internal/fakes/mix_templates.go
+++ b/internal/fakes/mix_templates.go
@@ -1,7 +1,7 @@
 package fakes
 
-// mixTemplates lists the templates of shapes by workload. {s}, {t}, {c} and {k} are placeholders of a schema, a table, a column and a key;
-// ? is a placeholder of a literal, # of a list of literals.
+// mixTemplates lists the templates of fingerprints by workload. {s}, {t}, {c} and {k} are placeholders of a schema, a table, a column and a
+// key; ? is a placeholder of a literal, # of a list of literals.
 var mixTemplates = [3][]string{
 	{
 		"SELECT {c}, {c}, {c} FROM {s}.{t} WHERE {k} = ?",
--- a/internal/fakes/mix_text.go
+++ b/internal/fakes/mix_text.go
@@ -15,14 +15,14 @@
 	lineBreakOdds     = 16 // one in this many spaces becomes a line break
 )
 
-// newShape draws a shape: a template whose placeholders are replaced with names.
-func (m *Mix) newShape(w decision.WorkloadID) mixShape {
+// newFingerprint draws a fingerprint: a template whose placeholders are replaced with names.
+func (m *Mix) newFingerprint(w decision.WorkloadID) mixFingerprint {
 	text := m.fillPlaceholders(m.pickOne(mixTemplates[w]))
 	if m.options.OtherFingerprints {
 		text = m.insertCondition(text, w)
 	}
-	s := mixShape{workload: w, text: text, estimateFactor: m.options.EstimateErrorFactor}
-	s.logWork = math.Log(mixWorkloads[w].medianWork) + shapeSpread*m.normal.Rand()
+	s := mixFingerprint{workload: w, text: text, estimateFactor: m.options.EstimateErrorFactor}
+	s.logWork = math.Log(mixWorkloads[w].medianWork) + fingerprintSpread*m.normal.Rand()
 	s.alwaysMislabelled = w == Report && m.random.Float64() < alwaysMislabelled
 	if m.random.IntN(2) == 0 && s.estimateFactor > 0 {
 		s.estimateFactor = 1 / s.estimateFactor
@@ -64,7 +64,7 @@
 	return text[:i] + " /* moved */ WHERE xdeleted IS NULL AND" + text[i+len(where)-1:]
 }
 
-// withLiterals replaces the placeholders of a shape's text with literals, and some of its spaces with line breaks.
+// withLiterals replaces the placeholders of a fingerprint's text with literals, and some of its spaces with line breaks.
 func (m *Mix) withLiterals(text string) []byte {
 	var b strings.Builder
 	for i := range len(text) {
--- a/internal/fakes/simulated_engine.go
+++ b/internal/fakes/simulated_engine.go
@@ -37,7 +37,7 @@
 	slowdown        float64 // factor by which statements take longer; 0 means 1
 	failing         bool    // all new statements fail
 	coldWork        slidingwindow.Sum
-	collapsed       bool
+	overloaded      bool
 }
 
 // execution is a running or finished statement at a simulated engine.
--- a/internal/fakes/simulated_engine_test.go
+++ b/internal/fakes/simulated_engine_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 10 * time.Second
+const timeout = 10 * time.Second
 
 // recordedEngine is a simulated engine of one core whose statements cost what their text says.
 type recordedEngine struct {
@@ -86,7 +86,7 @@
 	e := startRecordedEngine(t, SlowStart{})
 	e.AbandonAfter = 20 * time.Millisecond
 	e.call(http.MethodPost, "/x", "a", "1h")
-	require.Eventually(t, func() bool { return len(e.recorded()) == 2 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(e.recorded()) == 2 }, timeout, time.Millisecond)
 	assert.Equal(t, []EngineEventKind{AttemptStarted, AttemptAbandoned}, e.recorded())
 }
 
@@ -107,7 +107,7 @@
 			if err == nil {
 				response.Body.Close()
 			}
-			require.Eventually(t, func() bool { return len(e.recorded()) > 0 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return len(e.recorded()) > 0 }, timeout, time.Millisecond)
 			if c.collapses {
 				assert.Contains(t, e.recorded(), ColdEngineOverloaded)
 			} else {
--- a/internal/fakes/simulated_slowstart.go
+++ b/internal/fakes/simulated_slowstart.go
@@ -32,8 +32,8 @@
 	at := now.Sub(e.started)
 	e.coldWork.Add(at, work.Seconds())
 	load = e.coldWork.Since(at-s.Window) / (s.MaxLoadFactor * share * e.Cores * s.Window.Seconds())
-	if load > 1 && !e.collapsed {
-		e.collapsed = true
+	if load > 1 && !e.overloaded {
+		e.overloaded = true
 		e.notify(EngineEvent{Kind: ColdEngineOverloaded, ColdLoad: load})
 		go e.Close()
 	}
--- a/internal/settings/config_test.go
+++ b/internal/settings/config_test.go
@@ -51,9 +51,9 @@
 	var field *FieldError
 	require.ErrorAs(t, err, &field)
 	assert.Equal(t, "settings", field.Field)
-	var word UnknownValueError
-	require.ErrorAs(t, err, &word)
-	assert.Equal(t, "odd", word.Word)
+	var value UnknownValueError
+	require.ErrorAs(t, err, &value)
+	assert.Equal(t, "odd", value.Value)
 
 	_, err = ParseConfig([]byte(strings.Replace(config, "127.0.0.1:4222", "feed:1", 1)))
 	var address AddressError
--- a/internal/settings/enum_values.go
+++ b/internal/settings/enum_values.go
@@ -67,10 +67,10 @@
 }
 
 // ParseEnum returns the value that a field's text represents, or a FieldError with an UnknownValueError.
-func ParseEnum[T any](field, word string, values map[string]T) (T, error) {
-	value, ok := values[word]
+func ParseEnum[T any](field, value string, values map[string]T) (T, error) {
+	result, ok := values[value]
 	if !ok {
-		return value, &FieldError{Field: field, Err: UnknownValueError{Word: word}}
+		return result, &FieldError{Field: field, Err: UnknownValueError{Value: value}}
 	}
-	return value, nil
+	return result, nil
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -15,10 +15,10 @@
 func (e *FieldError) Unwrap() error { return e.Err }
 
 // UnknownValueError is the error of a text that is not an allowed value of its field.
-type UnknownValueError struct{ Word string }
+type UnknownValueError struct{ Value string }
 
-// Error returns a text that quotes the word.
-func (e UnknownValueError) Error() string { return fmt.Sprintf("unknown word %q", e.Word) }
+// Error returns a text that quotes the value.
+func (e UnknownValueError) Error() string { return fmt.Sprintf("unknown word %q", e.Value) }
 
 // AddressError is the error of a text that is not an IP address with a port.
 type AddressError struct{ Text string }
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -118,8 +118,8 @@
 		return decision.LoadReportSettings{}, err
 	}
 	reports := decision.LoadReportSettings{Source: source}
-	for _, word := range in.Feedback.Fields {
-		field, err := ParseEnum("feedback.fields", word, ReportFieldNames)
+	for _, value := range in.Feedback.Fields {
+		field, err := ParseEnum("feedback.fields", value, ReportFieldNames)
 		if err != nil {
 			return decision.LoadReportSettings{}, err
 		}
