--- a/deploy/control.jsonnet
+++ b/deploy/control.jsonnet
@@ -1,7 +1,8 @@
-// A router's control file is written from this by `bankledge-control router deploy/control.jsonnet`. The spans have to be those of the group.
+// Template of a router's control file. `bankledge-control router deploy/control.jsonnet` validates it and prints the control file. The
+// durations must equal those of the control group (deploy/group.jsonnet).
 {
   addresses: ['127.0.0.1:7201', '127.0.0.1:7202', '127.0.0.1:7203'],
-  lineage: '',  // the only one to follow; empty: the first that is heard of
+  lineage: '',  // lineage to follow; empty: the first one that the router receives
   term_ms: 2000,
   renew_ms: 400,
   answer_ms: 400,
--- a/deploy/group.jsonnet
+++ b/deploy/group.jsonnet
@@ -1,5 +1,4 @@
-// One process of a control group of three; each has this file with an id of its own:
-// copy it and change `id`.
+// Settings of one process of a control group with three members. Each process needs its own copy of this file with a different `id`.
 local id = 1;
 {
   id: id,
--- a/deploy/rules.jsonnet
+++ b/deploy/rules.jsonnet
@@ -1,5 +1,6 @@
-// Rules and lists that matter between routers, as `bankledge-control propose` takes them. What a map does not name is as each router's own
-// settings have it; `engines: null` leaves the list to the control feed alone.
+// Fleet-wide rules and lists, in the form that `bankledge-control propose` accepts. If a map has no entry for a name, each router applies
+// its own settings to that name; internal/rules/rules.go lists the exceptions. `engines: null` means that the rules contain no engine list;
+// routers then use the engines of the control feed.
 {
   routers: 3,
   importance: { lookup: 1, report: 7.5, 'price-load': 10 },
