--- a/cmd/bankledge/suspension_test.go
+++ b/cmd/bankledge/suspension_test.go
@@ -61,6 +61,7 @@
 	c := dial(t, r)
 	c.send(frameStatement, 1, statement("lookup", 1))
 	c.expect(answer(1, codeCompleted, "fine\n"))
+	awaitValue(t, f.LastEventIDs) // the router has opened the stream, so it can receive during the suspension
 	const n = 30
 	for round := range uint32(3) {
 		r.suspend(t)
